--- /dev/null
+++ b/recorded_stream_test.go
@@ -0,0 +1,311 @@
+package deckrelay
+
+import (
+	"container/heap"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+var updateStream = flag.Bool("update-stream", false, "record testdata/stream.txt anew from this code")
+
+// Shape of the drawn days.
+const (
+	streamSeeds   = 24
+	streamLength  = 40 * time.Second
+	streamServers = 30
+)
+
+// streamDay plays one drawn day against a Balancer: its settings, its servers, its faults.
+type streamDay struct {
+	t        *testing.T
+	rng      *rand.Rand
+	set      Settings
+	balancer *Balancer
+	due      dueHeap
+	order    int
+	servers  []Server
+	attempts map[string]int
+	hung     map[string]time.Duration // servers that answer nothing before that time
+	failing  map[string]time.Duration
+	log      io.Writer
+	actions  int
+}
+
+func (d *streamDay) later(at time.Duration, e Event) {
+	d.order++
+	heap.Push(&d.due, dueEvent{at, d.order, e})
+}
+
+// streamSettings draws settings; over the seeds each rule of the policy is in force in some of them.
+func streamSettings(r *rand.Rand, seed int) Settings {
+	set := Settings{Classes: []Class{
+		{Name: "view", Effect: Safe, Scope: ScopeAll, Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.2, Worth: 1},
+		{Name: "pay", Effect: Keyed, Scope: Scope(seed % 3), Window: time.Second + time.Duration(seed%5)*300*time.Millisecond,
+			Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 4},
+		{Name: "book", Effect: Unsafe, Scope: ScopeAll, Aim: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2,
+			InOrder: seed%2 == 0},
+		{Name: "feed", Effect: Safe, Aim: time.Second, Deadline: 5 * time.Second, LateShare: 0.5, Worth: 0.5, Stream: true}},
+		OverWorth: 0.05, Balancers: 1 + seed%4, Self: seed % 2, Tiers: 3, Tier: seed / 2 % 2, WholeWeight: 0.75, ClassWeight: 0.1,
+		MarksRepeats: seed%3 == 0, MaxAttempts: 2 + seed%4, Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second,
+		OrderSettle: 200 * time.Millisecond, AskDiscovery: seed%2 == 1, AskWithin: 6 * time.Second,
+		ColdFrom: 0.2 + 0.1*float64(seed%4), WarmAfter: 8 * time.Second, FallMultiple: float64(seed % 5)}
+	if seed%3 != 1 {
+		set.Zone = "x"
+	}
+	if seed%4 != 3 {
+		set.Tenants = []Tenant{{"a", 40 + 40*r.Float64()}, {"b", 10 + 10*r.Float64()}}
+	}
+	if seed%5 == 2 {
+		set.Classes[0].OnlyZones = []string{"x", "y"}
+	}
+	if seed%5 >= 3 {
+		set.Classes[1].OnlyKinds = []string{"big"}
+	}
+	return set
+}
+
+func newStreamDay(t *testing.T, seed int, log io.Writer) *streamDay {
+	r := rand.New(rand.NewPCG(uint64(seed), 11))
+	d := &streamDay{t: t, rng: r, set: streamSettings(r, seed), attempts: map[string]int{}, log: log,
+		hung: map[string]time.Duration{}, failing: map[string]time.Duration{}}
+	var err error
+	if d.balancer, err = New(d.set, uint64(seed)); err != nil {
+		t.Fatal(err)
+	}
+	zones := []string{"x", "y", "z"}[:1+seed%3]
+	for i := range 3 + r.IntN(streamServers) {
+		d.servers = append(d.servers, Server{ID: fmt.Sprintf("s%02d", i), Zone: zones[i%len(zones)],
+			Kind: []string{"small", "big"}[i/2%2], Cell: i % 5})
+	}
+	d.later(0, ServerList{Full: true, Cached: true, Servers: append([]Server(nil), d.servers...)})
+	d.later(50*time.Millisecond, ServerList{Full: true, Servers: append([]Server(nil), d.servers...)})
+	d.requests()
+	d.listChanges(zones)
+	d.faults(zones)
+	return d
+}
+
+// requests draws the day's traffic: thin at first, with a burst in the middle.
+func (d *streamDay) requests() {
+	mean := 4 * time.Millisecond
+	for at := 20 * time.Millisecond; at < streamLength; at += time.Duration(d.rng.ExpFloat64() * float64(mean)) {
+		mean = 6 * time.Millisecond
+		if at > 18*time.Second && at < 24*time.Second {
+			mean = 2 * time.Millisecond
+		}
+		c := d.set.Classes[d.rng.IntN(len(d.set.Classes))]
+		name, wait := c.Name, c.Deadline
+		if d.rng.IntN(200) == 0 {
+			name, wait = "unheard", time.Second
+		}
+		repeat := d.rng.IntN(12) == 0
+		if repeat {
+			wait = wait * 2 / 3
+		}
+		id := fmt.Sprintf("r%d", d.order)
+		d.later(at, Request{ID: id, Class: name, Tenant: []string{"a", "a", "b", "c"}[d.rng.IntN(4)], Deadline: at + wait,
+			Repeat: repeat, Key: uint64(d.rng.IntN(40)), HasKey: d.rng.IntN(3) > 0, Coming: d.rng.IntN(25) == 0})
+		switch d.rng.IntN(60) {
+		case 0:
+			d.later(at+time.Duration(d.rng.IntN(600))*time.Millisecond, ClientGone{ID: id})
+		case 1:
+			d.later(at+time.Duration(d.rng.IntN(900))*time.Millisecond, TimeUp{ID: id})
+		}
+	}
+}
+
+// listChanges draws drains, losses, returns with a new start, and growth.
+func (d *streamDay) listChanges(zones []string) {
+	for i, s := range d.servers {
+		at := time.Duration(5+d.rng.IntN(30)) * time.Second
+		switch d.rng.IntN(5) {
+		case 0:
+			s.State = Draining
+			d.later(at, ServerList{Servers: []Server{s}})
+			s.State = Gone
+			d.later(at+3*time.Second, ServerList{Servers: []Server{s}})
+			s.State, s.Boot = Ready, at+4*time.Second
+			d.later(at+5*time.Second, ServerList{Servers: []Server{s}})
+		case 1:
+			s.Boot = at - 2*time.Second
+			d.later(at, ServerList{Servers: []Server{s}})
+		}
+		if i%7 == 3 {
+			fresh := Server{ID: fmt.Sprintf("t%02d", i), Zone: zones[d.rng.IntN(len(zones))], Kind: "big", Boot: at - time.Second}
+			d.later(at, ServerList{Servers: []Server{fresh}})
+		}
+	}
+	d.later(33*time.Second, ServerList{Full: true, Servers: append([]Server(nil), d.servers[:len(d.servers)*2/3+1]...)})
+	for i := range 6 {
+		d.later(time.Duration(3+6*i)*time.Second, ListFailed{})
+	}
+}
+
+// faults draws hung and failing servers, a lost zone, an evacuation, counts of replicas and a suspended process.
+func (d *streamDay) faults(zones []string) {
+	for _, s := range d.servers {
+		switch d.rng.IntN(10) {
+		case 0:
+			d.hung[s.ID] = time.Duration(8+d.rng.IntN(20)) * time.Second
+		case 1, 2:
+			d.failing[s.ID] = time.Duration(8+d.rng.IntN(20)) * time.Second
+		}
+	}
+	last := zones[len(zones)-1]
+	d.later(26*time.Second, ZoneOrder{Zone: last, Away: true})
+	d.later(29*time.Second, ZoneOrder{Zone: last})
+	d.later(9*time.Second, Peers{Copies: map[string]int{"x": 2, "y": 1 + d.rng.IntN(4)}})
+	d.later(19*time.Second, Peers{Copies: map[string]int{"x": 1}})
+	d.later(31*time.Second, Peers{})
+}
+
+// play handles all events in order. Between 36 s and 37.5 s the process is suspended: what comes due then is late.
+func (d *streamDay) play() {
+	nextLook := time.Second
+	for len(d.due) > 0 {
+		x := heap.Pop(&d.due).(dueEvent)
+		now := x.at
+		if now > 36*time.Second && now < 37500*time.Millisecond {
+			now = 37500 * time.Millisecond
+		}
+		for _, a := range d.balancer.Handle(now, x.e) {
+			d.record(now, a)
+			d.follow(now, a)
+		}
+		if now >= nextLook {
+			nextLook += time.Second
+			d.look(now)
+		}
+	}
+}
+
+// record writes one action in a form that no name in the code has part in.
+func (d *streamDay) record(now time.Duration, a Action) {
+	d.actions++
+	switch a := a.(type) {
+	case Send:
+		fmt.Fprintln(d.log, int64(now), "send", a.ID, a.Server, int64(a.Timeout), int64(a.RepeatBefore))
+	case Refuse:
+		fmt.Fprintln(d.log, int64(now), "reject", a.ID, int64(a.RetryAfter), int(a.Why))
+	case Fail:
+		fmt.Fprintln(d.log, int64(now), "fail", a.ID, int(a.Why))
+	case Wake:
+		fmt.Fprintln(d.log, int64(now), "timer", a.Token, int64(a.At))
+	case Subscribe:
+		fmt.Fprintln(d.log, int64(now), "watch")
+	default:
+		d.t.Fatalf("an action of an unknown type: %T", a)
+	}
+}
+
+// look records what the Balancer shows of itself.
+func (d *streamDay) look(now time.Duration) {
+	listed, avoided := d.balancer.Servers(now)
+	fmt.Fprintln(d.log, int64(now), "shown", listed, avoided, d.balancer.ZoneTurns())
+	for _, z := range d.balancer.Zones() {
+		fmt.Fprintln(d.log, "zone", z.Name, int(z.State), z.Ordered, z.Share, int64(z.Since), z.Servers, z.Silent, z.Calls)
+	}
+}
+
+// follow plays the world's answer to an action.
+func (d *streamDay) follow(now time.Duration, a Action) {
+	switch a := a.(type) {
+	case Wake:
+		d.later(max(a.At, now), Timer{Token: a.Token})
+	case Subscribe:
+		if d.rng.IntN(4) == 0 {
+			d.later(now+100*time.Millisecond, ListFailed{})
+		}
+	case Send:
+		n := d.attempts[a.ID]
+		d.attempts[a.ID]++
+		d.attempt(now, a, n)
+	}
+}
+
+// attempt draws how one attempt ends.
+func (d *streamDay) attempt(now time.Duration, a Send, n int) {
+	took, ending := time.Duration((0.5+d.rng.Float64())*float64(180*time.Millisecond)), Success
+	switch draw := d.rng.IntN(200); {
+	case draw < 2:
+		ending = Broken
+	case draw < 4:
+		ending, took = Unreachable, 2*time.Millisecond
+	case draw < 6:
+		ending, took = Overloaded, time.Millisecond
+	case draw == 6:
+		ending, took = Void, time.Millisecond
+	case draw == 7:
+		ending, took = Withdrawn, 50*time.Millisecond
+	}
+	if until := d.failing[a.Server]; now < until && now > 4*time.Second && d.rng.IntN(10) < 7 {
+		ending, took = Failure, 3*time.Millisecond
+	}
+	if until := d.hung[a.Server]; now < until && now > 6*time.Second || d.lostZone(now, a.Server) || took >= a.Timeout {
+		ending, took = TimedOut, a.Timeout
+	}
+	if n == 0 {
+		d.later(now+10*time.Millisecond, Sent{ID: a.ID, Attempt: n, Deadline: now + 2*time.Second})
+	}
+	if ending == Success && took > 50*time.Millisecond && d.rng.IntN(20) == 0 {
+		d.later(now+took/2, Started{ID: a.ID, Attempt: n})
+	}
+	d.later(now+took, Outcome{ID: a.ID, Attempt: n, Server: a.Server, Ending: ending, Latency: took,
+		Ended: ending == Success || d.rng.IntN(30) == 0, Spent: d.rng.IntN(40) == 0, Load: &Load{Busy: 1, Service: took}})
+}
+
+// lostZone says that a server's zone gives no answers just now.
+func (d *streamDay) lostZone(now time.Duration, id string) bool {
+	if now < 12*time.Second || now > 17*time.Second {
+		return false
+	}
+	for _, s := range d.servers {
+		if s.ID == id {
+			return s.Zone == "y"
+		}
+	}
+	return false
+}
+
+// TestActionsAreAsInTheRecordedStream holds the policy to the actions that it gave before it was cut into subjects.
+// With KEELUSHER_STREAM_DIR set, it writes each day's actions there, to compare two versions line by line.
+func TestActionsAreAsInTheRecordedStream(t *testing.T) {
+	path := filepath.Join("testdata", "stream.txt")
+	var lines []string
+	for seed := range streamSeeds {
+		sum := fnv.New64a()
+		var log io.Writer = sum
+		if dir := os.Getenv("KEELUSHER_STREAM_DIR"); dir != "" {
+			f, err := os.Create(filepath.Join(dir, fmt.Sprintf("day%02d.txt", seed)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer f.Close()
+			log = io.MultiWriter(sum, f)
+		}
+		d := newStreamDay(t, seed, log)
+		d.play()
+		lines = append(lines, fmt.Sprintf("day %d: %d actions, fnv64a %016x", seed, d.actions, sum.Sum64()))
+	}
+	got := strings.Join(lines, "\n") + "\n"
+	if *updateStream {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("the actions differ from the recorded ones\ngot:\n%swant:\n%s", got, want)
+	}
+}
--- a/recorded_test.go
+++ b/recorded_test.go
@@ -85,19 +85,23 @@
 				if a.Why <= guard.Allowed {
 					t.Errorf("%s is refused for the reason %q", a.ID, a.Why)
 				}
-				fmt.Fprintf(h, "%d %T {ID:%s RetryAfter:%v}\n", x.at, a, a.ID, a.RetryAfter)
+				fmt.Fprintf(h, "%d deckrelay.Refuse {ID:%s RetryAfter:%v}\n", x.at, a.ID, a.RetryAfter)
 			case Fail:
 				if a.Why <= guard.Allowed {
 					t.Errorf("%s fails for the reason %q", a.ID, a.Why)
 				}
-				fmt.Fprintf(h, "%d %T {ID:%s}\n", x.at, a, a.ID)
+				fmt.Fprintf(h, "%d deckrelay.Fail {ID:%s}\n", x.at, a.ID)
 			case Send:
 				if a.RepeatBefore != 0 {
 					t.Errorf("%s has a window for repeats, and no class is keyed", a.ID)
 				}
-				fmt.Fprintf(h, "%d %T {ID:%s Server:%s Timeout:%v}\n", x.at, a, a.ID, a.Server, a.Timeout)
+				fmt.Fprintf(h, "%d deckrelay.Send {ID:%s Server:%s Timeout:%v}\n", x.at, a.ID, a.Server, a.Timeout)
+			case Wake:
+				fmt.Fprintf(h, "%d deckrelay.Wake {At:%v Token:%s}\n", x.at, a.At, a.Token)
+			case Subscribe:
+				fmt.Fprintf(h, "%d deckrelay.Subscribe {}\n", x.at)
 			default:
-				fmt.Fprintf(h, "%d %T %+v\n", x.at, a, a)
+				t.Errorf("an action of an unknown type: %T", a)
 			}
 			actions++
 			switch a := a.(type) {
