--- a/check.sh
+++ b/check.sh
@@ -14,7 +14,7 @@
 [ -n "$build" ] || { echo "deploy/balancer.toml: no build command" >&2; exit 1; }
 sh -c "$build"
 # The standing check loads a library into the node: it has to be linked dynamically against the C library.
-ldd bin/quaywick | grep -q 'libc\.so' || { echo "deploy: the node is not linked against the C library" >&2; exit 1; }
+ldd bin/balancer | grep -q 'libc\.so' || { echo "deploy: the node is not linked against the C library" >&2; exit 1; }
 sim=$(sed -n 's/^sim = "\(.*\)"$/\1/p' deploy/balancer.toml)
 [ "$(printf 'sync\t1\neob\n' | sh -c "$sim")" = yield ] || { echo "deploy: the adapter gave no reply" >&2; exit 1; }
 run=$(sed -n 's/^run = "\(.*\)"$/\1/p' deploy/balancer.toml)
@@ -22,7 +22,7 @@
 # Without a configuration the node says so in one line and exits 1; the tests start it with one.
 status=0
 said=$(ROUTER_CONFIG= sh -c "$run" 2>&1) || status=$?
-[ "$status" = 1 ] && [ "$(printf '%s\n' "$said" | grep -c '^quaywick: ')" = 1 ] ||
+[ "$status" = 1 ] && [ "$(printf '%s\n' "$said" | grep -c '^balancer: ')" = 1 ] ||
     { echo "deploy: the node without a configuration exited $status: $said" >&2; exit 1; }
 known_red=
 if [ -f KNOWN-RED.txt ]; then
--- a/cmd/deckrelay-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,4 +1,4 @@
-// Command deckrelay-sim hosts Balancers on the simulator's wire: batches of events on standard
+// Command balancer-sim hosts Balancers on the simulator's wire: batches of events on standard
 // input, one reply for each on standard output.
 package main
 
@@ -9,23 +9,23 @@
 	"os"
 	"time"
 
-	"deckrelay"
-	"deckrelay/internal/wire"
+	"keelusher/internal/simulator"
+	"keelusher/policy"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "deckrelay-sim: %v\n", err)
+		fmt.Fprintf(os.Stderr, "balancer-sim: %v\n", err)
 		os.Exit(1)
 	}
 }
 
 // run serves batches until the input ends. A reply is written whole or not at all.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
+	dec := simulator.NewDecoder(in)
 	var reply bytes.Buffer
-	enc := wire.NewEncoder(&reply)
-	hosted := map[int]*deckrelay.Balancer{}
+	enc := simulator.NewEncoder(&reply)
+	hosted := map[int]*policy.Balancer{}
 	var now time.Duration
 	for {
 		m, err := dec.Next()
@@ -36,23 +36,23 @@
 			return err
 		}
 		switch m.Kind {
-		case wire.Sync:
+		case simulator.Sync:
 			now = m.Now
-		case wire.Hello:
-			b, err := deckrelay.New(m.Settings, m.Seed)
+		case simulator.Hello:
+			b, err := policy.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("instance %d: %w", m.Instance, err)
 			}
 			hosted[m.Instance] = b
-		case wire.Stop:
+		case simulator.Stop:
 			delete(hosted, m.Instance)
-		case wire.Event:
+		case simulator.Event:
 			if b := hosted[m.Instance]; b != nil {
 				for _, a := range b.Handle(now, m.Event) {
 					enc.Action(m.Instance, a)
 				}
 			}
-		case wire.End:
+		case simulator.End:
 			if err := enc.Flush(); err != nil {
 				return err
 			}
--- a/cmd/quaywick-lab/capacity.go
+++ b/cmd/balancer-testbed/capacity.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"deckrelay/internal/lab"
+	"keelusher/internal/testbed"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
@@ -45,25 +45,25 @@
 }
 
 func capacity(ctx context.Context, self string, rate float64, length time.Duration, cores int, linked bool) error {
-	w := lab.World{Binary: self, Args: []string{"stub"}, TrustNodes: true, Seed: 1,
-		Tiers:   []lab.Tier{{Name: "front", Nodes: 4, Servers: 1}},
-		Classes: []lab.Class{{Name: "view", Effect: "read_like", Share: 1, Work: make([]time.Duration, 1), Aim: time.Second, Deadline: 2 * time.Second}}}
+	w := testbed.World{Binary: self, Args: []string{"stub"}, TrustNodes: true, Seed: 1,
+		Tiers:   []testbed.Tier{{Name: "front", Nodes: 4, Servers: 1}},
+		Classes: []testbed.Class{{Name: "view", Effect: "read_like", Share: 1, Work: make([]time.Duration, 1), Aim: time.Second, Deadline: 2 * time.Second}}}
 	if linked {
 		w.Links = []string{"clients-*->n*"}
 	}
-	load := lab.Load{Rate: rate}
+	load := testbed.Load{Rate: rate}
 	if err := errors.Join(w.Fill(), load.Fill(&w)); err != nil {
 		return usageError{err}
 	}
-	l, err := lab.Open(ctx, w)
+	l, err := testbed.Open(ctx, w)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	day := lab.Draw(&w, &load, length, 1)
+	day := testbed.Draw(&w, &load, length, 1)
 	const most = int64(time.Minute / time.Microsecond)
 	latency, late := hdrhistogram.New(1, most, 3), hdrhistogram.New(1, most, 3)
-	ended := make(chan lab.Served, 1024)
+	ended := make(chan testbed.Served, 1024)
 	booked := make(chan struct{})
 	go func() {
 		defer close(booked)
@@ -76,7 +76,7 @@
 	}()
 	cpu, began := ownCPU(), time.Now()
 	var served atomic.Int64
-	l.Drive(ctx, &load, day, func(s lab.Served) {
+	l.Drive(ctx, &load, day, func(s testbed.Served) {
 		if s.End == "served" {
 			served.Add(1)
 		}
--- a/cmd/quaywick-lab/main.go
+++ b/cmd/balancer-testbed/main.go
@@ -1,4 +1,4 @@
-// Command quaywick-lab plays experiments with several real nodes on loopback and reports on them.
+// Command balancer-testbed plays experiments with several real nodes on loopback and reports on them.
 package main
 
 import (
@@ -12,8 +12,8 @@
 	"strings"
 	"syscall"
 
-	"deckrelay/internal/lab"
-	"deckrelay/internal/lab/experiment"
+	"keelusher/internal/testbed"
+	"keelusher/internal/testbed/experiment"
 
 	"github.com/spf13/cobra"
 )
@@ -35,7 +35,7 @@
 		return
 	}
 	for _, line := range strings.Split(err.Error(), "\n") {
-		fmt.Fprintf(os.Stderr, "quaywick-lab: %s\n", line)
+		fmt.Fprintf(os.Stderr, "balancer-testbed: %s\n", line)
 	}
 	stop()
 	if errors.As(err, &usageError{}) {
@@ -45,7 +45,7 @@
 }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "quaywick-lab", Short: "Play experiments with several real nodes and faults between them",
+	root := &cobra.Command{Use: "balancer-testbed", Short: "Play experiments with several real nodes and faults between them",
 		SilenceUsage: true, SilenceErrors: true,
 		Args: cobra.ArbitraryArgs,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -82,7 +82,7 @@
 	var binary, out string
 	var seeds []uint
 	c := &cobra.Command{Use: "run FILE", Short: "Play an experiment and report on it", Args: cobra.ExactArgs(1)}
-	c.Flags().StringVar(&binary, "binary", "bin/quaywick", "the node program, for variants that name none")
+	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program, for variants that name none")
 	c.Flags().StringVar(&out, "out", "", "folder for results and report (default lab-results/NAME)")
 	c.Flags().UintSliceVar(&seeds, "seeds", nil, "seeds in place of the file's")
 	c.RunE = func(c *cobra.Command, args []string) (err error) {
@@ -115,7 +115,7 @@
 	}
 	defer results.Close()
 	say, end := progress()
-	rules := map[lab.Rule]int{}
+	rules := map[testbed.Rule]int{}
 	r := &experiment.Runner{File: f, Binary: binary, Out: results, Progress: say}
 	r.Done = func(k experiment.Key, s *experiment.Summary) {
 		end()
@@ -211,12 +211,12 @@
 		if err != nil {
 			return err
 		}
-		steps, err := lab.Schedule(&f.World, f.Faults, seed)
+		steps, err := testbed.Schedule(&f.World, f.Faults, seed)
 		if err != nil {
 			return err
 		}
 		w := bufio.NewWriter(os.Stdout)
-		if err := lab.WriteDay(w, lab.Draw(&f.World, &f.Load, f.Length, seed), steps); err != nil {
+		if err := testbed.WriteDay(w, testbed.Draw(&f.World, &f.Load, f.Length, seed), steps); err != nil {
 			return err
 		}
 		return w.Flush()
--- a/cmd/quaywick-lab/main_test.go
+++ b/cmd/balancer-testbed/main_test.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"testing"
 
-	"deckrelay/internal/lab/labtest"
+	"keelusher/internal/testbed/testbedtest"
 )
 
 var binary string
@@ -20,7 +20,7 @@
 		main()
 		os.Exit(0)
 	}
-	os.Exit(labtest.Main(m, &binary))
+	os.Exit(testbedtest.Main(m, &binary))
 }
 
 func program(args ...string) *exec.Cmd {
@@ -73,7 +73,7 @@
 	go func() { // ends with the program: it is interrupted once its nodes serve
 		defer close(watched)
 		for {
-			logs, _ := filepath.Glob(filepath.Join(dir, "quaywick-lab-*", "n1", "n1.log"))
+			logs, _ := filepath.Glob(filepath.Join(dir, "balancer-testbed-*", "n1", "n1.log"))
 			for _, l := range logs {
 				if text, _ := os.ReadFile(l); strings.Contains(string(text), "to=serving") {
 					c.Process.Signal(syscall.SIGINT)
@@ -90,7 +90,7 @@
 	if code := c.ProcessState.ExitCode(); code != 1 {
 		t.Errorf("exit %d, want 1", code)
 	}
-	if left, _ := filepath.Glob(filepath.Join(dir, "quaywick-lab-*")); len(left) != 0 {
+	if left, _ := filepath.Glob(filepath.Join(dir, "balancer-testbed-*")); len(left) != 0 {
 		t.Errorf("the scratch folder is left: %v", left)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "results.jsonl")); err != nil {
--- a/cmd/quaywick-lab/mesh.go
+++ b/cmd/balancer-testbed/mesh.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"deckrelay/internal/lab"
+	"keelusher/internal/testbed"
 
 	"github.com/spf13/cobra"
 )
@@ -21,7 +21,7 @@
 	var nodes, seeds int
 	var probe time.Duration
 	c := &cobra.Command{Use: "mesh", Short: "Trouble a fleet whose only work is membership, and time it", Args: cobra.NoArgs}
-	c.Flags().StringVar(&binary, "binary", "bin/quaywick", "the node program")
+	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program")
 	c.Flags().StringVar(&only, "only", "", "scenarios whose name contains this")
 	c.Flags().IntVar(&nodes, "nodes", 16, "nodes, where the scenario does not say")
 	c.Flags().IntVar(&seeds, "seeds", 5, "plays of each scenario")
@@ -36,7 +36,7 @@
 		}
 		failed := false
 		fmt.Println("| scenario | nodes | plays | figure | median | worst | count |\n| --- | --- | --- | --- | --- | --- | --- |")
-		for _, sc := range lab.Scenarios {
+		for _, sc := range testbed.Scenarios {
 			if !strings.Contains(sc.Name, only) {
 				continue
 			}
@@ -55,13 +55,13 @@
 }
 
 // meshScenario plays one scenario with all seeds; bad says that it went wrong in some.
-func meshScenario(ctx context.Context, sc lab.Scenario, binary string, nodes, seeds int, probe time.Duration) (bad bool, err error) {
+func meshScenario(ctx context.Context, sc testbed.Scenario, binary string, nodes, seeds int, probe time.Duration) (bad bool, err error) {
 	times, counts := map[string][]time.Duration{}, map[string]int{}
 	if sc.Nodes > 0 {
 		nodes = sc.Nodes
 	}
 	for seed := range seeds {
-		s, err := lab.RunScenario(ctx, sc, binary, nodes, uint64(seed+1), probe)
+		s, err := testbed.RunScenario(ctx, sc, binary, nodes, uint64(seed+1), probe)
 		if err != nil {
 			return true, err
 		}
--- a/cmd/quaywick-lab/soak.go
+++ b/cmd/balancer-testbed/soak.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"sync"
 
-	"deckrelay/internal/lab"
-	"deckrelay/internal/lab/soak"
+	"keelusher/internal/testbed"
+	"keelusher/internal/testbed/soak"
 
 	"github.com/spf13/cobra"
 )
@@ -21,7 +21,7 @@
 	var keep []int
 	var reduce bool
 	c := &cobra.Command{Use: "soak", Short: "Play a few dozen nodes through overlapping troubles, by seeds", Args: cobra.NoArgs}
-	c.Flags().StringVar(&binary, "binary", "bin/quaywick", "the node program")
+	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program")
 	c.Flags().StringVar(&out, "out", "lab-results/soak", "folder for logs and results")
 	c.Flags().Uint64Var(&from, "seed", 1, "the first seed")
 	c.Flags().Uint64Var(&count, "count", 1, "how many seeds")
@@ -65,7 +65,7 @@
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var failed error
-	broken := map[lab.Rule]int{}
+	broken := map[testbed.Rule]int{}
 	places := make(chan struct{}, max(1, beside))
 	for seed := from; seed < from+count; seed++ {
 		p := soak.NewPlan(seed)
@@ -118,7 +118,7 @@
 func shimCommand() *cobra.Command {
 	c := &cobra.Command{Use: "shim PROGRAM [ARGS]", Short: "Run a program whose system calls fail now and then", Hidden: true, Args: cobra.MinimumNArgs(1)}
 	c.RunE = func(_ *cobra.Command, args []string) error {
-		code, err := lab.RunShim(args[0], args[1:])
+		code, err := testbed.RunShim(args[0], args[1:])
 		if err != nil {
 			return err
 		}
--- a/cmd/quaywick/main.go
+++ b/cmd/balancer/main.go
@@ -1,4 +1,4 @@
-// Command quaywick is one load-balancer node: it takes requests, lets package deckrelay decide where
+// Command balancer is one load-balancer node: it takes requests, lets package policy decide where
 // they go, and answers them. ROUTER_CONFIG names its configuration file.
 package main
 
@@ -14,14 +14,14 @@
 	"strings"
 	"syscall"
 
-	"deckrelay/internal/logsink"
-	"deckrelay/internal/node"
+	"keelusher/internal/logsink"
+	"keelusher/internal/node"
 )
 
 func main() {
 	if err := run(); err != nil {
 		for line := range strings.Lines(err.Error()) { // one for each thing that is wrong
-			fmt.Fprintf(os.Stderr, "quaywick: %s\n", strings.TrimSuffix(line, "\n"))
+			fmt.Fprintf(os.Stderr, "balancer: %s\n", strings.TrimSuffix(line, "\n"))
 		}
 		os.Exit(1)
 	}
--- a/cmd/quaywick/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -18,7 +18,7 @@
 
 // TestMain lets the test binary stand in for the program.
 func TestMain(m *testing.M) {
-	if os.Getenv("QUAYWICK_AS_PROGRAM") != "" {
+	if os.Getenv("BALANCER_AS_PROGRAM") != "" {
 		main()
 		os.Exit(0)
 	}
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), "QUAYWICK_AS_PROGRAM=1", "ROUTER_CONFIG="+path)
+	c.Env = append(os.Environ(), "BALANCER_AS_PROGRAM=1", "ROUTER_CONFIG="+path)
 	return c
 }
 
@@ -161,7 +161,7 @@
 		t.Errorf("ended with %v, want exit 1", err)
 	}
 	lines := strings.Split(strings.TrimSpace(string(out)), "\n")
-	if len(lines) != 2 || !strings.HasPrefix(lines[0], "quaywick: "+path+":3: mesh.listen: ") || !strings.HasPrefix(lines[1], "quaywick: "+path+":4: mesh.probe: ") {
+	if len(lines) != 2 || !strings.HasPrefix(lines[0], "balancer: "+path+":3: mesh.listen: ") || !strings.HasPrefix(lines[1], "balancer: "+path+":4: mesh.probe: ") {
 		t.Errorf("said %q, want a line for listen and one for probe", lines)
 	}
 }
@@ -185,7 +185,7 @@
 			if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != 1 {
 				t.Errorf("ended with %v, want exit 1", err)
 			}
-			if lines := strings.Count(stderr.String(), "\n"); lines != 1 || !strings.HasPrefix(stderr.String(), "quaywick: ") {
+			if lines := strings.Count(stderr.String(), "\n"); lines != 1 || !strings.HasPrefix(stderr.String(), "balancer: ") {
 				t.Errorf("said %q, want one line", stderr.String())
 			}
 		})
--- a/cmd/quaywick/reload.go
+++ b/cmd/balancer/reload.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"deckrelay/internal/node"
+	"keelusher/internal/node"
 )
 
 const (
--- a/cmd/quaywick/upgrade_test.go
+++ b/cmd/balancer/upgrade_test.go
@@ -141,7 +141,7 @@
 		fmt.Sprintf(`"name":"n0","control":%q`, ln.Addr()), 1))
 	var said strings.Builder
 	c.Stderr = &said
-	if err := c.Run(); err == nil || strings.Count(said.String(), "\n") != 1 || !strings.HasPrefix(said.String(), "quaywick: control: ") {
+	if err := c.Run(); err == nil || strings.Count(said.String(), "\n") != 1 || !strings.HasPrefix(said.String(), "balancer: control: ") {
 		t.Errorf("ended with %v and said %q", err, said.String())
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"deckrelay/internal/tomlfile"
+	"keelusher/internal/tomlfile"
 )
 
 // Config is a fleet configuration.
--- a/internal/mesh/delegate.go
+++ b/internal/membership/delegate.go
@@ -1,6 +1,6 @@
 // What the library calls.
 
-package mesh
+package membership
 
 import (
 	"encoding/json"
--- a/internal/mesh/detector.go
+++ b/internal/membership/detector.go
@@ -1,6 +1,6 @@
 // The library's failure detector, and the processes that it knows.
 
-package mesh
+package membership
 
 import (
 	"bytes"
--- a/internal/mesh/identity.go
+++ b/internal/membership/identity.go
@@ -1,6 +1,6 @@
 // Identity: incarnations, conflicts and members that come and go.
 
-package mesh
+package membership
 
 import (
 	"math/rand/v2"
--- a/internal/mesh/member.go
+++ b/internal/membership/member.go
@@ -1,6 +1,6 @@
 // What a process believes of its fleet, as others see it.
 
-package mesh
+package membership
 
 import (
 	"slices"
--- a/internal/mesh/mesh.go
+++ b/internal/membership/mesh.go
@@ -1,7 +1,7 @@
 // Package mesh tells a process who else is in its fleet, who is gone, and on which side of a split it is itself. Failure
 // detection and dissemination are SWIM (Das, Gupta and Motivala, 2002) with Lifeguard (Dadgar, Phillips and Currey,
 // 2017), by hashicorp/memberlist; identity, conflicts, flap control, rosters and sides are this package's.
-package mesh
+package membership
 
 import (
 	"errors"
--- a/internal/mesh/message.go
+++ b/internal/membership/message.go
@@ -1,6 +1,6 @@
 // What councils say to each other.
 
-package mesh
+package membership
 
 import (
 	"encoding/json"
--- a/internal/mesh/roster.go
+++ b/internal/membership/roster.go
@@ -1,6 +1,6 @@
 // The roster and its changes.
 
-package mesh
+package membership
 
 import (
 	"slices"
--- a/internal/mesh/speak.go
+++ b/internal/membership/speak.go
@@ -1,6 +1,6 @@
 // What members say to each other beside the detector.
 
-package mesh
+package membership
 
 import (
 	"encoding/json"
--- a/internal/mesh/view.go
+++ b/internal/membership/view.go
@@ -1,4 +1,4 @@
-package mesh
+package membership
 
 import (
 	"cmp"
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"time"
 
-	"deckrelay"
-	"deckrelay/policy/guard"
+	"keelusher/policy"
+	"keelusher/policy/guard"
 )
 
 // attempt is one send of a call.
@@ -49,17 +49,17 @@
 
 // attempt makes the one send of an attempt and waits for what comes back.
 func (p *pool) attempt(att *attempt) result {
-	ended := func(e deckrelay.Ending, why error) result { return result{att: att, ending: e, err: why} }
+	ended := func(e policy.Ending, why error) result { return result{att: att, ending: e, err: why} }
 	unsent := func(why guard.Verdict) result {
 		p.decisions.attemptNotSent(att, why)
-		return result{att: att, ending: deckrelay.Void, why: why}
+		return result{att: att, ending: policy.Void, why: why}
 	}
 	if why := p.maySend(att); why != guard.Allowed {
 		return unsent(why)
 	}
 	c, err := p.take(att)
 	if err != nil {
-		return ended(deckrelay.Unreachable, err)
+		return ended(policy.Unreachable, err)
 	}
 	// Connecting takes time: the request may be over by now, or the server may have been told to drain.
 	if why := p.maySend(att); why != guard.Allowed {
@@ -70,20 +70,20 @@
 	switch {
 	case err != nil && att.call.rest != nil && att.call.rest.failed() != nil:
 		p.close(c)
-		return ended(deckrelay.Void, err) // the caller did not give the last byte
+		return ended(policy.Void, err) // the caller did not give the last byte
 	case err != nil:
 		p.close(c)
-		return ended(deckrelay.Unreachable, err) // the last byte was not written
+		return ended(policy.Unreachable, err) // the last byte was not written
 	case errors.Is(r.err, os.ErrDeadlineExceeded):
-		return ended(deckrelay.TimedOut, nil) // the reader has closed the connection
+		return ended(policy.TimedOut, nil) // the reader has closed the connection
 	case r.err != nil:
-		return ended(deckrelay.Broken, r.err)
+		return ended(policy.Broken, r.err)
 	}
 	res := result{att: att, ending: ending(r.resp), load: load(r.resp.Header), answer: answer{status: http.StatusOK,
 		contentType: r.resp.Header.Get("Content-Type"), body: r.body, held: r.held, rest: r.rest}}
 	switch {
 	case r.rest == nil:
-	case res.ending != deckrelay.Success:
+	case res.ending != policy.Success:
 		r.rest.end(errDropped, true) // a long error is nobody's
 		res.answer.rest = nil
 	default:
@@ -91,9 +91,9 @@
 		<-r.rest.over
 		res.passed = true
 		if res.err = r.rest.err; res.err != nil {
-			res.answer.status, res.ending = http.StatusBadGateway, deckrelay.Broken
+			res.answer.status, res.ending = http.StatusBadGateway, policy.Broken
 			if r.rest.ours {
-				res.ending = deckrelay.Withdrawn
+				res.ending = policy.Withdrawn
 			}
 		}
 	}
@@ -228,20 +228,20 @@
 }
 
 // ending reads off an answer how the attempt ended.
-func ending(r *http.Response) deckrelay.Ending {
+func ending(r *http.Response) policy.Ending {
 	switch {
 	case r.StatusCode == http.StatusOK:
-		return deckrelay.Success
+		return policy.Success
 	case (r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusGatewayTimeout) &&
 		r.Header.Get("X-Rejected") == "1":
-		return deckrelay.Overloaded
+		return policy.Overloaded
 	}
-	return deckrelay.Failure // it may have run
+	return policy.Failure // it may have run
 }
 
 // load reads a load report, in which the fields have the names that the settings give them. What is absent
 // or odd is left out.
-func load(h http.Header) *deckrelay.Load {
+func load(h http.Header) *policy.Load {
 	text := h.Get("X-Load-Report")
 	if text == "" {
 		return nil
@@ -253,7 +253,7 @@
 	if json.Unmarshal([]byte(text), &r) != nil {
 		return nil
 	}
-	l := &deckrelay.Load{Busy: -1, Service: -1}
+	l := &policy.Load{Busy: -1, Service: -1}
 	if r.Busy != nil {
 		l.Busy = *r.Busy
 	}
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -8,13 +8,13 @@
 	"sync/atomic"
 	"time"
 
-	"deckrelay"
-	"deckrelay/policy/guard"
+	"keelusher/policy"
+	"keelusher/policy/guard"
 )
 
 // call is a caller's request. The loop alone uses the fields below the line.
 type call struct {
-	req      deckrelay.Request
+	req      policy.Request
 	method   string
 	url      *url.URL
 	host     string
@@ -59,8 +59,8 @@
 // result is how an attempt ended.
 type result struct {
 	att    *attempt
-	ending deckrelay.Ending
-	load   *deckrelay.Load
+	ending policy.Ending
+	load   *policy.Load
 	answer answer
 	passed bool          // the answer was passed on while it came
 	why    guard.Verdict // why nothing was sent
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"deckrelay"
-	"deckrelay/policy/guard"
+	"keelusher/policy"
+	"keelusher/policy/guard"
 )
 
 const (
@@ -330,11 +330,11 @@
 }
 
 // methods gives the method that each class decides.
-func methods(classes []deckrelay.Class) map[string]string {
+func methods(classes []policy.Class) map[string]string {
 	m := map[string]string{}
 	for _, c := range classes {
 		m[c.Name] = http.MethodPost
-		if c.Effect == deckrelay.Safe {
+		if c.Effect == policy.Safe {
 			m[c.Name] = http.MethodGet
 		}
 	}
@@ -342,6 +342,6 @@
 }
 
 // longestDeadline is how long a caller may wait at most.
-func longestDeadline(s deckrelay.Settings) time.Duration {
-	return slices.MaxFunc(s.Classes, func(a, b deckrelay.Class) int { return int(a.Deadline - b.Deadline) }).Deadline
+func longestDeadline(s policy.Settings) time.Duration {
+	return slices.MaxFunc(s.Classes, func(a, b policy.Class) int { return int(a.Deadline - b.Deadline) }).Deadline
 }
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"deckrelay/policy/guard"
+	"keelusher/policy/guard"
 
 	"golang.org/x/sys/unix"
 )
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"deckrelay"
-	"deckrelay/internal/fleet"
-	"deckrelay/internal/wire"
+	"keelusher/internal/fleet"
+	"keelusher/internal/simulator"
+	"keelusher/policy"
 )
 
 // Config is what the platform tells a node at its start.
@@ -26,7 +26,7 @@
 	MemoryMB  int
 	Sockets   int
 	Known     roster // the servers as this node last had them
-	Settings  deckrelay.Settings
+	Settings  policy.Settings
 	Fleet     *fleet.Config       // nil: the node knows of no others
 	Shared    func(processes int) // told when so many processes share the limits; may be nil
 
@@ -100,7 +100,7 @@
 	if len(raw.Settings) == 0 {
 		return Config{}, errors.New("settings are missing")
 	}
-	if c.Settings, err = wire.ParseSettings(raw.Settings); err != nil {
+	if c.Settings, err = simulator.ParseSettings(raw.Settings); err != nil {
 		return Config{}, err
 	}
 	// The module has no use for the settings of connections; they are the node's.
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 // gatedNode runs a node that serves one backend over a gated listener.
@@ -172,7 +172,7 @@
 			b := newBackend(t, ok)
 			p := testPool(t)
 			att := testAttempt(p, b.addr(), time.Minute)
-			if first := p.attempt(att); first.ending != deckrelay.Success {
+			if first := p.attempt(att); first.ending != policy.Success {
 				t.Fatalf("the first ended with %v", first.ending)
 			}
 			second := *att
@@ -187,7 +187,7 @@
 			cross(c)
 			eventually(t, "the reader is about to look", blocked("(*conn).read"))
 			p.mu.Unlock()
-			if r := <-ended; r.ending != deckrelay.Success || string(r.answer.body) != "done" {
+			if r := <-ended; r.ending != policy.Success || string(r.answer.body) != "done" {
 				t.Errorf("it ended with %v, %v and %q", r.ending, r.err, r.answer.body)
 			}
 			if got := b.accepted(); got != 2 {
@@ -202,7 +202,7 @@
 	b := newBackend(t, ok)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
-	if first := p.attempt(att); first.ending != deckrelay.Success {
+	if first := p.attempt(att); first.ending != policy.Success {
 		t.Fatalf("the first ended with %v", first.ending)
 	}
 	hasRested(p, att.target)
@@ -217,7 +217,7 @@
 	b.mu.Unlock()
 	eventually(t, "the reader is about to read", blocked("(*conn).Read"))
 	c.step.Unlock()
-	if r := <-ended; r.ending != deckrelay.Success || string(r.answer.body) != "done" {
+	if r := <-ended; r.ending != policy.Success || string(r.answer.body) != "done" {
 		t.Errorf("it ended with %v, %v and %q", r.ending, r.err, r.answer.body)
 	}
 }
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"deckrelay/policy/guard"
+	"keelusher/policy/guard"
 
 	"golang.org/x/time/rate"
 )
--- a/internal/node/decisions_test.go
+++ b/internal/node/decisions_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"deckrelay/policy/guard"
+	"keelusher/policy/guard"
 )
 
 // What is decided is counted under its reason, and violations are logged however many other lines there are.
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 const (
@@ -43,15 +43,15 @@
 	Born   float64 `json:"born_ms"`
 }
 
-func (h host) server() deckrelay.Server {
-	s := deckrelay.Server{ID: h.Host, Zone: h.Site, Kind: h.Class, Cell: h.Block, Boot: millis(h.Born)}
+func (h host) server() policy.Server {
+	s := policy.Server{ID: h.Host, Zone: h.Site, Kind: h.Class, Cell: h.Block, Boot: millis(h.Born)}
 	switch h.Health {
 	case "in_service":
-		s.State = deckrelay.Ready
+		s.State = policy.Ready
 	case "terminated":
-		s.State = deckrelay.Gone
+		s.State = policy.Gone
 	default: // a state we don't know is no invitation to send
-		s.State = deckrelay.Draining
+		s.State = policy.Draining
 	}
 	return s
 }
--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -20,7 +20,7 @@
 type door struct {
 	life    *lifecycle
 	members func() ([]byte, bool) // JSON; false: there is no mesh
-	orders  *atomic.Pointer[overrides]
+	orders  *atomic.Pointer[overridesHost]
 	usable  func() bool // callers are served here, and some server is known to be in service
 	loop    *loop
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"runtime/debug"
 
-	"deckrelay"
-	"deckrelay/internal/fleet"
-	"deckrelay/internal/mesh"
+	"keelusher/internal/fleet"
+	"keelusher/internal/membership"
+	"keelusher/policy"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -32,7 +32,7 @@
 // reserved is how many descriptors are for neither callers nor servers.
 func (c *Config) reserved() int {
 	if c.meshed() {
-		return reserved + mesh.Descriptors
+		return reserved + membership.Descriptors
 	}
 	return reserved
 }
@@ -40,9 +40,9 @@
 func (c *Config) meshed() bool { return c.Fleet != nil && c.Fleet.Mesh != nil }
 
 // startMesh joins the fleet.
-func (n *Node) startMesh() (*mesh.Mesh, error) {
+func (n *Node) startMesh() (*membership.Mesh, error) {
 	f, s := n.cfg.Fleet, n.cfg.Settings
-	return mesh.Start(mesh.Config{Deliver: n.deliver, Fleet: f.Name, Name: n.cfg.Name, Zone: s.Zone, Region: f.Region, Tier: s.Tier,
+	return membership.Start(membership.Config{Deliver: n.deliver, Fleet: f.Name, Name: n.cfg.Name, Zone: s.Zone, Region: f.Region, Tier: s.Tier,
 		Version: version(), Digest: digest(s), Listen: f.Mesh.Listen, Seeds: f.Mesh.Seeds, Dial: f.Mesh.Dial, Probe: f.Mesh.Probe, Log: n.log, Changed: n.count})
 }
 
@@ -55,12 +55,12 @@
 
 // count tells the module how many copies place calls on this tier, by zone. Only a majority knows; the others leave it
 // at the settings' number, which is safe: too few copies counted would be too much taken by each.
-func (n *Node) count(v mesh.View) {
-	p := deckrelay.Peers{}
-	if v.Side >= mesh.Majority {
+func (n *Node) count(v membership.View) {
+	p := policy.Peers{}
+	if v.Side >= membership.Majority {
 		p.Copies = map[string]int{}
 		for _, m := range v.Members {
-			if m.Tier == n.cfg.Settings.Tier && (m.State == mesh.Alive || m.State == mesh.Suspect) && !m.Held || m.Name == n.cfg.Name {
+			if m.Tier == n.cfg.Settings.Tier && (m.State == membership.Alive || m.State == membership.Suspect) && !m.Held || m.Name == n.cfg.Name {
 				p.Copies[m.Zone]++
 			}
 		}
@@ -91,18 +91,18 @@
 }
 
 // digest is over the settings that all nodes have in common.
-func digest(s deckrelay.Settings) string {
+func digest(s policy.Settings) string {
 	s.Self, s.Tier, s.Balancers, s.Zone = 0, 0, 0, ""
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%+v", s)))
 }
 
 // takePart keeps this node's place in the fleet until ctx ends. While a successor serves the place is the successor's;
 // if that dies, this process takes it back.
-func (n *Node) takePart(ctx context.Context, m *mesh.Mesh) {
+func (n *Node) takePart(ctx context.Context, m *membership.Mesh) {
 	for {
 		n.mesh.Store(m)
 		ordering, stop := context.WithCancel(ctx)
-		var o *overrides
+		var o *overridesHost
 		if n.cfg.Fleet.Orders != nil { // a new process of the mesh has a register of its own, which knows nothing yet
 			o = n.newOverrides(m.Process())
 			n.orders.Store(o)
@@ -138,7 +138,7 @@
 }
 
 // keepPlace says when the node serves, and returns once ctx ends or a successor serves.
-func (n *Node) keepPlace(ctx context.Context, m *mesh.Mesh) (passed bool) {
+func (n *Node) keepPlace(ctx context.Context, m *membership.Mesh) (passed bool) {
 	for told := false; ; {
 		if !told && n.life.now() == serving {
 			m.Serving()
@@ -164,17 +164,17 @@
 	}
 	v := m.View()
 	text, err := json.Marshal(struct {
-		Fleet   string              `json:"fleet"`
-		Self    string              `json:"self"`
-		Side    mesh.Side           `json:"side"`
-		Under   string              `json:"under"`
-		Epoch   mesh.Epoch          `json:"epoch"`
-		Roster  int                 `json:"roster"`
-		Settled bool                `json:"settled"`
-		Digest  string              `json:"digest"`
-		Members []mesh.Member       `json:"members"`
-		Differ  []mesh.Disagreement `json:"differ"`
-		Figures mesh.Counters       `json:"figures"`
+		Fleet   string                    `json:"fleet"`
+		Self    string                    `json:"self"`
+		Side    membership.Side           `json:"side"`
+		Under   string                    `json:"under"`
+		Epoch   membership.Epoch          `json:"epoch"`
+		Roster  int                       `json:"roster"`
+		Settled bool                      `json:"settled"`
+		Digest  string                    `json:"digest"`
+		Members []membership.Member       `json:"members"`
+		Differ  []membership.Disagreement `json:"differ"`
+		Figures membership.Counters       `json:"figures"`
 	}{n.cfg.Fleet.Name, n.cfg.Name, v.Side, fmt.Sprintf("%016x", v.Under), v.Epoch, v.Roster, v.Settled, fmt.Sprintf("%016x", v.Digest), v.Members, m.Disagreements(), m.Counters()})
 	if err != nil {
 		n.log.Error("members", "err", err)
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 // A client that leaves in the moment of its answer leaves nothing behind: neither memory that is counted as held nor
@@ -52,7 +52,7 @@
 	whole := p.buffers.answers.left.Load()
 	b := newBackend(t, ok)
 	att := testAttempt(p, b.addr(), time.Minute)
-	if first := p.attempt(att); first.ending != deckrelay.Success {
+	if first := p.attempt(att); first.ending != policy.Success {
 		t.Fatalf("the first ended with %v", first.ending)
 	} else {
 		first.answer.drop()
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 // A node that leaves answers what it cannot finish before it may be killed: what has been sent and may have run fails,
@@ -69,7 +69,7 @@
 	b := newBackend(t, ok)
 	p := testPool(t)
 	resting := testAttempt(p, b.addr(), time.Minute)
-	if first := p.attempt(resting); first.ending != deckrelay.Success {
+	if first := p.attempt(resting); first.ending != policy.Success {
 		t.Fatalf("the first ended with %v", first.ending)
 	}
 	c := resting.target.idle[0]
@@ -93,7 +93,7 @@
 	}()
 	<-c.gone // the end has begun
 	close(up)
-	if r := <-ended; r.ending != deckrelay.Unreachable {
+	if r := <-ended; r.ending != policy.Unreachable {
 		t.Errorf("it ended with %v, want Unreachable", r.ending)
 	}
 	<-shut
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"deckrelay"
-	"deckrelay/policy/guard"
+	"keelusher/policy"
+	"keelusher/policy/guard"
 
 	"golang.org/x/time/rate"
 )
@@ -30,7 +30,7 @@
 type loop struct {
 	clock     clock
 	log       *slog.Logger
-	bal       *deckrelay.Balancer
+	bal       *policy.Balancer
 	sender    sender
 	subscribe func()    // asks discovery for a watch; must not block
 	staleness *watchdog // of discovery; nil: there is none
@@ -41,7 +41,7 @@
 	results  chan result
 	sents    chan sent
 	begins   chan begun
-	peers    chan deckrelay.Peers          // holds the newest word of the mesh
+	peers    chan policy.Peers             // holds the newest word of the mesh
 	ordered  chan map[string]time.Duration // holds the zones that overrides send away, with their ends
 	asks     chan func()                   // run here; must not block
 	stop     chan struct{}
@@ -53,7 +53,7 @@
 	decisions *decisions
 	out       int // attempts without an ending
 	turns     int // of zones, as of the last look
-	zones     map[string]deckrelay.ZoneState
+	zones     map[string]policy.ZoneState
 	lines     *rate.Limiter            // of zones in the log
 	quiet     int                      // of these that were left out
 	usable    atomic.Bool              // some listed server is in service
@@ -61,11 +61,11 @@
 	until     map[string]time.Duration // zones that overrides send away, and when each ends
 }
 
-func newLoop(ck clock, log *slog.Logger, bal *deckrelay.Balancer, st *stats) *loop {
+func newLoop(ck clock, log *slog.Logger, bal *policy.Balancer, st *stats) *loop {
 	return &loop{clock: ck, log: log, bal: bal, stats: st, decisions: newDecisions(log),
 		lists: make(chan news), arrivals: make(chan *call), gone: make(chan *call),
-		results: make(chan result), sents: make(chan sent), begins: make(chan begun), peers: make(chan deckrelay.Peers, 1), ordered: make(chan map[string]time.Duration, 1), byHand: map[string]bool{}, asks: make(chan func()), stop: make(chan struct{}),
-		zones: map[string]deckrelay.ZoneState{}, lines: rate.NewLimiter(zoneLines, 2*zoneLines), calls: map[string]*call{}, targets: map[string]*target{}}
+		results: make(chan result), sents: make(chan sent), begins: make(chan begun), peers: make(chan policy.Peers, 1), ordered: make(chan map[string]time.Duration, 1), byHand: map[string]bool{}, asks: make(chan func()), stop: make(chan struct{}),
+		zones: map[string]policy.ZoneState{}, lines: rate.NewLimiter(zoneLines, 2*zoneLines), calls: map[string]*call{}, targets: map[string]*target{}}
 }
 
 // run handles events until stop is closed. Senders on the channels may wait; the loop never does.
@@ -84,8 +84,8 @@
 		}
 		for len(l.wakes) > 0 && l.wakes[0].At <= l.clock.now() {
 			l.catchUp()
-			w := heap.Pop(&l.wakes).(deckrelay.Wake)
-			l.handle(deckrelay.Timer{Token: w.Token})
+			w := heap.Pop(&l.wakes).(policy.Wake)
+			l.handle(policy.Timer{Token: w.Token})
 		}
 		wait := time.Hour
 		if len(l.wakes) > 0 {
@@ -139,24 +139,24 @@
 }
 
 // handle gives one event to the module and carries out what it answers.
-func (l *loop) handle(e deckrelay.Event) {
+func (l *loop) handle(e policy.Event) {
 	now := l.clock.now()
 	l.endOrders(now)
 	l.carry(now, e)
 }
 
-func (l *loop) carry(now time.Duration, e deckrelay.Event) {
+func (l *loop) carry(now time.Duration, e policy.Event) {
 	for _, a := range l.bal.Handle(now, e) {
 		switch a := a.(type) {
-		case deckrelay.Send:
+		case policy.Send:
 			l.send(now, a)
-		case deckrelay.Refuse:
+		case policy.Refuse:
 			l.turnAway(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter}, a.Why)
-		case deckrelay.Fail:
+		case policy.Fail:
 			l.turnAway(a.ID, answer{status: http.StatusBadGateway}, a.Why)
-		case deckrelay.Wake:
+		case policy.Wake:
 			heap.Push(&l.wakes, a)
-		case deckrelay.Subscribe:
+		case policy.Subscribe:
 			l.subscribe()
 		}
 	}
@@ -203,14 +203,14 @@
 	if c.counted {
 		l.stats.count(func(c *counts) { c.left++ })
 	}
-	l.handle(deckrelay.ClientGone{ID: c.req.ID})
+	l.handle(policy.ClientGone{ID: c.req.ID})
 	return true
 }
 
 // giveUp gives every call that is open its final answer now.
 func (l *loop) giveUp() {
 	for _, id := range slices.Sorted(maps.Keys(l.calls)) {
-		l.handle(deckrelay.TimeUp{ID: id})
+		l.handle(policy.TimeUp{ID: id})
 	}
 }
 
@@ -221,7 +221,7 @@
 	if !c.closed.Load() {
 		l.count(c)
 	}
-	l.handle(deckrelay.Sent{ID: c.req.ID, Attempt: s.att.n, Deadline: c.deadline})
+	l.handle(policy.Sent{ID: c.req.ID, Attempt: s.att.n, Deadline: c.deadline})
 }
 
 // takeBegun gives a long answer to the caller as it comes. It is counted when it has ended.
@@ -231,11 +231,11 @@
 		b.answer.drop()
 		return
 	}
-	l.handle(deckrelay.Started{ID: c.req.ID, Attempt: b.att.n})
+	l.handle(policy.Started{ID: c.req.ID, Attempt: b.att.n})
 	c.reply <- b.answer
 }
 
-func (l *loop) send(now time.Duration, a deckrelay.Send) {
+func (l *loop) send(now time.Duration, a policy.Send) {
 	c := l.calls[a.ID]
 	if c == nil {
 		l.log.Error("send for an unknown request", "id", a.ID)
@@ -294,14 +294,14 @@
 	case r.passed:
 		l.count(c)
 		l.stats.answered(c.req.Class, r.answer.status, c.attempts)
-	case r.ending == deckrelay.Success && !c.closed.Swap(true):
+	case r.ending == policy.Success && !c.closed.Swap(true):
 		l.count(c)
 		l.stats.answered(c.req.Class, http.StatusOK, c.attempts)
 		c.reply <- r.answer
 	default:
 		r.answer.drop()
 	}
-	l.handle(deckrelay.Outcome{ID: c.req.ID, Attempt: r.att.n, Server: r.att.target.id, Ending: r.ending,
+	l.handle(policy.Outcome{ID: c.req.ID, Attempt: r.att.n, Server: r.att.target.id, Ending: r.ending,
 		Latency: l.clock.now() - r.att.started, Ended: c.closed.Load(), Spent: spent, Load: r.load})
 	l.forget(c)
 }
@@ -309,17 +309,17 @@
 // takeNews updates the servers' addresses, stops what must get nothing new, then tells the module.
 func (l *loop) takeNews(n news) {
 	if n.failed {
-		l.handle(deckrelay.ListFailed{})
+		l.handle(policy.ListFailed{})
 		return
 	}
-	e := deckrelay.ServerList{Full: n.list.Whole, Cached: n.cached}
+	e := policy.ServerList{Full: n.list.Whole, Cached: n.cached}
 	listed := map[string]bool{}
 	for _, h := range n.list.Hosts {
 		s := h.server()
 		e.Servers = append(e.Servers, s)
 		listed[h.Host] = true
 		old := l.targets[h.Host]
-		if s.State != deckrelay.Ready {
+		if s.State != policy.Ready {
 			l.drop(h.Host)
 			continue
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
-	"deckrelay"
-	"deckrelay/internal/mesh"
-	"deckrelay/policy/guard"
+	"keelusher/internal/membership"
+	"keelusher/policy"
+	"keelusher/policy/guard"
 )
 
 const (
@@ -42,9 +42,9 @@
 	buffers buffers
 	inbound *limitedListener // clients' connections; nil until it listens
 
-	mesh   atomic.Pointer[mesh.Mesh] // nil: no fleet configuration asks for one
-	orders atomic.Pointer[overrides] // of the mesh; nil: no fleet configuration asks for any
-	served chan struct{}             // holds a token after the phase has changed; for the mesh
+	mesh   atomic.Pointer[membership.Mesh] // nil: no fleet configuration asks for one
+	orders atomic.Pointer[overridesHost]   // of the mesh; nil: no fleet configuration asks for any
+	served chan struct{}                   // holds a token after the phase has changed; for the mesh
 
 	open     atomic.Bool // callers are served here, and the process before knows
 	handover *handover   // nil until it listens
@@ -54,7 +54,7 @@
 
 // New wires a node. It opens nothing yet.
 func New(cfg Config, logger *slog.Logger) (*Node, error) {
-	bal, err := deckrelay.New(cfg.Settings, cfg.Seed)
+	bal, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"deckrelay/internal/mesh"
-	"deckrelay/internal/orders"
+	"keelusher/internal/membership"
+	"keelusher/internal/overrides"
 )
 
 const (
@@ -25,35 +25,35 @@
 // overrides is the host of the register: it brings messages to it and from it, asks the leader on behalf of the door, and
 // keeps the loop told of what is in force. Its goroutine alone uses the register. Off unless the fleet configuration has
 // [orders].
-type overrides struct {
+type overridesHost struct {
 	loop  *loop
 	self  string
-	reg   *orders.Register
-	mesh  *atomic.Pointer[mesh.Mesh]
+	reg   *overrides.Register
+	mesh  *atomic.Pointer[membership.Mesh]
 	mail  chan envelope
 	asks  chan func(now time.Duration)
 	ended chan struct{}
 	n     uint64
 	calls map[uint64]chan answered // asked of a leader
-	view  mesh.View
+	view  membership.View
 }
 
 // envelope is what hosts say to each other: a register's message, a call for the leader, or its reply.
 type envelope struct {
 	from     string
-	Register *orders.Message `json:"r,omitempty"`
-	Call     *orderCall      `json:"c,omitempty"`
-	Reply    *orderReply     `json:"a,omitempty"`
+	Register *overrides.Message `json:"r,omitempty"`
+	Call     *orderCall         `json:"c,omitempty"`
+	Reply    *orderReply        `json:"a,omitempty"`
 }
 
 // orderCall is what an operator asks at a door.
 type orderCall struct {
-	N        uint64          `json:"n"`
-	ID       string          `json:"id"`
-	Revoke   bool            `json:"x,omitempty"`
-	Is       orders.Override `json:"is"`
-	For      time.Duration   `json:"for"`
-	Replaces *orders.Mark    `json:"replaces,omitempty"`
+	N        uint64             `json:"n"`
+	ID       string             `json:"id"`
+	Revoke   bool               `json:"x,omitempty"`
+	Is       overrides.Override `json:"is"`
+	For      time.Duration      `json:"for"`
+	Replaces *overrides.Mark    `json:"replaces,omitempty"`
 }
 
 type orderReply struct {
@@ -67,13 +67,13 @@
 	Body   json.RawMessage `json:"b"`
 }
 
-func (n *Node) newOverrides(process uint64) *overrides {
-	return &overrides{loop: n.loop, self: n.cfg.Name, reg: orders.New(n.cfg.Name, process), mesh: &n.mesh, mail: make(chan envelope, orderMails),
+func (n *Node) newOverrides(process uint64) *overridesHost {
+	return &overridesHost{loop: n.loop, self: n.cfg.Name, reg: overrides.New(n.cfg.Name, process), mesh: &n.mesh, mail: make(chan envelope, orderMails),
 		asks: make(chan func(time.Duration)), ended: make(chan struct{}), calls: map[uint64]chan answered{}}
 }
 
 // deliver takes a body from the mesh; one that finds no room is lost, and asked for again.
-func (o *overrides) deliver(from string, body []byte) {
+func (o *overridesHost) deliver(from string, body []byte) {
 	e := envelope{from: from}
 	if json.Unmarshal(body, &e) != nil {
 		return
@@ -85,7 +85,7 @@
 }
 
 // run owns the register until ctx ends. Without it what is in force still ends in the loop.
-func (o *overrides) run(ctx context.Context) {
+func (o *overridesHost) run(ctx context.Context) {
 	defer close(o.ended)
 	tick := time.NewTicker(orderTick)
 	defer tick.Stop()
@@ -108,20 +108,20 @@
 }
 
 // look takes over whom the mesh has for the leader: each time, since a process that slept knows of none.
-func (o *overrides) look(now time.Duration) {
+func (o *overridesHost) look(now time.Duration) {
 	if m := o.mesh.Load(); m != nil {
 		o.view = m.View()
 		o.say(o.reg.View(now, o.view.Leader, o.view.Names))
 	}
 }
 
-func (o *overrides) say(out []orders.Out) {
+func (o *overridesHost) say(out []overrides.Out) {
 	for _, m := range out {
 		o.tell(m.To, envelope{Register: &m.Message})
 	}
 }
 
-func (o *overrides) tell(to string, e envelope) {
+func (o *overridesHost) tell(to string, e envelope) {
 	text, err := json.Marshal(e)
 	if err != nil {
 		panic(err) // plain values
@@ -131,7 +131,7 @@
 	}
 }
 
-func (o *overrides) hear(now time.Duration, e envelope) {
+func (o *overridesHost) hear(now time.Duration, e envelope) {
 	switch {
 	case e.Register != nil:
 		e.Register.From = e.from
@@ -147,7 +147,7 @@
 }
 
 // decide answers a call as the leader.
-func (o *overrides) decide(now time.Duration, c orderCall) answered {
+func (o *overridesHost) decide(now time.Duration, c orderCall) answered {
 	if c.Revoke {
 		mark, out, err := o.reg.Revoke(now, c.ID)
 		o.say(out)
@@ -166,11 +166,11 @@
 	status := http.StatusOK
 	switch {
 	case err == nil:
-	case errors.Is(err, orders.ErrMinority), errors.Is(err, orders.ErrNotYet):
+	case errors.Is(err, overrides.ErrMinority), errors.Is(err, overrides.ErrNotYet):
 		status = http.StatusServiceUnavailable
-	case errors.Is(err, orders.ErrLive), errors.Is(err, orders.ErrFull):
+	case errors.Is(err, overrides.ErrLive), errors.Is(err, overrides.ErrFull):
 		status = http.StatusConflict
-	case errors.Is(err, orders.ErrUnknown):
+	case errors.Is(err, overrides.ErrUnknown):
 		status = http.StatusNotFound
 	default:
 		status = http.StatusBadRequest
@@ -183,7 +183,7 @@
 }
 
 // show gives the loop what is in force; only the newest word counts.
-func (o *overrides) show(now time.Duration) {
+func (o *overridesHost) show(now time.Duration) {
 	until := map[string]time.Duration{}
 	for _, f := range o.reg.InForce(now) {
 		if f.Is.Kind == evacuate {
@@ -198,7 +198,7 @@
 }
 
 // ask runs f in the host's goroutine; false: it has ended.
-func (o *overrides) ask(f func(now time.Duration)) bool {
+func (o *overridesHost) ask(f func(now time.Duration)) bool {
 	select {
 	case o.asks <- f:
 		return true
@@ -208,7 +208,7 @@
 }
 
 // ServeHTTP answers /control/overrides and /control/overrides/ID.
-func (o *overrides) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (o *overridesHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := strings.Trim(strings.TrimPrefix(r.URL.Path, "/control/overrides"), "/")
 	got := make(chan answered, 1)
 	var do func(now time.Duration)
@@ -246,9 +246,9 @@
 		return c, false, nil
 	}
 	var body struct {
-		orders.Override
-		For      string       `json:"for"`
-		Replaces *orders.Mark `json:"replaces"`
+		overrides.Override
+		For      string          `json:"for"`
+		Replaces *overrides.Mark `json:"replaces"`
 	}
 	d := json.NewDecoder(http.MaxBytesReader(nil, r.Body, mostOrder))
 	d.DisallowUnknownFields()
@@ -263,14 +263,14 @@
 }
 
 // call decides here, as the leader or for this process alone, or asks the leader.
-func (o *overrides) call(now time.Duration, c orderCall, here bool, got chan answered) {
+func (o *overridesHost) call(now time.Duration, c orderCall, here bool, got chan answered) {
 	switch {
 	case here:
 		got <- answerOf(o.reg.PutHere(now, c.ID, c.Is, c.For), map[string]any{"id": c.ID, "here": true})
 	case o.view.Leader == o.self:
 		got <- o.decide(now, c)
 	case o.view.Leader == "":
-		got <- answerOf(orders.ErrMinority, nil)
+		got <- answerOf(overrides.ErrMinority, nil)
 	default:
 		o.n++
 		c.N = o.n
@@ -281,7 +281,7 @@
 }
 
 // figures is what the door shows.
-func (o *overrides) figures(now time.Duration) any {
+func (o *overridesHost) figures(now time.Duration) any {
 	return map[string]any{"leader": o.view.Leader, "mark": o.reg.Mark(), "confirmed_ns_ago": o.reg.Confirmed(now), "lacking": o.reg.Lacking(o.reg.Mark()),
-		"in_force": append([]orders.Fact{}, o.reg.InForce(now)...)}
+		"in_force": append([]overrides.Fact{}, o.reg.InForce(now)...)}
 }
--- a/internal/node/repeat_window_test.go
+++ b/internal/node/repeat_window_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"deckrelay"
-	"deckrelay/policy/guard"
+	"keelusher/policy"
+	"keelusher/policy/guard"
 )
 
 // A keyed request may be repeated within its class's window only. A retry that is decided in time, and whose connection
@@ -28,7 +28,7 @@
 	cfg := testConfig(t, "pushed", hosts...)
 	cfg.Discovery = silentDiscovery(t)
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Window, cfg.Settings.Classes[i].Scope = window, deckrelay.ScopeAll
+		cfg.Settings.Classes[i].Window, cfg.Settings.Classes[i].Scope = window, policy.ScopeAll
 	}
 	var dials atomic.Int64
 	n := start(t, cfg, func(n *Node) {
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 // With servers that fail in every way a socket shows, each request gets one final answer, an unsafe one
@@ -148,7 +148,7 @@
 	if age := ck.now() - s.Boot; age < 4999*time.Millisecond || age > time.Minute {
 		t.Errorf("a server born 5 s ago is %v old", age)
 	}
-	if s := (host{Health: "terminating"}).server(); s.Boot != 0 || s.State != deckrelay.Draining {
+	if s := (host{Health: "terminating"}).server(); s.Boot != 0 || s.State != policy.Draining {
 		t.Errorf("got %+v", s)
 	}
 }
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 func testPool(t *testing.T) *pool {
@@ -37,30 +37,30 @@
 	}
 	for name, tc := range map[string]struct {
 		serve func(int, net.Conn, *http.Request) bool
-		want  deckrelay.Ending
+		want  policy.Ending
 	}{
-		"served":            {ok, deckrelay.Success},
-		"error":             {status("500 Internal Server Error"), deckrelay.Failure},
-		"not found":         {status("404 Not Found"), deckrelay.Failure},
-		"accepted":          {status("202 Accepted"), deckrelay.Failure},
-		"unmarked 503":      {status("503 Service Unavailable"), deckrelay.Failure},
-		"turned away, 503":  {status("503 Service Unavailable", "X-Rejected: 1"), deckrelay.Overloaded},
-		"turned away, 504":  {status("504 Gateway Timeout", "X-Rejected: 1"), deckrelay.Overloaded},
-		"500 with the mark": {status("500 Internal Server Error", "X-Rejected: 1"), deckrelay.Failure},
-		"no answer":         {func(int, net.Conn, *http.Request) bool { return false }, deckrelay.Broken},
-		"half an answer":    {partly, deckrelay.Broken},
+		"served":            {ok, policy.Success},
+		"error":             {status("500 Internal Server Error"), policy.Failure},
+		"not found":         {status("404 Not Found"), policy.Failure},
+		"accepted":          {status("202 Accepted"), policy.Failure},
+		"unmarked 503":      {status("503 Service Unavailable"), policy.Failure},
+		"turned away, 503":  {status("503 Service Unavailable", "X-Rejected: 1"), policy.Overloaded},
+		"turned away, 504":  {status("504 Gateway Timeout", "X-Rejected: 1"), policy.Overloaded},
+		"500 with the mark": {status("500 Internal Server Error", "X-Rejected: 1"), policy.Failure},
+		"no answer":         {func(int, net.Conn, *http.Request) bool { return false }, policy.Broken},
+		"half an answer":    {partly, policy.Broken},
 		"an end without a length": {func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nall")
 			return false
-		}, deckrelay.Success},
+		}, policy.Success},
 		"a reset without a length": {func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
 			c.(*net.TCPConn).SetLinger(0) // a reset is no end
 			return false
-		}, deckrelay.Broken},
+		}, policy.Broken},
 		"a long error": {func(_ int, c net.Conn, _ *http.Request) bool {
 			return respond(c, "500 Internal Server Error", strings.Repeat("x", maxBody+1))
-		}, deckrelay.Failure},
+		}, policy.Failure},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := testPool(t), newBackend(t, tc.serve)
@@ -79,7 +79,7 @@
 		}
 		ln.Close()
 		p := testPool(t)
-		if got := p.attempt(testAttempt(p, ln.Addr().String(), time.Minute)).ending; got != deckrelay.Unreachable {
+		if got := p.attempt(testAttempt(p, ln.Addr().String(), time.Minute)).ending; got != policy.Unreachable {
 			t.Errorf("ending %v, want Unreachable", got)
 		}
 	})
@@ -91,7 +91,7 @@
 			return false
 		})
 		p := testPool(t)
-		if got := p.attempt(testAttempt(p, b.addr(), 100*time.Millisecond)).ending; got != deckrelay.TimedOut {
+		if got := p.attempt(testAttempt(p, b.addr(), 100*time.Millisecond)).ending; got != policy.TimedOut {
 			t.Errorf("ending %v, want TimedOut", got)
 		}
 		<-left // an attempt is given up by closing its connection
@@ -112,7 +112,7 @@
 				stop(att) // the dial is under way
 				return nil
 			}
-			if got := p.attempt(att).ending; got != deckrelay.Void {
+			if got := p.attempt(att).ending; got != policy.Void {
 				t.Errorf("ending %v, want Void", got)
 			}
 			p.shut()
@@ -136,7 +136,7 @@
 	first := testAttempt(p, b.addr(), time.Minute)
 	for _, want := range []string{"one", "two"} {
 		att := &attempt{call: first.call, target: first.target, deadline: first.deadline}
-		if r := p.attempt(att); r.ending != deckrelay.Success || string(r.answer.body) != want {
+		if r := p.attempt(att); r.ending != policy.Success || string(r.answer.body) != want {
 			t.Errorf("got %v %q, want %q", r.ending, r.answer.body, want)
 		}
 	}
@@ -151,7 +151,7 @@
 	})
 	p := testPool(t)
 	for i := range 3 {
-		if got := p.attempt(testAttempt(p, b.addr(), time.Minute)).ending; got != deckrelay.Success {
+		if got := p.attempt(testAttempt(p, b.addr(), time.Minute)).ending; got != policy.Success {
 			t.Fatalf("attempt %d ended %v", i, got)
 		}
 		eventually(t, "the closed connection is dropped", func() bool {
@@ -177,7 +177,7 @@
 	att := testAttempt(p, b.addr(), time.Minute)
 	for range 5 {
 		att = &attempt{call: att.call, target: att.target, deadline: att.deadline}
-		if got := p.attempt(att).ending; got != deckrelay.Success {
+		if got := p.attempt(att).ending; got != policy.Success {
 			t.Fatalf("ended %v", got)
 		}
 		hasRested(p, att.target)
@@ -211,7 +211,7 @@
 	p.most = 1
 	for range 2 {
 		for _, s := range []*backend{a, b} {
-			if got := p.attempt(testAttempt(p, s.addr(), time.Minute)).ending; got != deckrelay.Success {
+			if got := p.attempt(testAttempt(p, s.addr(), time.Minute)).ending; got != policy.Success {
 				t.Fatalf("ended %v", got)
 			}
 			if len(p.open) != 1 {
@@ -223,7 +223,7 @@
 	for c := range p.open {
 		c.place, c.target.idle = nil, nil
 	}
-	if got := p.attempt(testAttempt(p, a.addr(), time.Minute)).ending; got != deckrelay.Unreachable {
+	if got := p.attempt(testAttempt(p, a.addr(), time.Minute)).ending; got != policy.Unreachable {
 		t.Errorf("ended %v, want Unreachable", got)
 	}
 }
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 // reportEvery bounds the volume of the log: one line for so long in which anything happened.
@@ -26,7 +26,7 @@
 	unsent                  int // refused or failed without an attempt
 	stale                   int // connections to servers found ended, or with bytes nobody asked for, when next needed
 	written                 int // attempts that went whole to a server
-	endings                 [deckrelay.Void + 1]int
+	endings                 [policy.Void + 1]int
 	waited                  time.Duration // over all attempts that ended
 }
 
@@ -55,7 +55,7 @@
 	bad    perName // attempts without an answer since the last report, by server
 }
 
-func newStats(classes []deckrelay.Class) *stats {
+func newStats(classes []policy.Class) *stats {
 	s := &stats{bad: perName{}, now: counts{served: perName{}, refused: perName{}, failed: perName{}}}
 	for _, c := range classes {
 		s.now.served[c.Name], s.now.refused[c.Name], s.now.failed[c.Name] = 0, 0, 0
@@ -63,9 +63,9 @@
 	return s
 }
 
-var endingNames = [...]string{deckrelay.Success: "ok", deckrelay.Failure: "error", deckrelay.Overloaded: "full",
-	deckrelay.TimedOut: "timeout", deckrelay.Unreachable: "unreachable", deckrelay.Broken: "reset",
-	deckrelay.Withdrawn: "withdrawn", deckrelay.Void: "void"}
+var endingNames = [...]string{policy.Success: "ok", policy.Failure: "error", policy.Overloaded: "full",
+	policy.TimedOut: "timeout", policy.Unreachable: "unreachable", policy.Broken: "reset",
+	policy.Withdrawn: "withdrawn", policy.Void: "void"}
 
 func (s *stats) count(f func(*counts)) {
 	s.mu.Lock()
@@ -108,12 +108,12 @@
 }
 
 // ended counts the ending of an attempt at a server.
-func (s *stats) ended(server string, e deckrelay.Ending, took time.Duration, why error) {
+func (s *stats) ended(server string, e policy.Ending, took time.Duration, why error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.now.endings[e]++
 	s.now.waited += took
-	if e != deckrelay.Success {
+	if e != policy.Success {
 		s.bad[server]++
 	}
 	if why != nil {
--- a/internal/node/stats_test.go
+++ b/internal/node/stats_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 // A report is one line with the counts since the last one, and none where nothing happened.
 func TestReportsOnlyWhatHappened(t *testing.T) {
 	var out strings.Builder
 	log := slog.New(slog.NewTextHandler(&out, nil))
-	s := newStats([]deckrelay.Class{{Name: "a"}, {Name: "b"}})
+	s := newStats([]policy.Class{{Name: "a"}, {Name: "b"}})
 	s.report(log, 0)
 	if out.Len() > 0 {
 		t.Errorf("nothing happened, yet it said %q", out.String())
@@ -24,8 +24,8 @@
 		s.answered("a", 200, 1)
 		s.answered("a", 503, 0)
 		s.answered("b", 502, 2)
-		s.ended("s-1", deckrelay.Success, time.Second, nil)
-		s.ended("s-1", deckrelay.TimedOut, 2*time.Second, errors.New("late"))
+		s.ended("s-1", policy.Success, time.Second, nil)
+		s.ended("s-1", policy.TimedOut, 2*time.Second, errors.New("late"))
 		s.turnedDown("odd")
 	}
 	happen()
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"deckrelay/policy/guard"
+	"keelusher/policy/guard"
 )
 
 const (
--- a/internal/node/suspension_test.go
+++ b/internal/node/suspension_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"deckrelay/policy/guard"
+	"keelusher/policy/guard"
 )
 
 func TestSuspensionTellsWhatMayHaveWaited(t *testing.T) {
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 const zoneLines = 5 // lines about zones in the log, a second
@@ -92,14 +92,14 @@
 
 func (l *loop) orderZone(name string, away, force bool) (status int) {
 	all := l.bal.Zones()
-	i := slices.IndexFunc(all, func(z deckrelay.Zone) bool { return z.Name == name })
+	i := slices.IndexFunc(all, func(z policy.Zone) bool { return z.Name == name })
 	switch {
 	case i < 0:
 		return http.StatusNotFound
 	case l.byHand[name] == away:
 		return http.StatusOK
-	case away && !force && !slices.ContainsFunc(all, func(z deckrelay.Zone) bool {
-		return z.Name != name && z.Servers > 0 && z.State != deckrelay.ZoneEvacuated
+	case away && !force && !slices.ContainsFunc(all, func(z policy.Zone) bool {
+		return z.Name != name && z.Servers > 0 && z.State != policy.ZoneEvacuated
 	}):
 		return http.StatusConflict
 	}
@@ -111,7 +111,7 @@
 
 // order tells the module whether a zone is ordered away, by hand or by an override in force.
 func (l *loop) order(now time.Duration, zone string) {
-	l.carry(now, deckrelay.ZoneOrder{Zone: zone, Away: l.byHand[zone] || now < l.until[zone]})
+	l.carry(now, policy.ZoneOrder{Zone: zone, Away: l.byHand[zone] || now < l.until[zone]})
 }
 
 // takeOrders takes over what overrides send away now.
--- a/internal/orders/fact.go
+++ b/internal/overrides/fact.go
@@ -12,7 +12,7 @@
 // Rejected: a log of entries that all agree on: a process that slept for an hour needs the state, not its history. And a
 // maximum by id over whatever copies are met: a model found that a copy which was never confirmed came back with a member
 // that had been cut off, after the override that replaced it had ended and was forgotten.
-package orders
+package overrides
 
 import (
 	"cmp"
--- a/internal/orders/register.go
+++ b/internal/overrides/register.go
@@ -1,4 +1,4 @@
-package orders
+package overrides
 
 import (
 	"cmp"
--- a/internal/wire/wire.go
+++ b/internal/simulator/wire.go
@@ -1,6 +1,6 @@
 // Package wire reads batches of events from the simulator's text protocol and writes replies.
 // It makes no decisions.
-package wire
+package simulator
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 // Kind tells what a Message carries.
@@ -34,8 +34,8 @@
 	Instance int
 	Now      time.Duration
 	Seed     uint64
-	Settings deckrelay.Settings
-	Event    deckrelay.Event
+	Settings policy.Settings
+	Event    policy.Event
 }
 
 // Decoder reads messages one at a time.
@@ -44,7 +44,7 @@
 	line     int
 	inBatch  bool
 	instance int
-	lists    [16][]deckrelay.Server
+	lists    [16][]policy.Server
 }
 
 // NewDecoder returns a Decoder that reads r.
@@ -142,24 +142,24 @@
 				f.fail(1, "is no list number")
 				break
 			}
-			m.Event = deckrelay.ServerList{Full: mode != 0, Cached: mode == 2, Servers: d.lists[n]}
+			m.Event = policy.ServerList{Full: mode != 0, Cached: mode == 2, Servers: d.lists[n]}
 		case 3:
-			m.Event = deckrelay.ListFailed{}
+			m.Event = policy.ListFailed{}
 		default:
 			f.fail(0, "is no mode")
 		}
 	case "job_in":
-		m.Event = deckrelay.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
+		m.Event = policy.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
 			Tenant: f.opt(5), Repeat: f.optNum(4)&2 != 0, Key: f.optKey(2), HasKey: f.opt(2) != ""}
 	case "ring":
-		m.Event = deckrelay.Timer{Token: f.text(0)}
+		m.Event = policy.Timer{Token: f.text(0)}
 	case "outcome":
-		m.Event = deckrelay.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
+		m.Event = policy.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
 			Ended: f.text(3) == "1", Attempt: f.num(4), Ending: f.ending(5), Load: f.load(6)}
 	case "timed_out_client":
-		m.Event = deckrelay.ClientGone{ID: f.text(0)}
+		m.Event = policy.ClientGone{ID: f.text(0)}
 	case "flowing":
-		m.Event = deckrelay.Started{ID: f.text(0), Attempt: f.num(3)}
+		m.Event = policy.Started{ID: f.text(0), Attempt: f.num(3)}
 	case "crash_now":
 		m.Kind = Stop
 	case "checked", "mail":
@@ -178,7 +178,7 @@
 	if table < 0 || table >= len(d.lists) || n < 0 {
 		return fmt.Errorf("list number or length out of range")
 	}
-	var servers []deckrelay.Server
+	var servers []policy.Server
 	for i := 0; i < n; i++ {
 		s, err := d.readLine()
 		if err != nil {
@@ -189,14 +189,14 @@
 			return fmt.Errorf("want item %d of %d, got %s", i+1, n, quote(name))
 		}
 		g := &fields{name: name, parts: strings.Split(rest, "\t")}
-		sv := deckrelay.Server{ID: g.text(0), Zone: g.text(1), Kind: g.opt(2), Cell: g.num(3), Boot: g.optMS(6)}
+		sv := policy.Server{ID: g.text(0), Zone: g.text(1), Kind: g.opt(2), Cell: g.num(3), Boot: g.optMS(6)}
 		switch g.num(4) {
 		case 2:
-			sv.State = deckrelay.Ready
+			sv.State = policy.Ready
 		case 0:
-			sv.State = deckrelay.Draining
+			sv.State = policy.Draining
 		case 1:
-			sv.State = deckrelay.Gone
+			sv.State = policy.Gone
 		default:
 			g.fail(4, "is no state")
 		}
@@ -287,14 +287,14 @@
 	return f.ms(i)
 }
 
-var endings = map[string]deckrelay.Ending{
-	"success": deckrelay.Success, "failure": deckrelay.Failure,
-	"overloaded": deckrelay.Overloaded, "timed_out": deckrelay.TimedOut,
-	"unreachable": deckrelay.Unreachable, "broken": deckrelay.Broken,
-	"withdrawn": deckrelay.Withdrawn, "void": deckrelay.Void,
+var endings = map[string]policy.Ending{
+	"success": policy.Success, "failure": policy.Failure,
+	"overloaded": policy.Overloaded, "timed_out": policy.TimedOut,
+	"unreachable": policy.Unreachable, "broken": policy.Broken,
+	"withdrawn": policy.Withdrawn, "void": policy.Void,
 }
 
-func (f *fields) ending(i int) deckrelay.Ending {
+func (f *fields) ending(i int) policy.Ending {
 	e, ok := endings[f.text(i)]
 	if !ok {
 		f.fail(i, "is no ending")
@@ -303,12 +303,12 @@
 }
 
 // load reads name:value pairs; names it does not know are ignored.
-func (f *fields) load(i int) *deckrelay.Load {
+func (f *fields) load(i int) *policy.Load {
 	s := f.opt(i)
 	if s == "" {
 		return nil
 	}
-	l := &deckrelay.Load{Busy: -1, Service: -1}
+	l := &policy.Load{Busy: -1, Service: -1}
 	for _, pair := range strings.Split(s, ",") {
 		name, text, _ := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(text, 64)
@@ -385,22 +385,22 @@
 	Zone  string   `json:"zone"`
 }
 
-var scopes = map[string]deckrelay.Scope{
-	"all": deckrelay.ScopeAll, "zone": deckrelay.ScopeZone, "cell": deckrelay.ScopeCell,
+var scopes = map[string]policy.Scope{
+	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
 }
 
-var effects = map[string]deckrelay.Effect{
-	"read_like": deckrelay.Safe, "idempotency_key": deckrelay.Keyed,
+var effects = map[string]policy.Effect{
+	"read_like": policy.Safe, "idempotency_key": policy.Keyed,
 }
 
 // ParseSettings reads the settings object. Keys it does not know are ignored, an effect it does
 // not know is Unsafe and a scope it does not know is the narrowest.
-func ParseSettings(text []byte) (deckrelay.Settings, error) {
+func ParseSettings(text []byte) (policy.Settings, error) {
 	var p profile
 	if err := json.Unmarshal(text, &p); err != nil {
-		return deckrelay.Settings{}, fmt.Errorf("settings: %w", err)
+		return policy.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := deckrelay.Settings{
+	s := policy.Settings{
 		Balancers: p.Balancers, Self: p.Self, Tier: p.Tier, Tiers: len(p.Tiers), Zone: p.Zone,
 		WholeWeight: p.Blend.Whole, ClassWeight: p.Blend.WorstClass,
 		MarksRepeats: p.Callers.MarksRetry, MaxAttempts: p.Limits.MaxAttempts,
@@ -413,13 +413,13 @@
 		s.MaxRetryAfter = fromMS(p.Limits.MaxRetryAfter)
 	}
 	for _, l := range p.Lanes {
-		s.Classes = append(s.Classes, deckrelay.Class{Name: l.Name, Effect: effects[l.Effect],
+		s.Classes = append(s.Classes, policy.Class{Name: l.Name, Effect: effects[l.Effect],
 			Scope: scopes[l.Scope], Window: fromMS(l.Window), Aim: fromMS(l.Target),
 			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, Worth: l.Worth, Stream: l.Stream,
 			InOrder: l.InOrder, OnlyZones: l.OnlyZones, OnlyKinds: l.OnlyKinds})
 	}
 	for _, t := range p.Tenants {
-		s.Tenants = append(s.Tenants, deckrelay.Tenant{Name: t.Name, Quota: t.Quota})
+		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	return s, nil
 }
@@ -440,21 +440,21 @@
 }
 
 // Action adds one action of an instance to the reply.
-func (e *Encoder) Action(instance int, a deckrelay.Action) {
+func (e *Encoder) Action(instance int, a policy.Action) {
 	if instance != e.instance {
 		fmt.Fprintf(e.w, "instance\t%d\n", instance)
 		e.instance = instance
 	}
 	switch a := a.(type) {
-	case deckrelay.Send:
+	case policy.Send:
 		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Server, ms(a.Timeout))
-	case deckrelay.Refuse:
+	case policy.Refuse:
 		fmt.Fprintf(e.w, "turn_away\t%s\t%s\n", a.ID, ms(a.RetryAfter))
-	case deckrelay.Fail:
+	case policy.Fail:
 		fmt.Fprintf(e.w, "report_failure\t%s\n", a.ID)
-	case deckrelay.Wake:
+	case policy.Wake:
 		fmt.Fprintf(e.w, "remind\t%s\t%s\n", ms(a.At), a.Token)
-	case deckrelay.Subscribe:
+	case policy.Subscribe:
 		fmt.Fprint(e.w, "subscribe\t1\n")
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"deckrelay"
+	"keelusher/policy"
 )
 
 const sample = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
@@ -37,12 +37,12 @@
 	}
 	want := []Message{
 		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
-		{Kind: Event, Instance: 3, Event: deckrelay.ServerList{Full: true, Cached: true,
-			Servers: []deckrelay.Server{{ID: "s:1", Zone: "z", Kind: "k", Cell: 4, Boot: 6100500 * time.Microsecond}}}},
-		{Kind: Event, Instance: 3, Event: deckrelay.Request{ID: "id", Class: "get", Repeat: true,
+		{Kind: Event, Instance: 3, Event: policy.ServerList{Full: true, Cached: true,
+			Servers: []policy.Server{{ID: "s:1", Zone: "z", Kind: "k", Cell: 4, Boot: 6100500 * time.Microsecond}}}},
+		{Kind: Event, Instance: 3, Event: policy.Request{ID: "id", Class: "get", Repeat: true,
 			Deadline: 8652250 * time.Microsecond}},
-		{Kind: Event, Instance: 3, Event: deckrelay.Outcome{ID: "id", Server: "s:1", Ended: true,
-			Latency: 18500 * time.Microsecond, Load: &deckrelay.Load{Busy: 3, Service: -1}}},
+		{Kind: Event, Instance: 3, Event: policy.Outcome{ID: "id", Server: "s:1", Ended: true,
+			Latency: 18500 * time.Microsecond, Load: &policy.Load{Busy: 3, Service: -1}}},
 		{Kind: End, Instance: 3},
 	}
 	if !reflect.DeepEqual(l, want) {
@@ -79,18 +79,18 @@
 
 func TestTenantsArePassedOn(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"tenants":[{"name":"a","quota-per-s":22,"share":0.4}],"over-share-worth":0.05}`))
-	if err != nil || len(s.Tenants) != 1 || s.Tenants[0] != (deckrelay.Tenant{Name: "a", Quota: 22}) || s.OverWorth != 0.05 {
+	if err != nil || len(s.Tenants) != 1 || s.Tenants[0] != (policy.Tenant{Name: "a", Quota: 22}) || s.OverWorth != 0.05 {
 		t.Errorf("got %+v, %v", s, err)
 	}
 	l, err := all(t, "sync\t1\nabout\t0\njob_in\tid\t9\t-\tc\t0\ta\t-\neob\n")
-	if r, ok := l[1].Event.(deckrelay.Request); err != nil || !ok || r.Tenant != "a" {
+	if r, ok := l[1].Event.(policy.Request); err != nil || !ok || r.Tenant != "a" {
 		t.Errorf("got %+v, %v", r, err)
 	}
 }
 
 func TestUnknownEffectIsUnsafe(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`))
-	if err != nil || s.Classes[0].Effect != deckrelay.Unsafe || s.Classes[1].Effect != deckrelay.Safe {
+	if err != nil || s.Classes[0].Effect != policy.Unsafe || s.Classes[1].Effect != policy.Safe {
 		t.Fatalf("got %+v, %v", s, err)
 	}
 }
@@ -98,8 +98,8 @@
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
-	e.Action(3, deckrelay.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
-	e.Action(5, deckrelay.Refuse{ID: "b"})
+	e.Action(3, policy.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
+	e.Action(5, policy.Refuse{ID: "b"})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 		t.Errorf("an absent list must set no bound: %+v", b)
 	}
 	l, err := all(t, "sync\t1\nabout\t0\njob_in\tid\t9\t0\ta\t0\t-\t-\neob\n")
-	if r := l[1].Event.(deckrelay.Request); err != nil || !r.HasKey || r.Key != 0 {
+	if r := l[1].Event.(policy.Request); err != nil || !r.HasKey || r.Key != 0 {
 		t.Errorf("key 0 was lost: %+v, %v", r, err)
 	}
 }
--- a/internal/lab/apply.go
+++ b/internal/testbed/apply.go
@@ -1,6 +1,6 @@
 // Carrying a schedule of faults out.
 
-package lab
+package testbed
 
 import (
 	"context"
--- a/internal/lab/earshot.go
+++ b/internal/testbed/earshot.go
@@ -1,6 +1,6 @@
 // What a node counts as told, by the page's clock.
 
-package lab
+package testbed
 
 import (
 	"time"
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -11,12 +11,12 @@
 	"strings"
 	"testing"
 
-	"deckrelay/internal/lab/labtest"
+	"keelusher/internal/testbed/testbedtest"
 )
 
 var binary string
 
-func TestMain(m *testing.M) { os.Exit(labtest.Main(m, &binary)) }
+func TestMain(m *testing.M) { os.Exit(testbedtest.Main(m, &binary)) }
 
 const tiny = `name = "tiny"
 length = "2s"
--- a/internal/lab/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -8,22 +8,22 @@
 	"os"
 	"time"
 
-	"deckrelay/internal/lab"
-	"deckrelay/internal/tomlfile"
+	"keelusher/internal/testbed"
+	"keelusher/internal/tomlfile"
 )
 
 // File is an experiment.
 type File struct {
-	Name     string        `toml:"name"`
-	About    string        `toml:"about"`
-	Length   time.Duration `toml:"length"`
-	Window   time.Duration `toml:"window"` // default 1 s
-	Seeds    []uint64      `toml:"seeds"`  // default 1
-	Repeat   int           `toml:"repeat"` // plays of each seed; default 1
-	World    lab.World     `toml:"world"`
-	Load     lab.Load      `toml:"load"`
-	Faults   []lab.Fault   `toml:"fault"`
-	Variants []Variant     `toml:"variant"` // default: one, named "base"
+	Name     string          `toml:"name"`
+	About    string          `toml:"about"`
+	Length   time.Duration   `toml:"length"`
+	Window   time.Duration   `toml:"window"` // default 1 s
+	Seeds    []uint64        `toml:"seeds"`  // default 1
+	Repeat   int             `toml:"repeat"` // plays of each seed; default 1
+	World    testbed.World   `toml:"world"`
+	Load     testbed.Load    `toml:"load"`
+	Faults   []testbed.Fault `toml:"fault"`
+	Variants []Variant       `toml:"variant"` // default: one, named "base"
 }
 
 // Variant is a way to run the nodes. The first one is what the others are compared with.
@@ -33,7 +33,7 @@
 	Args   []string `toml:"args"`
 	Env    []string `toml:"env"` // NAME=value
 
-	Fleet lab.Tables `toml:"fleet"` // in place of the world's; {} turns all of it off
+	Fleet testbed.Tables `toml:"fleet"` // in place of the world's; {} turns all of it off
 }
 
 const (
@@ -53,7 +53,7 @@
 	}
 	var all []error
 	bad := func(err error, under string) {
-		var key *lab.KeyError
+		var key *testbed.KeyError
 		if errors.As(err, &key) {
 			all = append(all, tomlfile.At(path, text, under+key.Key, key.Why))
 		} else if err != nil {
@@ -63,7 +63,7 @@
 	for _, err := range f.check() {
 		bad(err, "")
 	}
-	f.World.Links = append(f.World.Links, lab.FaultLinks(f.Faults)...)
+	f.World.Links = append(f.World.Links, testbed.FaultLinks(f.Faults)...)
 	if err := f.World.Fill(); err != nil {
 		bad(err, "world.")
 	} else {
@@ -78,7 +78,7 @@
 // check sets the defaults of the file's own keys and returns what is wrong with them.
 func (f *File) check() (all []error) {
 	bad := func(key, format string, args ...any) {
-		all = append(all, &lab.KeyError{Key: key, Why: fmt.Sprintf(format, args...)})
+		all = append(all, &testbed.KeyError{Key: key, Why: fmt.Sprintf(format, args...)})
 	}
 	if f.Name == "" {
 		bad("name", "is empty")
--- a/internal/lab/experiment/play.go
+++ b/internal/testbed/experiment/play.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"deckrelay/internal/lab"
+	"keelusher/internal/testbed"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -53,27 +53,27 @@
 type Summary struct {
 	Kind string `json:"kind"` // "summary"
 	Key
-	Seconds     float64          `json:"seconds"`
-	Interrupted bool             `json:"interrupted,omitempty"`
-	VoidWindows int              `json:"void_windows"`
-	Arrived     int              `json:"arrived"`
-	Ends        map[string]int   `json:"ends"`
-	Served      float64          `json:"served"` // share of the worth asked for, outside void windows
-	Worst       float64          `json:"worst"`  // the same in the worst window
-	P50         float64          `json:"p50_ms"`
-	P90         float64          `json:"p90_ms"`
-	P99         float64          `json:"p99_ms"`
-	P999        float64          `json:"p999_ms"`
-	Attempts    int64            `json:"attempts"`
-	Crossed     int64            `json:"crossed"`
-	Uneven      float64          `json:"uneven"` // answers of the busiest server over the mean, first tier
-	CPU         float64          `json:"cpu"`
-	MostRSS     float64          `json:"most_rss_mb"`
-	MostFiles   int              `json:"most_files"`
-	Account     lab.Account      `json:"account"`
-	Broken      map[lab.Rule]int `json:"broken"`
-	Marks       []Mark           `json:"marks"`
-	Found       []lab.Finding    `json:"found,omitempty"` // the first ones
+	Seconds     float64              `json:"seconds"`
+	Interrupted bool                 `json:"interrupted,omitempty"`
+	VoidWindows int                  `json:"void_windows"`
+	Arrived     int                  `json:"arrived"`
+	Ends        map[string]int       `json:"ends"`
+	Served      float64              `json:"served"` // share of the worth asked for, outside void windows
+	Worst       float64              `json:"worst"`  // the same in the worst window
+	P50         float64              `json:"p50_ms"`
+	P90         float64              `json:"p90_ms"`
+	P99         float64              `json:"p99_ms"`
+	P999        float64              `json:"p999_ms"`
+	Attempts    int64                `json:"attempts"`
+	Crossed     int64                `json:"crossed"`
+	Uneven      float64              `json:"uneven"` // answers of the busiest server over the mean, first tier
+	CPU         float64              `json:"cpu"`
+	MostRSS     float64              `json:"most_rss_mb"`
+	MostFiles   int                  `json:"most_files"`
+	Account     testbed.Account      `json:"account"`
+	Broken      map[testbed.Rule]int `json:"broken"`
+	Marks       []Mark               `json:"marks"`
+	Found       []testbed.Finding    `json:"found,omitempty"` // the first ones
 }
 
 // Mark is a step of the schedule as it was carried out.
@@ -164,7 +164,7 @@
 }
 
 // add books what became of an arrival in the window of its drawn time.
-func (b *book) add(f *File, s lab.Served) {
+func (b *book) add(f *File, s testbed.Served) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	i := min(int(s.Arrival.At/f.Window), len(b.windows)-1)
@@ -216,13 +216,13 @@
 		return nil, err
 	}
 	key := Key{Experiment: f.Name, Variant: v.Name, Seed: seed, Repeat: rep, Binary: hash}
-	steps, err := lab.Schedule(&w, f.Faults, seed)
+	steps, err := testbed.Schedule(&w, f.Faults, seed)
 	if err != nil {
 		return nil, err
 	}
-	day := lab.Draw(&w, &f.Load, f.Length, seed)
+	day := testbed.Draw(&w, &f.Load, f.Length, seed)
 	r.progress("%s seed %d: starting", v.Name, seed)
-	l, err := lab.Open(ctx, w)
+	l, err := testbed.Open(ctx, w)
 	if err != nil {
 		return nil, err
 	}
@@ -240,7 +240,7 @@
 		defer side.Done()
 		r.sample(playing, l, b, began, v.Name)
 	}()
-	l.Drive(ctx, &f.Load, day, func(s lab.Served) { b.add(f, s) })
+	l.Drive(ctx, &f.Load, day, func(s testbed.Served) { b.add(f, s) })
 	took := l.Now() - began
 	stop()
 	side.Wait()
@@ -264,10 +264,10 @@
 }
 
 // sample reads at each window's end what the nodes took of the machine in it.
-func (r *Runner) sample(ctx context.Context, l *lab.Lab, b *book, began time.Duration, variant string) {
+func (r *Runner) sample(ctx context.Context, l *testbed.Lab, b *book, began time.Duration, variant string) {
 	tick := time.NewTicker(r.File.Window)
 	defer tick.Stop()
-	before := map[*lab.Node]lab.Usage{}
+	before := map[*testbed.Node]testbed.Usage{}
 	for _, n := range l.Nodes() {
 		before[n] = n.Usage()
 	}
@@ -304,7 +304,7 @@
 }
 
 // summary closes the windows and sums them up.
-func (b *book) summary(f *File, key Key, l *lab.Lab, began time.Duration) *Summary {
+func (b *book) summary(f *File, key Key, l *testbed.Lab, began time.Duration) *Summary {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := &Summary{Kind: "summary", Key: key, Ends: map[string]int{}, Worst: 1, Account: l.Referee().Account(), Marks: b.marks}
--- a/internal/lab/lab.go
+++ b/internal/testbed/lab.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -98,7 +98,7 @@
 	}
 	if l.dir == "" {
 		l.scratch = true
-		if l.dir, err = os.MkdirTemp("", "quaywick-lab-"); err != nil {
+		if l.dir, err = os.MkdirTemp("", "balancer-testbed-"); err != nil {
 			return l, err
 		}
 	} else if err = os.MkdirAll(l.dir, 0o700); err != nil {
--- a/internal/lab/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"deckrelay/internal/lab/labtest"
+	"keelusher/internal/testbed/testbedtest"
 )
 
 var binary string // the node program, built once
@@ -18,7 +18,7 @@
 		double(as)
 		return
 	}
-	os.Exit(labtest.Main(m, &binary))
+	os.Exit(testbedtest.Main(m, &binary))
 }
 
 // small is a world of one tier, or two, with little work.
--- a/internal/lab/load.go
+++ b/internal/testbed/load.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
--- a/internal/lab/node.go
+++ b/internal/testbed/node.go
@@ -1,6 +1,6 @@
 // A node process and its place.
 
-package lab
+package testbed
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"deckrelay/internal/lab/shim"
+	"keelusher/internal/testbed/shim"
 
 	"github.com/cespare/xxhash/v2"
 )
--- a/internal/lab/outage.go
+++ b/internal/testbed/outage.go
@@ -1,6 +1,6 @@
 // How discovery fails.
 
-package lab
+package testbed
 
 import (
 	"net/http"
--- a/internal/lab/peers.go
+++ b/internal/testbed/peers.go
@@ -1,6 +1,6 @@
 // Improper clients.
 
-package lab
+package testbed
 
 import (
 	"context"
--- a/internal/lab/restarts.go
+++ b/internal/testbed/restarts.go
@@ -1,6 +1,6 @@
 // Scenarios of leaves, splits, restarts and floods.
 
-package lab
+package testbed
 
 import (
 	"context"
--- a/internal/lab/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -1,6 +1,6 @@
 // The scenarios of membership.
 
-package lab
+package testbed
 
 import (
 	"context"
--- /dev/null
+++ b/internal/testbed/soak/plan.go
@@ -0,0 +1,194 @@
+// Package soak plays many real nodes through troubles that overlap, drawn from a seed, and judges the play by what
+// clients, servers and discovery saw and by what the nodes counted themselves.
+package soak
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"keelusher/internal/testbed"
+	"keelusher/internal/testbed/shim"
+)
+
+// Times of a play, from the beginning of the load.
+const (
+	firstCluster  = 3 * time.Second
+	secondCluster = 10 * time.Second
+	clusterSpread = 1500 * time.Millisecond // the troubles of a cluster begin within it
+	length        = 18 * time.Second
+	quietAfter    = 5 * time.Second // for what is still out, before the counters are compared
+)
+
+// Shims: system calls of some nodes fail, and the wall clock of some jumps.
+const (
+	shimChance   = 0.02
+	shimFor      = 12 * time.Second
+	clockStepMax = time.Hour
+)
+
+// Plan is a play as drawn from its seed.
+type Plan struct {
+	Seed   uint64
+	World  testbed.World
+	Load   testbed.Load
+	Faults []testbed.Fault // the order is the numbering by which some are left out
+}
+
+// NewPlan draws the play of a seed.
+func NewPlan(seed uint64) *Plan {
+	r := rand.New(rand.NewPCG(seed, 11))
+	p := &Plan{Seed: seed, World: world(seed, r), Load: testbed.Load{Rate: 70, Retries: 1, Impatient: 0.2}}
+	for _, at := range []time.Duration{firstCluster, secondCluster} {
+		p.Faults = append(p.Faults, cluster(r, at)...)
+	}
+	return p
+}
+
+// Keep leaves only the named faults in, by their numbers; shims stay.
+func (p *Plan) Keep(numbers []int) error {
+	var kept []testbed.Fault
+	for _, n := range numbers {
+		if n < 0 || n >= len(p.Faults) {
+			return fmt.Errorf("fault %d: there are %d", n, len(p.Faults))
+		}
+		kept = append(kept, p.Faults[n])
+	}
+	p.Faults = kept
+	return nil
+}
+
+func world(seed uint64, r *rand.Rand) testbed.World {
+	work := func(d time.Duration) []time.Duration { return []time.Duration{d, d, d} }
+	w := testbed.World{
+		Seed:  seed,
+		Zones: []string{"a", "b"},
+		Tiers: []testbed.Tier{
+			{Name: "front", Nodes: 10, Servers: 8, Calls: 1},
+			{Name: "schedule", Servers: 8, Calls: 1},
+			{Name: "rooms", Servers: 8},
+		},
+		Classes: []testbed.Class{
+			{Name: "view", Effect: "read_like", Share: 0.4, Work: work(8 * time.Millisecond), Aim: time.Second, Deadline: 2 * time.Second},
+			{Name: "glance", Effect: "read_like", Share: 0.2, Work: work(4 * time.Millisecond), Aim: 200 * time.Millisecond, Deadline: 350 * time.Millisecond},
+			{Name: "order", Effect: "idempotency_key", Share: 0.2, Work: work(8 * time.Millisecond), Aim: 1500 * time.Millisecond, Deadline: 3 * time.Second, Window: 600 * time.Millisecond},
+			{Name: "booking", Effect: "non_idempotent", Share: 0.2, Work: work(8 * time.Millisecond), Aim: time.Second, Deadline: 2 * time.Second},
+		},
+		Limits:    testbed.Limits{ConnectTimeout: 2 * time.Second},
+		Discovery: testbed.DiscoverySpec{Asked: r.IntN(2) == 0, Late: 200 * time.Millisecond},
+	}
+	w.Shims = map[string]shim.Spec{}
+	for _, node := range []string{"n1", "n2", "n@front-1"} {
+		spec := shim.Spec{Seed: r.Uint64() >> 1, From: firstCluster, Until: firstCluster + shimFor, Chance: shimChance}
+		if node == "n2" { // half of the clocks are off from the start
+			spec.ClockStep = time.Duration(r.Int64N(int64(2*clockStepMax))) - clockStepMax
+			spec.ClockAt = time.Duration(r.IntN(2)) * firstCluster
+		}
+		w.Shims[node] = spec
+	}
+	return w
+}
+
+// cluster draws two or three troubles that overlap.
+func cluster(r *rand.Rand, at time.Duration) (faults []testbed.Fault) {
+	kinds := r.Perm(len(catalogue))
+	discovery := false
+	for _, k := range kinds {
+		c := catalogue[k]
+		if c.discovery && discovery { // discovery fails in one way at a time
+			continue
+		}
+		discovery = discovery || c.discovery
+		f := c.draw(r)
+		f.At += at + time.Duration(r.Int64N(int64(clusterSpread)))
+		faults = append(faults, f)
+		if len(faults) == 3 || len(faults) == 2 && r.IntN(3) == 0 {
+			return faults
+		}
+	}
+	return faults
+}
+
+// drawn is one kind of trouble.
+type drawn struct {
+	discovery bool
+	draw      func(*rand.Rand) testbed.Fault
+}
+
+func span(r *rand.Rand, from, to time.Duration) time.Duration {
+	return from + time.Duration(r.Int64N(int64(to-from)))
+}
+
+// anyServers draws a pattern of one tier's servers.
+func anyServers(r *rand.Rand) string { return []string{"front-*", "schedule-*", "rooms-*"}[r.IntN(3)] }
+
+const frontNodes = "n[0-9]*"
+
+// catalogue lists the kinds of trouble. Their meaning is at lab.Fault.
+var catalogue = []drawn{
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "term", Target: frontNodes, Pick: 2, For: time.Second}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "kill", Target: frontNodes, Pick: 2, For: time.Second}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "hold", Target: "n*", Pick: 10, For: span(r, 20*time.Millisecond, 150*time.Millisecond)}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "stop", Target: "n*", Pick: 3, For: span(r, 300*time.Millisecond, 5*time.Second)}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "reload", Target: "n*", Every: 20 * time.Millisecond}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "peers", Target: frontNodes, Pick: 9 + r.IntN(200)}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "crash", Target: anyServers(r), Pick: 2, For: span(r, time.Second, 4*time.Second)}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "slow", Target: anyServers(r), Pick: 3, For: 3 * time.Second, Factor: 10}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "errors", Target: anyServers(r), Pick: 4, For: 4 * time.Second, Share: 0.5}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "hang", Target: anyServers(r), Pick: 2 + r.IntN(7), For: span(r, 2*time.Second, 6*time.Second)}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "spoil", Target: anyServers(r), Pick: 4, For: 5 * time.Second, Share: 0.4}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "silent", Target: anyServers(r), Pick: 2, For: 3 * time.Second}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "drain", Target: anyServers(r), Pick: 2, For: 7 * time.Second}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "replace", Target: anyServers(r), Pick: 3, For: 4 * time.Second}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "link", From: frontNodes, To: "front-[1-3]", Delay: span(r, 300*time.Millisecond, 1500*time.Millisecond), For: 3 * time.Second}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "link", From: "n@*", To: "*-[1-3]", Rate: 3000, For: 3 * time.Second}
+	}},
+	{draw: func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "reset", From: "n*", To: "*-[1-4]"} }},
+	{draw: func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "cut", From: "n[1-4]", To: "front-*", For: span(r, time.Second, 3*time.Second)}
+	}},
+	{true, func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "disc_down", For: span(r, time.Second, 6*time.Second)}
+	}},
+	{true, func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_fail", For: 3 * time.Second} }},
+	{true, func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "disc_slow", For: 3 * time.Second, Delay: 30 * time.Millisecond}
+	}},
+	{true, func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_cut", For: time.Second} }},
+	{true, func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_indent", For: 3 * time.Second} }},
+	{draw: func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_mute"} }},
+	{true, func(r *rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: "disc_renumber", Factor: float64(1 + r.IntN(2))}
+	}},
+}
--- a/internal/lab/soak/play.go
+++ b/internal/testbed/soak/play.go
@@ -12,29 +12,29 @@
 	"sync"
 	"time"
 
-	"deckrelay/internal/lab"
+	"keelusher/internal/testbed"
 )
 
 // Result is what came of a play.
 type Result struct {
-	Seed       uint64           `json:"seed"`
-	Faults     []string         `json:"faults"`
-	Story      []string         `json:"story"`
-	Ends       map[string]int   `json:"ends"` // of requests, by how they ended
-	Account    lab.Account      `json:"account"`
-	Broken     map[lab.Rule]int `json:"broken"`
-	Found      []lab.Finding    `json:"found"`
-	Violations map[string]int64 `json:"violations"` // as the nodes counted them
-	NotSent    map[string]int64 `json:"attempts_not_sent"`
-	TurnedAway map[string]int64 `json:"requests_turned_away"`
-	Lateness   time.Duration    `json:"lateness"` // of the lab itself, at worst
+	Seed       uint64               `json:"seed"`
+	Faults     []string             `json:"faults"`
+	Story      []string             `json:"story"`
+	Ends       map[string]int       `json:"ends"` // of requests, by how they ended
+	Account    testbed.Account      `json:"account"`
+	Broken     map[testbed.Rule]int `json:"broken"`
+	Found      []testbed.Finding    `json:"found"`
+	Violations map[string]int64     `json:"violations"` // as the nodes counted them
+	NotSent    map[string]int64     `json:"attempts_not_sent"`
+	TurnedAway map[string]int64     `json:"requests_turned_away"`
+	Lateness   time.Duration        `json:"lateness"` // of the lab itself, at worst
 }
 
 // Play plays a plan with a node program. Logs of the nodes and the result stay in dir.
 func Play(ctx context.Context, p *Plan, binary string, shim []string, dir string) (*Result, error) {
 	w := p.World
 	w.Binary, w.Shim, w.Dir = binary, shim, filepath.Join(dir, fmt.Sprint("seed-", p.Seed))
-	w.Links = lab.FaultLinks(p.Faults)
+	w.Links = testbed.FaultLinks(p.Faults)
 	if err := os.RemoveAll(w.Dir); err != nil {
 		return nil, err
 	}
@@ -44,11 +44,11 @@
 	if err := p.Load.Fill(&w); err != nil {
 		return nil, err
 	}
-	steps, err := lab.Schedule(&w, p.Faults, p.Seed)
+	steps, err := testbed.Schedule(&w, p.Faults, p.Seed)
 	if err != nil {
 		return nil, err
 	}
-	l, err := lab.Open(ctx, w)
+	l, err := testbed.Open(ctx, w)
 	if err != nil {
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
@@ -57,7 +57,7 @@
 	for _, f := range p.Faults {
 		r.Faults = append(r.Faults, fmt.Sprintf("%s %s%s->%s at %v for %v", f.Kind, f.Target, f.From, f.To, f.At.Round(time.Millisecond), f.For))
 	}
-	r.drive(ctx, l, p, steps, lab.Draw(&w, &p.Load, length, p.Seed))
+	r.drive(ctx, l, p, steps, testbed.Draw(&w, &p.Load, length, p.Seed))
 	select {
 	case <-time.After(quietAfter):
 	case <-ctx.Done():
@@ -75,7 +75,7 @@
 }
 
 // drive plays load and faults side by side.
-func (r *Result) drive(ctx context.Context, l *lab.Lab, p *Plan, steps []lab.Step, day []lab.Arrival) {
+func (r *Result) drive(ctx context.Context, l *testbed.Lab, p *Plan, steps []testbed.Step, day []testbed.Arrival) {
 	var mu sync.Mutex
 	var both sync.WaitGroup
 	both.Add(1)
@@ -87,7 +87,7 @@
 			r.Story = append(r.Story, fmt.Sprintf("%.3f %s", at.Seconds(), what))
 		})
 	}()
-	l.Drive(ctx, &p.Load, day, func(s lab.Served) {
+	l.Drive(ctx, &p.Load, day, func(s testbed.Served) {
 		mu.Lock()
 		defer mu.Unlock()
 		r.Ends[s.End]++
@@ -100,7 +100,7 @@
 const asks = 5 // of one path: a shim may break some connections
 
 // ask reads what a node's operators' endpoint shows.
-func ask(ctx context.Context, n *lab.Node, path string, into any) (err error) {
+func ask(ctx context.Context, n *testbed.Node, path string, into any) (err error) {
 	for range asks {
 		if err = askOnce(ctx, n, path, into); err == nil {
 			return nil
@@ -109,7 +109,7 @@
 	return err
 }
 
-func askOnce(ctx context.Context, n *lab.Node, path string, into any) error {
+func askOnce(ctx context.Context, n *testbed.Node, path string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+path, nil)
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 
 // compare holds a node's own counters against what the lab saw of it. A violation that a node counts for itself is one,
 // unless the lab has held the process up: it may have been between its write and its second look.
-func (r *Result) compare(ctx context.Context, l *lab.Lab, n *lab.Node) {
+func (r *Result) compare(ctx context.Context, l *testbed.Lab, n *testbed.Node) {
 	var counters struct {
 		Written  int64 `json:"backend_calls"`
 		Inflight int64 `json:"inflight"`
@@ -135,24 +135,24 @@
 		Violations map[string]int64 `json:"violations"`
 	}
 	if err := ask(ctx, n, "/control/counters", &counters); err != nil {
-		l.Referee().Report(lab.Differs, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
+		l.Referee().Report(testbed.Differs, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
 		return
 	}
 	if err := ask(ctx, n, "/control/decisions", &decisions); err != nil {
-		l.Referee().Report(lab.Differs, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
+		l.Referee().Report(testbed.Differs, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
 		return
 	}
 	add(r.NotSent, decisions.NotSent)
 	add(r.TurnedAway, decisions.TurnedAway)
 	add(r.Violations, decisions.Violations)
 	if len(decisions.Violations) > 0 && !n.Held() {
-		l.Referee().Report(lab.Admitted, n.Name(), fmt.Sprint(decisions.Violations))
+		l.Referee().Report(testbed.Admitted, n.Name(), fmt.Sprint(decisions.Violations))
 	}
 	if counters.Inflight != 0 {
-		l.Referee().Report(lab.Differs, n.Name(), fmt.Sprintf("%d requests in flight after all have ended", counters.Inflight))
+		l.Referee().Report(testbed.Differs, n.Name(), fmt.Sprintf("%d requests in flight after all have ended", counters.Inflight))
 	}
 	if arrived := l.AttemptsOf(n.Name()); n.Starts() == 1 && arrived > counters.Written {
-		l.Referee().Report(lab.Differs, n.Name(), fmt.Sprintf("%d attempts came to servers, it counts %d", arrived, counters.Written))
+		l.Referee().Report(testbed.Differs, n.Name(), fmt.Sprintf("%d attempts came to servers, it counts %d", arrived, counters.Written))
 	}
 }
 
@@ -192,7 +192,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if slices.ContainsFunc(slices.Collect(maps.Keys(first.Broken)), func(rule lab.Rule) bool { return r.Broken[rule] > 0 }) {
+		if slices.ContainsFunc(slices.Collect(maps.Keys(first.Broken)), func(rule testbed.Rule) bool { return r.Broken[rule] > 0 }) {
 			kept = less
 			continue
 		}
--- a/internal/lab/spoil.go
+++ b/internal/testbed/spoil.go
@@ -1,6 +1,6 @@
 // Servers that spoil their answers.
 
-package lab
+package testbed
 
 import (
 	"fmt"
--- a/internal/lab/taken.go
+++ b/internal/testbed/taken.go
@@ -1,6 +1,6 @@
 // Whether the far side of a connection that has ended had read what was written to it.
 
-package lab
+package testbed
 
 import (
 	"net"
--- a/internal/lab/labtest/labtest.go
+++ b/internal/testbed/testbedtest/testbedtest.go
@@ -1,5 +1,5 @@
 // Package labtest builds the node program for tests that start real processes.
-package labtest
+package testbedtest
 
 import (
 	"fmt"
@@ -12,14 +12,14 @@
 // Main builds the node program, sets *binary to its path, runs the tests and returns their exit code. It is to be
 // called by TestMain.
 func Main(m *testing.M, binary *string) int {
-	dir, err := os.MkdirTemp("", "quaywick-build-")
+	dir, err := os.MkdirTemp("", "balancer-build-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	*binary = filepath.Join(dir, "quaywick")
-	if out, err := exec.Command("go", "build", "-o", *binary, "deckrelay/cmd/quaywick").CombinedOutput(); err != nil {
+	*binary = filepath.Join(dir, "balancer")
+	if out, err := exec.Command("go", "build", "-o", *binary, "keelusher/cmd/balancer").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build of the node: %v\n%s", err, out)
 		return 1
 	}
--- a/internal/lab/timely.go
+++ b/internal/testbed/timely.go
@@ -1,6 +1,6 @@
 // What an attempt owes to the time at which it comes, and to the request that it passes on.
 
-package lab
+package testbed
 
 import (
 	"fmt"
--- a/internal/lab/ways.go
+++ b/internal/testbed/ways.go
@@ -1,6 +1,6 @@
 // Links between any two parts, and their conditions.
 
-package lab
+package testbed
 
 import (
 	"path"
--- a/internal/lab/work.go
+++ b/internal/testbed/work.go
@@ -1,6 +1,6 @@
 // A server's work: cores, warm-up and choking.
 
-package lab
+package testbed
 
 import (
 	"context"
--- a/internal/lab/world.go
+++ b/internal/testbed/world.go
@@ -3,14 +3,14 @@
 // servers of up to three tiers, discovery, and links between any two of them that can fail in one direction. A
 // Referee checks the four rules for every request id. The processes run unmodified; the lab imports none of the
 // node's insides and speaks to it as the protocol says.
-package lab
+package testbed
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"deckrelay/internal/lab/shim"
+	"keelusher/internal/testbed/shim"
 )
 
 // World describes the platform. The zero value of a field with a default, named beside it, means that default.
--- a/deckrelay.go
+++ b/policy/api.go
@@ -1,4 +1,4 @@
-// Package deckrelay decides where a load balancer sends each request, when it tries again and
+// Package policy decides where a load balancer sends each request, when it tries again and
 // when it gives up. It does no I/O: the host feeds events to a Balancer and carries out the
 // actions it returns. This file is the whole interface; every decision is in policy.go, zones.go and policy/guard.
 //
@@ -7,12 +7,12 @@
 // give the same actions. Balancers share nothing. Memory is held for each request until it is
 // answered and its attempts have ended, and for each server until it has left the list and its
 // attempts have ended.
-package deckrelay
+package policy
 
 import (
 	"time"
 
-	"deckrelay/policy/guard"
+	"keelusher/policy/guard"
 )
 
 // Effect says what happens when a request runs more than once.
--- a/crowd_test.go
+++ b/policy/crowd_test.go
@@ -1,4 +1,4 @@
-package deckrelay
+package policy
 
 import (
 	"container/heap"
--- a/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,6 @@
-// Every decision of deckrelay. The interface (settings, events, actions) is in deckrelay.go.
+// Every decision of the policy. The interface (settings, events, actions) is in api.go.
 
-package deckrelay
+package policy
 
 import (
 	"math"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"deckrelay/policy/guard"
+	"keelusher/policy/guard"
 )
 
 // Constants are shares, ratios or counts; every length of time is a setting or was observed.
--- a/policy_test.go
+++ b/policy/policy_test.go
@@ -1,4 +1,4 @@
-package deckrelay
+package policy
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"deckrelay/policy/guard"
+	"keelusher/policy/guard"
 )
 
 const msec = time.Millisecond
--- a/processes_test.go
+++ b/policy/processes_test.go
@@ -1,4 +1,4 @@
-package deckrelay
+package policy
 
 import (
 	"crypto/sha256"
@@ -15,13 +15,13 @@
 func TestSameActionsInSeveralProcesses(t *testing.T) {
 	log, _ := run(t, ruleSettings(), 8, 2000, nil)
 	own := fmt.Sprintf("actions %x", sha256.Sum256([]byte(strings.Join(log, "\n"))))
-	if os.Getenv("DECKRELAY_CHILD") != "" {
+	if os.Getenv("POLICY_CHILD") != "" {
 		fmt.Println(own)
 		return
 	}
 	for range 2 {
 		cmd := exec.Command(os.Args[0], "-test.run=^TestSameActionsInSeveralProcesses$")
-		cmd.Env = append(os.Environ(), "DECKRELAY_CHILD=1")
+		cmd.Env = append(os.Environ(), "POLICY_CHILD=1")
 		out, err := cmd.Output()
 		if err != nil {
 			t.Fatal(err)
--- a/recorded_test.go
+++ b/policy/recorded_test.go
@@ -1,4 +1,4 @@
-package deckrelay
+package policy
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"deckrelay/policy/guard"
+	"keelusher/policy/guard"
 )
 
 type dueEvent struct {
--- a/settings.go
+++ b/policy/settings.go
@@ -1,4 +1,4 @@
-package deckrelay
+package policy
 
 import (
 	"fmt"
@@ -10,29 +10,29 @@
 // validate names the setting at fault.
 func (s Settings) validate() error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("deckrelay: Classes is empty")
+		return fmt.Errorf("policy: Classes is empty")
 	}
 	for i, c := range s.Classes {
 		if c.Name == "" {
-			return fmt.Errorf("deckrelay: Classes[%d].Name is empty", i)
+			return fmt.Errorf("policy: Classes[%d].Name is empty", i)
 		}
 		if c.Aim <= 0 || c.Deadline <= 0 || c.Window < 0 {
-			return fmt.Errorf("deckrelay: Classes[%d] (%s): Aim, Deadline or Window out of range", i, c.Name)
+			return fmt.Errorf("policy: Classes[%d] (%s): Aim, Deadline or Window out of range", i, c.Name)
 		}
 		if !(c.Worth >= 0) || !(c.LateShare >= 0 && c.LateShare <= 1) {
-			return fmt.Errorf("deckrelay: Classes[%d] (%s): Worth or LateShare out of range", i, c.Name)
+			return fmt.Errorf("policy: Classes[%d] (%s): Worth or LateShare out of range", i, c.Name)
 		}
 	}
 	for i, t := range s.Tenants {
 		if !(t.Quota >= 0) {
-			return fmt.Errorf("deckrelay: Tenants[%d] (%s): Quota out of range", i, t.Name)
+			return fmt.Errorf("policy: Tenants[%d] (%s): Quota out of range", i, t.Name)
 		}
 	}
 	if !(s.OverWorth >= 0 && s.OverWorth <= 1) {
-		return fmt.Errorf("deckrelay: OverWorth must be from 0 to 1")
+		return fmt.Errorf("policy: OverWorth must be from 0 to 1")
 	}
 	if !(s.ColdFrom >= 0 && s.ColdFrom <= 1) {
-		return fmt.Errorf("deckrelay: ColdFrom must be from 0 to 1")
+		return fmt.Errorf("policy: ColdFrom must be from 0 to 1")
 	}
 	for _, d := range []struct {
 		name string
@@ -40,11 +40,11 @@
 	}{{"AskWithin", s.AskWithin}, {"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"OrderSettle", s.OrderSettle},
 		{"WarmAfter", s.WarmAfter}} {
 		if d.v < 0 {
-			return fmt.Errorf("deckrelay: %s is negative", d.name)
+			return fmt.Errorf("policy: %s is negative", d.name)
 		}
 	}
 	if s.Tiers < 0 || s.Tier < 0 || s.Balancers < 0 || s.Self < 0 || s.MaxAttempts < 0 || !(s.FallMultiple >= 0) {
-		return fmt.Errorf("deckrelay: Tiers, Tier, Balancers, Self, MaxAttempts or FallMultiple is negative")
+		return fmt.Errorf("policy: Tiers, Tier, Balancers, Self, MaxAttempts or FallMultiple is negative")
 	}
 	return nil
 }
--- a/zones.go
+++ b/policy/zones.go
@@ -1,6 +1,6 @@
 // What a Balancer makes of whole zones: one that falls silent is more than health may keep out.
 
-package deckrelay
+package policy
 
 import (
 	"math"
