--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -49,17 +49,17 @@
 
 // attempt makes the one send of an attempt and waits for what comes back.
 func (p *pool) attempt(att *attempt) result {
-	ended := func(e policy.Ending, why error) result { return result{att: att, ending: e, err: why} }
+	ended := func(e policy.AttemptResult, why error) result { return result{att: att, ending: e, err: why} }
 	unsent := func(why guard.Verdict) result {
 		p.decisions.attemptNotSent(att, why)
-		return result{att: att, ending: policy.Void, why: why}
+		return result{att: att, ending: policy.NotSent, why: why}
 	}
 	if why := p.maySend(att); why != guard.Allowed {
 		return unsent(why)
 	}
 	c, err := p.take(att)
 	if err != nil {
-		return ended(policy.Unreachable, err)
+		return ended(policy.ConnectFailed, err)
 	}
 	// Connecting takes time: the request may be over by now, or the server may have been told to drain.
 	if why := p.maySend(att); why != guard.Allowed {
@@ -70,14 +70,14 @@
 	switch {
 	case err != nil && att.call.rest != nil && att.call.rest.failed() != nil:
 		p.close(c)
-		return ended(policy.Void, err) // the caller did not give the last byte
+		return ended(policy.NotSent, err) // the caller did not give the last byte
 	case err != nil:
 		p.close(c)
-		return ended(policy.Unreachable, err) // the last byte was not written
+		return ended(policy.ConnectFailed, err) // the last byte was not written
 	case errors.Is(r.err, os.ErrDeadlineExceeded):
 		return ended(policy.TimedOut, nil) // the reader has closed the connection
 	case r.err != nil:
-		return ended(policy.Broken, r.err)
+		return ended(policy.ConnectionLost, r.err)
 	}
 	res := result{att: att, ending: ending(r.resp), load: load(r.resp.Header), answer: answer{status: http.StatusOK,
 		contentType: r.resp.Header.Get("Content-Type"), body: r.body, held: r.held, rest: r.rest}}
@@ -91,9 +91,9 @@
 		<-r.rest.over
 		res.passed = true
 		if res.err = r.rest.err; res.err != nil {
-			res.answer.status, res.ending = http.StatusBadGateway, policy.Broken
+			res.answer.status, res.ending = http.StatusBadGateway, policy.ConnectionLost
 			if r.rest.ours {
-				res.ending = policy.Withdrawn
+				res.ending = policy.Canceled
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 }
 
 // ending reads off an answer how the attempt ended.
-func ending(r *http.Response) policy.Ending {
+func ending(r *http.Response) policy.AttemptResult {
 	switch {
 	case r.StatusCode == http.StatusOK:
 		return policy.Success
@@ -236,7 +236,7 @@
 		r.Header.Get("X-Rejected") == "1":
 		return policy.Overloaded
 	}
-	return policy.Failure // it may have run
+	return policy.ServerError // it may have run
 }
 
 // load reads a load report, in which the fields have the names that the settings give them. What is absent
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -59,7 +59,7 @@
 // result is how an attempt ended.
 type result struct {
 	att    *attempt
-	ending policy.Ending
+	ending policy.AttemptResult
 	load   *policy.Load
 	answer answer
 	passed bool          // the answer was passed on while it came
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -144,7 +144,7 @@
 	c.req.ID = r.Header.Get("X-Call-Id")
 	c.req.Class = r.Header.Get("X-Call-Class")
 	c.req.Tenant = r.Header.Get("X-Caller")
-	c.req.Repeat = r.Header.Get("X-Again") == "1"
+	c.req.IsRetry = r.Header.Get("X-Again") == "1"
 	if c.req.ID == "" {
 		return bad("X-Call-Id is missing")
 	}
@@ -177,7 +177,7 @@
 		return nil, http.StatusServiceUnavailable, errWaited
 	}
 	c.deadline = h.clock.now() + c.budget
-	c.req.Deadline, c.req.Coming = c.deadline, c.rest != nil
+	c.req.Deadline, c.req.BodyIncomplete = c.deadline, c.rest != nil
 	return c, 0, nil
 }
 
@@ -334,7 +334,7 @@
 	m := map[string]string{}
 	for _, c := range classes {
 		m[c.Name] = http.MethodPost
-		if c.Effect == policy.Safe {
+		if c.Idempotency == policy.Idempotent {
 			m[c.Name] = http.MethodGet
 		}
 	}
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -21,7 +21,7 @@
 }
 
 // wakeHeap holds the timers that the module asked for, the next one first.
-type wakeHeap []policy.Wake
+type wakeHeap []policy.SetTimer
 
 func (h wakeHeap) Len() int { return len(h) }
 
@@ -29,7 +29,7 @@
 
 func (h wakeHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *wakeHeap) Push(x any) { *h = append(*h, x.(policy.Wake)) }
+func (h *wakeHeap) Push(x any) { *h = append(*h, x.(policy.SetTimer)) }
 
 func (h *wakeHeap) Pop() any {
 	last := len(*h) - 1
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -43,13 +43,13 @@
 	Born   float64 `json:"born_ms"`
 }
 
-func (h host) server() policy.Server {
-	s := policy.Server{ID: h.Host, Zone: h.Site, Kind: h.Class, Cell: h.Block, Boot: millis(h.Born)}
+func (h host) server() policy.Endpoint {
+	s := policy.Endpoint{ID: h.Host, Zone: h.Site, MachineType: h.Class, Cell: h.Block, StartedAt: millis(h.Born)}
 	switch h.Health {
 	case "in_service":
 		s.State = policy.Ready
 	case "terminated":
-		s.State = policy.Gone
+		s.State = policy.Removed
 	default: // a state we don't know is no invitation to send
 		s.State = policy.Draining
 	}
@@ -80,8 +80,8 @@
 }
 
 func newDiscovery(cfg Config, log *slog.Logger, tell func(context.Context, news) error) *discovery {
-	return &discovery{addr: cfg.Discovery, asked: cfg.Settings.AskDiscovery, seq: cfg.Known.Seq, log: log, tell: tell, asks: make(chan struct{}, 1),
-		staleness: newWatchdog(silence, !cfg.Settings.AskDiscovery),
+	return &discovery{addr: cfg.Discovery, asked: cfg.Settings.PollEndpoints, seq: cfg.Known.Seq, log: log, tell: tell, asks: make(chan struct{}, 1),
+		staleness: newWatchdog(silence, !cfg.Settings.PollEndpoints),
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:        (&net.Dialer{Timeout: time.Second}).DialContext,
 			DisableKeepAlives:  true,
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -263,7 +263,7 @@
 				}
 			})
 			cfg := testConfig(t, "on_request", inService("s-1", b.addr()))
-			cfg.Settings.AskWithin, cfg.Discovery = 10*time.Minute, addr
+			cfg.Settings.MaxPollInterval, cfg.Discovery = 10*time.Minute, addr
 			n := start(t, cfg)
 			<-known
 			eventually(t, "the node has it", func() bool { return !n.loop.usable.Load() })
--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -83,7 +83,7 @@
 // counters answers with the figures as they are now, so that they are never old.
 func (d *door) counters(w http.ResponseWriter) {
 	var f figures
-	if !d.loop.ask(func() { f = d.loop.stats.figures(d.loop.bal.Servers(d.loop.clock.now())) }) {
+	if !d.loop.ask(func() { f = d.loop.stats.figures(d.loop.bal.EndpointCounts(d.loop.clock.now())) }) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -56,12 +56,12 @@
 // count tells the module how many copies place calls on this tier, by zone. Only a majority knows; the others leave it
 // at the settings' number, which is safe: too few copies counted would be too much taken by each.
 func (n *Node) count(v membership.View) {
-	p := policy.Peers{}
+	p := policy.ReplicaCounts{}
 	if v.Side >= membership.Majority {
-		p.Copies = map[string]int{}
+		p.ByZone = map[string]int{}
 		for _, m := range v.Members {
 			if m.Tier == n.cfg.Settings.Tier && (m.State == membership.Alive || m.State == membership.Suspect) && !m.Held || m.Name == n.cfg.Name {
-				p.Copies[m.Zone]++
+				p.ByZone[m.Zone]++
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 
 // digest is over the settings that all nodes have in common.
 func digest(s policy.Settings) string {
-	s.Self, s.Tier, s.Balancers, s.Zone = 0, 0, 0, ""
+	s.ReplicaIndex, s.Tier, s.Replicas, s.Zone = 0, 0, 0, ""
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%+v", s)))
 }
 
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -93,7 +93,7 @@
 	}()
 	<-c.gone // the end has begun
 	close(up)
-	if r := <-ended; r.ending != policy.Unreachable {
+	if r := <-ended; r.ending != policy.ConnectFailed {
 		t.Errorf("it ended with %v, want Unreachable", r.ending)
 	}
 	<-shut
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -41,7 +41,7 @@
 	results  chan result
 	sents    chan sent
 	begins   chan begun
-	peers    chan policy.Peers             // holds the newest word of the mesh
+	peers    chan policy.ReplicaCounts     // holds the newest word of the mesh
 	ordered  chan map[string]time.Duration // holds the zones that overrides send away, with their ends
 	asks     chan func()                   // run here; must not block
 	stop     chan struct{}
@@ -64,7 +64,7 @@
 func newLoop(ck clock, log *slog.Logger, bal *policy.Balancer, st *stats) *loop {
 	return &loop{clock: ck, log: log, bal: bal, stats: st, decisions: newDecisions(log),
 		lists: make(chan news), arrivals: make(chan *call), gone: make(chan *call),
-		results: make(chan result), sents: make(chan sent), begins: make(chan begun), peers: make(chan policy.Peers, 1), ordered: make(chan map[string]time.Duration, 1), byHand: map[string]bool{}, asks: make(chan func()), stop: make(chan struct{}),
+		results: make(chan result), sents: make(chan sent), begins: make(chan begun), peers: make(chan policy.ReplicaCounts, 1), ordered: make(chan map[string]time.Duration, 1), byHand: map[string]bool{}, asks: make(chan func()), stop: make(chan struct{}),
 		zones: map[string]policy.ZoneState{}, lines: rate.NewLimiter(zoneLines, 2*zoneLines), calls: map[string]*call{}, targets: map[string]*target{}}
 }
 
@@ -84,8 +84,8 @@
 		}
 		for len(l.wakes) > 0 && l.wakes[0].At <= l.clock.now() {
 			l.catchUp()
-			w := heap.Pop(&l.wakes).(policy.Wake)
-			l.handle(policy.Timer{Token: w.Token})
+			w := heap.Pop(&l.wakes).(policy.SetTimer)
+			l.handle(policy.TimerFired{Token: w.Token})
 		}
 		wait := time.Hour
 		if len(l.wakes) > 0 {
@@ -148,19 +148,19 @@
 func (l *loop) carry(now time.Duration, e policy.Event) {
 	for _, a := range l.bal.Handle(now, e) {
 		switch a := a.(type) {
-		case policy.Send:
+		case policy.SendAttempt:
 			l.send(now, a)
-		case policy.Refuse:
-			l.turnAway(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter}, a.Why)
+		case policy.Reject:
+			l.turnAway(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter}, a.Reason)
 		case policy.Fail:
-			l.turnAway(a.ID, answer{status: http.StatusBadGateway}, a.Why)
-		case policy.Wake:
+			l.turnAway(a.ID, answer{status: http.StatusBadGateway}, a.Reason)
+		case policy.SetTimer:
 			heap.Push(&l.wakes, a)
-		case policy.Subscribe:
+		case policy.WatchEndpoints:
 			l.subscribe()
 		}
 	}
-	if l.bal.ZoneTurns() != l.turns {
+	if l.bal.ZoneTransitions() != l.turns {
 		l.logZones()
 	}
 }
@@ -203,14 +203,14 @@
 	if c.counted {
 		l.stats.count(func(c *counts) { c.left++ })
 	}
-	l.handle(policy.ClientGone{ID: c.req.ID})
+	l.handle(policy.ClientDisconnected{ID: c.req.ID})
 	return true
 }
 
 // giveUp gives every call that is open its final answer now.
 func (l *loop) giveUp() {
 	for _, id := range slices.Sorted(maps.Keys(l.calls)) {
-		l.handle(policy.TimeUp{ID: id})
+		l.handle(policy.ShutdownDeadline{ID: id})
 	}
 }
 
@@ -221,7 +221,7 @@
 	if !c.closed.Load() {
 		l.count(c)
 	}
-	l.handle(policy.Sent{ID: c.req.ID, Attempt: s.att.n, Deadline: c.deadline})
+	l.handle(policy.RequestSent{ID: c.req.ID, Attempt: s.att.n, Deadline: c.deadline})
 }
 
 // takeBegun gives a long answer to the caller as it comes. It is counted when it has ended.
@@ -231,20 +231,20 @@
 		b.answer.drop()
 		return
 	}
-	l.handle(policy.Started{ID: c.req.ID, Attempt: b.att.n})
+	l.handle(policy.ResponseStarted{ID: c.req.ID, Attempt: b.att.n})
 	c.reply <- b.answer
 }
 
-func (l *loop) send(now time.Duration, a policy.Send) {
+func (l *loop) send(now time.Duration, a policy.SendAttempt) {
 	c := l.calls[a.ID]
 	if c == nil {
 		l.log.Error("send for an unknown request", "id", a.ID)
 		return
 	}
-	att := &attempt{call: c, n: c.attempts, target: l.targets[a.Server],
-		wait: a.Timeout, deadline: min(now+a.Timeout, c.deadline), repeatBefore: a.RepeatBefore}
+	att := &attempt{call: c, n: c.attempts, target: l.targets[a.Endpoint],
+		wait: a.Timeout, deadline: min(now+a.Timeout, c.deadline), repeatBefore: a.RetryBefore}
 	if att.target == nil { // no such server any more: the attempt ends unsent
-		att.target = &target{id: a.Server}
+		att.target = &target{id: a.Endpoint}
 		att.target.stopped.Store(true)
 	}
 	c.attempts++
@@ -301,22 +301,22 @@
 	default:
 		r.answer.drop()
 	}
-	l.handle(policy.Outcome{ID: c.req.ID, Attempt: r.att.n, Server: r.att.target.id, Ending: r.ending,
-		Latency: l.clock.now() - r.att.started, Ended: c.closed.Load(), Spent: spent, Load: r.load})
+	l.handle(policy.AttemptEnded{ID: c.req.ID, Attempt: r.att.n, Endpoint: r.att.target.id, Result: r.ending,
+		Latency: l.clock.now() - r.att.started, Answered: c.closed.Load(), BodyConsumed: spent, Load: r.load})
 	l.forget(c)
 }
 
 // takeNews updates the servers' addresses, stops what must get nothing new, then tells the module.
 func (l *loop) takeNews(n news) {
 	if n.failed {
-		l.handle(policy.ListFailed{})
+		l.handle(policy.DiscoveryFailed{})
 		return
 	}
-	e := policy.ServerList{Full: n.list.Whole, Cached: n.cached}
+	e := policy.EndpointUpdate{Snapshot: n.list.Whole, Cached: n.cached}
 	listed := map[string]bool{}
 	for _, h := range n.list.Hosts {
 		s := h.server()
-		e.Servers = append(e.Servers, s)
+		e.Endpoints = append(e.Endpoints, s)
 		listed[h.Host] = true
 		old := l.targets[h.Host]
 		if s.State != policy.Ready {
@@ -324,9 +324,9 @@
 			continue
 		}
 		// A server that moved or started anew shares no connection with the one before.
-		if old == nil || old.addr != h.Dial || old.boot != s.Boot {
+		if old == nil || old.addr != h.Dial || old.boot != s.StartedAt {
 			l.drop(h.Host)
-			l.targets[h.Host] = &target{id: h.Host, addr: h.Dial, boot: s.Boot}
+			l.targets[h.Host] = &target{id: h.Host, addr: h.Dial, boot: s.StartedAt}
 		}
 	}
 	if n.list.Whole {
--- a/internal/node/overrides_test.go
+++ b/internal/node/overrides_test.go
@@ -15,7 +15,7 @@
 	ordered := func() (is bool) {
 		n.loop.ask(func() {
 			for _, z := range n.loop.bal.Zones() {
-				is = is || z.Name == "x" && z.Ordered
+				is = is || z.Name == "x" && z.EvacuatedByOperator
 			}
 		})
 		return is
@@ -38,12 +38,12 @@
 		l.takeOrders(map[string]time.Duration{"z": now + time.Hour})
 		l.orderZone("z", true, true)
 		l.takeOrders(nil)
-		if !l.bal.Zones()[0].Ordered {
+		if !l.bal.Zones()[0].EvacuatedByOperator {
 			t.Error("the end of the override ended the door's order")
 		}
 		l.takeOrders(map[string]time.Duration{"z": now + time.Hour})
 		l.orderZone("z", false, false)
-		if !l.bal.Zones()[0].Ordered {
+		if !l.bal.Zones()[0].EvacuatedByOperator {
 			t.Error("the end of the door's order ended the override")
 		}
 	})
--- a/internal/node/repeat_window_test.go
+++ b/internal/node/repeat_window_test.go
@@ -28,7 +28,7 @@
 	cfg := testConfig(t, "pushed", hosts...)
 	cfg.Discovery = silentDiscovery(t)
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Window, cfg.Settings.Classes[i].Scope = window, policy.ScopeAll
+		cfg.Settings.Classes[i].DeduplicationWindow, cfg.Settings.Classes[i].DeduplicationScope = window, policy.ScopeAll
 	}
 	var dials atomic.Int64
 	n := start(t, cfg, func(n *Node) {
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -37,18 +37,18 @@
 	}
 	for name, tc := range map[string]struct {
 		serve func(int, net.Conn, *http.Request) bool
-		want  policy.Ending
+		want  policy.AttemptResult
 	}{
 		"served":            {ok, policy.Success},
-		"error":             {status("500 Internal Server Error"), policy.Failure},
-		"not found":         {status("404 Not Found"), policy.Failure},
-		"accepted":          {status("202 Accepted"), policy.Failure},
-		"unmarked 503":      {status("503 Service Unavailable"), policy.Failure},
+		"error":             {status("500 Internal Server Error"), policy.ServerError},
+		"not found":         {status("404 Not Found"), policy.ServerError},
+		"accepted":          {status("202 Accepted"), policy.ServerError},
+		"unmarked 503":      {status("503 Service Unavailable"), policy.ServerError},
 		"turned away, 503":  {status("503 Service Unavailable", "X-Rejected: 1"), policy.Overloaded},
 		"turned away, 504":  {status("504 Gateway Timeout", "X-Rejected: 1"), policy.Overloaded},
-		"500 with the mark": {status("500 Internal Server Error", "X-Rejected: 1"), policy.Failure},
-		"no answer":         {func(int, net.Conn, *http.Request) bool { return false }, policy.Broken},
-		"half an answer":    {partly, policy.Broken},
+		"500 with the mark": {status("500 Internal Server Error", "X-Rejected: 1"), policy.ServerError},
+		"no answer":         {func(int, net.Conn, *http.Request) bool { return false }, policy.ConnectionLost},
+		"half an answer":    {partly, policy.ConnectionLost},
 		"an end without a length": {func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nall")
 			return false
@@ -57,10 +57,10 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
 			c.(*net.TCPConn).SetLinger(0) // a reset is no end
 			return false
-		}, policy.Broken},
+		}, policy.ConnectionLost},
 		"a long error": {func(_ int, c net.Conn, _ *http.Request) bool {
 			return respond(c, "500 Internal Server Error", strings.Repeat("x", maxBody+1))
-		}, policy.Failure},
+		}, policy.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := testPool(t), newBackend(t, tc.serve)
@@ -79,7 +79,7 @@
 		}
 		ln.Close()
 		p := testPool(t)
-		if got := p.attempt(testAttempt(p, ln.Addr().String(), time.Minute)).ending; got != policy.Unreachable {
+		if got := p.attempt(testAttempt(p, ln.Addr().String(), time.Minute)).ending; got != policy.ConnectFailed {
 			t.Errorf("ending %v, want Unreachable", got)
 		}
 	})
@@ -112,7 +112,7 @@
 				stop(att) // the dial is under way
 				return nil
 			}
-			if got := p.attempt(att).ending; got != policy.Void {
+			if got := p.attempt(att).ending; got != policy.NotSent {
 				t.Errorf("ending %v, want Void", got)
 			}
 			p.shut()
@@ -223,7 +223,7 @@
 	for c := range p.open {
 		c.place, c.target.idle = nil, nil
 	}
-	if got := p.attempt(testAttempt(p, a.addr(), time.Minute)).ending; got != policy.Unreachable {
+	if got := p.attempt(testAttempt(p, a.addr(), time.Minute)).ending; got != policy.ConnectFailed {
 		t.Errorf("ended %v, want Unreachable", got)
 	}
 }
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -26,7 +26,7 @@
 	unsent                  int // refused or failed without an attempt
 	stale                   int // connections to servers found ended, or with bytes nobody asked for, when next needed
 	written                 int // attempts that went whole to a server
-	endings                 [policy.Void + 1]int
+	endings                 [policy.NotSent + 1]int
 	waited                  time.Duration // over all attempts that ended
 }
 
@@ -63,9 +63,9 @@
 	return s
 }
 
-var endingNames = [...]string{policy.Success: "ok", policy.Failure: "error", policy.Overloaded: "full",
-	policy.TimedOut: "timeout", policy.Unreachable: "unreachable", policy.Broken: "reset",
-	policy.Withdrawn: "withdrawn", policy.Void: "void"}
+var endingNames = [...]string{policy.Success: "ok", policy.ServerError: "error", policy.Overloaded: "full",
+	policy.TimedOut: "timeout", policy.ConnectFailed: "unreachable", policy.ConnectionLost: "reset",
+	policy.Canceled: "withdrawn", policy.NotSent: "void"}
 
 func (s *stats) count(f func(*counts)) {
 	s.mu.Lock()
@@ -108,7 +108,7 @@
 }
 
 // ended counts the ending of an attempt at a server.
-func (s *stats) ended(server string, e policy.Ending, took time.Duration, why error) {
+func (s *stats) ended(server string, e policy.AttemptResult, took time.Duration, why error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.now.endings[e]++
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -27,7 +27,7 @@
 
 // logZones says which zones have changed their state.
 func (l *loop) logZones() {
-	l.turns = l.bal.ZoneTurns()
+	l.turns = l.bal.ZoneTransitions()
 	for _, z := range l.bal.Zones() {
 		was := l.zones[z.Name]
 		if was == z.State {
@@ -38,8 +38,8 @@
 			l.quiet++
 			continue
 		}
-		l.log.Info("zone", "name", z.Name, "was", was.String(), "is", z.State.String(), "ordered", z.Ordered, "share", z.Share,
-			"servers", z.Servers, "silent", z.Silent, "out", z.Calls, "silenced", l.quiet)
+		l.log.Info("zone", "name", z.Name, "was", was.String(), "is", z.State.String(), "ordered", z.EvacuatedByOperator, "share", z.Share,
+			"servers", z.Endpoints, "silent", z.Unresponsive, "out", z.InFlight, "silenced", l.quiet)
 		l.quiet = 0
 	}
 }
@@ -62,7 +62,7 @@
 	if !d.loop.ask(func() {
 		now := d.loop.clock.now()
 		for _, z := range d.loop.bal.Zones() {
-			all = append(all, zoneFigures{z.Name, z.State.String(), z.Ordered, z.Share, now - z.Since, z.Servers, z.Silent, z.Calls})
+			all = append(all, zoneFigures{z.Name, z.State.String(), z.EvacuatedByOperator, z.Share, now - z.Since, z.Endpoints, z.Unresponsive, z.InFlight})
 		}
 	}) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -99,7 +99,7 @@
 	case l.byHand[name] == away:
 		return http.StatusOK
 	case away && !force && !slices.ContainsFunc(all, func(z policy.Zone) bool {
-		return z.Name != name && z.Servers > 0 && z.State != policy.ZoneEvacuated
+		return z.Name != name && z.Endpoints > 0 && z.State != policy.ZoneEvacuated
 	}):
 		return http.StatusConflict
 	}
@@ -111,7 +111,7 @@
 
 // order tells the module whether a zone is ordered away, by hand or by an override in force.
 func (l *loop) order(now time.Duration, zone string) {
-	l.carry(now, policy.ZoneOrder{Zone: zone, Away: l.byHand[zone] || now < l.until[zone]})
+	l.carry(now, policy.ZoneEvacuation{Zone: zone, Evacuate: l.byHand[zone] || now < l.until[zone]})
 }
 
 // takeOrders takes over what overrides send away now.
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -44,7 +44,7 @@
 	line     int
 	inBatch  bool
 	instance int
-	lists    [16][]policy.Server
+	lists    [16][]policy.Endpoint
 }
 
 // NewDecoder returns a Decoder that reads r.
@@ -142,24 +142,24 @@
 				f.fail(1, "is no list number")
 				break
 			}
-			m.Event = policy.ServerList{Full: mode != 0, Cached: mode == 2, Servers: d.lists[n]}
+			m.Event = policy.EndpointUpdate{Snapshot: mode != 0, Cached: mode == 2, Endpoints: d.lists[n]}
 		case 3:
-			m.Event = policy.ListFailed{}
+			m.Event = policy.DiscoveryFailed{}
 		default:
 			f.fail(0, "is no mode")
 		}
 	case "job_in":
 		m.Event = policy.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
-			Tenant: f.opt(5), Repeat: f.optNum(4)&2 != 0, Key: f.optKey(2), HasKey: f.opt(2) != ""}
+			Tenant: f.opt(5), IsRetry: f.optNum(4)&2 != 0, Key: f.optKey(2), HasKey: f.opt(2) != ""}
 	case "ring":
-		m.Event = policy.Timer{Token: f.text(0)}
+		m.Event = policy.TimerFired{Token: f.text(0)}
 	case "outcome":
-		m.Event = policy.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
-			Ended: f.text(3) == "1", Attempt: f.num(4), Ending: f.ending(5), Load: f.load(6)}
+		m.Event = policy.AttemptEnded{ID: f.text(0), Endpoint: f.text(1), Latency: f.ms(2),
+			Answered: f.text(3) == "1", Attempt: f.num(4), Result: f.ending(5), Load: f.load(6)}
 	case "timed_out_client":
-		m.Event = policy.ClientGone{ID: f.text(0)}
+		m.Event = policy.ClientDisconnected{ID: f.text(0)}
 	case "flowing":
-		m.Event = policy.Started{ID: f.text(0), Attempt: f.num(3)}
+		m.Event = policy.ResponseStarted{ID: f.text(0), Attempt: f.num(3)}
 	case "crash_now":
 		m.Kind = Stop
 	case "checked", "mail":
@@ -178,7 +178,7 @@
 	if table < 0 || table >= len(d.lists) || n < 0 {
 		return fmt.Errorf("list number or length out of range")
 	}
-	var servers []policy.Server
+	var servers []policy.Endpoint
 	for i := 0; i < n; i++ {
 		s, err := d.readLine()
 		if err != nil {
@@ -189,14 +189,14 @@
 			return fmt.Errorf("want item %d of %d, got %s", i+1, n, quote(name))
 		}
 		g := &fields{name: name, parts: strings.Split(rest, "\t")}
-		sv := policy.Server{ID: g.text(0), Zone: g.text(1), Kind: g.opt(2), Cell: g.num(3), Boot: g.optMS(6)}
+		sv := policy.Endpoint{ID: g.text(0), Zone: g.text(1), MachineType: g.opt(2), Cell: g.num(3), StartedAt: g.optMS(6)}
 		switch g.num(4) {
 		case 2:
 			sv.State = policy.Ready
 		case 0:
 			sv.State = policy.Draining
 		case 1:
-			sv.State = policy.Gone
+			sv.State = policy.Removed
 		default:
 			g.fail(4, "is no state")
 		}
@@ -287,14 +287,14 @@
 	return f.ms(i)
 }
 
-var endings = map[string]policy.Ending{
-	"success": policy.Success, "failure": policy.Failure,
+var endings = map[string]policy.AttemptResult{
+	"success": policy.Success, "failure": policy.ServerError,
 	"overloaded": policy.Overloaded, "timed_out": policy.TimedOut,
-	"unreachable": policy.Unreachable, "broken": policy.Broken,
-	"withdrawn": policy.Withdrawn, "void": policy.Void,
+	"unreachable": policy.ConnectFailed, "broken": policy.ConnectionLost,
+	"withdrawn": policy.Canceled, "void": policy.NotSent,
 }
 
-func (f *fields) ending(i int) policy.Ending {
+func (f *fields) ending(i int) policy.AttemptResult {
 	e, ok := endings[f.text(i)]
 	if !ok {
 		f.fail(i, "is no ending")
@@ -385,12 +385,12 @@
 	Zone  string   `json:"zone"`
 }
 
-var scopes = map[string]policy.Scope{
+var scopes = map[string]policy.DeduplicationScope{
 	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
 }
 
-var effects = map[string]policy.Effect{
-	"read_like": policy.Safe, "idempotency_key": policy.Keyed,
+var effects = map[string]policy.Idempotency{
+	"read_like": policy.Idempotent, "idempotency_key": policy.IdempotentWithKey,
 }
 
 // ParseSettings reads the settings object. Keys it does not know are ignored, an effect it does
@@ -401,22 +401,22 @@
 		return policy.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := policy.Settings{
-		Balancers: p.Balancers, Self: p.Self, Tier: p.Tier, Tiers: len(p.Tiers), Zone: p.Zone,
-		WholeWeight: p.Blend.Whole, ClassWeight: p.Blend.WorstClass,
-		MarksRepeats: p.Callers.MarksRetry, MaxAttempts: p.Limits.MaxAttempts,
-		AskDiscovery: p.Registry == "on_request", AskWithin: fromMS(p.Rules.AskWithin),
-		Tick: fromMS(p.Tick), ColdFrom: p.Rules.ColdFrom, WarmAfter: fromMS(p.Rules.WarmAfter),
-		FallMultiple: p.Rules.FallMultiple, OverWorth: p.OverWorth,
-		OrderSettle: fromMS(p.Rules.OrderSettle),
+		Replicas: p.Balancers, ReplicaIndex: p.Self, Tier: p.Tier, Tiers: len(p.Tiers), Zone: p.Zone,
+		TotalWeight: p.Blend.Whole, WorstClassWeight: p.Blend.WorstClass,
+		ClientsMarkRetries: p.Callers.MarksRetry, MaxAttempts: p.Limits.MaxAttempts,
+		PollEndpoints: p.Registry == "on_request", MaxPollInterval: fromMS(p.Rules.AskWithin),
+		TimerResolution: fromMS(p.Tick), SlowStartInitialCapacity: p.Rules.ColdFrom, SlowStartDuration: fromMS(p.Rules.WarmAfter),
+		SlowStartOverloadFactor: p.Rules.FallMultiple, OverQuotaWeight: p.OverWorth,
+		KeySettleTime: fromMS(p.Rules.OrderSettle),
 	}
 	if p.Limits.RetryAfter {
 		s.MaxRetryAfter = fromMS(p.Limits.MaxRetryAfter)
 	}
 	for _, l := range p.Lanes {
-		s.Classes = append(s.Classes, policy.Class{Name: l.Name, Effect: effects[l.Effect],
-			Scope: scopes[l.Scope], Window: fromMS(l.Window), Aim: fromMS(l.Target),
-			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, Worth: l.Worth, Stream: l.Stream,
-			InOrder: l.InOrder, OnlyZones: l.OnlyZones, OnlyKinds: l.OnlyKinds})
+		s.Classes = append(s.Classes, policy.Class{Name: l.Name, Idempotency: effects[l.Effect],
+			DeduplicationScope: scopes[l.Scope], DeduplicationWindow: fromMS(l.Window), LatencyObjective: fromMS(l.Target),
+			Deadline: fromMS(l.Deadline), LateAnswerWeight: l.LateShare, PriorityWeight: l.Worth, Stream: l.Stream,
+			SerializedByKey: l.InOrder, AllowedZones: l.OnlyZones, AllowedMachineTypes: l.OnlyKinds})
 	}
 	for _, t := range p.Tenants {
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Quota: t.Quota})
@@ -446,15 +446,15 @@
 		e.instance = instance
 	}
 	switch a := a.(type) {
-	case policy.Send:
-		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Server, ms(a.Timeout))
-	case policy.Refuse:
+	case policy.SendAttempt:
+		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Endpoint, ms(a.Timeout))
+	case policy.Reject:
 		fmt.Fprintf(e.w, "turn_away\t%s\t%s\n", a.ID, ms(a.RetryAfter))
 	case policy.Fail:
 		fmt.Fprintf(e.w, "report_failure\t%s\n", a.ID)
-	case policy.Wake:
+	case policy.SetTimer:
 		fmt.Fprintf(e.w, "remind\t%s\t%s\n", ms(a.At), a.Token)
-	case policy.Subscribe:
+	case policy.WatchEndpoints:
 		fmt.Fprint(e.w, "subscribe\t1\n")
 	}
 }
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -37,11 +37,11 @@
 	}
 	want := []Message{
 		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
-		{Kind: Event, Instance: 3, Event: policy.ServerList{Full: true, Cached: true,
-			Servers: []policy.Server{{ID: "s:1", Zone: "z", Kind: "k", Cell: 4, Boot: 6100500 * time.Microsecond}}}},
-		{Kind: Event, Instance: 3, Event: policy.Request{ID: "id", Class: "get", Repeat: true,
+		{Kind: Event, Instance: 3, Event: policy.EndpointUpdate{Snapshot: true, Cached: true,
+			Endpoints: []policy.Endpoint{{ID: "s:1", Zone: "z", MachineType: "k", Cell: 4, StartedAt: 6100500 * time.Microsecond}}}},
+		{Kind: Event, Instance: 3, Event: policy.Request{ID: "id", Class: "get", IsRetry: true,
 			Deadline: 8652250 * time.Microsecond}},
-		{Kind: Event, Instance: 3, Event: policy.Outcome{ID: "id", Server: "s:1", Ended: true,
+		{Kind: Event, Instance: 3, Event: policy.AttemptEnded{ID: "id", Endpoint: "s:1", Answered: true,
 			Latency: 18500 * time.Microsecond, Load: &policy.Load{Busy: 3, Service: -1}}},
 		{Kind: End, Instance: 3},
 	}
@@ -71,15 +71,15 @@
 
 func TestMarkedRepeatsArePassedOn(t *testing.T) {
 	for text, want := range map[string]bool{`{"callers":{"marks-retry":true}}`: true, `{}`: false} {
-		if s, err := ParseSettings([]byte(text)); err != nil || s.MarksRepeats != want {
-			t.Errorf("%s: MarksRepeats %v, %v", text, s.MarksRepeats, err)
+		if s, err := ParseSettings([]byte(text)); err != nil || s.ClientsMarkRetries != want {
+			t.Errorf("%s: MarksRepeats %v, %v", text, s.ClientsMarkRetries, err)
 		}
 	}
 }
 
 func TestTenantsArePassedOn(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"tenants":[{"name":"a","quota-per-s":22,"share":0.4}],"over-share-worth":0.05}`))
-	if err != nil || len(s.Tenants) != 1 || s.Tenants[0] != (policy.Tenant{Name: "a", Quota: 22}) || s.OverWorth != 0.05 {
+	if err != nil || len(s.Tenants) != 1 || s.Tenants[0] != (policy.Tenant{Name: "a", Quota: 22}) || s.OverQuotaWeight != 0.05 {
 		t.Errorf("got %+v, %v", s, err)
 	}
 	l, err := all(t, "sync\t1\nabout\t0\njob_in\tid\t9\t-\tc\t0\ta\t-\neob\n")
@@ -90,7 +90,7 @@
 
 func TestUnknownEffectIsUnsafe(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`))
-	if err != nil || s.Classes[0].Effect != policy.Unsafe || s.Classes[1].Effect != policy.Safe {
+	if err != nil || s.Classes[0].Idempotency != policy.NotIdempotent || s.Classes[1].Idempotency != policy.Idempotent {
 		t.Fatalf("got %+v, %v", s, err)
 	}
 }
@@ -98,8 +98,8 @@
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
-	e.Action(3, policy.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
-	e.Action(5, policy.Refuse{ID: "b"})
+	e.Action(3, policy.SendAttempt{ID: "a", Endpoint: "s", Timeout: 80500 * time.Microsecond})
+	e.Action(5, policy.Reject{ID: "b"})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -125,14 +125,14 @@
 func TestPlacementAndOrderSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","by-arrival":true,"bound-to":["k"],"confined-to":["z"]},` +
 		`{"name":"b"}],"rules":{"order-settle-ms":40}}`))
-	if err != nil || s.OrderSettle != 40*time.Millisecond {
+	if err != nil || s.KeySettleTime != 40*time.Millisecond {
 		t.Fatalf("got %+v, %v", s, err)
 	}
 	a, b := s.Classes[0], s.Classes[1]
-	if !a.InOrder || len(a.OnlyKinds) != 1 || len(a.OnlyZones) != 1 {
+	if !a.SerializedByKey || len(a.AllowedMachineTypes) != 1 || len(a.AllowedZones) != 1 {
 		t.Errorf("bounds lost: %+v", a)
 	}
-	if b.InOrder || b.OnlyKinds != nil || b.OnlyZones != nil {
+	if b.SerializedByKey || b.AllowedMachineTypes != nil || b.AllowedZones != nil {
 		t.Errorf("an absent list must set no bound: %+v", b)
 	}
 	l, err := all(t, "sync\t1\nabout\t0\njob_in\tid\t9\t0\ta\t0\t-\t-\neob\n")
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -9,13 +9,13 @@
 // When half of the list goes, the rest must not take the calls of all: the window goes with the list.
 func TestWindowShrinksWithTheList(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(20)})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(20)})
 	b.pools[0].window = 100
-	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 	if b.pools[0].window != 50 {
 		t.Errorf("window %v after half of the list went, want 50", b.pools[0].window)
 	}
-	b.Handle(msec, ServerList{Full: true, Servers: servers(20)})
+	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(20)})
 	if b.pools[0].window != 50 {
 		t.Errorf("window %v after the list grew, want 50: it grows by answers alone", b.pools[0].window)
 	}
@@ -25,7 +25,7 @@
 func TestWindowCountsTheTiersBehind(t *testing.T) {
 	for _, c := range []struct{ tiers, tier, want int }{{0, 0, 1}, {1, 0, 1}, {3, 0, 3}, {3, 2, 1}} {
 		b := newBalancer(t, func(s *Settings) { s.Tiers, s.Tier = c.tiers, c.tier })
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(4)})
 		if want := windowKnee * 2 * float64(c.want); b.pools[0].window != want {
 			t.Errorf("tier %d of %d: window %v for 4 servers and 2 copies, want %v", c.tier, c.tiers, b.pools[0].window, want)
 		}
@@ -36,8 +36,8 @@
 // that grew with the list, and answers in good time must raise it.
 func TestKneeGrowsByAnswersNotByTheList(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	b.Handle(msec, ServerList{Full: true, Servers: servers(40)})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(4)})
+	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(40)})
 	now := msec
 	answers := func(n int, after time.Duration) {
 		for i := range n {
@@ -69,9 +69,9 @@
 		grow bool
 	}{{450 * msec, false}, {40 * msec, true}} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(4)})
 		start, now := b.pools[0].window, time.Duration(0)
-		var open []Send
+		var open []SendAttempt
 		for i := range 3000 {
 			now += 4 * msec
 			open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
@@ -92,12 +92,12 @@
 // A marked repeat is mostly past its aim already: while there is little room, first tries go first.
 func TestFirstTriesGoBeforeRepeats(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(1)})
 	b.pools[0].window = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
-	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Repeat: true})
-	b.classes["get"].LateShare = 0.5
+	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, IsRetry: true})
+	b.classes["get"].LateAnswerWeight = 0.5
 	b.pools[0].inFlight = int(windowKnee*b.pools[0].fair) + 2
 	b.pools[0].window = float64(b.pools[0].inFlight) // one comes free by the next answer
 	next := sends(settle(b, 10*msec, "a", first[0], Success))
@@ -109,9 +109,9 @@
 // What a tenant sends beyond its share waits behind what is within a share, whoever came first.
 func TestSharesGoBeforeWhatIsBeyondThem(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) {
-		s.Tenants, s.OverWorth = []Tenant{{Name: "big", Quota: 2}, {Name: "small", Quota: 2}}, 0.05
+		s.Tenants, s.OverQuotaWeight = []Tenant{{Name: "big", Quota: 2}, {Name: "small", Quota: 2}}, 0.05
 	})
-	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(1)})
 	b.pools[0].window = 1
 	now := 10 * time.Second // what is saved lies ready at this copy: three requests
 	first := sends(b.Handle(now, Request{ID: "first", Class: "get", Tenant: "big", Deadline: now + time.Second}))
@@ -120,7 +120,7 @@
 		if b.requests[id].over {
 			t.Errorf("%s is beyond its share", id)
 		}
-		b.Handle(now, ClientGone{ID: id})
+		b.Handle(now, ClientDisconnected{ID: id})
 	}
 	b.pools[0].inFlight = int(windowKnee*b.pools[0].fair) + 2
 	b.pools[0].window = float64(b.pools[0].inFlight) // one comes free by the next answer
@@ -147,7 +147,7 @@
 		want int
 	}{{0, 4}, {0.5, 2}, {0.9, 0}} {
 		b := newBalancer(t, nil)
-		b.Handle(msec, ServerList{Full: true, Servers: servers(20)})
+		b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(20)})
 		for _, s := range b.pools[0].ready[:10] {
 			s.until = time.Minute
 		}
@@ -168,12 +168,12 @@
 	}{{100 * msec, 340 * msec, true}, {100 * msec, 250 * msec, false}, {250 * msec, 340 * msec, true},
 		{340 * msec, 340 * msec, false}, {340 * msec, 400 * msec, true}, {480 * msec, 480 * msec, true}} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(40)})
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(40)})
 		p, start := b.pools[0], b.pools[0].window
 		answers := func(took time.Duration) {
 			for range 300 {
 				p.inFlight = int(p.window)
-				b.steer(&request{class: b.classes["get"], attempts: []*attempt{{sent: b.now - took}}}, Outcome{Ending: Success})
+				b.steer(&request{class: b.classes["get"], attempts: []*attempt{{sent: b.now - took}}}, AttemptEnded{Result: Success})
 			}
 		}
 		answers(c.before)
@@ -187,12 +187,12 @@
 // yields at once, and regains what it started with as soon as answers come in time.
 func TestWindowYieldsWhereAllIsLateAndRecovers(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(40)})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(40)})
 	p, start := b.pools[0], b.pools[0].window
-	answers := func(n int, e Ending) {
+	answers := func(n int, e AttemptResult) {
 		for range n {
 			p.inFlight = int(p.window)
-			b.steer(&request{class: b.classes["get"], attempts: []*attempt{{sent: b.now - 10*msec}}}, Outcome{Ending: e})
+			b.steer(&request{class: b.classes["get"], attempts: []*attempt{{sent: b.now - 10*msec}}}, AttemptEnded{Result: e})
 		}
 	}
 	p.fill = 1
@@ -213,7 +213,7 @@
 func TestWindowIsLeanerWhenServersDiffer(t *testing.T) {
 	window := func(spread float64) float64 {
 		b := newBalancer(t, nil)
-		b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+		b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 		b.pools[0].window, b.pools[0].fill = 100, 0.4
 		b.pools[0].answers, b.pools[0].least = 1000, 0.1 // they were quicker before
 		r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
@@ -223,7 +223,7 @@
 				s.slow = spread * (float64(k%2) - 0.5)
 			}
 			b.now, b.pools[0].inFlight = 200*msec, int(b.pools[0].window)
-			if b.steer(r, Outcome{Ending: Success}); b.pools[0].fill < 0.39 {
+			if b.steer(r, AttemptEnded{Result: Success}); b.pools[0].fill < 0.39 {
 				t.Fatalf("fill fell to %.2f at answer %d", b.pools[0].fill, i)
 			}
 		}
@@ -237,13 +237,13 @@
 // A refused client is not sent away for long: it would come back when its aim is mostly over.
 func TestRefusalsBringClientsBackSoon(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(2)})
+	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(2)})
 	b.pools[0].window, b.pools[0].inFlight = 1, 1
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
-	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
-		if f, ok := a.(Refuse); ok {
-			if limit := b.set.Classes[0].Aim / 10; f.RetryAfter > limit {
+	for _, a := range b.Handle(600*msec, TimerFired{Token: "r:a"}) {
+		if f, ok := a.(Reject); ok {
+			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
 			}
 			return
@@ -254,21 +254,21 @@
 
 // A pool with every server down holds or ends its own requests, and the others go on.
 func TestDeadPoolStopsNobodyElse(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Classes[0].OnlyKinds = []string{"x"} })
+	b := newBalancer(t, func(s *Settings) { s.Classes[0].AllowedMachineTypes = []string{"x"} })
 	list := servers(6)
-	list[0].Kind, list[1].Kind = "x", "x"
-	b.Handle(0, ServerList{Full: true, Servers: list})
+	list[0].MachineType, list[1].MachineType = "x", "x"
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
 	for i := range 20 {
 		id := fmt.Sprint(i)
 		todo := sends(b.Handle(0, Request{ID: id, Class: "get", Deadline: time.Second}))
 		for k := 0; len(todo) > 0; k++ {
-			if s := todo[0].Server; s != "s00" && s != "s01" {
+			if s := todo[0].Endpoint; s != "s00" && s != "s01" {
 				t.Fatalf("a bound request went to %s", s)
 			}
-			todo = sends(b.Handle(b.now, Outcome{ID: id, Attempt: k, Server: todo[0].Server, Ending: Unreachable}))
+			todo = sends(b.Handle(b.now, AttemptEnded{ID: id, Attempt: k, Endpoint: todo[0].Endpoint, Result: ConnectFailed}))
 		}
 	}
-	b.Handle(msec, ServerList{Servers: []Server{{ID: "s00", State: Gone}, {ID: "s01", State: Gone}}})
+	b.Handle(msec, EndpointUpdate{Endpoints: []Endpoint{{ID: "s00", State: Removed}, {ID: "s01", State: Removed}}})
 	if n := len(sends(b.Handle(2*msec, Request{ID: "b", Class: "get", Deadline: time.Second}))); n != 0 {
 		t.Errorf("%d sends though no server is open to the class", n)
 	}
@@ -289,21 +289,21 @@
 // Clients that leave early and ask again must not make room: their calls run on and fill the window until
 // each has its outcome.
 func TestCallsOfClientsThatLeftKeepTheirRoom(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Balancers = 5 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b := newBalancer(t, func(s *Settings) { s.Replicas = 5 })
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 	b.pools[0].window = 4
-	var sent []Send
+	var sent []SendAttempt
 	for i := range 40 {
 		id := fmt.Sprint(i)
 		sent = append(sent, sends(b.Handle(msec, Request{ID: id, Class: "get", Deadline: time.Second}))...)
-		if acts := b.Handle(msec, ClientGone{ID: id}); len(acts) > 0 {
+		if acts := b.Handle(msec, ClientDisconnected{ID: id}); len(acts) > 0 {
 			t.Fatalf("%v after a client left", acts)
 		}
 	}
 	if len(sent) != 4 {
 		t.Fatalf("%d calls out in a window of 4", len(sent))
 	}
-	b.Handle(100*msec, Outcome{ID: sent[0].ID, Server: sent[0].Server, Ending: Success, Ended: true})
+	b.Handle(100*msec, AttemptEnded{ID: sent[0].ID, Endpoint: sent[0].Endpoint, Result: Success, Answered: true})
 	if got := sends(b.Handle(100*msec, Request{ID: "next", Class: "get", Deadline: time.Second})); len(got) != 1 {
 		t.Errorf("%d calls sent when an outcome has made room, want 1", len(got))
 	}
@@ -311,12 +311,12 @@
 
 // Many copies with windows of one and a half calls must not all let two out when answers come late.
 func TestFallingWindowIsRoundedByADraw(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Balancers = 40 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(12)}) // a floor of 1.5 calls
+	b := newBalancer(t, func(s *Settings) { s.Replicas = 40 })
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(12)}) // a floor of 1.5 calls
 	p, closed := b.pools[0], 0
-	ends := func(fill float64, e Ending) bool {
+	ends := func(fill float64, e AttemptResult) bool {
 		p.window, p.fill, p.inFlight = 1.5, fill, 1
-		b.steer(&request{class: b.classes["get"], attempts: []*attempt{{}}}, Outcome{Ending: e})
+		b.steer(&request{class: b.classes["get"], attempts: []*attempt{{}}}, AttemptEnded{Result: e})
 		return b.full(p)
 	}
 	for range 400 {
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,12 +1,11 @@
-// Package policy decides where a load balancer sends each request, when it tries again and
-// when it gives up. It does no I/O: the host feeds events to a Balancer and carries out the
-// actions it returns. This file is the whole interface; every decision is in policy.go, zones.go and policy/guard.
+// Package policy decides to which endpoint a load balancer sends each request, when it retries and when it
+// rejects. It does no I/O: the host feeds events to a Balancer and carries out the actions it returns.
+// This file is the whole interface.
 //
-// A Balancer belongs to one goroutine. Its only clock is the now given to Handle, which must
-// never go back, and its only randomness is the seed given to New, so the same events always
-// give the same actions. Balancers share nothing. Memory is held for each request until it is
-// answered and its attempts have ended, and for each server until it has left the list and its
-// attempts have ended.
+// A Balancer belongs to one goroutine. Its only clock is the now given to Handle, which must never go back,
+// and its only randomness is the seed given to New, so the same events always give the same actions.
+// Balancers share nothing. Memory is held for each request until it is answered and its attempts have ended,
+// and for each endpoint until it has been removed and its attempts have ended.
 package policy
 
 import (
@@ -15,111 +14,111 @@
 	"keelusher/policy/guard"
 )
 
-// Effect says what happens when a request runs more than once.
-type Effect int
+// Idempotency says what happens when a request runs more than once.
+type Idempotency int
 
-// The zero Effect is the careful one.
+// The zero value is the careful one.
 const (
-	Unsafe Effect = iota // must never run twice
-	Keyed                // the servers of one scope discard repeats for a while
-	Safe                 // may run any number of times
+	NotIdempotent     Idempotency = iota // must never run twice
+	IdempotentWithKey                    // the endpoints of one scope discard duplicates for a while
+	Idempotent                           // may run any number of times
 )
 
-// Scope names the servers that discard the repeats of a keyed request.
-type Scope int
+// DeduplicationScope names the endpoints that discard the duplicates of a request with an idempotency key.
+type DeduplicationScope int
 
 // Scopes, from the narrowest.
 const (
-	ScopeCell Scope = iota
+	ScopeCell DeduplicationScope = iota
 	ScopeZone
 	ScopeAll
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name      string
-	Effect    Effect
-	Scope     Scope         // for Keyed
-	Window    time.Duration // for Keyed: how long repeats are discarded, from the first send
-	Aim       time.Duration // answers within it earn full worth
-	Deadline  time.Duration // how long a client waits over all its tries
-	LateShare float64       // share of the worth that an answer after the aim earns
-	Worth     float64
-	Stream    bool
-	InOrder   bool     // requests with one key run one at a time, in the order of arrival
-	OnlyZones []string // zones open to the class; nil: all
-	OnlyKinds []string // kinds of machine open to the class; nil: all
+	Name                string
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope // for IdempotentWithKey
+	DeduplicationWindow time.Duration      // for IdempotentWithKey: how long duplicates are discarded, from the first attempt
+	LatencyObjective    time.Duration      // answers within it earn the full weight
+	Deadline            time.Duration      // how long a client waits over all its attempts
+	LateAnswerWeight    float64            // part of the weight that an answer after the objective earns
+	PriorityWeight      float64
+	Stream              bool
+	SerializedByKey     bool     // requests with one key run one at a time, in the order of arrival
+	AllowedZones        []string // zones open to the class; nil: all
+	AllowedMachineTypes []string // machine types open to the class; nil: all
 }
 
-// Tenant is a customer with a share of what the servers can do.
+// Tenant is a customer with a quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second, over all copies, that are within its share
+	Quota float64 // requests a second, over all replicas
 }
 
 // Settings are fixed for the life of a Balancer.
 type Settings struct {
-	Classes     []Class
-	Tenants     []Tenant // none: nothing is beyond a share
-	OverWorth   float64  // part of its worth that a request beyond its tenant's share keeps
-	Balancers   int      // copies that place calls on this tier
-	Self        int      // this copy's number among them, from 0
-	Zone        string   // this copy's zone; "": unknown, then no server is nearer than another
-	Tiers       int      // how many there are, each calling the next; 0: not known
-	Tier        int      // the tier sent to, 0 being the clients' first
-	WholeWeight float64  // how much the whole of the worth counts when shedding
-	ClassWeight float64  // how much the worst-served class counts when shedding
+	Classes          []Class
+	Tenants          []Tenant // none: nothing is over quota
+	OverQuotaWeight  float64  // part of its weight that a request over its tenant's quota keeps
+	Replicas         int      // replicas that send to this tier
+	ReplicaIndex     int      // this replica's number among them, from 0
+	Zone             string   // this replica's zone; "": unknown, then no endpoint is local
+	Tiers            int      // how many there are, each calling the next; 0: not known
+	Tier             int      // the tier sent to, 0 being the clients' first
+	TotalWeight      float64  // how much the weight of all requests counts when load is shed
+	WorstClassWeight float64  // how much the worst-served class counts when load is shed
 
-	MarksRepeats bool // clients mark their repeats; else short deadlines tell them
+	ClientsMarkRetries bool // clients mark their retries; else a short deadline shows one
 
-	MaxAttempts   int
-	AskDiscovery  bool          // the list follows only a Subscribe
-	AskWithin     time.Duration // an unsubscribed copy must ask at least this often
-	Tick          time.Duration // events come no more often than this
-	MaxRetryAfter time.Duration // longest advice that clients heed
-	OrderSettle   time.Duration // how long a key rests after an attempt that may still run
+	MaxAttempts     int
+	PollEndpoints   bool          // the endpoint list follows only a WatchEndpoints
+	MaxPollInterval time.Duration // without a watch the list must be polled at least this often
+	TimerResolution time.Duration // events come no more often than this
+	MaxRetryAfter   time.Duration // longest Retry-After that clients heed
+	KeySettleTime   time.Duration // how long a key waits after an attempt that may still run
 
-	ColdFrom     float64       // share of its capacity that a fresh server has at least
-	WarmAfter    time.Duration // time after which it has all of it
-	FallMultiple float64       // a fresh server sent more than this times its capacity falls over; 0: unknown
+	SlowStartInitialCapacity float64       // part of its capacity that a started endpoint has at once
+	SlowStartDuration        time.Duration // time after which it has all of it
+	SlowStartOverloadFactor  float64       // load over capacity at which a warming endpoint fails; 0: unknown
 }
 
-// ServerState is what discovery says of a server.
-type ServerState int
+// EndpointState is what discovery says of an endpoint.
+type EndpointState int
 
-// Server states.
+// Endpoint states.
 const (
-	Ready ServerState = iota
+	Ready EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Server is an entry of the discovery list.
-type Server struct {
-	ID    string
-	Zone  string
-	Kind  string
-	Cell  int
-	State ServerState
-	Boot  time.Duration // clock time of its last start; 0: long ago
+// Endpoint is an entry of the discovery list.
+type Endpoint struct {
+	ID          string
+	Zone        string
+	MachineType string
+	Cell        int
+	State       EndpointState
+	StartedAt   time.Duration // clock time of its last start; 0: long ago
 }
 
-// Ending says how an attempt ended.
-type Ending int
+// AttemptResult says how an attempt ended.
+type AttemptResult int
 
-// Endings. Overloaded, Unreachable and Void prove that the attempt never ran.
+// Attempt results. Overloaded, ConnectFailed and NotSent prove that the attempt never ran.
 const (
-	Success Ending = iota
-	Failure
+	Success AttemptResult = iota
+	ServerError
 	Overloaded
 	TimedOut
-	Unreachable
-	Broken
-	Withdrawn
-	Void
+	ConnectFailed
+	ConnectionLost
+	Canceled
+	NotSent
 )
 
-// Load is a server's own report, late and noisy. Absent values are negative.
+// Load is an endpoint's own load report, late and noisy. Absent values are negative.
 type Load struct {
 	Busy    float64       // requests it holds
 	Service time.Duration // recent service time without waiting
@@ -129,139 +128,142 @@
 type Event interface{ event() }
 
 type (
-	// ServerList brings news from discovery. Full: the complete list, absent servers are gone.
-	// Otherwise only changed entries. Asked marks an answer to Subscribe.
-	ServerList struct {
-		Full    bool
-		Cached  bool // last held before a restart, possibly out of date
-		Servers []Server
+	// EndpointUpdate is a watch event of discovery. A snapshot is the complete list: absent endpoints are removed.
+	// Otherwise it has only changed entries.
+	EndpointUpdate struct {
+		Snapshot  bool
+		Cached    bool // known before a restart, possibly out of date
+		Endpoints []Endpoint
 	}
-	// ListFailed says that a Subscribe failed or that the subscription broke.
-	ListFailed struct{}
-	// Request is a client's request; the Balancer owes it one final answer by Deadline.
+	// DiscoveryFailed says that a WatchEndpoints failed or that the watch broke.
+	DiscoveryFailed struct{}
+	// Request is a client's request; the Balancer gives it one final answer by Deadline.
 	Request struct {
-		ID       string
-		Class    string
-		Tenant   string
-		Deadline time.Duration // clock time
-		Repeat   bool          // the client marked it as a repeat
-		Key      uint64        // what it is about, where HasKey
-		HasKey   bool
-		Coming   bool // its last byte has not come yet; Sent will tell
+		ID             string
+		Class          string
+		Tenant         string
+		Deadline       time.Duration // clock time
+		IsRetry        bool          // the client marked it as a retry
+		Key            uint64        // what it is about, where HasKey
+		HasKey         bool
+		BodyIncomplete bool // its last byte has not arrived yet; RequestSent follows
 	}
-	// Outcome ends one attempt. Ended: the request has its final answer.
-	Outcome struct {
-		ID      string
-		Attempt int
-		Server  string
-		Ending  Ending
-		Latency time.Duration
-		Ended   bool
-		Spent   bool // the request's body is gone: it cannot be sent again
-		Load    *Load
+	// AttemptEnded ends one attempt. Answered: the request has its final answer.
+	AttemptEnded struct {
+		ID           string
+		Attempt      int
+		Endpoint     string
+		Result       AttemptResult
+		Latency      time.Duration
+		Answered     bool
+		BodyConsumed bool // the request's body cannot be sent again
+		Load         *Load
 	}
-	// Sent says that an attempt whose request came in with it, piece by piece, is whole at its server only now:
-	// the time of both counts from here.
-	Sent struct {
+	// RequestSent says that an attempt whose body was forwarded while it arrived is complete at its endpoint only now:
+	// the time of both request and attempt counts from here.
+	RequestSent struct {
 		ID       string
 		Attempt  int
 		Deadline time.Duration // clock time
 	}
-	// Started says that a streamed answer has begun: the attempt is the client's from here on, and how long
-	// the rest takes tells nothing of the server.
-	Started struct {
+	// ResponseStarted says that a streamed response has begun. Its client sets the pace from here on, so how long the
+	// rest takes says nothing of the endpoint.
+	ResponseStarted struct {
 		ID      string
 		Attempt int
 	}
-	// ClientGone says that the client left; nothing more is owed.
-	ClientGone struct{ ID string }
-	// TimeUp says that the host can wait no longer: a request is owed its final answer now.
-	TimeUp struct{ ID string }
-	// Peers says how many copies place calls on this tier now, by zone, in place of Settings.Balancers. None: it is
-	// not known, and the settings' number holds again.
-	Peers struct{ Copies map[string]int }
-	// ZoneOrder is an operator's order to send nothing to a zone, or the end of it. It holds until the next one, and is
-	// void while all zones open to a class are ordered away.
-	ZoneOrder struct {
-		Zone string
-		Away bool
+	// ClientDisconnected says that the client has closed its connection; it needs no answer.
+	ClientDisconnected struct{ ID string }
+	// ShutdownDeadline says that the process ends: the request gets its final answer now.
+	ShutdownDeadline struct{ ID string }
+	// ReplicaCounts says how many replicas send to this tier now, by zone, in place of Settings.Replicas. Without any
+	// the number is not known, and that of the settings holds again.
+	ReplicaCounts struct{ ByZone map[string]int }
+	// ZoneEvacuation is an operator's override to send nothing to a zone, or its end. It holds until the next one, and has
+	// no effect while all zones open to a class are evacuated.
+	ZoneEvacuation struct {
+		Zone     string
+		Evacuate bool
 	}
-	// Timer is a Wake come due.
-	Timer struct{ Token string }
+	// TimerFired says that the timer of a SetTimer has expired.
+	TimerFired struct{ Token string }
 )
 
-func (ServerList) event() {}
-func (ListFailed) event() {}
-func (Request) event()    {}
-func (Outcome) event()    {}
-func (Started) event()    {}
-func (Sent) event()       {}
-func (ClientGone) event() {}
-func (TimeUp) event()     {}
-func (Peers) event()      {}
-func (ZoneOrder) event()  {}
-func (Timer) event()      {}
+func (EndpointUpdate) event()     {}
+func (DiscoveryFailed) event()    {}
+func (Request) event()            {}
+func (AttemptEnded) event()       {}
+func (ResponseStarted) event()    {}
+func (RequestSent) event()        {}
+func (ClientDisconnected) event() {}
+func (ShutdownDeadline) event()   {}
+func (ReplicaCounts) event()      {}
+func (ZoneEvacuation) event()     {}
+func (TimerFired) event()         {}
 
-// ZoneState is what a zone is to one copy.
+// ZoneState is the state of a zone as one replica sees it.
 type ZoneState int
 
 // States of a zone.
 const (
-	ZoneServing   ZoneState = iota
-	ZoneDegraded            // some of its servers in a row are silent: it gets a part of its draws
-	ZoneEvacuated           // it gets trials only, or is ordered away
-	ZoneReturning           // it has answered a trial after it came and went: its part grows
+	ZoneServing    ZoneState = iota
+	ZoneDegraded             // some of its endpoints are unresponsive: it gets a part of its draws
+	ZoneEvacuated            // it gets health probes only, or nothing by an override
+	ZoneRecovering           // it has answered a probe: its part grows (recovery ramp)
 )
 
+// String gives the state's name at the admin endpoint and in the log; operators' pages rest on it.
 func (s ZoneState) String() string {
 	return [...]string{"serving", "degraded", "evacuated", "returning"}[s]
 }
 
-// Zone is what a copy shows of a zone.
+// Zone is what a replica shows of a zone.
 type Zone struct {
-	Name    string
-	State   ZoneState
-	Ordered bool          // away, by a ZoneOrder
-	Share   float64       // part of its draws that it gets
-	Since   time.Duration // clock time of the last change of the state
-	Servers int           // in service
-	Silent  int           // of them, from which calls in a row got nothing
-	Calls   int           // own calls out
+	Name                string
+	State               ZoneState
+	EvacuatedByOperator bool          // by a ZoneEvacuation
+	Share               float64       // part of its draws that it gets
+	Since               time.Duration // clock time of the last change of the state
+	Endpoints           int           // in service
+	Unresponsive        int           // of them, whose last attempts got no answer
+	InFlight            int           // own attempts
 }
 
 // Action is something the host must do, in the order given: one of the types below.
 type Action interface{ action() }
 
 type (
-	// Send starts the next attempt of a request (numbered from 0); it times out after Timeout. A repeat of a keyed
-	// request may only be sent before the clock time RepeatBefore: servers do not discard it later. 0: no such bound.
-	Send struct {
-		ID, Server   string
+	// SendAttempt starts the next attempt of a request (numbered from 0); it times out after Timeout. A retry of a request
+	// with an idempotency key may only be sent before the clock time RetryBefore: endpoints do not discard it as a
+	// duplicate later. 0: no such bound.
+	SendAttempt struct {
+		ID           string
+		Endpoint     string
 		Timeout      time.Duration
-		RepeatBefore time.Duration
+		RetryBefore time.Duration
 	}
-	// Refuse is a final answer that promises that a retry does no harm.
-	Refuse struct {
+	// Reject is a final answer which promises that a retry by the client does no harm.
+	Reject struct {
 		ID         string
 		RetryAfter time.Duration // advice; 0: none
-		Why        guard.Verdict
+		Reason     guard.Verdict
 	}
 	// Fail is a final answer that promises nothing.
 	Fail struct {
-		ID  string
-		Why guard.Verdict
+		ID     string
+		Reason guard.Verdict
 	}
-	// Wake asks for a Timer with this token at the clock time At.
-	Wake struct {
+	// SetTimer asks for a TimerFired with this token at the clock time At.
+	SetTimer struct {
 		At    time.Duration
 		Token string
 	}
-	// Subscribe asks discovery for the list and its changes.
-	Subscribe struct{}
+	// WatchEndpoints asks discovery for the endpoint list and its changes.
+	WatchEndpoints struct{}
 )
 
-func (Send) action()      {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Wake) action()      {}
-func (Subscribe) action() {}
+func (SendAttempt) action()    {}
+func (Reject) action()         {}
+func (Fail) action()           {}
+func (SetTimer) action()       {}
+func (WatchEndpoints) action() {}
--- a/policy/asking_test.go
+++ b/policy/asking_test.go
@@ -9,9 +9,9 @@
 // asked is when a copy asks discovery again after a failed call, and nothing before the time is due.
 func asked(t *testing.T, b *Balancer, now time.Duration) time.Duration {
 	t.Helper()
-	for _, a := range b.Handle(now, ListFailed{}) {
-		if w, ok := a.(Wake); ok && w.Token == "list" {
-			if acts := b.Handle(w.At, Timer{Token: w.Token}); slices.Contains(acts, Action(Subscribe{})) {
+	for _, a := range b.Handle(now, DiscoveryFailed{}) {
+		if w, ok := a.(SetTimer); ok && w.Token == "list" {
+			if acts := b.Handle(w.At, TimerFired{Token: w.Token}); slices.Contains(acts, Action(WatchEndpoints{})) {
 				return w.At
 			}
 		}
@@ -28,12 +28,12 @@
 	for _, within := range []time.Duration{400 * msec, time.Second, 2400 * msec, 10 * time.Second, time.Minute, time.Hour} {
 		for seed := range uint64(100) {
 			set := testSettings()
-			set.AskDiscovery, set.AskWithin = true, within
+			set.PollEndpoints, set.MaxPollInterval = true, within
 			b, err := New(set, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+			b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(4)})
 			now, pauses := time.Second, []time.Duration(nil)
 			for range 12 {
 				at := asked(t, b, now)
@@ -60,14 +60,14 @@
 		var at []time.Duration
 		for i := range copies {
 			set := testSettings()
-			set.AskDiscovery, set.Balancers, set.Self = true, copies, i
+			set.PollEndpoints, set.Replicas, set.ReplicaIndex = true, copies, i
 			b, err := New(set, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+			b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(4)})
 			for range failures {
-				b.Handle(time.Second, ListFailed{})
+				b.Handle(time.Second, DiscoveryFailed{})
 			}
 			at = append(at, asked(t, b, time.Second)-time.Second)
 		}
--- a/policy/checker_test.go
+++ b/policy/checker_test.go
@@ -11,7 +11,7 @@
 type checker struct {
 	set    Settings
 	slack  time.Duration
-	state  map[string]ServerState
+	state  map[string]EndpointState
 	cells  map[string]int
 	zones  map[string]string
 	kinds  map[string]string
@@ -34,11 +34,11 @@
 	server string
 	at     time.Duration
 	over   bool
-	ending Ending
+	ending AttemptResult
 }
 
 func newChecker(set Settings) *checker {
-	return &checker{set: set, slack: 20 * msec, state: map[string]ServerState{}, cells: map[string]int{},
+	return &checker{set: set, slack: 20 * msec, state: map[string]EndpointState{}, cells: map[string]int{},
 		zones: map[string]string{}, kinds: map[string]string{}, reqs: map[string]*tracked{}}
 }
 
@@ -47,7 +47,7 @@
 }
 
 func (t *tracking) mayHaveRun() bool {
-	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != Void)
+	return !t.over || (t.ending != Overloaded && t.ending != ConnectFailed && t.ending != NotSent)
 }
 
 func (t *tracked) out() bool {
@@ -56,44 +56,44 @@
 
 func (c *checker) event(now time.Duration, e Event) {
 	switch e := e.(type) {
-	case ServerList:
-		if e.Full {
+	case EndpointUpdate:
+		if e.Snapshot {
 			for id := range c.state {
-				c.state[id] = Gone
+				c.state[id] = Removed
 			}
 		}
-		for _, s := range e.Servers {
-			c.state[s.ID], c.cells[s.ID], c.zones[s.ID], c.kinds[s.ID] = s.State, s.Cell, s.Zone, s.Kind
+		for _, s := range e.Endpoints {
+			c.state[s.ID], c.cells[s.ID], c.zones[s.ID], c.kinds[s.ID] = s.State, s.Cell, s.Zone, s.MachineType
 		}
 	case Request:
 		if c.reqs[e.ID] == nil {
-			cl := Class{Effect: Unsafe}
+			cl := Class{Idempotency: NotIdempotent}
 			for _, k := range c.set.Classes {
 				if k.Name == e.Class {
 					cl = k
 				}
 			}
 			c.reqs[e.ID] = &tracked{class: cl, deadline: e.Deadline, id: e.ID, key: e.Key}
-			if cl.InOrder && e.HasKey {
+			if cl.SerializedByKey && e.HasKey {
 				c.order = append(c.order, c.reqs[e.ID])
 			}
 		}
-	case Outcome:
+	case AttemptEnded:
 		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.tries) {
 			t := r.tries[e.Attempt]
 			if !t.over {
-				t.over, t.ending = true, e.Ending
-				if e.Ending == TimedOut || e.Ending == Broken || e.Ending == Withdrawn {
-					r.rest = now + c.set.OrderSettle
+				t.over, t.ending = true, e.Result
+				if e.Result == TimedOut || e.Result == ConnectionLost || e.Result == Canceled {
+					r.rest = now + c.set.KeySettleTime
 				}
-				r.ended = r.ended || e.Ended
+				r.ended = r.ended || e.Answered
 			}
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		if r := c.reqs[e.ID]; r != nil {
 			r.ended = true
 		}
-	case TimeUp:
+	case ShutdownDeadline:
 		if r := c.reqs[e.ID]; r != nil { // the answer is among the actions, before anything else happens
 			r.deadline = min(r.deadline, now-c.slack)
 		}
@@ -109,12 +109,12 @@
 func (c *checker) actions(now time.Duration, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Send:
+		case SendAttempt:
 			c.send(now, a)
-		case Refuse:
+		case Reject:
 			if r := c.final(a.ID); r != nil {
 				for _, t := range r.tries {
-					loose := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll
+					loose := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope == ScopeAll
 					if t.mayHaveRun() && !loose {
 						c.fault("rule 2: %s refused though it may have run", a.ID)
 					}
@@ -136,15 +136,15 @@
 	return r
 }
 
-func (c *checker) send(now time.Duration, a Send) {
+func (c *checker) send(now time.Duration, a SendAttempt) {
 	r := c.reqs[a.ID]
 	if r == nil || r.ended {
 		c.fault("rule 1: sent %s, which is over or unknown", a.ID)
 		return
 	}
-	state, known := c.state[a.Server]
+	state, known := c.state[a.Endpoint]
 	if !known || state != Ready {
-		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Server)
+		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Endpoint)
 	}
 	if len(r.tries) >= c.set.MaxAttempts {
 		c.fault("more than %d attempts", c.set.MaxAttempts)
@@ -156,11 +156,11 @@
 			}
 		}
 	}
-	if z := r.class.OnlyZones; z != nil && !slices.Contains(z, c.zones[a.Server]) {
-		c.fault("rule 6: %s sent to zone %s", a.ID, c.zones[a.Server])
+	if z := r.class.AllowedZones; z != nil && !slices.Contains(z, c.zones[a.Endpoint]) {
+		c.fault("rule 6: %s sent to zone %s", a.ID, c.zones[a.Endpoint])
 	}
-	if k := r.class.OnlyKinds; k != nil && !slices.Contains(k, c.kinds[a.Server]) {
-		c.fault("rule 6: %s sent to kind %s", a.ID, c.kinds[a.Server])
+	if k := r.class.AllowedMachineTypes; k != nil && !slices.Contains(k, c.kinds[a.Endpoint]) {
+		c.fault("rule 6: %s sent to kind %s", a.ID, c.kinds[a.Endpoint])
 	}
 	for _, t := range r.tries {
 		if !t.over {
@@ -169,18 +169,18 @@
 		if !t.mayHaveRun() {
 			continue
 		}
-		switch r.class.Effect {
-		case Unsafe:
+		switch r.class.Idempotency {
+		case NotIdempotent:
 			c.fault("rule 2: unsafe %s sent again", a.ID)
-		case Keyed:
-			if now > t.at+r.class.Window {
+		case IdempotentWithKey:
+			if now > t.at+r.class.DeduplicationWindow {
 				c.fault("rule 2: %s sent again outside its window", a.ID)
 			}
-			if r.class.Scope != ScopeAll && c.zones[t.server] != c.zones[a.Server] ||
-				r.class.Scope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
+			if r.class.DeduplicationScope != ScopeAll && c.zones[t.server] != c.zones[a.Endpoint] ||
+				r.class.DeduplicationScope == ScopeCell && c.cells[t.server] != c.cells[a.Endpoint] {
 				c.fault("rule 2: %s sent again outside its scope", a.ID)
 			}
 		}
 	}
-	r.tries = append(r.tries, &tracking{server: a.Server, at: now})
+	r.tries = append(r.tries, &tracking{server: a.Endpoint, at: now})
 }
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -12,7 +12,7 @@
 		now := from + time.Duration(i)*time.Second/3000
 		name := fmt.Sprint(id, from, i)
 		for _, s := range sends(b.Handle(now, Request{ID: name, Class: "get", Deadline: now + time.Second})) {
-			if s.Server == id {
+			if s.Endpoint == id {
 				n++
 			}
 			settle(b, now, name, s, Success)
@@ -27,8 +27,8 @@
 	b := newBalancer(t, nil)
 	now := 2 * time.Hour
 	list := servers(6)
-	list[2].Boot = now - time.Duration(believedAge*float64(b.set.WarmAfter))
-	b.Handle(now, ServerList{Full: true, Servers: list})
+	list[2].StartedAt = now - time.Duration(believedAge*float64(b.set.SlowStartDuration))
+	b.Handle(now, EndpointUpdate{Snapshot: true, Endpoints: list})
 	return sentTo(b, list[2].ID, now)
 }
 
@@ -39,18 +39,18 @@
 		t.Run(step.String(), func(t *testing.T) {
 			b := newBalancer(t, nil)
 			now := 2 * time.Hour
-			b.Handle(now, ServerList{Full: true, Servers: servers(6)})
+			b.Handle(now, EndpointUpdate{Snapshot: true, Endpoints: servers(6)})
 			id := servers(6)[2].ID
 			warm := sentTo(b, id, now)
 			now += time.Minute
 			back := servers(6)[2]
-			back.Boot = now + step
-			b.Handle(now, ServerList{Servers: []Server{back}})
+			back.StartedAt = now + step
+			b.Handle(now, EndpointUpdate{Endpoints: []Endpoint{back}})
 			cold := sentTo(b, id, now)
 			if most := believedMost(t); cold > most+most/4 || cold == 0 {
 				t.Errorf("a server that came back gets %d, one that is believed to be as old as can be %d, a warm one %d", cold, most, warm)
 			}
-			now += b.set.WarmAfter + time.Second
+			now += b.set.SlowStartDuration + time.Second
 			if later := sentTo(b, id, now); later < warm/2 {
 				t.Errorf("when it is warm it gets %d, before %d", later, warm)
 			}
@@ -63,10 +63,10 @@
 	b := newBalancer(t, nil)
 	list := servers(6)
 	now := 2 * time.Hour
-	list[2].Boot = now + time.Hour
-	b.Handle(now, ServerList{Full: true, Servers: list})
+	list[2].StartedAt = now + time.Hour
+	b.Handle(now, EndpointUpdate{Snapshot: true, Endpoints: list})
 	cold := sentTo(b, list[2].ID, now)
-	now += b.set.WarmAfter + time.Second
+	now += b.set.SlowStartDuration + time.Second
 	if warm := sentTo(b, list[2].ID, now); cold > warm/2 {
 		t.Errorf("it gets %d at first, %d when it is warm", cold, warm)
 	}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -18,8 +18,8 @@
 				n++
 			}
 		}
-		grown := min(1, float64(from-boot+fallFor/2)/float64(set.WarmAfter)) // in the middle of the span
-		limit := set.FallMultiple * capacity * (set.ColdFrom + (1-set.ColdFrom)*grown) * fallFor.Seconds()
+		grown := min(1, float64(from-boot+fallFor/2)/float64(set.SlowStartDuration)) // in the middle of the span
+		limit := set.SlowStartOverloadFactor * capacity * (set.SlowStartInitialCapacity + (1-set.SlowStartInitialCapacity)*grown) * fallFor.Seconds()
 		if float64(n) > limit {
 			return fmt.Sprintf("rule 4: %d calls in %v from %v, limit %.0f", n, fallFor, from, limit)
 		}
@@ -53,29 +53,29 @@
 	}{{12, 6, 1, false, false}, {3, 12, 2, false, false}, {12, 6, 2, false, false}, {120, 40, 2, false, false}, {40, 6, 2, true, false},
 		{2, 6, 2, false, true}, {30, 12, 2, false, true}, {30, 6, 2, true, true}, {350, 60, 1, false, true}} {
 		set := testSettings()
-		set.Tier, set.Balancers = 1, tc.copies
+		set.Tier, set.Replicas = 1, tc.copies
 		class := "get"
 		if tc.keyed {
 			class = "post"
 		}
 		const capacity, boot = 50.0, time.Second // a warm server's calls a second
 		list := servers(tc.servers)
-		list[2].Boot = boot
+		list[2].StartedAt = boot
 		type call struct {
 			b   *Balancer
 			at  time.Duration
-			out Outcome
+			out AttemptEnded
 		}
 		var bs []*Balancer
 		var calls []call
 		var cold []time.Duration
 		for i := range tc.copies {
-			set.Self = i
+			set.ReplicaIndex = i
 			b, err := New(set, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Handle(0, ServerList{Full: true, Servers: list})
+			b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
 			bs = append(bs, b)
 		}
 		rng := rand.New(rand.NewPCG(3, 3))
@@ -96,11 +96,11 @@
 			}
 			b, id := bs[at], fmt.Sprint(i)
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second})) {
-				if s.Server == list[2].ID {
+				if s.Endpoint == list[2].ID {
 					cold = append(cold, now)
 				}
 				calls = append(calls, call{b, now + 100*msec,
-					Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true}})
+					AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true}})
 			}
 		}
 		if len(cold) < 20 {
--- a/policy/crowd_test.go
+++ b/policy/crowd_test.go
@@ -24,25 +24,25 @@
 // play gives the share of the requests of each third of the day that were answered within the aim.
 func (c crowd) play(t *testing.T, seed uint64) (thirds [3]float64) {
 	t.Helper()
-	set := Settings{Classes: []Class{{Name: "get", Effect: Safe, Scope: ScopeAll, Aim: c.aim, Deadline: 2 * c.aim, Worth: 1}},
-		Balancers: c.copies, Tiers: 3, WholeWeight: 1, MarksRepeats: true, MaxAttempts: 3, Tick: 5 * msec}
+	set := Settings{Classes: []Class{{Name: "get", Idempotency: Idempotent, DeduplicationScope: ScopeAll, LatencyObjective: c.aim, Deadline: 2 * c.aim, PriorityWeight: 1}},
+		Replicas: c.copies, Tiers: 3, TotalWeight: 1, ClientsMarkRetries: true, MaxAttempts: 3, TimerResolution: 5 * msec}
 	capacity := float64(c.servers*c.cores) / c.work.Seconds()
 	if c.tenants {
 		set.Tenants = []Tenant{{"all", 0.8 * capacity}}
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
-	var list []Server
+	var list []Endpoint
 	for i := range c.servers {
-		list = append(list, Server{ID: fmt.Sprintf("s%03d", i)})
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%03d", i)})
 	}
 	var copies []*Balancer
 	for i := range c.copies {
-		set.Self = i
+		set.ReplicaIndex = i
 		b, err := New(set, seed+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(0, ServerList{Full: true, Servers: list})
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
 		copies = append(copies, b)
 	}
 	type try struct {
@@ -61,7 +61,7 @@
 		y.copy = rng.IntN(c.copies)
 		id := fmt.Sprint(len(tries))
 		tries[id] = y
-		later(at, Request{ID: id, Class: "get", Tenant: "all", Deadline: y.first + 2*c.aim, Repeat: at > y.first})
+		later(at, Request{ID: id, Class: "get", Tenant: "all", Deadline: y.first + 2*c.aim, IsRetry: at > y.first})
 	}
 	for at := time.Duration(0); ; {
 		rate, third := c.load*capacity, min(2, int(3*at/c.day))
@@ -86,34 +86,34 @@
 		switch e := x.e.(type) {
 		case Request:
 			at = tries[e.ID].copy
-		case Outcome:
-			if y := tries[e.ID]; e.Ending == Success && x.at <= y.first+c.aim {
+		case AttemptEnded:
+			if y := tries[e.ID]; e.Result == Success && x.at <= y.first+c.aim {
 				served[y.third]++
 			}
 			at = tries[e.ID].copy
-		case Timer:
+		case TimerFired:
 			at = wakes[e.Token]
 		}
 		for _, a := range copies[at].Handle(x.at, x.e) {
 			switch a := a.(type) {
-			case Send:
-				y, cores := tries[a.ID], free[a.Server]
+			case SendAttempt:
+				y, cores := tries[a.ID], free[a.Endpoint]
 				core := slices.Index(cores, slices.Min(cores))
 				cores[core] = max(cores[core], x.at) + time.Duration((0.5+rng.Float64())*float64(c.work))
 				took := cores[core] - x.at + time.Duration((0.8+0.4*rng.Float64())*float64(c.wait))
-				o := Outcome{ID: a.ID, Attempt: y.attempts, Server: a.Server, Latency: took, Ended: true}
+				o := AttemptEnded{ID: a.ID, Attempt: y.attempts, Endpoint: a.Endpoint, Latency: took, Answered: true}
 				if took > a.Timeout {
-					o.Ending, o.Latency, o.Ended = TimedOut, a.Timeout, false
+					o.Result, o.Latency, o.Answered = TimedOut, a.Timeout, false
 				}
 				y.attempts++
 				later(x.at+o.Latency, o)
-			case Refuse:
+			case Reject:
 				if y := tries[a.ID]; y.left > 0 && x.at < y.first+c.aim {
 					arrive(x.at+msec, &try{third: y.third, left: y.left - 1, first: y.first})
 				}
-			case Wake:
+			case SetTimer:
 				wakes[a.Token] = at // an id is one copy's
-				later(max(a.At, x.at), Timer{Token: a.Token})
+				later(max(a.At, x.at), TimerFired{Token: a.Token})
 			}
 		}
 	}
--- a/policy/figures.go
+++ b/policy/figures.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Servers says how many servers the list has, and how many of these the Balancer avoids at the
+// EndpointCounts says how many servers the list has, and how many of these the Balancer avoids at the
 // clock time now: those that want
 // nothing new, that health keeps out of the draw, or that refused what they had no room for. It
 // decides nothing itself: it asks the rules by which choose passes servers over, for a request that must not run twice.
-func (b *Balancer) Servers(now time.Duration) (listed, avoided int) {
+func (b *Balancer) EndpointCounts(now time.Duration) (listed, avoided int) {
 	b.now = max(b.now, now)
 	drawn := map[*server]bool{}
 	for _, p := range b.pools {
@@ -26,8 +26,8 @@
 	return listed, avoided
 }
 
-// ZoneTurns counts the changes of zones' states: who sees it rise may look at Zones.
-func (b *Balancer) ZoneTurns() int { return b.turns }
+// ZoneTransitions counts the changes of zones' states: who sees it rise may look at Zones.
+func (b *Balancer) ZoneTransitions() int { return b.turns }
 
 // Zones shows what the Balancer knows of each zone, by name. It decides nothing.
 func (b *Balancer) Zones() (all []Zone) {
--- a/policy/figures_test.go
+++ b/policy/figures_test.go
@@ -8,22 +8,22 @@
 // What is counted as avoided is what the draw passes over: drained servers, and ill ones up to the share that
 // health may keep out.
 func TestServersCountsWhatIsAvoided(t *testing.T) {
-	b, err := New(Settings{Classes: []Class{{Name: "a", Effect: Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
-		MaxAttempts: 1, Tick: time.Millisecond}, 1)
+	b, err := New(Settings{Classes: []Class{{Name: "a", Idempotency: Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		MaxAttempts: 1, TimerResolution: time.Millisecond}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list ServerList
+	var list EndpointUpdate
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k"} {
-		list.Servers = append(list.Servers, Server{ID: id})
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: id})
 	}
-	list.Full = true
-	list.Servers[10].State = Draining
+	list.Snapshot = true
+	list.Endpoints[10].State = Draining
 	b.Handle(0, list)
-	b.Handle(0, ServerList{Servers: []Server{{ID: "gone", State: Gone}}})
+	b.Handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: "gone", State: Removed}}})
 	want := func(what string, listed, avoided int) {
 		t.Helper()
-		if l, a := b.Servers(b.now); l != listed || a != avoided {
+		if l, a := b.EndpointCounts(b.now); l != listed || a != avoided {
 			t.Errorf("%s: %d listed and %d avoided, want %d and %d", what, l, a, listed, avoided)
 		}
 	}
@@ -34,6 +34,6 @@
 	want("two of three ill ones may be kept out of ten", 11, 3)
 	b.servers["d"].room, b.servers["d"].full = 0, time.Minute
 	want("one refused all", 11, 4)
-	b.Servers(2 * time.Minute)
+	b.EndpointCounts(2 * time.Minute)
 	want("time has passed", 11, 1)
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -8,11 +8,11 @@
 
 // A server that errs at once drains its count; without ejection it would win every draw.
 func TestFastErrorsAreEjected(t *testing.T) {
-	for _, e := range []Ending{Failure, Unreachable, Broken} {
+	for _, e := range []AttemptResult{ServerError, ConnectFailed, ConnectionLost} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 		wide(b)
-		got := traffic(b, 600, "get", func(s string) Ending {
+		got := traffic(b, 600, "get", func(s string) AttemptResult {
 			if s == "s03" {
 				return e
 			}
@@ -33,19 +33,19 @@
 		for i := range list {
 			list[i].Zone = []string{"a", "b"}[i%2]
 		}
-		b.Handle(0, ServerList{Full: true, Servers: list})
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
 		return b
 	}
-	got := traffic(few(), 800, "get", func(s string) Ending {
+	got := traffic(few(), 800, "get", func(s string) AttemptResult {
 		if s == "s00" {
-			return Failure
+			return ServerError
 		}
 		return Success
 	})
 	if got["s00"] > 10 || got["s02"] > 280 || got["s01"]+got["s03"] < 120 {
 		t.Errorf("first tries went %v: want none to s00 and about half of its zone's to s01 and s03", got)
 	}
-	if got := traffic(few(), 800, "get", func(string) Ending { return Failure }); got["s00"] < 50 || got["s02"] < 50 {
+	if got := traffic(few(), 800, "get", func(string) AttemptResult { return ServerError }); got["s00"] < 50 || got["s02"] < 50 {
 		t.Errorf("where all err, first tries went %v", got)
 	}
 }
@@ -53,8 +53,8 @@
 // The only server there is stays in use, however ill it is.
 func TestOnlyServerIsNotKeptOut(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
-	if got := traffic(b, 100, "get", func(string) Ending { return Failure }); got["s00"] < 50 {
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(1)})
+	if got := traffic(b, 100, "get", func(string) AttemptResult { return ServerError }); got["s00"] < 50 {
 		t.Errorf("first tries went %v", got)
 	}
 }
@@ -62,9 +62,9 @@
 // When every server fails alike the trouble is below them: nobody may be starved of calls.
 func TestFailuresEverywhereEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 	wide(b)
-	got := traffic(b, 800, "get", func(string) Ending { return Failure })
+	got := traffic(b, 800, "get", func(string) AttemptResult { return ServerError })
 	if len(got) < 8 {
 		t.Errorf("only %d of 10 servers are still used", len(got))
 	}
@@ -73,14 +73,14 @@
 // A machine gone quiet shows nothing but an old unanswered call while others answer.
 func TestSilentServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 	wide(b)
 	stuck, now := 0, time.Duration(0)
 	for i := range 600 {
 		id := fmt.Sprint(i)
 		now += 20 * msec
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
-			if s.Server == "s03" {
+			if s.Endpoint == "s03" {
 				stuck++
 			} else {
 				settle(b, now+10*msec, id, s, Success)
@@ -95,14 +95,14 @@
 // After an ejection the first trial must not be a request that cannot be repeated.
 func TestTrialIsNeverUnsafe(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 	wide(b)
 	s := b.servers["s03"]
 	s.level, s.until = 1, 0
-	if got := traffic(b, 400, "pay", func(string) Ending { return Success }); got["s03"] != 0 {
+	if got := traffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
-	if got := traffic(b, 400, "get", func(string) Ending { return Success }); got["s03"] == 0 {
+	if got := traffic(b, 400, "get", func(string) AttemptResult { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
 	}
 }
@@ -110,10 +110,10 @@
 // Below the first tier a server that holds several of our calls is passed over while others idle.
 func TestCrowdedServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(6)})
 	wide(b)
 	b.servers["s00"].calls, b.pools[0].inFlight = 2, 2
-	got := traffic(b, 300, "get", func(string) Ending { return Success })
+	got := traffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
 	}
@@ -123,7 +123,7 @@
 // calls than it had, however many others refuse too, and is tried again later.
 func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 	wide(b)
 	now, id := msec, 0
 	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
@@ -134,13 +134,13 @@
 			todo := sends(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
 			for try := 0; len(todo) > 0; try++ {
 				end := Success
-				if full[todo[0].Server] {
-					end = Unreachable
+				if full[todo[0].Endpoint] {
+					end = ConnectFailed
 					count++
 				}
 				now += 2 * msec
-				todo = sends(b.Handle(now, Outcome{ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
-					Ending: end, Ended: end == Success}))
+				todo = sends(b.Handle(now, AttemptEnded{ID: fmt.Sprint(id), Attempt: try, Endpoint: todo[0].Endpoint,
+					Result: end, Answered: end == Success}))
 			}
 		}
 		return count
@@ -162,9 +162,9 @@
 func TestSmallFallMultipleThinsMore(t *testing.T) {
 	drawn := map[float64]int{}
 	for _, multiple := range []float64{0, 1, 2, 3} {
-		b := newBalancer(t, func(s *Settings) { s.ColdFrom, s.FallMultiple = 0.5, multiple })
+		b := newBalancer(t, func(s *Settings) { s.SlowStartInitialCapacity, s.SlowStartOverloadFactor = 0.5, multiple })
 		b.now = 2 * time.Second
-		cold := &server{Server: Server{Boot: 2 * time.Second}, start: 2 * time.Second}
+		cold := &server{Endpoint: Endpoint{StartedAt: 2 * time.Second}, start: 2 * time.Second}
 		for range 2000 {
 			if b.warmEnough(cold, 0) {
 				drawn[multiple]++
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -11,9 +11,9 @@
 func TestStretchesCoverTheServersEvenly(t *testing.T) {
 	drawn := map[string]int{}
 	for self := range 60 {
-		b := newBalancer(t, func(s *Settings) { s.Self, s.Tier, s.Balancers = self, 1, 60 })
-		b.Handle(0, ServerList{Full: true, Servers: servers(80)})
-		got := traffic(b, 400, "get", func(string) Ending { return Success })
+		b := newBalancer(t, func(s *Settings) { s.ReplicaIndex, s.Tier, s.Replicas = self, 1, 60 })
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(80)})
+		got := traffic(b, 400, "get", func(string) AttemptResult { return Success })
 		left := 0
 		for id := range got {
 			drawn[id]++
@@ -25,7 +25,7 @@
 			t.Fatalf("copy %d drew %d servers, %d of them left", self, len(got), left)
 		}
 		b.pools[0].inFlight = 160
-		if got := traffic(b, 4000, "get", func(string) Ending { return Success }); len(got) < 70 {
+		if got := traffic(b, 4000, "get", func(string) AttemptResult { return Success }); len(got) < 70 {
 			t.Fatalf("swamped copy %d drew only %d servers", self, len(got))
 		}
 	}
@@ -39,12 +39,12 @@
 // With its whole stretch unable to take a request, a copy draws from the rest of the list.
 func TestStretchWithoutRoomFallsBackToTheList(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(80)})
-	own := traffic(b, 400, "get", func(string) Ending { return Success })
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(80)})
+	own := traffic(b, 400, "get", func(string) AttemptResult { return Success })
 	for id := range own {
 		b.servers[id].full, b.servers[id].room = time.Hour, 0
 	}
-	got := traffic(b, 100, "get", func(string) Ending { return Success })
+	got := traffic(b, 100, "get", func(string) AttemptResult { return Success })
 	for id := range got {
 		if own[id] > 0 {
 			t.Errorf("%s was drawn though it has no room", id)
@@ -63,7 +63,7 @@
 	for i := range list {
 		list[i].Zone = []string{"y", "z", "x"}[i%3]
 	}
-	b.Handle(0, ServerList{Full: true, Servers: list})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
 	n := 0
 	crossed := func(home time.Duration) float64 {
 		far, all := 0, 0
@@ -72,7 +72,7 @@
 			now, id := b.now+20*msec, fmt.Sprint(n)
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
 				took := 20 * msec
-				if b.servers[s.Server].Zone == "y" {
+				if b.servers[s.Endpoint].Zone == "y" {
 					took = home
 				} else {
 					far++
@@ -96,13 +96,13 @@
 }
 
 // boundToSlow is a Balancer over n servers of three kinds, the slow one alone open to the class post.
-func boundToSlow(t *testing.T, n int) (*Balancer, []Server) {
-	b := newBalancer(t, func(s *Settings) { s.Classes[1].OnlyKinds = []string{"slow"} })
+func boundToSlow(t *testing.T, n int) (*Balancer, []Endpoint) {
+	b := newBalancer(t, func(s *Settings) { s.Classes[1].AllowedMachineTypes = []string{"slow"} })
 	list := servers(n)
 	for i := range list {
-		list[i].Kind = []string{"slow", "mid", "fast"}[i%3]
+		list[i].MachineType = []string{"slow", "mid", "fast"}[i%3]
 	}
-	b.Handle(0, ServerList{Full: true, Servers: list})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
 	return b, list
 }
 
@@ -110,15 +110,15 @@
 func TestServersOfANarrowPoolAreLeftToIt(t *testing.T) {
 	b, list := boundToSlow(t, 9)
 	bound := 0
-	for id, n := range traffic(b, 1000, "get", func(string) Ending { return Success }) {
-		if b.servers[id].Kind == "slow" {
+	for id, n := range traffic(b, 1000, "get", func(string) AttemptResult { return Success }) {
+		if b.servers[id].MachineType == "slow" {
 			bound += n
 		}
 	}
 	if bound > 25 {
 		t.Errorf("%d of 500 free requests went to the servers of a bound class", bound)
 	}
-	b.Handle(b.now, ServerList{Full: true, Servers: []Server{list[0], list[3]}})
+	b.Handle(b.now, EndpointUpdate{Snapshot: true, Endpoints: []Endpoint{list[0], list[3]}})
 	if n := len(sends(b.Handle(b.now, Request{ID: "x", Class: "get", Deadline: b.now + time.Second}))); n != 1 {
 		t.Errorf("%d sends with only those left, want 1", n)
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -135,7 +135,7 @@
 
 // server is a listed server, or one that left with calls of ours still out.
 type server struct {
-	Server
+	Endpoint
 	listed bool
 	start  time.Duration // slow start counts from then; 0: it was long ago
 	calls  int           // own calls in flight
@@ -190,7 +190,7 @@
 	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, 0x51a7e)),
 		servers: map[string]*server{}, zones: map[string]*zone{}, requests: map[string]*request{},
 		classes: map[string]*class{}, lines: map[uint64]*line{}, tenants: map[string]*tenant{},
-		errors: 0.02, tokens: retryPurse / 2, copies: float64(max(1, set.Balancers))}
+		errors: 0.02, tokens: retryPurse / 2, copies: float64(max(1, set.Replicas))}
 	b.aimed = b.copies
 	for _, t := range set.Tenants {
 		b.tenants[t.Name] = &tenant{rate: t.Quota / b.copies, quota: t.Quota}
@@ -201,7 +201,7 @@
 	// A server waits for the tiers behind it, each about as long as it works itself: it can hold more calls.
 	b.knee = windowKnee * float64(max(1, set.Tiers-set.Tier))
 	longest := slices.MaxFunc(set.Classes, func(a, c Class) int { return int(a.Deadline - c.Deadline) })
-	b.addClass(Class{Aim: longest.Aim, Deadline: longest.Deadline, Worth: longest.Worth})
+	b.addClass(Class{LatencyObjective: longest.LatencyObjective, Deadline: longest.Deadline, PriorityWeight: longest.PriorityWeight})
 	return b, nil
 }
 
@@ -213,34 +213,34 @@
 	b.out = nil
 	b.watchZones()
 	switch e := e.(type) {
-	case ServerList:
+	case EndpointUpdate:
 		b.takeList(e)
-	case ListFailed:
+	case DiscoveryFailed:
 		b.subFails++
 		b.askAgain()
 	case Request:
 		b.accept(e)
-	case Outcome:
+	case AttemptEnded:
 		b.takeOutcome(e)
-	case Started:
+	case ResponseStarted:
 		if r := b.requests[e.ID]; r != nil && e.Attempt < len(r.attempts) {
 			r.streaming, r.attempts[e.Attempt].began = true, b.now
 		}
-	case Sent:
+	case RequestSent:
 		if r := b.requests[e.ID]; r != nil && r.coming && e.Attempt < len(r.attempts) {
 			a := r.attempts[e.Attempt] // its body took time that is not the servers'
 			r.arrived, r.deadline, r.coming = r.arrived+b.now-a.sent, e.Deadline, false
 			a.sent = b.now
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		b.close(b.requests[e.ID])
-	case TimeUp:
+	case ShutdownDeadline:
 		b.answer(b.requests[e.ID], guard.ProcessEnds)
-	case Peers:
+	case ReplicaCounts:
 		b.takePeers(e)
-	case ZoneOrder:
+	case ZoneEvacuation:
 		b.orderZone(e)
-	case Timer:
+	case TimerFired:
 		b.takeTimer(e)
 	}
 	b.countCopies()
@@ -252,9 +252,9 @@
 
 // takePeers aims at the number of copies that peers make out, within a span around the settings' number:
 // what peers say may cost efficiency, and must not let one copy take the tier for its own.
-func (b *Balancer) takePeers(e Peers) {
-	told, n := float64(max(1, b.set.Balancers)), 0
-	for _, k := range e.Copies {
+func (b *Balancer) takePeers(e ReplicaCounts) {
+	told, n := float64(max(1, b.set.Replicas)), 0
+	for _, k := range e.ByZone {
 		n += max(0, k)
 	}
 	if b.aimed = told; n > 0 {
@@ -285,12 +285,12 @@
 
 // takeTimer does what has come due. A host may round a time down, so a timer can come a hair early: nothing
 // relies on its being late enough, and one that finds nothing due yet asks for another.
-func (b *Balancer) takeTimer(e Timer) {
+func (b *Balancer) takeTimer(e TimerFired) {
 	switch kind, name, _ := strings.Cut(e.Token, ":"); kind {
 	case "list":
-		if b.subWanted > 0 && b.now+b.set.Tick >= b.subWanted {
+		if b.subWanted > 0 && b.now+b.set.TimerResolution >= b.subWanted {
 			b.subWanted = 0
-			b.do(Subscribe{})
+			b.do(WatchEndpoints{})
 		}
 	case "k":
 		if key, err := strconv.ParseUint(name, 10, 64); err == nil {
@@ -298,7 +298,7 @@
 		}
 	case "r":
 		if r := b.requests[name]; r != nil {
-			if b.now+b.set.Tick >= r.wake {
+			if b.now+b.set.TimerResolution >= r.wake {
 				r.wake = 0
 			}
 			if r.held {
@@ -312,31 +312,31 @@
 func (b *Balancer) wakeAt(r *request, at time.Duration) {
 	if at = max(at, b.now+1); r.wake <= b.now || r.wake > at {
 		r.wake = at
-		b.do(Wake{At: at, Token: "r:" + r.id})
+		b.do(SetTimer{At: at, Token: "r:" + r.id})
 	}
 }
 
 // ---- Discovery ----
 
 // takeList applies news of the servers. A new boot time resets what is known of a server.
-func (b *Balancer) takeList(e ServerList) {
-	if e.Full {
+func (b *Balancer) takeList(e EndpointUpdate) {
+	if e.Snapshot {
 		for _, s := range b.servers {
 			s.listed = false
 		}
 	}
-	for _, n := range e.Servers {
+	for _, n := range e.Endpoints {
 		s := b.servers[n.ID]
 		if s == nil {
 			s = &server{}
 			b.servers[n.ID] = s
-		} else if s.Boot != n.Boot {
+		} else if s.StartedAt != n.StartedAt {
 			*s = server{calls: s.calls, open: s.open}
 		}
-		if s.ID == "" || s.Boot != n.Boot {
+		if s.ID == "" || s.StartedAt != n.StartedAt {
 			s.start = b.startOf(n)
 		}
-		s.Server, s.listed = n, n.State != Gone
+		s.Endpoint, s.listed = n, n.State != Removed
 	}
 	b.heard = b.heard || !e.Cached
 	var ready []*server
@@ -372,15 +372,15 @@
 // while the copy lives is believed to have been a part of the warm-up ago at most, and not ahead: that leaves
 // what FallMultiple allows beyond a cold server's capacity. Only of the first list the stamp is believed, for
 // nothing else tells the old from the new there.
-func (b *Balancer) startOf(s Server) time.Duration {
-	if s.Boot <= 0 {
+func (b *Balancer) startOf(s Endpoint) time.Duration {
+	if s.StartedAt <= 0 {
 		return 0
 	}
 	earliest := time.Duration(1)
 	if b.heard {
-		earliest = max(earliest, b.now-time.Duration(believedAge*float64(b.set.WarmAfter)))
+		earliest = max(earliest, b.now-time.Duration(believedAge*float64(b.set.SlowStartDuration)))
 	}
-	return max(earliest, min(s.Boot, b.now))
+	return max(earliest, min(s.StartedAt, b.now))
 }
 
 // share finds the servers that a pool's classes use first: those of the own zone, if any, and of these the
@@ -416,19 +416,19 @@
 // open says that the placement of a pool's classes lets them go to a server.
 func (p *pool) open(s *server) bool {
 	return (p.zones == nil || slices.Contains(p.zones, s.Zone)) &&
-		(p.kinds == nil || slices.Contains(p.kinds, s.Kind))
+		(p.kinds == nil || slices.Contains(p.kinds, s.MachineType))
 }
 
 // askAgain plans a Subscribe where the list must be asked for. Jitter keeps copies from swamping discovery
 // together; the wait doubles with each failure but leaves time for a call before changes count as told.
 func (b *Balancer) askAgain() {
-	if !b.set.AskDiscovery {
+	if !b.set.PollEndpoints {
 		return
 	}
-	most := min(b.set.AskWithin/4, askMost)
+	most := min(b.set.MaxPollInterval/4, askMost)
 	wait := min(most, most/16<<min(b.subFails, 4))
 	b.subWanted = b.now + time.Duration(b.rng.Float64()*float64(wait)) + 1
-	b.do(Wake{At: b.subWanted, Token: "list"})
+	b.do(SetTimer{At: b.subWanted, Token: "list"})
 }
 
 // ---- Requests ----
@@ -441,8 +441,8 @@
 	if c == nil {
 		c = b.order[len(b.order)-1] // unknown: unsafe
 	}
-	r := &request{id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, repeat: e.Repeat,
-		coming: e.Coming}
+	r := &request{id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, repeat: e.IsRetry,
+		coming: e.BodyIncomplete}
 	b.requests[e.ID] = r
 	r.over = len(b.tenants) > 0 && !b.tenants[e.Tenant].within(b.now, b.order[len(b.order)-1].Deadline)
 	b.backdate(r)
@@ -450,7 +450,7 @@
 		k.arrive, k.serve = 0.99*k.arrive, 0.99*k.serve
 	}
 	c.arrive++
-	if c.InOrder && e.HasKey && !b.joinLine(r, e.Key) {
+	if c.SerializedByKey && e.HasKey && !b.joinLine(r, e.Key) {
 		b.answer(r, guard.QueueTooLong)
 		return
 	}
@@ -498,7 +498,7 @@
 	switch {
 	case l == nil:
 	case b.now < l.rest:
-		b.do(Wake{At: l.rest, Token: "k:" + strconv.FormatUint(l.key, 10)})
+		b.do(SetTimer{At: l.rest, Token: "k:" + strconv.FormatUint(l.key, 10)})
 	case len(l.queue) == 0:
 		delete(b.lines, l.key)
 	}
@@ -511,7 +511,7 @@
 	left := r.deadline - b.now
 	r.class.longestTry = max(r.class.longestTry, left)
 	short := float64(left) < 0.95*float64(r.class.longestTry)
-	if b.set.Tier == 0 && (r.repeat || short && !b.set.MarksRepeats) {
+	if b.set.Tier == 0 && (r.repeat || short && !b.set.ClientsMarkRetries) {
 		r.arrived, r.repeat = min(b.now, r.deadline-r.class.Deadline), true
 	}
 }
@@ -541,18 +541,18 @@
 	s.calls++
 	p.inFlight++
 	p.peak = max(float64(p.inFlight), p.peak-memory/4*(p.peak-float64(p.inFlight)))
-	b.do(Send{
+	b.do(SendAttempt{
 		ID:           r.id,
-		Server:       s.ID,
-		Timeout:      max(b.useful(r)-b.now, b.set.Tick),
-		RepeatBefore: repeatBefore,
+		Endpoint:     s.ID,
+		Timeout:      max(b.useful(r)-b.now, b.set.TimerResolution),
+		RetryBefore: repeatBefore,
 	})
 }
 
 // useful is until when an answer is worth anything; what is out longer takes room at every tier below.
 func (b *Balancer) useful(r *request) time.Duration {
-	if b.set.Tier == 0 && r.class.LateShare == 0 {
-		return min(r.deadline, r.arrived+r.class.Aim)
+	if b.set.Tier == 0 && r.class.LateAnswerWeight == 0 {
+		return min(r.deadline, r.arrived+r.class.LatencyObjective)
 	}
 	return r.deadline
 }
@@ -583,11 +583,11 @@
 // holdUntil is how long holding makes sense: until an answer may well miss the aim, for late answers take the
 // room of those in time. With no server at all, half of the time: then its client can still ask elsewhere.
 func (b *Balancer) holdUntil(r *request) time.Duration {
-	last := min(b.useful(r), (r.arrived+r.deadline)/2) - 2*b.set.Tick
+	last := min(b.useful(r), (r.arrived+r.deadline)/2) - 2*b.set.TimerResolution
 	if len(r.class.pool.ready) == 0 {
 		return last
 	}
-	hold := max(r.class.Aim/4, r.class.Aim-time.Duration(r.class.mean+2*r.class.dev))
+	hold := max(r.class.LatencyObjective/4, r.class.LatencyObjective-time.Duration(r.class.mean+2*r.class.dev))
 	return min(last, r.arrived+hold)
 }
 
@@ -614,23 +614,23 @@
 	}
 }
 
-func (b *Balancer) takeOutcome(e Outcome) {
+func (b *Balancer) takeOutcome(e AttemptEnded) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
 	}
 	a := r.attempts[e.Attempt]
-	a.ended, a.unsent = true, e.Ending == Overloaded || e.Ending == Unreachable || e.Ending == Void
+	a.ended, a.unsent = true, e.Result == Overloaded || e.Result == ConnectFailed || e.Result == NotSent
 	r.out--
-	r.spent = r.spent || e.Spent
+	r.spent = r.spent || e.BodyConsumed
 	r.class.pool.inFlight--
-	if l := r.line; l != nil && (e.Ending == TimedOut || e.Ending == Broken || e.Ending == Withdrawn) {
-		l.rest = b.now + b.set.OrderSettle // it may still run
+	if l := r.line; l != nil && (e.Result == TimedOut || e.Result == ConnectionLost || e.Result == Canceled) {
+		l.rest = b.now + b.set.KeySettleTime // it may still run
 	}
 	a.srv.calls--
 	b.hearZone(a, e)
 	// A hung server's waits tell nothing of how crowded the others are.
-	if !b.silent(a.srv) && (b.zoneOf(a.zone).share == 1 || e.Ending == Success) {
+	if !b.silent(a.srv) && (b.zoneOf(a.zone).share == 1 || e.Result == Success) {
 		b.steer(r, e)
 	}
 	a.srv.open = slices.DeleteFunc(a.srv.open, func(o *attempt) bool { return o == a })
@@ -639,8 +639,8 @@
 		delete(b.servers, a.srv.ID)
 	}
 	switch {
-	case e.Ended:
-		if e.Ending == Success && !r.answered && a.sent+b.took(a) <= r.arrived+r.class.Aim {
+	case e.Answered:
+		if e.Result == Success && !r.answered && a.sent+b.took(a) <= r.arrived+r.class.LatencyObjective {
 			r.class.serve++
 		}
 		b.close(r)
@@ -749,7 +749,7 @@
 // stretches of all copies cover the servers evenly; a change of the list moves it by little.
 func (b *Balancer) stretch(group []*server, part float64) []*server {
 	n := int(math.Ceil(part * float64(len(group))))
-	_, at := math.Modf(spread * float64(b.set.Self))
+	_, at := math.Modf(spread * float64(b.set.ReplicaIndex))
 	start := int(at * float64(len(group)))
 	return slices.Concat(group, group)[start : start+n]
 }
@@ -827,8 +827,8 @@
 // discard its repeats.
 func (b *Balancer) inScope(r *request, s *server) bool {
 	for _, a := range r.attempts {
-		scope := r.class.Scope
-		if a.srv == s || r.class.Effect == Keyed && !a.unsent &&
+		scope := r.class.DeduplicationScope
+		if a.srv == s || r.class.Idempotency == IdempotentWithKey && !a.unsent &&
 			(scope != ScopeAll && a.zone != s.Zone || scope == ScopeCell && a.cell != s.Cell) {
 			return false
 		}
@@ -845,7 +845,7 @@
 	}
 	// After an ejection one safe trial at a time decides: a bad server must not eat a request that
 	// cannot be repeated, nor many at once.
-	return s.level > 0 && s.goods == 0 && (r.class.Effect == Unsafe || s.calls > 0)
+	return s.level > 0 && s.goods == 0 && (r.class.Idempotency == NotIdempotent || s.calls > 0)
 }
 
 // silent says that an old call to the server is unanswered while a younger one was answered
@@ -874,13 +874,13 @@
 }
 
 // judge learns from an ending: the class's latency, the server's health relative to its peers.
-func (b *Balancer) judge(a *attempt, e Outcome) {
+func (b *Balancer) judge(a *attempt, e AttemptEnded) {
 	s, c := a.srv, a.req.class
 	took := float64(b.took(a))
-	if e.Ending == Success || e.Ending == TimedOut {
+	if e.Result == Success || e.Result == TimedOut {
 		c.pool.compare(slices.Contains(c.pool.near, s), math.Log(max(took, 1)/c.mean))
 	}
-	switch e.Ending {
+	switch e.Result {
 	case Success:
 		b.tokens, b.lastOK, s.lastOK = min(retryPurse, b.tokens+retryEarn), b.now, b.now
 		// A slow server is not ejected: its own calls stay out for long, and the lower count wins.
@@ -892,11 +892,11 @@
 		if s.goods++; s.goods >= minSamples && s.level > 0 {
 			s.level, s.goods = s.level-1, 1
 		}
-	case Overloaded, Unreachable:
+	case Overloaded, ConnectFailed:
 		s.full = b.now + time.Duration((0.5+b.rng.Float64())*ejection*c.mean)<<s.refusals
 		s.room, s.refusals = s.calls, min(s.refusals+1, maxLevel)
 		return
-	case Failure, Broken, TimedOut:
+	case ServerError, ConnectionLost, TimedOut:
 		s.streak, s.goods = s.streak+1, 0
 		// Errors that strike everywhere come from the tier below; ejecting on them would leave
 		// nobody. A run counts only if the peers' error share makes it unlikely.
@@ -915,12 +915,12 @@
 // number of copies, and the multiple is left for bursts: half of it, where it is under two.
 func (b *Balancer) warmEnough(s *server, busy float64) bool {
 	age := b.now - s.start
-	if s.start <= 0 || age >= b.set.WarmAfter {
+	if s.start <= 0 || age >= b.set.SlowStartDuration {
 		return true
 	}
-	grown := max(0, float64(age)/float64(b.set.WarmAfter))
-	share := (b.set.ColdFrom + (1-b.set.ColdFrom)*grown) / (1 + busy)
-	if m := b.set.FallMultiple; m > 0 {
+	grown := max(0, float64(age)/float64(b.set.SlowStartDuration))
+	share := (b.set.SlowStartInitialCapacity + (1-b.set.SlowStartInitialCapacity)*grown) / (1 + busy)
+	if m := b.set.SlowStartOverloadFactor; m > 0 {
 		share *= min(1, m/2)
 	}
 	return s.calls == 0 && b.rng.Float64() < share
@@ -936,7 +936,7 @@
 		Attempts:    len(r.attempts),
 		MaxAttempts: max(1, b.set.MaxAttempts),
 		MayHaveRun:  slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.unsent }),
-		NeverTwice:  r.class.Effect == Unsafe,
+		NeverTwice:  r.class.Idempotency == NotIdempotent,
 		Before:      b.repeatBefore(r),
 	}.Verdict()
 }
@@ -945,10 +945,10 @@
 // the first attempt that may have run.
 func (b *Balancer) repeatBefore(r *request) time.Duration {
 	first := slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.unsent })
-	if r.class.Effect != Keyed || first < 0 {
+	if r.class.Idempotency != IdempotentWithKey || first < 0 {
 		return 0
 	}
-	return r.attempts[first].sent + r.class.Window - 2*b.set.Tick
+	return r.attempts[first].sent + r.class.DeduplicationWindow - 2*b.set.TimerResolution
 }
 
 // further decides what follows when no attempt is left out: another within the budget and with
@@ -987,13 +987,13 @@
 
 // steer moves the window so that the mean latency stays at a set part of the aim: crowded servers choke, so
 // the crowd must wait or be refused here. It grows slowly: those let in show only when answered.
-func (b *Balancer) steer(r *request, e Outcome) {
-	if b.set.Tier > 0 || e.Ending == Withdrawn || e.Ending == Void || e.Ending == Failure {
+func (b *Balancer) steer(r *request, e AttemptEnded) {
+	if b.set.Tier > 0 || e.Result == Canceled || e.Result == NotSent || e.Result == ServerError {
 		return
 	}
 	p := r.class.pool
-	over := float64(b.took(r.attempts[e.Attempt])) / float64(r.class.Aim)
-	if e.Ending != Success {
+	over := float64(b.took(r.attempts[e.Attempt])) / float64(r.class.LatencyObjective)
+	if e.Result != Success {
 		over = max(over, 1)
 	}
 	p.answers++
@@ -1055,20 +1055,20 @@
 func (b *Balancer) value(r *request) float64 {
 	c, worst, total := r.class, r.class, 0.0
 	for _, k := range b.order {
-		total += k.Worth * k.arrive
+		total += k.PriorityWeight * k.arrive
 		if k.arrive > 1 && k.serve*worst.arrive < worst.serve*k.arrive {
 			worst = k
 		}
 	}
-	v := b.set.WholeWeight * c.Worth / max(total, 1e-9)
+	v := b.set.TotalWeight * c.PriorityWeight / max(total, 1e-9)
 	if worst == c {
-		v += b.set.ClassWeight / max(c.arrive, 1e-9)
+		v += b.set.WorstClassWeight / max(c.arrive, 1e-9)
 	}
 	if r.repeat { // its aim runs from the client's first try and is mostly over
-		v *= c.LateShare
+		v *= c.LateAnswerWeight
 	}
 	if r.over {
-		v *= b.set.OverWorth
+		v *= b.set.OverQuotaWeight
 	}
 	return v / c.mean
 }
@@ -1078,7 +1078,7 @@
 	if r == nil || r.answered || r.streaming {
 		return
 	}
-	harmless := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll ||
+	harmless := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope == ScopeAll ||
 		!slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.unsent })
 	if len(r.attempts) == 0 {
 		r.class.pool.shed += memory / 4 * (1 - r.class.pool.shed)
@@ -1086,9 +1086,9 @@
 	if harmless {
 		// A client sent away for long comes back when its aim is mostly over, and its late answer
 		// takes the room of one in time; the window, not the clients' absence, holds the load off.
-		b.do(Refuse{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick), Why: why})
+		b.do(Reject{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.TimerResolution), Reason: why})
 	} else {
-		b.do(Fail{ID: r.id, Why: why})
+		b.do(Fail{ID: r.id, Reason: why})
 	}
 	b.close(r)
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -16,15 +16,15 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Safe, Scope: ScopeAll, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 1},
-			{Name: "post", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, Aim: 500 * msec,
-				Deadline: 1500 * msec, Worth: 2},
-			{Name: "pay", Effect: Unsafe, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 3},
+			{Name: "get", Idempotency: Idempotent, DeduplicationScope: ScopeAll, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1},
+			{Name: "post", Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: 900 * msec, LatencyObjective: 500 * msec,
+				Deadline: 1500 * msec, PriorityWeight: 2},
+			{Name: "pay", Idempotency: NotIdempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 3},
 		},
-		Balancers: 2, Tier: 0, WholeWeight: 0.6, ClassWeight: 0.3,
-		MaxAttempts: 5, Tick: 2 * msec,
-		AskWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
-		ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 3,
+		Replicas: 2, Tier: 0, TotalWeight: 0.6, WorstClassWeight: 0.3,
+		MaxAttempts: 5, TimerResolution: 2 * msec,
+		MaxPollInterval: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
+		SlowStartInitialCapacity: 0.2, SlowStartDuration: 10 * time.Second, SlowStartOverloadFactor: 3,
 	}
 }
 
@@ -44,19 +44,19 @@
 // wide makes a copy draw from the whole list for some hundred calls, as a busy one does.
 func wide(b *Balancer) { b.pools[0].peak = 1e9 }
 
-func servers(n int) []Server {
-	var l []Server
+func servers(n int) []Endpoint {
+	var l []Endpoint
 	for i := range n {
-		l = append(l, Server{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
+		l = append(l, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
 	}
 	return l
 }
 
 // sends returns the Send actions among acts.
-func sends(acts []Action) []Send {
-	var l []Send
+func sends(acts []Action) []SendAttempt {
+	var l []SendAttempt
 	for _, a := range acts {
-		if s, ok := a.(Send); ok {
+		if s, ok := a.(SendAttempt); ok {
 			l = append(l, s)
 		}
 	}
@@ -67,7 +67,7 @@
 	mk := func(calls ...int) []*server {
 		var l []*server
 		for i, c := range calls {
-			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, calls: c})
+			l = append(l, &server{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, calls: c})
 		}
 		return l
 	}
@@ -119,9 +119,9 @@
 func TestCopiesShareTheOrder(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	l := servers(7)
-	a.Handle(0, ServerList{Full: true, Servers: l})
+	a.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: l})
 	for i := len(l) - 1; i >= 0; i-- {
-		b.Handle(0, ServerList{Servers: l[i : i+1]})
+		b.Handle(0, EndpointUpdate{Endpoints: l[i : i+1]})
 	}
 	for i := range l {
 		if a.pools[0].ready[i].ID != b.pools[0].ready[i].ID {
@@ -135,12 +135,12 @@
 	b := newBalancer(t, nil)
 	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
 	for now := time.Duration(0); now < 1000*msec; {
-		var next Wake
+		var next SetTimer
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Wake:
+			case SetTimer:
 				next = a
-			case Refuse:
+			case Reject:
 				return
 			}
 		}
@@ -148,30 +148,30 @@
 			t.Fatalf("at %v neither an answer nor a timer", now)
 		}
 		now = max(now+2*msec, next.At-500) // half a microsecond early
-		acts = b.Handle(now, Timer{Token: next.Token})
+		acts = b.Handle(now, TimerFired{Token: next.Token})
 	}
 	t.Fatal("no final answer in time")
 }
 
 // settle answers the single attempt of a request.
-func settle(b *Balancer, now time.Duration, id string, s Send, e Ending) []Action {
-	return b.Handle(now, Outcome{ID: id, Server: s.Server, Ending: e, Ended: e == Success})
+func settle(b *Balancer, now time.Duration, id string, s SendAttempt, e AttemptResult) []Action {
+	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: e, Answered: e == Success})
 }
 
 // traffic sends n requests one after another; fate decides how attempts at a server end. It
 // returns how many first tries each server got in the second half.
-func traffic(b *Balancer, n int, class string, fate func(server string) Ending) map[string]int {
+func traffic(b *Balancer, n int, class string, fate func(server string) AttemptResult) map[string]int {
 	got := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*msec
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second})) {
 			if i >= n/2 {
-				got[s.Server]++
+				got[s.Endpoint]++
 			}
 			for k := 0; k < 5; k++ {
-				e := fate(s.Server)
+				e := fate(s.Endpoint)
 				now += 10 * msec
-				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Server: s.Server, Ending: e, Ended: e == Success}))
+				again := sends(b.Handle(now, AttemptEnded{ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, Answered: e == Success}))
 				if len(again) == 0 {
 					break
 				}
@@ -186,12 +186,12 @@
 	for want, change := range map[string]func(*Settings){
 		"Classes is empty":  func(s *Settings) { s.Classes = nil },
 		"Classes[0].Name":   func(s *Settings) { s.Classes[0].Name = "" },
-		"Classes[1] (post)": func(s *Settings) { s.Classes[1].Window = -1 },
-		"ColdFrom":          func(s *Settings) { s.ColdFrom = 1.5 },
-		"WarmAfter":         func(s *Settings) { s.WarmAfter = -1 },
+		"Classes[1] (post)": func(s *Settings) { s.Classes[1].DeduplicationWindow = -1 },
+		"ColdFrom":          func(s *Settings) { s.SlowStartInitialCapacity = 1.5 },
+		"WarmAfter":         func(s *Settings) { s.SlowStartDuration = -1 },
 		"Tenants[0] (big)":  func(s *Settings) { s.Tenants = []Tenant{{Name: "big", Quota: -1}} },
-		"OverWorth":         func(s *Settings) { s.OverWorth = 2 },
-		"LateShare":         func(s *Settings) { s.Classes[0].LateShare = 2 },
+		"OverWorth":         func(s *Settings) { s.OverQuotaWeight = 2 },
+		"LateShare":         func(s *Settings) { s.Classes[0].LateAnswerWeight = 2 },
 	} {
 		s := testSettings()
 		change(&s)
@@ -224,14 +224,14 @@
 		lateShare float64
 		want      time.Duration
 	}{{0, 0, 500 * msec}, {0, 0.5, 1500 * msec}, {1, 0, 1500 * msec}} {
-		b := newBalancer(t, func(s *Settings) { s.Tier, s.Classes[0].LateShare = c.tier, c.lateShare })
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b := newBalancer(t, func(s *Settings) { s.Tier, s.Classes[0].LateAnswerWeight = c.tier, c.lateShare })
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(4)})
 		got := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * msec}))
 		if len(got) != 1 || got[0].Timeout != c.want {
 			t.Fatalf("tier %d, late share %v: sent %v, want a time-out of %v", c.tier, c.lateShare, got, c.want)
 		}
 		acts := settle(b, c.want, "a", got[0], TimedOut)
-		if len(acts) != 1 || acts[0] != Action(Refuse{ID: "a", RetryAfter: 2 * msec, Why: guard.NoTimeForAnswer}) {
+		if len(acts) != 1 || acts[0] != Action(Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.NoTimeForAnswer}) {
 			t.Errorf("tier %d, late share %v: after the time-out %v, want a refusal", c.tier, c.lateShare, acts)
 		}
 	}
@@ -239,13 +239,13 @@
 
 // Where clients mark repeats, a first try with less time than a last one has is still a first try.
 func TestMarksOutrankShortDeadlines(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.MarksRepeats = true })
-	b.Handle(0, Request{ID: "last", Class: "get", Deadline: 1400 * msec, Repeat: true})
+	b := newBalancer(t, func(s *Settings) { s.ClientsMarkRetries = true })
+	b.Handle(0, Request{ID: "last", Class: "get", Deadline: 1400 * msec, IsRetry: true})
 	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2100 * msec})
 	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != time.Second {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
-	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 6400 * msec, Repeat: true})
+	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 6400 * msec, IsRetry: true})
 	if r := b.requests["again"]; r == nil || !r.repeat || r.arrived != 4900*msec {
 		t.Errorf("the marked repeat was not dated back: %+v", r)
 	}
@@ -254,8 +254,8 @@
 // The next of a key goes when the one before is over and rested; a hot key turns away who would wait in
 // vain and holds up no other key.
 func TestKeyKeepsItsOrder(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Classes[2].InOrder, s.OrderSettle = true, 50*msec })
-	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
+	b := newBalancer(t, func(s *Settings) { s.Classes[2].SerializedByKey, s.KeySettleTime = true, 50*msec })
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(6)})
 	pay := func(at time.Duration, id string, key uint64) []Action {
 		return b.Handle(at, Request{ID: id, Class: "pay", Deadline: 1500 * msec, Key: key, HasKey: true})
 	}
@@ -263,17 +263,17 @@
 	if len(first) != 1 || len(sends(pay(msec, "b", 1))) != 0 || len(sends(pay(msec, "c", 2))) != 1 {
 		t.Fatal("want a and c sent, and b held behind a")
 	}
-	acts := b.Handle(20*msec, Outcome{ID: "a", Server: first[0].Server, Ending: Broken})
+	acts := b.Handle(20*msec, AttemptEnded{ID: "a", Endpoint: first[0].Endpoint, Result: ConnectionLost})
 	if len(sends(acts)) != 0 {
 		t.Fatal("b was sent while a may still run")
 	}
-	if got := sends(b.Handle(70*msec, Timer{Token: "k:1"})); len(got) != 1 || got[0].ID != "b" {
+	if got := sends(b.Handle(70*msec, TimerFired{Token: "k:1"})); len(got) != 1 || got[0].ID != "b" {
 		t.Fatalf("after the rest %v was sent, want b", got)
 	}
 	refused := 0
 	for i := range 50 {
 		for _, a := range pay(80*msec, fmt.Sprint("hot", i), 1) {
-			if _, ok := a.(Refuse); ok {
+			if _, ok := a.(Reject); ok {
 				refused++
 			}
 		}
@@ -287,8 +287,8 @@
 // slow for what its caller took.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
-	got := sends(b.Handle(0, Request{ID: "long", Class: "get", Deadline: 2 * time.Second, Coming: true}))
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
+	got := sends(b.Handle(0, Request{ID: "long", Class: "get", Deadline: 2 * time.Second, BodyIncomplete: true}))
 	if len(got) != 1 {
 		t.Fatalf("sent %v", got)
 	}
@@ -298,21 +298,21 @@
 			settle(b, now+10*msec, id, s, Success)
 		}
 	}
-	s := b.servers[got[0].Server]
+	s := b.servers[got[0].Endpoint]
 	if b.silent(s) {
 		t.Error("its server counts as silent while its body comes")
 	}
 	mean := b.classes["get"].mean
-	b.Handle(10*time.Second, Sent{ID: "long", Deadline: 12 * time.Second})
+	b.Handle(10*time.Second, RequestSent{ID: "long", Deadline: 12 * time.Second})
 	r := b.requests["long"]
 	if r.deadline != 12*time.Second || r.arrived != 10*time.Second || r.attempts[0].sent != 10*time.Second {
 		t.Errorf("arrived %v, deadline %v, sent %v", r.arrived, r.deadline, r.attempts[0].sent)
 	}
-	b.Handle(10*time.Second+10*msec, Started{ID: "long"})
+	b.Handle(10*time.Second+10*msec, ResponseStarted{ID: "long"})
 	if b.silent(s) {
 		t.Error("its server counts as silent while its answer passes through")
 	}
-	b.Handle(time.Minute, Outcome{ID: "long", Server: s.ID, Ending: Success, Ended: true})
+	b.Handle(time.Minute, AttemptEnded{ID: "long", Endpoint: s.ID, Result: Success, Answered: true})
 	if now := b.classes["get"].mean; now > mean {
 		t.Errorf("the mean latency rose from %v to %v ns", mean, now)
 	}
@@ -320,17 +320,17 @@
 
 // A request whose body is gone is never sent again. It is refused at once where no attempt ran.
 func TestSpentRequestIsNotSentAgain(t *testing.T) {
-	for ending, want := range map[Ending]Action{
-		Unreachable: Refuse{ID: "a", RetryAfter: 2 * msec, Why: guard.BodySpent},
-		Void:        Refuse{ID: "a", RetryAfter: 2 * msec, Why: guard.BodySpent},
-		Broken:      Fail{ID: "a", Why: guard.BodySpent}} {
+	for ending, want := range map[AttemptResult]Action{
+		ConnectFailed:  Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.BodySpent},
+		NotSent:        Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.BodySpent},
+		ConnectionLost: Fail{ID: "a", Reason: guard.BodySpent}} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(10)})
-		got := sends(b.Handle(0, Request{ID: "a", Class: "post", Deadline: time.Second, Coming: true}))
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
+		got := sends(b.Handle(0, Request{ID: "a", Class: "post", Deadline: time.Second, BodyIncomplete: true}))
 		if len(got) != 1 {
 			t.Fatalf("sent %v", got)
 		}
-		acts := b.Handle(msec, Outcome{ID: "a", Server: got[0].Server, Ending: ending, Spent: true})
+		acts := b.Handle(msec, AttemptEnded{ID: "a", Endpoint: got[0].Endpoint, Result: ending, BodyConsumed: true})
 		if len(acts) != 1 || acts[0] != want {
 			t.Errorf("ending %d: %v, want %v", ending, acts, want)
 		}
@@ -344,18 +344,18 @@
 	if acts := sends(b.Handle(0, Request{ID: "held", Class: "pay", Deadline: time.Second})); len(acts) > 0 {
 		t.Fatalf("sent %v without a server", acts)
 	}
-	if acts := b.Handle(msec, TimeUp{ID: "held"}); len(acts) != 1 || acts[0] != (Refuse{ID: "held", RetryAfter: 2 * msec, Why: guard.ProcessEnds}) {
+	if acts := b.Handle(msec, ShutdownDeadline{ID: "held"}); len(acts) != 1 || acts[0] != (Reject{ID: "held", RetryAfter: 2 * msec, Reason: guard.ProcessEnds}) {
 		t.Errorf("what waits: %v, want a refusal", acts)
 	}
-	b.Handle(2*msec, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(2*msec, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 	got := sends(b.Handle(2*msec, Request{ID: "out", Class: "pay", Deadline: time.Second}))
 	if len(got) != 1 {
 		t.Fatalf("sent %v", got)
 	}
-	if acts := b.Handle(3*msec, TimeUp{ID: "out"}); len(acts) != 1 || acts[0] != (Fail{ID: "out", Why: guard.ProcessEnds}) {
+	if acts := b.Handle(3*msec, ShutdownDeadline{ID: "out"}); len(acts) != 1 || acts[0] != (Fail{ID: "out", Reason: guard.ProcessEnds}) {
 		t.Errorf("what was sent: %v, want a failure", acts)
 	}
-	if acts := b.Handle(4*msec, Outcome{ID: "out", Server: got[0].Server, Ending: Overloaded, Ended: true}); len(acts) > 0 {
+	if acts := b.Handle(4*msec, AttemptEnded{ID: "out", Endpoint: got[0].Endpoint, Result: Overloaded, Answered: true}); len(acts) > 0 {
 		t.Errorf("after its answer: %v", acts)
 	}
 }
--- a/policy/recorded_stream_test.go
+++ b/policy/recorded_stream_test.go
@@ -31,7 +31,7 @@
 	balancer *Balancer
 	due      dueHeap
 	order    int
-	servers  []Server
+	servers  []Endpoint
 	attempts map[string]int
 	hung     map[string]time.Duration // servers that answer nothing before that time
 	failing  map[string]time.Duration
@@ -47,16 +47,16 @@
 // streamSettings draws settings; over the seeds each rule of the policy is in force in some of them.
 func streamSettings(r *rand.Rand, seed int) Settings {
 	set := Settings{Classes: []Class{
-		{Name: "view", Effect: Safe, Scope: ScopeAll, Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.2, Worth: 1},
-		{Name: "pay", Effect: Keyed, Scope: Scope(seed % 3), Window: time.Second + time.Duration(seed%5)*300*time.Millisecond,
-			Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 4},
-		{Name: "book", Effect: Unsafe, Scope: ScopeAll, Aim: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2,
-			InOrder: seed%2 == 0},
-		{Name: "feed", Effect: Safe, Aim: time.Second, Deadline: 5 * time.Second, LateShare: 0.5, Worth: 0.5, Stream: true}},
-		OverWorth: 0.05, Balancers: 1 + seed%4, Self: seed % 2, Tiers: 3, Tier: seed / 2 % 2, WholeWeight: 0.75, ClassWeight: 0.1,
-		MarksRepeats: seed%3 == 0, MaxAttempts: 2 + seed%4, Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second,
-		OrderSettle: 200 * time.Millisecond, AskDiscovery: seed%2 == 1, AskWithin: 6 * time.Second,
-		ColdFrom: 0.2 + 0.1*float64(seed%4), WarmAfter: 8 * time.Second, FallMultiple: float64(seed % 5)}
+		{Name: "view", Idempotency: Idempotent, DeduplicationScope: ScopeAll, LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, LateAnswerWeight: 0.2, PriorityWeight: 1},
+		{Name: "pay", Idempotency: IdempotentWithKey, DeduplicationScope: DeduplicationScope(seed % 3), DeduplicationWindow: time.Second + time.Duration(seed%5)*300*time.Millisecond,
+			LatencyObjective: 600 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 4},
+		{Name: "book", Idempotency: NotIdempotent, DeduplicationScope: ScopeAll, LatencyObjective: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 2,
+			SerializedByKey: seed%2 == 0},
+		{Name: "feed", Idempotency: Idempotent, LatencyObjective: time.Second, Deadline: 5 * time.Second, LateAnswerWeight: 0.5, PriorityWeight: 0.5, Stream: true}},
+		OverQuotaWeight: 0.05, Replicas: 1 + seed%4, ReplicaIndex: seed % 2, Tiers: 3, Tier: seed / 2 % 2, TotalWeight: 0.75, WorstClassWeight: 0.1,
+		ClientsMarkRetries: seed%3 == 0, MaxAttempts: 2 + seed%4, TimerResolution: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second,
+		KeySettleTime: 200 * time.Millisecond, PollEndpoints: seed%2 == 1, MaxPollInterval: 6 * time.Second,
+		SlowStartInitialCapacity: 0.2 + 0.1*float64(seed%4), SlowStartDuration: 8 * time.Second, SlowStartOverloadFactor: float64(seed % 5)}
 	if seed%3 != 1 {
 		set.Zone = "x"
 	}
@@ -64,10 +64,10 @@
 		set.Tenants = []Tenant{{"a", 40 + 40*r.Float64()}, {"b", 10 + 10*r.Float64()}}
 	}
 	if seed%5 == 2 {
-		set.Classes[0].OnlyZones = []string{"x", "y"}
+		set.Classes[0].AllowedZones = []string{"x", "y"}
 	}
 	if seed%5 >= 3 {
-		set.Classes[1].OnlyKinds = []string{"big"}
+		set.Classes[1].AllowedMachineTypes = []string{"big"}
 	}
 	return set
 }
@@ -82,11 +82,11 @@
 	}
 	zones := []string{"x", "y", "z"}[:1+seed%3]
 	for i := range 3 + r.IntN(streamServers) {
-		d.servers = append(d.servers, Server{ID: fmt.Sprintf("s%02d", i), Zone: zones[i%len(zones)],
-			Kind: []string{"small", "big"}[i/2%2], Cell: i % 5})
+		d.servers = append(d.servers, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: zones[i%len(zones)],
+			MachineType: []string{"small", "big"}[i/2%2], Cell: i % 5})
 	}
-	d.later(0, ServerList{Full: true, Cached: true, Servers: append([]Server(nil), d.servers...)})
-	d.later(50*time.Millisecond, ServerList{Full: true, Servers: append([]Server(nil), d.servers...)})
+	d.later(0, EndpointUpdate{Snapshot: true, Cached: true, Endpoints: append([]Endpoint(nil), d.servers...)})
+	d.later(50*time.Millisecond, EndpointUpdate{Snapshot: true, Endpoints: append([]Endpoint(nil), d.servers...)})
 	d.requests()
 	d.listChanges(zones)
 	d.faults(zones)
@@ -112,12 +112,12 @@
 		}
 		id := fmt.Sprintf("r%d", d.order)
 		d.later(at, Request{ID: id, Class: name, Tenant: []string{"a", "a", "b", "c"}[d.rng.IntN(4)], Deadline: at + wait,
-			Repeat: repeat, Key: uint64(d.rng.IntN(40)), HasKey: d.rng.IntN(3) > 0, Coming: d.rng.IntN(25) == 0})
+			IsRetry: repeat, Key: uint64(d.rng.IntN(40)), HasKey: d.rng.IntN(3) > 0, BodyIncomplete: d.rng.IntN(25) == 0})
 		switch d.rng.IntN(60) {
 		case 0:
-			d.later(at+time.Duration(d.rng.IntN(600))*time.Millisecond, ClientGone{ID: id})
+			d.later(at+time.Duration(d.rng.IntN(600))*time.Millisecond, ClientDisconnected{ID: id})
 		case 1:
-			d.later(at+time.Duration(d.rng.IntN(900))*time.Millisecond, TimeUp{ID: id})
+			d.later(at+time.Duration(d.rng.IntN(900))*time.Millisecond, ShutdownDeadline{ID: id})
 		}
 	}
 }
@@ -129,23 +129,23 @@
 		switch d.rng.IntN(5) {
 		case 0:
 			s.State = Draining
-			d.later(at, ServerList{Servers: []Server{s}})
-			s.State = Gone
-			d.later(at+3*time.Second, ServerList{Servers: []Server{s}})
-			s.State, s.Boot = Ready, at+4*time.Second
-			d.later(at+5*time.Second, ServerList{Servers: []Server{s}})
+			d.later(at, EndpointUpdate{Endpoints: []Endpoint{s}})
+			s.State = Removed
+			d.later(at+3*time.Second, EndpointUpdate{Endpoints: []Endpoint{s}})
+			s.State, s.StartedAt = Ready, at+4*time.Second
+			d.later(at+5*time.Second, EndpointUpdate{Endpoints: []Endpoint{s}})
 		case 1:
-			s.Boot = at - 2*time.Second
-			d.later(at, ServerList{Servers: []Server{s}})
+			s.StartedAt = at - 2*time.Second
+			d.later(at, EndpointUpdate{Endpoints: []Endpoint{s}})
 		}
 		if i%7 == 3 {
-			fresh := Server{ID: fmt.Sprintf("t%02d", i), Zone: zones[d.rng.IntN(len(zones))], Kind: "big", Boot: at - time.Second}
-			d.later(at, ServerList{Servers: []Server{fresh}})
+			fresh := Endpoint{ID: fmt.Sprintf("t%02d", i), Zone: zones[d.rng.IntN(len(zones))], MachineType: "big", StartedAt: at - time.Second}
+			d.later(at, EndpointUpdate{Endpoints: []Endpoint{fresh}})
 		}
 	}
-	d.later(33*time.Second, ServerList{Full: true, Servers: append([]Server(nil), d.servers[:len(d.servers)*2/3+1]...)})
+	d.later(33*time.Second, EndpointUpdate{Snapshot: true, Endpoints: append([]Endpoint(nil), d.servers[:len(d.servers)*2/3+1]...)})
 	for i := range 6 {
-		d.later(time.Duration(3+6*i)*time.Second, ListFailed{})
+		d.later(time.Duration(3+6*i)*time.Second, DiscoveryFailed{})
 	}
 }
 
@@ -160,11 +160,11 @@
 		}
 	}
 	last := zones[len(zones)-1]
-	d.later(26*time.Second, ZoneOrder{Zone: last, Away: true})
-	d.later(29*time.Second, ZoneOrder{Zone: last})
-	d.later(9*time.Second, Peers{Copies: map[string]int{"x": 2, "y": 1 + d.rng.IntN(4)}})
-	d.later(19*time.Second, Peers{Copies: map[string]int{"x": 1}})
-	d.later(31*time.Second, Peers{})
+	d.later(26*time.Second, ZoneEvacuation{Zone: last, Evacuate: true})
+	d.later(29*time.Second, ZoneEvacuation{Zone: last})
+	d.later(9*time.Second, ReplicaCounts{ByZone: map[string]int{"x": 2, "y": 1 + d.rng.IntN(4)}})
+	d.later(19*time.Second, ReplicaCounts{ByZone: map[string]int{"x": 1}})
+	d.later(31*time.Second, ReplicaCounts{})
 }
 
 // play handles all events in order. Between 36 s and 37.5 s the process is suspended: what comes due then is late.
@@ -191,15 +191,15 @@
 func (d *streamDay) record(now time.Duration, a Action) {
 	d.actions++
 	switch a := a.(type) {
-	case Send:
-		fmt.Fprintln(d.log, int64(now), "send", a.ID, a.Server, int64(a.Timeout), int64(a.RepeatBefore))
-	case Refuse:
-		fmt.Fprintln(d.log, int64(now), "reject", a.ID, int64(a.RetryAfter), int(a.Why))
+	case SendAttempt:
+		fmt.Fprintln(d.log, int64(now), "send", a.ID, a.Endpoint, int64(a.Timeout), int64(a.RetryBefore))
+	case Reject:
+		fmt.Fprintln(d.log, int64(now), "reject", a.ID, int64(a.RetryAfter), int(a.Reason))
 	case Fail:
-		fmt.Fprintln(d.log, int64(now), "fail", a.ID, int(a.Why))
-	case Wake:
+		fmt.Fprintln(d.log, int64(now), "fail", a.ID, int(a.Reason))
+	case SetTimer:
 		fmt.Fprintln(d.log, int64(now), "timer", a.Token, int64(a.At))
-	case Subscribe:
+	case WatchEndpoints:
 		fmt.Fprintln(d.log, int64(now), "watch")
 	default:
 		d.t.Fatalf("an action of an unknown type: %T", a)
@@ -208,23 +208,23 @@
 
 // look records what the Balancer shows of itself.
 func (d *streamDay) look(now time.Duration) {
-	listed, avoided := d.balancer.Servers(now)
-	fmt.Fprintln(d.log, int64(now), "shown", listed, avoided, d.balancer.ZoneTurns())
+	listed, avoided := d.balancer.EndpointCounts(now)
+	fmt.Fprintln(d.log, int64(now), "shown", listed, avoided, d.balancer.ZoneTransitions())
 	for _, z := range d.balancer.Zones() {
-		fmt.Fprintln(d.log, "zone", z.Name, int(z.State), z.Ordered, z.Share, int64(z.Since), z.Servers, z.Silent, z.Calls)
+		fmt.Fprintln(d.log, "zone", z.Name, int(z.State), z.EvacuatedByOperator, z.Share, int64(z.Since), z.Endpoints, z.Unresponsive, z.InFlight)
 	}
 }
 
 // follow plays the world's answer to an action.
 func (d *streamDay) follow(now time.Duration, a Action) {
 	switch a := a.(type) {
-	case Wake:
-		d.later(max(a.At, now), Timer{Token: a.Token})
-	case Subscribe:
+	case SetTimer:
+		d.later(max(a.At, now), TimerFired{Token: a.Token})
+	case WatchEndpoints:
 		if d.rng.IntN(4) == 0 {
-			d.later(now+100*time.Millisecond, ListFailed{})
+			d.later(now+100*time.Millisecond, DiscoveryFailed{})
 		}
-	case Send:
+	case SendAttempt:
 		n := d.attempts[a.ID]
 		d.attempts[a.ID]++
 		d.attempt(now, a, n)
@@ -232,34 +232,34 @@
 }
 
 // attempt draws how one attempt ends.
-func (d *streamDay) attempt(now time.Duration, a Send, n int) {
+func (d *streamDay) attempt(now time.Duration, a SendAttempt, n int) {
 	took, ending := time.Duration((0.5+d.rng.Float64())*float64(180*time.Millisecond)), Success
 	switch draw := d.rng.IntN(200); {
 	case draw < 2:
-		ending = Broken
+		ending = ConnectionLost
 	case draw < 4:
-		ending, took = Unreachable, 2*time.Millisecond
+		ending, took = ConnectFailed, 2*time.Millisecond
 	case draw < 6:
 		ending, took = Overloaded, time.Millisecond
 	case draw == 6:
-		ending, took = Void, time.Millisecond
+		ending, took = NotSent, time.Millisecond
 	case draw == 7:
-		ending, took = Withdrawn, 50*time.Millisecond
+		ending, took = Canceled, 50*time.Millisecond
 	}
-	if until := d.failing[a.Server]; now < until && now > 4*time.Second && d.rng.IntN(10) < 7 {
-		ending, took = Failure, 3*time.Millisecond
+	if until := d.failing[a.Endpoint]; now < until && now > 4*time.Second && d.rng.IntN(10) < 7 {
+		ending, took = ServerError, 3*time.Millisecond
 	}
-	if until := d.hung[a.Server]; now < until && now > 6*time.Second || d.lostZone(now, a.Server) || took >= a.Timeout {
+	if until := d.hung[a.Endpoint]; now < until && now > 6*time.Second || d.lostZone(now, a.Endpoint) || took >= a.Timeout {
 		ending, took = TimedOut, a.Timeout
 	}
 	if n == 0 {
-		d.later(now+10*time.Millisecond, Sent{ID: a.ID, Attempt: n, Deadline: now + 2*time.Second})
+		d.later(now+10*time.Millisecond, RequestSent{ID: a.ID, Attempt: n, Deadline: now + 2*time.Second})
 	}
 	if ending == Success && took > 50*time.Millisecond && d.rng.IntN(20) == 0 {
-		d.later(now+took/2, Started{ID: a.ID, Attempt: n})
+		d.later(now+took/2, ResponseStarted{ID: a.ID, Attempt: n})
 	}
-	d.later(now+took, Outcome{ID: a.ID, Attempt: n, Server: a.Server, Ending: ending, Latency: took,
-		Ended: ending == Success || d.rng.IntN(30) == 0, Spent: d.rng.IntN(40) == 0, Load: &Load{Busy: 1, Service: took}})
+	d.later(now+took, AttemptEnded{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Result: ending, Latency: took,
+		Answered: ending == Success || d.rng.IntN(30) == 0, BodyConsumed: d.rng.IntN(40) == 0, Load: &Load{Busy: 1, Service: took}})
 }
 
 // lostZone says that a server's zone gives no answers just now.
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -38,10 +38,10 @@
 func played(t *testing.T, extra ...dueEvent) (sum uint64, actions int) {
 	t.Helper()
 	set := Settings{Classes: []Class{
-		{Name: "view", Effect: Safe, Scope: ScopeAll, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
-		{Name: "booking", Effect: Unsafe, Scope: ScopeAll, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
-		Tenants: []Tenant{{"a", 60}, {"b", 20}}, OverWorth: 0.05, Balancers: 3, Self: 1, Zone: "x", Tiers: 3, WholeWeight: 0.75, ClassWeight: 0.1,
-		MaxAttempts: 5, Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second, ColdFrom: 0.38, WarmAfter: 8500 * time.Millisecond, FallMultiple: 4}
+		{Name: "view", Idempotency: Idempotent, DeduplicationScope: ScopeAll, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
+		{Name: "booking", Idempotency: NotIdempotent, DeduplicationScope: ScopeAll, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Tenants: []Tenant{{"a", 60}, {"b", 20}}, OverQuotaWeight: 0.05, Replicas: 3, ReplicaIndex: 1, Zone: "x", Tiers: 3, TotalWeight: 0.75, WorstClassWeight: 0.1,
+		MaxAttempts: 5, TimerResolution: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second, SlowStartInitialCapacity: 0.38, SlowStartDuration: 8500 * time.Millisecond, SlowStartOverloadFactor: 4}
 	b, err := New(set, 42)
 	if err != nil {
 		t.Fatal(err)
@@ -53,15 +53,15 @@
 		n++
 		heap.Push(&due, dueEvent{at, n, e})
 	}
-	var list []Server
+	var list []Endpoint
 	for i := range 12 {
-		list = append(list, Server{ID: fmt.Sprintf("s%02d", i), Zone: []string{"x", "y"}[i%2], Kind: "k"})
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: []string{"x", "y"}[i%2], MachineType: "k"})
 	}
-	later(0, ServerList{Full: true, Cached: true, Servers: list})
+	later(0, EndpointUpdate{Snapshot: true, Cached: true, Endpoints: list})
 	drained, lost := list[3], list[5]
-	drained.State, lost.State = Draining, Gone
-	later(20*time.Second, ServerList{Servers: []Server{drained}})
-	later(30*time.Second, ServerList{Servers: []Server{lost}})
+	drained.State, lost.State = Draining, Removed
+	later(20*time.Second, EndpointUpdate{Endpoints: []Endpoint{drained}})
+	later(30*time.Second, EndpointUpdate{Endpoints: []Endpoint{lost}})
 	for at := 10 * time.Millisecond; at < time.Minute; at += time.Duration(r.ExpFloat64() * float64(3*time.Millisecond)) {
 		class, tenant := "view", "a"
 		if r.Float64() < 0.3 {
@@ -81,44 +81,44 @@
 		x := heap.Pop(&due).(dueEvent)
 		for _, a := range b.Handle(x.at, x.e) {
 			switch a := a.(type) { // as recorded before answers told their reason
-			case Refuse:
-				if a.Why <= guard.Allowed {
-					t.Errorf("%s is refused for the reason %q", a.ID, a.Why)
+			case Reject:
+				if a.Reason <= guard.Allowed {
+					t.Errorf("%s is refused for the reason %q", a.ID, a.Reason)
 				}
 				fmt.Fprintf(h, "%d deckrelay.Refuse {ID:%s RetryAfter:%v}\n", x.at, a.ID, a.RetryAfter)
 			case Fail:
-				if a.Why <= guard.Allowed {
-					t.Errorf("%s fails for the reason %q", a.ID, a.Why)
+				if a.Reason <= guard.Allowed {
+					t.Errorf("%s fails for the reason %q", a.ID, a.Reason)
 				}
 				fmt.Fprintf(h, "%d deckrelay.Fail {ID:%s}\n", x.at, a.ID)
-			case Send:
-				if a.RepeatBefore != 0 {
+			case SendAttempt:
+				if a.RetryBefore != 0 {
 					t.Errorf("%s has a window for repeats, and no class is keyed", a.ID)
 				}
-				fmt.Fprintf(h, "%d deckrelay.Send {ID:%s Server:%s Timeout:%v}\n", x.at, a.ID, a.Server, a.Timeout)
-			case Wake:
+				fmt.Fprintf(h, "%d deckrelay.Send {ID:%s Server:%s Timeout:%v}\n", x.at, a.ID, a.Endpoint, a.Timeout)
+			case SetTimer:
 				fmt.Fprintf(h, "%d deckrelay.Wake {At:%v Token:%s}\n", x.at, a.At, a.Token)
-			case Subscribe:
+			case WatchEndpoints:
 				fmt.Fprintf(h, "%d deckrelay.Subscribe {}\n", x.at)
 			default:
 				t.Errorf("an action of an unknown type: %T", a)
 			}
 			actions++
 			switch a := a.(type) {
-			case Wake:
-				later(max(a.At, x.at), Timer{Token: a.Token})
-			case Send:
+			case SetTimer:
+				later(max(a.At, x.at), TimerFired{Token: a.Token})
+			case SendAttempt:
 				took, ending := time.Duration((0.5+r.Float64())*float64(300*time.Millisecond)), Success
-				if a.Server == "s04" && x.at > 10*time.Second && x.at < 25*time.Second && r.Float64() < 0.7 {
-					took, ending = time.Millisecond, Failure
+				if a.Endpoint == "s04" && x.at > 10*time.Second && x.at < 25*time.Second && r.Float64() < 0.7 {
+					took, ending = time.Millisecond, ServerError
 				}
-				if a.Server == "s05" && x.at > 27*time.Second {
+				if a.Endpoint == "s05" && x.at > 27*time.Second {
 					took, ending = a.Timeout, TimedOut
 				}
 				if took >= a.Timeout {
 					took, ending = a.Timeout, TimedOut
 				}
-				later(x.at+took, Outcome{ID: a.ID, Attempt: attempts[a.ID], Server: a.Server, Ending: ending, Latency: took, Ended: ending == Success})
+				later(x.at+took, AttemptEnded{ID: a.ID, Attempt: attempts[a.ID], Endpoint: a.Endpoint, Result: ending, Latency: took, Answered: ending == Success})
 				attempts[a.ID]++
 			}
 		}
@@ -137,16 +137,16 @@
 // With word of its peers a copy's share of the tier follows their number slowly, within bounds, and goes back to the
 // settings' number when they are not known any more.
 func TestPeersChangeTheShareSlowly(t *testing.T) {
-	b, err := New(Settings{Classes: []Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Worth: 1}},
-		Tenants: []Tenant{{"a", 60}}, Balancers: 4}, 1)
+	b, err := New(Settings{Classes: []Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}},
+		Tenants: []Tenant{{"a", 60}}, Replicas: 4}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []Server
+	var list []Endpoint
 	for i := range 24 {
-		list = append(list, Server{ID: fmt.Sprint(i)})
+		list = append(list, Endpoint{ID: fmt.Sprint(i)})
 	}
-	b.Handle(0, ServerList{Full: true, Servers: list})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
 	now := time.Second
 	at := func(d time.Duration, e Event) (copies float64) {
 		now += d
@@ -161,8 +161,8 @@
 		}
 		return b.copies
 	}
-	idle := Timer{Token: "x"}
-	if c := at(0, Peers{Copies: map[string]int{"x": 1, "y": 1}}); c != 4 {
+	idle := TimerFired{Token: "x"}
+	if c := at(0, ReplicaCounts{ByZone: map[string]int{"x": 1, "y": 1}}); c != 4 {
 		t.Errorf("at once there are %v copies, want 4", c)
 	}
 	if c := at(peersHalf, idle); c < 2.9 || c > 3.1 {
@@ -171,15 +171,15 @@
 	if c := at(20*peersHalf, idle); c != 2 {
 		t.Errorf("in the end there are %v copies, want 2", c)
 	}
-	at(0, Peers{Copies: map[string]int{"x": 1000}})
+	at(0, ReplicaCounts{ByZone: map[string]int{"x": 1000}})
 	if c := at(20*peersHalf, idle); c != 4*peersSpan {
 		t.Errorf("of a thousand %v are believed, want %v", c, 4*peersSpan)
 	}
-	at(0, Peers{})
+	at(0, ReplicaCounts{})
 	if c := at(20*peersHalf, idle); c != 4 {
 		t.Errorf("with no word there are %v copies, want the settings' 4", c)
 	}
-	sum, n := played(t, dueEvent{at: 10 * time.Second, e: Peers{Copies: map[string]int{"x": 6}}})
+	sum, n := played(t, dueEvent{at: 10 * time.Second, e: ReplicaCounts{ByZone: map[string]int{"x": 6}}})
 	if plain, _ := played(t); sum == plain || n == 0 {
 		t.Error("the day is the same with twice the copies")
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -11,16 +11,16 @@
 // ruleSettings adds classes that keep their order or are bound to some servers.
 func ruleSettings() Settings {
 	set := testSettings()
-	set.OrderSettle = 30 * msec
+	set.KeySettleTime = 30 * msec
 	for _, c := range []Class{
-		{Name: "seq", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, InOrder: true, OnlyZones: []string{"z"}},
-		{Name: "seq2", Effect: Unsafe, InOrder: true},
-		{Name: "kin", Effect: Safe, OnlyKinds: []string{"k1", "k2"}},
-		{Name: "both", Effect: Keyed, Scope: ScopeZone, Window: 300 * msec, OnlyKinds: []string{"k1"},
-			OnlyZones: []string{"y"}},
-		{Name: "none", Effect: Safe, OnlyKinds: []string{"k9"}},
+		{Name: "seq", Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: 900 * msec, SerializedByKey: true, AllowedZones: []string{"z"}},
+		{Name: "seq2", Idempotency: NotIdempotent, SerializedByKey: true},
+		{Name: "kin", Idempotency: Idempotent, AllowedMachineTypes: []string{"k1", "k2"}},
+		{Name: "both", Idempotency: IdempotentWithKey, DeduplicationScope: ScopeZone, DeduplicationWindow: 300 * msec, AllowedMachineTypes: []string{"k1"},
+			AllowedZones: []string{"y"}},
+		{Name: "none", Idempotency: Idempotent, AllowedMachineTypes: []string{"k9"}},
 	} {
-		c.Aim, c.Deadline, c.Worth = 500*msec, 1500*msec, 1
+		c.LatencyObjective, c.Deadline, c.PriorityWeight = 500*msec, 1500*msec, 1
 		set.Classes = append(set.Classes, c)
 	}
 	return set
@@ -28,35 +28,35 @@
 
 // TestCheckerCanFail gives the checker a trace that breaks each rule.
 func TestCheckerCanFail(t *testing.T) {
-	list := ServerList{Full: true, Servers: []Server{{ID: "a", Cell: 0, Zone: "z"},
+	list := EndpointUpdate{Snapshot: true, Endpoints: []Endpoint{{ID: "a", Cell: 0, Zone: "z"},
 		{ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
-	timedOut := Outcome{ID: "r", Attempt: 0, Ending: TimedOut}
+	timedOut := AttemptEnded{ID: "r", Attempt: 0, Result: TimedOut}
 	seq := func(id string) Request {
 		return Request{ID: id, Class: "seq", Deadline: 1000 * msec, Key: 4, HasKey: true}
 	}
-	ends := func(id string, e Ending) Outcome { return Outcome{ID: id, Ending: e, Ended: true} }
+	ends := func(id string, e AttemptResult) AttemptEnded { return AttemptEnded{ID: id, Result: e, Answered: true} }
 	for _, tc := range []struct {
 		want  string
 		steps []any
 	}{
-		{"rule 5: s2 sent before s1", []any{list, seq("s1"), seq("s2"), Send{ID: "s2", Server: "a"}}},
-		{"rule 5: s2 sent before s1", []any{list, seq("s1"), seq("s2"), Send{ID: "s1", Server: "a"},
-			ClientGone{ID: "s1"}, Send{ID: "s2", Server: "a"}}},
-		{"rule 5: s2 sent before s1", []any{list, seq("s1"), seq("s2"), Send{ID: "s1", Server: "a"},
-			ends("s1", Broken), 29 * msec, Send{ID: "s2", Server: "a"}}},
-		{"rule 6: r sent to zone", []any{list, req("seq"), Send{ID: "r", Server: "b"}}},
-		{"rule 6: r sent to kind", []any{list, req("kin"), Send{ID: "r", Server: "b"}}},
-		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
-		{"rule 1: final answer", []any{list, req("get"), Refuse{ID: "r"}, Fail{ID: "r"}}},
-		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
-		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
-		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Refuse{ID: "r"}}},
-		{"outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * msec, timedOut,
-			Send{ID: "r", Server: "a"}}},
-		{"outside its scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
-		{"rule 3", []any{list, req("get"), Send{ID: "r", Server: "c"}}},
-		{"second copy", []any{list, req("get"), Send{ID: "r", Server: "a"}, Send{ID: "r", Server: "b"}}},
+		{"rule 5: s2 sent before s1", []any{list, seq("s1"), seq("s2"), SendAttempt{ID: "s2", Endpoint: "a"}}},
+		{"rule 5: s2 sent before s1", []any{list, seq("s1"), seq("s2"), SendAttempt{ID: "s1", Endpoint: "a"},
+			ClientDisconnected{ID: "s1"}, SendAttempt{ID: "s2", Endpoint: "a"}}},
+		{"rule 5: s2 sent before s1", []any{list, seq("s1"), seq("s2"), SendAttempt{ID: "s1", Endpoint: "a"},
+			ends("s1", ConnectionLost), 29 * msec, SendAttempt{ID: "s2", Endpoint: "a"}}},
+		{"rule 6: r sent to zone", []any{list, req("seq"), SendAttempt{ID: "r", Endpoint: "b"}}},
+		{"rule 6: r sent to kind", []any{list, req("kin"), SendAttempt{ID: "r", Endpoint: "b"}}},
+		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, TimerFired{}}},
+		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, SendAttempt{ID: "r", Endpoint: "a"}}},
+		{"rule 2: unsafe", []any{list, req("pay"), SendAttempt{ID: "r", Endpoint: "a"}, timedOut, SendAttempt{ID: "r", Endpoint: "a"}}},
+		{"rule 2: r refused", []any{list, req("pay"), SendAttempt{ID: "r", Endpoint: "a"}, timedOut, Reject{ID: "r"}}},
+		{"outside its window", []any{list, req("post"), SendAttempt{ID: "r", Endpoint: "a"}, 950 * msec, timedOut,
+			SendAttempt{ID: "r", Endpoint: "a"}}},
+		{"outside its scope", []any{list, req("post"), SendAttempt{ID: "r", Endpoint: "a"}, timedOut, SendAttempt{ID: "r", Endpoint: "b"}}},
+		{"rule 3", []any{list, req("get"), SendAttempt{ID: "r", Endpoint: "c"}}},
+		{"second copy", []any{list, req("get"), SendAttempt{ID: "r", Endpoint: "a"}, SendAttempt{ID: "r", Endpoint: "b"}}},
 	} {
 		c := newChecker(ruleSettings())
 		var now time.Duration
@@ -91,11 +91,11 @@
 		timeout bool
 	}
 	var out []pending
-	var timers []Wake
+	var timers []SetTimer
 	var ids []string
 	fleet := servers(8)
 	for i := range fleet {
-		fleet[i].Kind, fleet[i].Zone = fmt.Sprint("k", i%3), []string{"z", "y"}[i/4]
+		fleet[i].MachineType, fleet[i].Zone = fmt.Sprint("k", i%3), []string{"z", "y"}[i/4]
 	}
 	now := time.Duration(0)
 	give := func(e Event) {
@@ -109,7 +109,7 @@
 		for _, a := range acts {
 			log = append(log, fmt.Sprintf("%v %T%v", now, a, a))
 			switch a := a.(type) {
-			case Send:
+			case SendAttempt:
 				n := 0
 				for _, p := range out {
 					if p.id == a.ID && p.n >= n {
@@ -120,17 +120,17 @@
 					n = len(r.attempts) - 1
 				}
 				took := time.Duration(rng.ExpFloat64() * float64(120*msec))
-				p := pending{a.ID, n, a.Server, now + took, false}
+				p := pending{a.ID, n, a.Endpoint, now + took, false}
 				if rng.IntN(8) == 0 || took > a.Timeout {
 					p.due, p.timeout = now+a.Timeout, true
 				}
 				out = append(out, p)
-			case Wake:
+			case SetTimer:
 				timers = append(timers, a)
 			}
 		}
 	}
-	give(ServerList{Full: true, Cached: true, Servers: fleet})
+	give(EndpointUpdate{Snapshot: true, Cached: true, Endpoints: fleet})
 	ended := map[string]bool{}
 	for i := range steps {
 		now += 2 * msec
@@ -138,9 +138,9 @@
 			if w := timers[k]; w.At <= now {
 				timers = append(timers[:k], timers[k+1:]...)
 				k--
-				give(Timer{Token: w.Token})
+				give(TimerFired{Token: w.Token})
 				if rng.IntN(20) == 0 {
-					give(Timer{Token: w.Token})
+					give(TimerFired{Token: w.Token})
 				}
 			}
 		}
@@ -151,23 +151,23 @@
 			}
 			out = append(out[:k], out[k+1:]...)
 			k--
-			e := Outcome{ID: p.id, Attempt: p.n, Server: p.server, Ending: Success}
+			e := AttemptEnded{ID: p.id, Attempt: p.n, Endpoint: p.server, Result: Success}
 			switch {
 			case p.timeout:
-				e.Ending = TimedOut
+				e.Result = TimedOut
 			case rng.IntN(3) == 0:
-				e.Ending = Ending(1 + rng.IntN(int(Void)))
+				e.Result = AttemptResult(1 + rng.IntN(int(NotSent)))
 			}
-			if r := b.requests[p.id]; e.Ending == Success || r == nil || r.answered {
+			if r := b.requests[p.id]; e.Result == Success || r == nil || r.answered {
 				ended[p.id] = true
 			}
-			e.Ended = ended[p.id]
+			e.Answered = ended[p.id]
 			give(e)
 			if rng.IntN(10) == 0 {
 				give(e)
 			}
 			if rng.IntN(30) == 0 {
-				give(ClientGone{ID: p.id})
+				give(ClientDisconnected{ID: p.id})
 				ended[p.id] = true
 			}
 		}
@@ -180,41 +180,41 @@
 		}
 		if rng.IntN(60) == 0 {
 			s := &fleet[rng.IntN(len(fleet))]
-			s.State = ServerState(rng.IntN(3))
+			s.State = EndpointState(rng.IntN(3))
 			if rng.IntN(2) == 0 {
-				s.State, s.Boot = Ready, now
+				s.State, s.StartedAt = Ready, now
 			}
 			switch rng.IntN(4) {
 			case 0:
-				var l []Server
+				var l []Endpoint
 				for _, s := range fleet {
-					if s.State != Gone {
+					if s.State != Removed {
 						l = append(l, s)
 					}
 				}
-				give(ServerList{Full: true, Servers: l})
+				give(EndpointUpdate{Snapshot: true, Endpoints: l})
 			case 1:
-				give(ListFailed{})
-				give(ServerList{Servers: []Server{*s}})
+				give(DiscoveryFailed{})
+				give(EndpointUpdate{Endpoints: []Endpoint{*s}})
 			default:
-				give(ServerList{Servers: []Server{*s}})
+				give(EndpointUpdate{Endpoints: []Endpoint{*s}})
 			}
 		}
 		if rng.IntN(40) == 0 {
-			give(Outcome{ID: "nobody", Attempt: 3, Ending: Success})
-			give(Timer{Token: "r:nobody"})
-			give(Timer{Token: "x"})
-			give(ClientGone{ID: "nobody"})
-			give(TimeUp{ID: "nobody"})
+			give(AttemptEnded{ID: "nobody", Attempt: 3, Result: Success})
+			give(TimerFired{Token: "r:nobody"})
+			give(TimerFired{Token: "x"})
+			give(ClientDisconnected{ID: "nobody"})
+			give(ShutdownDeadline{ID: "nobody"})
 		}
 		if rng.IntN(50) == 0 && len(ids) > 0 {
 			id := ids[rng.IntN(len(ids))]
-			give(ClientGone{ID: id})
+			give(ClientDisconnected{ID: id})
 			ended[id] = true
 		}
 		if rng.IntN(50) == 0 && len(ids) > 0 {
 			id := ids[rng.IntN(len(ids))]
-			give(TimeUp{ID: id})
+			give(ShutdownDeadline{ID: id})
 			ended[id] = true
 		}
 	}
@@ -225,7 +225,7 @@
 	for seed := uint64(1); seed <= 12; seed++ {
 		set := ruleSettings()
 		set.Tier = int(seed % 2)
-		set.AskDiscovery = seed%4 == 0
+		set.PollEndpoints = seed%4 == 0
 		c := newChecker(set)
 		log, b := run(t, set, seed, 6000, c)
 		for i, s := range c.broken {
@@ -255,7 +255,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	a, _ := run(t, ruleSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
-	other.Handle(0, ServerList{Full: true, Servers: servers(3)})
+	other.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(3)})
 	b, _ := run(t, ruleSettings(), 5, 3000, nil)
 	if len(a) < 500 {
 		t.Fatalf("only %d actions", len(a))
@@ -281,18 +281,18 @@
 			id := fmt.Sprint("r", x%5)
 			switch x % 7 {
 			case 0:
-				fleet[int(x/7)%4].State = ServerState(x % 3)
-				b.Handle(now, ServerList{Full: x%2 == 0, Servers: fleet[:int(x)%5]})
+				fleet[int(x/7)%4].State = EndpointState(x % 3)
+				b.Handle(now, EndpointUpdate{Snapshot: x%2 == 0, Endpoints: fleet[:int(x)%5]})
 			case 1, 2:
 				b.Handle(now, Request{ID: id, Class: set.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
 			case 3:
-				b.Handle(now, Outcome{ID: id, Attempt: int(x%4) - 1, Ending: Ending(x % 9), Ended: x%2 == 0})
+				b.Handle(now, AttemptEnded{ID: id, Attempt: int(x%4) - 1, Result: AttemptResult(x % 9), Answered: x%2 == 0})
 			case 4:
-				b.Handle(now, Timer{Token: "r:" + id})
+				b.Handle(now, TimerFired{Token: "r:" + id})
 			case 5:
-				b.Handle(now, ClientGone{ID: id})
+				b.Handle(now, ClientDisconnected{ID: id})
 			case 6:
-				b.Handle(now, Started{ID: id, Attempt: i % 3})
+				b.Handle(now, ResponseStarted{ID: id, Attempt: i % 3})
 			}
 			now += time.Duration(x) * msec / 4
 		}
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -13,19 +13,19 @@
 	for _, n := range []int{16, 64, 256, 1024} {
 		for _, copies := range []int{2, 1024} {
 			b.Run(fmt.Sprintf("servers=%d/copies=%d", n, copies), func(b *testing.B) {
-				bal := newBalancer(b, func(s *Settings) { s.Balancers = copies })
-				var list []Server
+				bal := newBalancer(b, func(s *Settings) { s.Replicas = copies })
+				var list []Endpoint
 				for i := range n {
-					list = append(list, Server{ID: fmt.Sprintf("s%04d", i), Zone: "z"})
+					list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: "z"})
 				}
-				bal.Handle(0, ServerList{Full: true, Servers: list})
+				bal.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
 				b.ReportAllocs()
 				now := time.Second
 				for i := 0; b.Loop(); i++ {
 					id := strconv.Itoa(i)
 					now += msec
 					for _, s := range sends(bal.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
-						bal.Handle(now+msec/2, Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true})
+						bal.Handle(now+msec/2, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 					}
 				}
 			})
@@ -36,21 +36,21 @@
 // A thousand servers and as many copies are taken whole: every server is in the list, and copies draw from stretches all over it.
 func TestAThousandServersAndCopies(t *testing.T) {
 	const n = 1024
-	var list []Server
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Server{ID: fmt.Sprintf("s%04d", i), Zone: "z"})
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: "z"})
 	}
 	met := map[string]bool{}
 	for self := 0; self < n; self += 32 {
-		b := newBalancer(t, func(s *Settings) { s.Balancers, s.Self = n, self })
-		b.Handle(0, ServerList{Full: true, Servers: list})
-		if listed, avoided := b.Servers(0); listed != n || avoided != 0 {
+		b := newBalancer(t, func(s *Settings) { s.Replicas, s.ReplicaIndex = n, self })
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
+		if listed, avoided := b.EndpointCounts(0); listed != n || avoided != 0 {
 			t.Fatalf("copy %d lists %d servers and avoids %d", self, listed, avoided)
 		}
 		for i := range 40 {
 			id := strconv.Itoa(i)
 			for _, s := range sends(b.Handle(msec, Request{ID: id, Class: "get", Deadline: time.Second})) {
-				met[s.Server] = true
+				met[s.Endpoint] = true
 			}
 		}
 	}
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -92,14 +92,14 @@
 }
 
 // orderZone takes an operator's order, which comes before all that the zone shows.
-func (b *Balancer) orderZone(e ZoneOrder) {
+func (b *Balancer) orderZone(e ZoneEvacuation) {
 	z := b.zoneOf(e.Zone)
-	if z.ordered == e.Away {
+	if z.ordered == e.Evacuate {
 		return
 	}
-	z.ordered, z.silent = e.Away, nil
+	z.ordered, z.silent = e.Evacuate, nil
 	share := 1.0
-	if e.Away {
+	if e.Evacuate {
 		share = 0
 	}
 	b.turn(z, ZoneEvacuated, share)
@@ -160,11 +160,11 @@
 }
 
 // hearZone learns from an ending, by what it tells of a zone as a whole.
-func (b *Balancer) hearZone(a *attempt, e Outcome) {
+func (b *Balancer) hearZone(a *attempt, e AttemptEnded) {
 	z := b.zoneOf(a.zone)
 	z.open = slices.DeleteFunc(z.open, func(o *attempt) bool { return o == a })
-	switch e.Ending {
-	case Success, Failure, Overloaded:
+	switch e.Result {
+	case Success, ServerError, Overloaded:
 		z.lastOK, z.silent = b.now, nil
 		switch {
 		case z.ordered:
@@ -172,10 +172,10 @@
 			b.turn(z, ZoneServing, 1)
 		case z.state == ZoneEvacuated: // one that comes and goes gets less at first
 			b.regain(z, math.Exp2(float64(1-z.flaps)))
-		case z.state == ZoneReturning && b.now >= z.until:
+		case z.state == ZoneRecovering && b.now >= z.until:
 			b.regain(z, 2*z.share)
 		}
-	case TimedOut, Unreachable, Broken:
+	case TimedOut, ConnectFailed, ConnectionLost:
 		if len(z.silent) < doubtMost && !slices.Contains(z.silent, a.srv) {
 			z.silent = append(z.silent, a.srv)
 		}
@@ -188,7 +188,7 @@
 // regain gives a zone a share again. Its cold servers are spared by warmEnough, whatever the share.
 func (b *Balancer) regain(z *zone, share float64) {
 	z.until = b.now + returnStep*b.patience()
-	b.turn(z, ZoneReturning, share)
+	b.turn(z, ZoneRecovering, share)
 }
 
 // away draws which zones are left out for one request, each by its share; never all that a pool has.
@@ -212,7 +212,7 @@
 
 // trial says that a request may try a zone that was left: one at a time, and only one that may be repeated.
 func (b *Balancer) trial(z *zone, r *request) bool {
-	return z.state == ZoneEvacuated && !z.ordered && r.class.Effect == Safe && b.now >= z.until &&
+	return z.state == ZoneEvacuated && !z.ordered && r.class.Idempotency == Idempotent && b.now >= z.until &&
 		!slices.ContainsFunc(z.open, func(a *attempt) bool { return a.sent >= z.until })
 }
 
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -16,9 +16,9 @@
 	due   dueHeap
 	n     int
 	names []string
-	fate  func(s Server) (e Ending, took time.Duration) // 0: nothing ever comes
-	sends map[string]int                                // by zone, and in all as "", since the last look
-	pays  map[string]int                                // of them, unsafe
+	fate  func(s Endpoint) (e AttemptResult, took time.Duration) // 0: nothing ever comes
+	sends map[string]int                                         // by zone, and in all as "", since the last look
+	pays  map[string]int                                         // of them, unsafe
 }
 
 func newHalls(t *testing.T, zones ...string) *halls {
@@ -30,8 +30,8 @@
 }
 
 // where gives the servers that match a fate, and all others a good one.
-func where(match func(Server) bool, e Ending, took time.Duration) func(Server) (Ending, time.Duration) {
-	return func(s Server) (Ending, time.Duration) {
+func where(match func(Endpoint) bool, e AttemptResult, took time.Duration) func(Endpoint) (AttemptResult, time.Duration) {
+	return func(s Endpoint) (AttemptResult, time.Duration) {
 		if match(s) {
 			return e, took
 		}
@@ -41,17 +41,19 @@
 
 // silent lets whole zones fall silent, and all others answer.
 func (h *halls) silent(zones ...string) {
-	h.fate = where(func(s Server) bool { return slices.Contains(zones, s.Zone) }, Success, 0)
+	h.fate = where(func(s Endpoint) bool { return slices.Contains(zones, s.Zone) }, Success, 0)
 }
 
-func (h *halls) servers() (all []Server) {
+func (h *halls) servers() (all []Endpoint) {
 	for i := range 10 * len(h.names) {
-		all = append(all, Server{ID: fmt.Sprintf("s%02d", i), Zone: h.names[i%len(h.names)]})
+		all = append(all, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: h.names[i%len(h.names)]})
 	}
 	return all
 }
 
-func (h *halls) list() { h.take(h.b.Handle(h.now, ServerList{Full: true, Servers: h.servers()})) }
+func (h *halls) list() {
+	h.take(h.b.Handle(h.now, EndpointUpdate{Snapshot: true, Endpoints: h.servers()}))
+}
 
 func (h *halls) later(at time.Duration, e Event) {
 	h.n++
@@ -61,20 +63,20 @@
 func (h *halls) take(acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Wake:
-			h.later(a.At, Timer{a.Token})
-		case Send:
-			r, s := h.b.requests[a.ID], h.b.servers[a.Server].Server
+		case SetTimer:
+			h.later(a.At, TimerFired{a.Token})
+		case SendAttempt:
+			r, s := h.b.requests[a.ID], h.b.servers[a.Endpoint].Endpoint
 			h.sends[s.Zone]++
 			h.sends[""]++
-			if r.class.Effect == Unsafe {
+			if r.class.Idempotency == NotIdempotent {
 				h.pays[s.Zone]++
 			}
 			e, took := h.fate(s)
 			if took == 0 || took > a.Timeout {
 				e, took = TimedOut, a.Timeout
 			}
-			h.later(h.now+took, Outcome{ID: a.ID, Attempt: len(r.attempts) - 1, Server: a.Server, Ending: e, Latency: took, Ended: e == Success})
+			h.later(h.now+took, AttemptEnded{ID: a.ID, Attempt: len(r.attempts) - 1, Endpoint: a.Endpoint, Result: e, Latency: took, Answered: e == Success})
 		}
 	}
 }
@@ -128,13 +130,13 @@
 }
 
 func TestWhatIsNoSilenceOfAZone(t *testing.T) {
-	own := func(s Server) bool { return s.Zone == "x" }
-	for name, fate := range map[string]func(Server) (Ending, time.Duration){
-		"one server silent": where(func(s Server) bool { return s.ID == "s00" }, Success, 0),
+	own := func(s Endpoint) bool { return s.Zone == "x" }
+	for name, fate := range map[string]func(Endpoint) (AttemptResult, time.Duration){
+		"one server silent": where(func(s Endpoint) bool { return s.ID == "s00" }, Success, 0),
 		"ten times slower":  where(own, Success, 500*msec),
-		"half of it silent": where(func(s Server) bool { return own(s) && s.ID < "s10" }, Success, 0),
-		"errors":            where(own, Failure, 20*msec),
-		"all silent":        where(func(Server) bool { return true }, Success, 0),
+		"half of it silent": where(func(s Endpoint) bool { return own(s) && s.ID < "s10" }, Success, 0),
+		"errors":            where(own, ServerError, 20*msec),
+		"all silent":        where(func(Endpoint) bool { return true }, Success, 0),
 	} {
 		h := newHalls(t, "x", "y")
 		h.fate = fate
@@ -142,7 +144,7 @@
 		for range 50 {
 			h.run(100 * msec)
 			if z := h.zone("x"); z.State == ZoneEvacuated {
-				t.Errorf("%s: left, with %d silent", name, z.Silent)
+				t.Errorf("%s: left, with %d silent", name, z.Unresponsive)
 				break
 			}
 		}
@@ -189,7 +191,7 @@
 		h.silent()
 		for range 60 {
 			h.run(100 * msec)
-			if z := h.zone("x"); z.State == ZoneReturning {
+			if z := h.zone("x"); z.State == ZoneRecovering {
 				least = min(least, z.Share)
 			}
 		}
@@ -205,19 +207,19 @@
 
 func TestZoneOrder(t *testing.T) {
 	h := newHalls(t, "x", "y")
-	h.take(h.b.Handle(h.now, ZoneOrder{"x", true}))
+	h.take(h.b.Handle(h.now, ZoneEvacuation{"x", true}))
 	h.list()
 	h.run(10 * time.Second)
-	if h.sends["x"] > 0 || !h.zone("x").Ordered {
+	if h.sends["x"] > 0 || !h.zone("x").EvacuatedByOperator {
 		t.Errorf("ordered away and sent %d: %+v", h.sends["x"], h.zone("x"))
 	}
-	h.take(h.b.Handle(h.now, ZoneOrder{"y", true}))
+	h.take(h.b.Handle(h.now, ZoneEvacuation{"y", true}))
 	h.run(time.Second)
 	if h.sends["x"] == 0 {
 		t.Errorf("with all ordered away the orders are void, sends went to %v", h.sends)
 	}
-	h.take(h.b.Handle(h.now, ZoneOrder{"x", false}))
-	h.take(h.b.Handle(h.now, ZoneOrder{"y", false}))
+	h.take(h.b.Handle(h.now, ZoneEvacuation{"x", false}))
+	h.take(h.b.Handle(h.now, ZoneEvacuation{"y", false}))
 	h.run(2 * time.Second)
 	if p := h.part("x"); p < 0.5 || h.zone("x").State != ZoneServing {
 		t.Errorf("back in order it gets %.2f: %+v", p, h.zone("x"))
@@ -228,18 +230,18 @@
 func TestWindowFollowsAZoneThatIsLeft(t *testing.T) {
 	b := newBalancer(t, nil)
 	list := (&halls{names: []string{"x", "y"}}).servers()
-	b.Handle(0, ServerList{Full: true, Servers: list})
+	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
 	full := b.pools[0].window
-	b.Handle(1, ZoneOrder{"y", true})
+	b.Handle(1, ZoneEvacuation{"y", true})
 	if w := b.pools[0].window / full; w < 0.70 || w > 0.72 {
 		t.Errorf("with half of the servers the window is %.2f of itself", w)
 	}
-	b.Handle(2, ServerList{Full: true, Servers: slices.DeleteFunc(slices.Clone(list), func(s Server) bool { return s.Zone == "y" })})
+	b.Handle(2, EndpointUpdate{Snapshot: true, Endpoints: slices.DeleteFunc(slices.Clone(list), func(s Endpoint) bool { return s.Zone == "y" })})
 	if w := b.pools[0].window / full; w < 0.70 || w > 0.72 {
 		t.Errorf("once the list follows it is %.2f: that zone was counted out twice", w)
 	}
-	b.Handle(3, ServerList{Full: true, Servers: list})
-	b.Handle(4, ZoneOrder{"y", false})
+	b.Handle(3, EndpointUpdate{Snapshot: true, Endpoints: list})
+	b.Handle(4, ZoneEvacuation{"y", false})
 	if w := b.pools[0].window / full; w < 0.83 || w > 0.85 {
 		t.Errorf("after the return it is %.2f of itself", w)
 	}
