--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -9,8 +9,6 @@
 	"keelusher/internal/fleet"
 	"keelusher/internal/membership"
 	"keelusher/policy"
-
-	"github.com/cespare/xxhash/v2"
 )
 
 // loadFleet reads the fleet configuration at a path; none is named: nil.
@@ -43,7 +41,7 @@
 func (n *Node) startMesh() (*membership.Mesh, error) {
 	f, s := n.cfg.Fleet, n.cfg.Settings
 	return membership.Start(membership.Config{Deliver: n.deliver, Fleet: f.Name, Name: n.cfg.Name, Zone: s.Zone, Region: f.Region, Tier: s.Tier,
-		Version: version(), Digest: digest(s), Listen: f.Mesh.Listen, Seeds: f.Mesh.Seeds, Dial: f.Mesh.Dial, Probe: f.Mesh.Probe, Log: n.log, Changed: n.count})
+		Version: version(), Digest: settingsDigest(s), Listen: f.Mesh.Listen, Seeds: f.Mesh.Seeds, Dial: f.Mesh.Dial, Probe: f.Mesh.Probe, Log: n.log, Changed: n.count})
 }
 
 // deliver takes what another member's part of the program sends.
@@ -90,12 +88,6 @@
 	return ""
 }
 
-// digest is over the settings that all nodes have in common.
-func digest(s policy.Settings) string {
-	s.ReplicaIndex, s.Tier, s.Replicas, s.Zone = 0, 0, 0, ""
-	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%+v", s)))
-}
-
 // takePart keeps this node's place in the fleet until ctx ends. While a successor serves the place is the successor's;
 // if that dies, this process takes it back.
 func (n *Node) takePart(ctx context.Context, m *membership.Mesh) {
