--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -65,6 +65,16 @@
 	return at, err
 }
 
+// revoke ends an override through a node, and returns when the last call that did was made.
+func (s *study) revoke(ctx context.Context, by *Node, id string) (at time.Duration, err error) {
+	_, err = s.until(ctx, "the revocation is taken", func() bool {
+		at = s.lab.now()
+		status, err := by.Order(ctx, http.MethodDelete, id, "")
+		return err == nil && (status == http.StatusOK || status == http.StatusNotFound)
+	})
+	return at, err
+}
+
 // acts waits until an override acts, or does not, on some nodes, and books how long that took from a time on.
 func (s *study) acts(ctx context.Context, on []*Node, id string, want bool, figure string, from time.Duration) error {
 	for _, n := range on {
@@ -99,12 +109,8 @@
 		if err != nil {
 			return err
 		}
-		revoked := s.lab.now()
-		if _, err = s.until(ctx, "the revocation is taken", func() bool {
-			revoked = s.lab.now()
-			status, err := by.Order(ctx, http.MethodDelete, id, "")
-			return err == nil && (status == http.StatusOK || status == http.StatusNotFound)
-		}); err == nil {
+		revoked, err := s.revoke(ctx, by, id)
+		if err == nil {
 			err = s.acts(ctx, s.nodes, id, false, "revoked: out of force", revoked)
 		}
 		if err != nil {
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -66,6 +66,7 @@
 	{Name: "overrides, 20% loss", Nodes: 8, play: func(s *study, ctx context.Context) error {
 		return s.overrides(ctx, Cond{Loss: 0.2, Jitter: 50 * time.Millisecond})
 	}},
+	{Name: "leader killed under an override", Nodes: 8, play: (*study).overrideThroughLeaderKill},
 	{Name: "flood", Nodes: 8, play: (*study).flood},
 	{Name: "half a processor", Nodes: 8, play: (*study).halfProcessor},
 	{Name: "two of one name", Nodes: 8, play: (*study).twoOfOneName, Bare: true},
