--- a/internal/membership/council_test.go
+++ b/internal/membership/council_test.go
@@ -28,6 +28,8 @@
 	seeds []string
 	left  map[string]bool
 	since map[string]time.Duration // it leaves since then
+
+	record func(from, to string, m message) // of all that is sent; may be nil
 }
 
 type letter struct {
@@ -115,6 +117,9 @@
 }
 
 func (w *world) send(from, to string, m message) {
+	if w.record != nil {
+		w.record(from, to, m)
+	}
 	if w.cut[[2]string{from, to}] || w.r.Float64() < w.loss {
 		return
 	}
@@ -253,6 +258,53 @@
 	}
 }
 
+// fault draws one change: a split, a cut, a stop, an end, a start, a leave, or another loss and delay.
+func (w *world) fault() {
+	n := len(w.names)
+	switch w.r.IntN(10) {
+	case 0, 1:
+		groups := make([][]string, 2+w.r.IntN(2))
+		for _, name := range w.names {
+			g := w.r.IntN(len(groups))
+			groups[g] = append(groups[g], name)
+		}
+		w.split(groups...)
+	case 2:
+		w.cut[[2]string{w.names[w.r.IntN(n)], w.names[w.r.IntN(n)]}] = true
+	case 3:
+		w.split(w.names)
+	case 4:
+		w.stop[w.names[w.r.IntN(n)]] = w.now + time.Duration(w.r.Int64N(int64(15*time.Second)))
+	case 5:
+		w.at[w.names[w.r.IntN(n)]] = nil
+	case 6:
+		if name := w.names[w.r.IntN(n)]; w.at[name] == nil && (w.anyOf(w.seeds) || !w.anyOf(w.names)) {
+			w.start(name)
+		}
+	case 8, 9: // mostly the one that leads
+		if name := w.names[w.r.IntN(1+w.r.IntN(n))]; w.at[name] != nil && !w.left[name] {
+			w.leave(name)
+		}
+	case 7:
+		w.loss, w.delay = w.r.Float64()*0.4, time.Duration(1+w.r.Int64N(int64(time.Second)))
+	}
+}
+
+// mend ends all faults and starts whoever is down.
+func (w *world) mend() {
+	w.split(w.names)
+	w.loss, w.delay = 0, 5*time.Millisecond
+	for _, name := range w.names {
+		w.stop[name] = 0
+		if w.at[name] == nil || w.left[name] {
+			w.start(name)
+		}
+	}
+}
+
+// healed says that all processes run and see the whole roster.
+func (w *world) healed() bool { return w.all(Whole)() && w.sides()[Whole] != nil }
+
 func TestSplitsHaveOneMajorityAndHeal(t *testing.T) {
 	for name, x := range map[string]struct {
 		groups   []int
@@ -371,49 +423,14 @@
 		n := 2 + seed%8
 		w := newWorld(t, uint64(seed), n)
 		for range 25 {
-			switch w.r.IntN(10) {
-			case 0, 1:
-				groups := make([][]string, 2+w.r.IntN(2))
-				for _, name := range w.names {
-					g := w.r.IntN(len(groups))
-					groups[g] = append(groups[g], name)
-				}
-				w.split(groups...)
-			case 2:
-				w.cut[[2]string{w.names[w.r.IntN(n)], w.names[w.r.IntN(n)]}] = true
-			case 3:
-				w.split(w.names)
-			case 4:
-				w.stop[w.names[w.r.IntN(n)]] = w.now + time.Duration(w.r.Int64N(int64(15*time.Second)))
-			case 5:
-				w.at[w.names[w.r.IntN(n)]] = nil
-			case 6:
-				if name := w.names[w.r.IntN(n)]; w.at[name] == nil && (w.anyOf(w.seeds) || !w.anyOf(w.names)) {
-					w.start(name)
-				}
-			case 8, 9: // mostly the one that leads
-				if name := w.names[w.r.IntN(1+w.r.IntN(n))]; w.at[name] != nil && !w.left[name] {
-					w.leave(name)
-				}
-			case 7:
-				w.loss, w.delay = w.r.Float64()*0.4, time.Duration(1+w.r.Int64N(int64(time.Second)))
-			}
+			w.fault()
 			w.advance(time.Duration(w.r.Int64N(int64(6 * time.Second))))
 			if t.Failed() {
 				t.Fatalf("seed %d", seed)
 			}
 		}
-		w.split(w.names)
-		w.loss, w.delay = 0, 5*time.Millisecond
-		for _, name := range w.names {
-			w.stop[name] = 0
-			if w.at[name] == nil || w.left[name] {
-				w.start(name)
-			}
-		}
-		worst = max(worst, w.until(fmt.Sprintf("seed %d heals", seed), 30*time.Second, func() bool {
-			return w.all(Whole)() && w.sides()[Whole] != nil
-		}))
+		w.mend()
+		worst = max(worst, w.until(fmt.Sprintf("seed %d heals", seed), 30*time.Second, w.healed))
 	}
 	t.Logf("%d seeds, healed after %v at the worst", seeds, worst)
 }
--- /dev/null
+++ b/internal/membership/wire_test.go
@@ -0,0 +1,78 @@
+package membership
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"testing"
+	"time"
+)
+
+// Processes of an older build are of the same fleet, so the bytes of every form that goes over the network or to the
+// operators are part of the protocol.
+func TestWireForms(t *testing.T) {
+	epoch := Epoch{Number: 7, Leader: "n1"}
+	full := message{From: "n1", Process: 2, Epoch: epoch, Roster: []string{"a"}, Prev: []string{"b"}, Base: Epoch{6, "n0"},
+		Next: &delta{Add: []string{"c"}, Del: []string{"d"}}, Last: &delta{Add: []string{"e"}}, Missing: []string{"f"}, Digest: 9,
+		Kind: ballot, For: 10, Poll: 11, Vote: 12, Left: 13, Holds: true, Whole: true, Body: json.RawMessage(`{"x":1}`), About: "n1~0a"}
+	member := Member{Name: "n", State: Gone, Zone: "z", Region: "r", Tier: 1, Incarnation: 2, Version: "v", Config: "c", Address: "a",
+		Age: 3, Held: true}
+	for name, form := range map[string]struct {
+		value any
+		want  string
+	}{
+		"message": {full, `{"f":"n1","p":2,"e":{"number":7,"leader":"n1"},"r":["a"],"b":["b"],"b0":{"number":6,"leader":"n0"},` +
+			`"bn":{"a":["c"],"d":["d"]},"bl":{"a":["e"]},"m":["f"],"d":9,"k":2,"t":10,"q":11,"v":12,"l":13,"h":true,"w":true,` +
+			`"y":{"x":1},"a":"n1~0a"}`},
+		"kinds": {[]messageKind{news, poll, ballot, resign, resigned, free, ask, here, vouch, carry}, `[0,1,2,3,4,5,6,7,8,9]`},
+		"lore": {lore{epoch, []string{"a"}, []string{"b"}, map[string]uint64{"a": 1}},
+			`{"e":{"number":7,"leader":"n1"},"r":["a"],"b":["b"],"h":{"a":1}}`},
+		"meta":   {meta{1, phaseAlive, "z", "r", 2, "v", "d"}, `{"i":1,"p":"a","z":"z","r":"r","t":2,"v":"v","d":"d"}`},
+		"phases": {[]string{phaseJoining, phaseAlive, phaseLeaving}, `["j","a","l"]`},
+		"member": {member, `{"name":"n","state":"gone","zone":"z","region":"r","tier":1,"incarnation":2,"version":"v","config":"c",` +
+			`"address":"a","age_ns":3,"held":true}`},
+		"states":       {[]State{Joining, Alive, Suspect, Gone, Left, Conflict}, `["joining","alive","suspect","gone","left","conflict"]`},
+		"sides":        {[]Side{Alone, Minority, Majority, Whole}, `["alone","minority","majority","whole"]`},
+		"counters":     {Counters{}, `{"states":null,"packets_out":0,"bytes_out":0,"dropped":null,"health":0}`},
+		"disagreement": {Disagreement{"n", []string{"x"}, 1}, `{"with":"n","about":["x"],"for_ns":1}`},
+	} {
+		text, err := json.Marshal(form.value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if string(text) != form.want {
+			t.Errorf("%s is\n%s, want\n%s", name, text, form.want)
+		}
+	}
+	packet := frame{kind: framePacket, fleet: 1, process: 2, seq: 3, payload: []byte("x")}
+	const want = "716d0201000000000000000100000000000000020000000000000003d6a7de0a78"
+	if got := hex.EncodeToString(packet.append(nil)); got != want {
+		t.Errorf("the frame is %s, want %s", got, want)
+	}
+}
+
+// The messages of a drawn run stay the same, byte for byte and in the same order, whatever is made of the code.
+func TestDrawnRunSendsRecordedMessages(t *testing.T) {
+	recorded := fnv.New64a()
+	for seed := range 12 {
+		w := newWorld(t, uint64(seed), 2+seed%8)
+		w.record = func(from, to string, m message) {
+			text, err := json.Marshal(m)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(recorded, "%v %s %s %s %v\n", w.now, from, to, text, w.sides())
+		}
+		for range 12 {
+			w.fault()
+			w.advance(time.Duration(w.r.Int64N(int64(6 * time.Second))))
+		}
+		w.mend()
+		w.until("healing", 30*time.Second, w.healed)
+	}
+	const want = uint64(0x993a159251c3122f)
+	if got := recorded.Sum64(); got != want {
+		t.Errorf("the messages sum up to %#x, want %#x", got, want)
+	}
+}
