--- a/internal/membership/council.go
+++ b/internal/membership/council.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
-// Side says on which side of a split a process is.
-type Side int
+// PartitionSide says on which side of a split a process is.
+type PartitionSide int
 
-// Sides. Alone and Minority mean that no majority of the roster is known to be with this process.
+// Sides. Isolated and Minority mean that no majority of the roster is known to be with this process.
 const (
-	Alone    Side = iota // sees no other member, though the roster has some
-	Minority             // sees others, but not with a majority behind them
-	Majority             // a majority of the roster is with it, some members are missing
-	Whole                // the whole roster is with it
+	Isolated PartitionSide = iota // sees no other member, though the roster has some
+	Minority                      // sees others, but not with a majority behind them
+	Majority                      // a majority of the roster is with it, some members are missing
+	Complete                      // the whole roster is with it
 )
 
-func (s Side) String() string { return [...]string{"alone", "minority", "majority", "whole"}[s] }
+func (s PartitionSide) String() string {
+	return [...]string{"alone", "minority", "majority", "whole"}[s]
+}
 
 // Epoch numbers the rosters. The leader that made a roster is part of its name, so that no two rosters share one.
 type Epoch struct {
@@ -232,14 +234,14 @@
 }
 
 // side is on which side this process is, and under which leading process it knows so.
-func (c *council) side(now time.Duration) (s Side, under uint64) {
+func (c *council) side(now time.Duration) (s PartitionSide, under uint64) {
 	switch {
 	case now < c.grantUntil && c.grantWhole:
-		return Whole, c.grant
+		return Complete, c.grant
 	case now < c.grantUntil:
 		return Majority, c.grant
 	case len(c.live) == 1:
-		return Alone, 0
+		return Isolated, 0
 	}
 	return Minority, 0
 }
--- a/internal/membership/council_test.go
+++ b/internal/membership/council_test.go
@@ -181,8 +181,8 @@
 	}
 }
 
-func (w *world) sides() map[Side][]string {
-	by := map[Side][]string{}
+func (w *world) sides() map[PartitionSide][]string {
+	by := map[PartitionSide][]string{}
 	for _, name := range w.names {
 		if c := w.at[name]; c != nil {
 			s, _ := c.side(w.clock(name))
@@ -210,7 +210,7 @@
 	}
 }
 
-func (w *world) all(s Side) func() bool {
+func (w *world) all(s PartitionSide) func() bool {
 	return func() bool {
 		for side := range w.sides() {
 			if side != s {
@@ -237,7 +237,7 @@
 				return false
 			}
 		}
-		return w.all(Whole)()
+		return w.all(Complete)()
 	}
 }
 
@@ -303,7 +303,7 @@
 }
 
 // healed says that all processes run and see the whole roster.
-func (w *world) healed() bool { return w.all(Whole)() && w.sides()[Whole] != nil }
+func (w *world) healed() bool { return w.all(Complete)() && w.sides()[Complete] != nil }
 
 func TestSplitsHaveOneMajorityAndHeal(t *testing.T) {
 	for name, x := range map[string]struct {
@@ -326,7 +326,7 @@
 			for _, i := range x.majority {
 				want = append(want, w.names[i])
 			}
-			w.until("sides", 8*time.Second, func() bool { return slices.Equal(w.sides()[Majority], want) && len(w.sides()[Whole]) == 0 })
+			w.until("sides", 8*time.Second, func() bool { return slices.Equal(w.sides()[Majority], want) && len(w.sides()[Complete]) == 0 })
 			w.advance(10 * time.Second) // less than it takes to forget
 			if got := w.sides()[Majority]; !slices.Equal(got, want) {
 				t.Errorf("later the majority is %v, want %v", got, want)
@@ -339,8 +339,8 @@
 
 func TestFleetOfOneAndTwo(t *testing.T) {
 	w := newWorld(t, 1, 1)
-	w.until("one", time.Second, w.all(Whole))
-	for dead, want := range map[int]Side{0: Alone, 1: Majority} {
+	w.until("one", time.Second, w.all(Complete))
+	for dead, want := range map[int]PartitionSide{0: Isolated, 1: Majority} {
 		w := newWorld(t, 1, 2)
 		w.until("two", 10*time.Second, w.agreed(2))
 		w.at[w.names[dead]] = nil
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -122,7 +122,7 @@
 	}
 	p := m.processes[e.node.Name]
 	if p == nil {
-		p = &process{member: e.node.Name, name: nameOf(e.node.Name), state: Gone, since: m.now()}
+		p = &process{member: e.node.Name, name: nameOf(e.node.Name), state: Dead, since: m.now()}
 		m.processes[e.node.Name] = p
 		m.named[p.name] = append(m.named[p.name], p)
 	}
@@ -131,14 +131,14 @@
 	if len(e.node.Meta) > 0 {
 		json.Unmarshal(e.node.Meta, &p.meta) // one that can't be read says nothing of itself
 	}
-	state := Gone
+	state := Dead
 	switch {
 	case e.live:
 		state = Alive
 	case e.node.State == memberlist.StateLeft || p.meta.Phase == phaseLeaving:
 		state = Left
 	}
-	if state == Gone && p.lives() {
+	if state == Dead && p.lives() {
 		m.accuse(p) // it may answer yet
 		return
 	}
@@ -203,7 +203,7 @@
 	now := m.now()
 	var over []*process
 	for _, p := range m.processes {
-		if p.state == Gone || p.state == Left {
+		if p.state == Dead || p.state == Left {
 			if now-p.since > endedFor {
 				m.drop(p)
 				continue
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -61,7 +61,7 @@
 // answered takes a round trip with a process; one that was buried without the detector's word is back.
 func (m *Mesh) answered(p *process) {
 	now := m.now()
-	if m.evidence.buried[p.member] && p.state == Gone {
+	if m.evidence.buried[p.member] && p.state == Dead {
 		p.state, p.since, m.dirty = Alive, now, true
 	}
 	delete(m.evidence.buried, p.member)
@@ -130,7 +130,7 @@
 
 // condemn takes a process for gone.
 func (m *Mesh) condemn(p *process) {
-	p.state, p.since, m.dirty = Gone, m.now(), true
+	p.state, p.since, m.dirty = Dead, m.now(), true
 	m.evidence.forget(p.member)
 }
 
@@ -243,8 +243,8 @@
 			}
 		}
 	case carry:
-		if m.cfg.Deliver != nil {
-			m.cfg.Deliver(msg.From, msg.Body)
+		if m.cfg.OnMessage != nil {
+			m.cfg.OnMessage(msg.From, msg.Body)
 		}
 	default:
 		return false
@@ -252,13 +252,13 @@
 	return true
 }
 
-// Tell sends a body, in JSON, to a member; it may be lost.
-func (m *Mesh) Tell(to string, body []byte) {
+// Send sends a body, in JSON, to a member; it may be lost.
+func (m *Mesh) Send(to string, body []byte) {
 	m.ask(func() { m.send(to, message{From: m.cfg.Name, Process: m.process, Kind: carry, Body: body}) })
 }
 
-// Process is this process's number, which no other has.
-func (m *Mesh) Process() uint64 { return m.process }
+// ProcessID is this process's number, which no other has.
+func (m *Mesh) ProcessID() uint64 { return m.process }
 
 // number is the process's number, as its frames have it.
 func (p *process) number() uint64 {
--- a/internal/membership/evidence_test.go
+++ b/internal/membership/evidence_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	f.mesh[2].Close()
-	eventually(t, "once it has ended it is gone", func() bool { return state(by, "n2") == Gone })
+	eventually(t, "once it has ended it is gone", func() bool { return state(by, "n2") == Dead })
 }
 
 // bare is a mesh without a detector, that knows of some processes.
@@ -49,7 +49,7 @@
 	for _, c := range []struct {
 		quiet time.Duration // since anybody answered
 		want  State
-	}{{0, Gone}, {cutOffAt + time.Second, Suspect}, {cutOffFor + time.Second, Gone}} {
+	}{{0, Dead}, {cutOffAt + time.Second, Suspect}, {cutOffFor + time.Second, Dead}} {
 		m := bare("a", "b")
 		m.accuse(m.processes["a"])
 		m.evidence.last = m.now() - c.quiet
@@ -72,7 +72,7 @@
 	}
 	m.evidence.vouched["b"] = now - verdict/2
 	m.judge()
-	if a, b := m.processes["a"].state, m.processes["b"].state; a != Gone || b != Alive {
+	if a, b := m.processes["a"].state, m.processes["b"].state; a != Dead || b != Alive {
 		t.Errorf("without an answer %s, vouched for %s", a, b)
 	}
 	if m.answered(m.processes["a"]); m.processes["a"].state != Alive {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -19,26 +19,26 @@
 	Config      string        `json:"config,omitempty"` // digest of its configuration
 	Address     string        `json:"address"`
 	Age         time.Duration `json:"age_ns"`         // of the state, when the view was taken
-	Held        bool          `json:"held,omitempty"` // comes and goes too often: not counted on for now
+	Suppressed  bool          `json:"held,omitempty"` // comes and goes too often: not counted on for now
 
 	since time.Duration
 }
 
-// Lives says that a process of the member takes part.
-func (m Member) Lives() bool { return m.State != Gone && m.State != Left }
+// IsLive says that a process of the member takes part.
+func (m Member) IsLive() bool { return m.State != Dead && m.State != Left }
 
 // View is what a process believes of its fleet at one moment. Members are sorted by name. Digest is the same in all
 // processes that see the same living members in the same epoch.
 type View struct {
-	Epoch   Epoch
-	Side    Side
-	Under   uint64 // the leading process that has proved a majority
-	Members []Member
-	Digest  uint64
-	Roster  int      // members that the side is computed against
-	Settled bool     // no change of the roster is under way
-	Leader  string   // the name of Under; "": none is proved
-	Names   []string // of the roster, sorted; not to be changed
+	Epoch             Epoch
+	Side              PartitionSide
+	LeaderProcess     uint64 // the leading process that has proved a majority
+	Members           []Member
+	Digest            uint64
+	MemberListSize    int      // members that the side is computed against
+	MemberListSettled bool     // no change of the roster is under way
+	Leader            string   // the name of Under; "": none is proved
+	MemberList        []string // of the roster, sorted; not to be changed
 
 	until time.Duration // of the side's proof, by the mesh's clock
 }
@@ -54,9 +54,9 @@
 
 // Disagreement is a member whose view has another digest than ours.
 type Disagreement struct {
-	With  string        `json:"with"`
-	About []string      `json:"about"` // members that one of us misses, as far as both have said
-	For   time.Duration `json:"for_ns"`
+	Member   string        `json:"with"`
+	Disputed []string      `json:"about"` // members that one of us misses, as far as both have said
+	Duration time.Duration `json:"for_ns"`
 }
 
 // View returns the newest view. Its side is checked against the time: a process that stood still claims nothing on the
@@ -64,7 +64,7 @@
 func (m *Mesh) View() View {
 	v, now := *m.view.Load(), m.now()
 	if v.Side >= Majority && now >= v.until {
-		v.Side, v.Under, v.Leader = Minority, 0, ""
+		v.Side, v.LeaderProcess, v.Leader = Minority, 0, ""
 	}
 	v.Members = slices.Clone(v.Members)
 	for i := range v.Members {
--- a/internal/membership/mesh.go
+++ b/internal/membership/mesh.go
@@ -28,7 +28,7 @@
 	Joining  State = iota // its process runs and does not serve yet
 	Alive                 // serves
 	Suspect               // has not answered this process's probe, and can still refute that
-	Gone                  // did not refute it in time
+	Dead                  // did not refute it in time
 	Left                  // said that it leaves
 	Conflict              // two live processes claim its name
 )
@@ -41,7 +41,7 @@
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // MarshalText makes a side readable in JSON.
-func (s Side) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (s PartitionSide) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // Config says who this process is and where it meets others.
 type Config struct {
@@ -54,8 +54,8 @@
 	Probe                     time.Duration
 	Log                       *slog.Logger
 	Started                   time.Time                      // of the process, by its wall clock; default: now
-	Deliver                   func(from string, body []byte) // takes what another's Tell sent; must not block; may be nil
-	Changed                   func(View)                     // is told by the mesh's goroutine whenever the view may have changed; must not block; may be nil
+	OnMessage                 func(from string, body []byte) // takes what another's Tell sent; must not block; may be nil
+	OnViewChange              func(View)                     // is told by the mesh's goroutine whenever the view may have changed; must not block; may be nil
 }
 
 // Bounds and times.
@@ -96,7 +96,7 @@
 	began   time.Time
 	process uint64
 	seq     atomic.Uint64 // of packets sent
-	drops   Drops
+	drops   DropCounters
 	lines   *rate.Limiter
 	listen  func() (wire, error)
 
@@ -203,8 +203,8 @@
 // member is this process's name within memberlist.
 func (m *Mesh) member() string { return fmt.Sprintf("%s%s%016x", m.cfg.Name, nameSeparator, m.process) }
 
-// Serving tells the fleet that this process serves.
-func (m *Mesh) Serving() { m.phase(phaseAlive) }
+// AnnounceServing tells the fleet that this process serves.
+func (m *Mesh) AnnounceServing() { m.phase(phaseAlive) }
 
 // ask runs f on the mesh's goroutine; false: the mesh has ended.
 func (m *Mesh) ask(f func()) bool {
--- a/internal/membership/mesh_test.go
+++ b/internal/membership/mesh_test.go
@@ -71,7 +71,7 @@
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(m.Close)
-	m.Serving()
+	m.AnnounceServing()
 	return m
 }
 
@@ -85,12 +85,12 @@
 	for i := range n {
 		f.mesh = append(f.mesh, f.start(i))
 	}
-	eventually(t, "all agree on the whole fleet", func() bool { return f.agree(f.mesh, n, Whole) })
+	eventually(t, "all agree on the whole fleet", func() bool { return f.agree(f.mesh, n, Complete) })
 	return f
 }
 
 // agree says that some processes see so many living members in a roster of as many, and each other's digest.
-func (f *fleet) agree(of []*Mesh, n int, side Side) bool {
+func (f *fleet) agree(of []*Mesh, n int, side PartitionSide) bool {
 	for _, m := range of {
 		v := m.View()
 		live := 0
@@ -99,7 +99,7 @@
 				live++
 			}
 		}
-		if live != n || v.Side != side || v.Digest != of[0].View().Digest || side == Whole && v.Roster != n {
+		if live != n || v.Side != side || v.Digest != of[0].View().Digest || side == Complete && v.MemberListSize != n {
 			return false
 		}
 	}
@@ -124,7 +124,7 @@
 		for _, m := range f.mesh[:4] {
 			s := state(m, "n4")
 			suspected = suspected || s == Suspect // for the one that probed it, at least
-			gone = gone && s == Gone
+			gone = gone && s == Dead
 		}
 		return gone
 	})
@@ -133,7 +133,7 @@
 	}
 	eventually(t, "the others are a majority", func() bool { return f.agree(f.mesh[:4], 4, Majority) })
 	f.mesh[4] = f.start(4)
-	eventually(t, "n4 is back", func() bool { return f.agree(f.mesh, 5, Whole) })
+	eventually(t, "n4 is back", func() bool { return f.agree(f.mesh, 5, Complete) })
 	from := time.Now()
 	defer func() {
 		if t.Failed() {
@@ -153,7 +153,7 @@
 		return true
 	})
 	t.Logf("gone after %v, left after %v and seen %v later", d, time.Since(from)-left, left)
-	eventually(t, "the others are whole", func() bool { return f.agree(f.mesh[:4], 4, Whole) })
+	eventually(t, "the others are whole", func() bool { return f.agree(f.mesh[:4], 4, Complete) })
 }
 
 // A process that starts with a clock far back gets an incarnation above those of its name's processes before it.
@@ -168,7 +168,7 @@
 	m.mu.Unlock()
 	eventually(t, "the incarnation is above the one before", func() bool { return inc(m) > before })
 	f.mesh[2] = m
-	eventually(t, "all see it", func() bool { return f.agree(f.mesh, 3, Whole) })
+	eventually(t, "all see it", func() bool { return f.agree(f.mesh, 3, Complete) })
 }
 
 // Of two live processes with one name both see the conflict, and the older steps out and serves on.
@@ -179,13 +179,13 @@
 	first := f.mesh[2]
 	eventually(t, "both see the conflict", func() bool { return state(first, "n2") == Conflict && state(second, "n2") == Conflict })
 	eventually(t, "a third sees it", func() bool { return state(f.mesh[0], "n2") == Conflict })
-	eventually(t, "the older is out, and knows", func() bool { return state(first, "n2") == Conflict && first.View().Side == Alone })
+	eventually(t, "the older is out, and knows", func() bool { return state(first, "n2") == Conflict && first.View().Side == Isolated })
 	f.mesh[2] = second
-	eventually(t, "the rest agree", func() bool { return f.agree(f.mesh, 3, Whole) })
+	eventually(t, "the rest agree", func() bool { return f.agree(f.mesh, 3, Complete) })
 	second.Close()
 	first.ask(func() { first.outUntil = first.now() }) // it tries again, sooner than it would
 	f.mesh[2] = first
-	eventually(t, "the older is back", func() bool { return f.agree(f.mesh, 3, Whole) })
+	eventually(t, "the older is back", func() bool { return f.agree(f.mesh, 3, Complete) })
 	if n := f.mesh[0].Counters().Dropped["replayed"]; n > 0 {
 		t.Errorf("%d packets of the one that came back were taken for replays", n)
 	}
@@ -201,10 +201,10 @@
 	f.mesh[2].Close()
 	f.mesh[2] = second
 	eventually(t, "all agree", func() bool {
-		if s := state(f.mesh[0], "n2"); s == Gone {
+		if s := state(f.mesh[0], "n2"); s == Dead {
 			t.Fatal("the change was taken for a loss")
 		}
-		return f.agree(f.mesh, 3, Whole)
+		return f.agree(f.mesh, 3, Complete)
 	})
 }
 
@@ -233,7 +233,7 @@
 	to.Write(good.append(nil))
 	to.Write(good.append(nil))
 	eventually(t, "a replay is counted", func() bool { return f.mesh[0].Counters().Dropped["replayed"] == 1 })
-	if !f.agree(f.mesh, 2, Whole) {
+	if !f.agree(f.mesh, 2, Complete) {
 		t.Error("the fleet has changed")
 	}
 }
@@ -251,7 +251,7 @@
 		to.Write(junk)
 	}
 	eventually(t, "it is counted", func() bool { return f.mesh[1].Counters().Dropped["flood"] > 100 })
-	eventually(t, "all agree", func() bool { return f.agree(f.mesh, 3, Whole) })
+	eventually(t, "all agree", func() bool { return f.agree(f.mesh, 3, Complete) })
 }
 
 func TestSplitFleetHealsThoughItsSeedsAreOnOneSide(t *testing.T) {
@@ -260,10 +260,10 @@
 	f.addrs = append(f.addrs, third)
 	m := f.start(2, func(c *Config) { c.Seeds = f.seeds[:1] })
 	f.mesh = append(f.mesh, m)
-	eventually(t, "all agree", func() bool { return f.agree(f.mesh, 3, Whole) })
+	eventually(t, "all agree", func() bool { return f.agree(f.mesh, 3, Complete) })
 	f.mesh[0].Close() // the only seed of the third
 	f.mesh[1].Close()
-	eventually(t, "it is alone", func() bool { return m.View().Side == Alone })
+	eventually(t, "it is alone", func() bool { return m.View().Side == Isolated })
 	f.mesh[1] = f.start(1, func(c *Config) { c.Seeds = f.seeds[1:] }) // knows nobody else
 	eventually(t, "the third finds it", func() bool { return state(m, "n1") == Alive && state(f.mesh[1], "n2") == Alive })
 }
--- a/internal/membership/process_test.go
+++ b/internal/membership/process_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		panic(err)
 	}
-	m.Serving()
+	m.AnnounceServing()
 	go func() {
 		io.Copy(io.Discard, os.Stdin)
 		os.Exit(0)
@@ -40,7 +40,7 @@
 	for ; ; time.Sleep(tickEvery) {
 		v := m.View()
 		for _, one := range v.Members {
-			if one.Name == "n2" && one.State == Alive && v.Side == Whole && v.Roster == 3 {
+			if one.Name == "n2" && one.State == Alive && v.Side == Complete && v.MemberListSize == 3 {
 				fmt.Println(v.Digest, one.Incarnation)
 			}
 		}
--- a/internal/membership/speak.go
+++ b/internal/membership/speak.go
@@ -94,7 +94,7 @@
 		if one.lives() {
 			others++
 		}
-		back := one.State == Gone || one.State == Left && now-one.since < lookFor // it may start again where the seeds are out of reach
+		back := one.State == Dead || one.State == Left && now-one.since < lookFor // it may start again where the seeds are out of reach
 		if back && name != m.cfg.Name && len(lost) < 4 {
 			lost = append(lost, name+"/"+one.Address)
 		}
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -28,11 +28,11 @@
 	acceptPause  = 50 * time.Millisecond // after a read or an accept that failed
 )
 
-// Descriptors is how many a mesh takes at most.
-const Descriptors = 2 + inStreams + outStreams
+// MaxDescriptors is how many a mesh takes at most.
+const MaxDescriptors = 2 + inStreams + outStreams
 
-// Drops counts what the transport did not take, by reason.
-type Drops struct {
+// DropCounters counts what the transport did not take, by reason.
+type DropCounters struct {
 	Malformed, Version, Foreign, Oversized, Replayed, Flood, Full, Streams atomic.Int64
 }
 
@@ -43,7 +43,7 @@
 	process uint64
 	dial    map[string]string
 	seq     *atomic.Uint64 // of the process, over all its transports
-	drops   *Drops
+	drops   *DropCounters
 	packets atomic.Int64 // sent
 	bytes   atomic.Int64 // sent, streams left out
 
@@ -64,7 +64,7 @@
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
 // listenTransport opens both sockets at one address.
-func listenTransport(addr string, fleet, process uint64, seq *atomic.Uint64, dial map[string]string, drops *Drops) (*transport, error) {
+func listenTransport(addr string, fleet, process uint64, seq *atomic.Uint64, dial map[string]string, drops *DropCounters) (*transport, error) {
 	at, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
 		return nil, err
@@ -193,7 +193,7 @@
 	return f, nil
 }
 
-func (d *Drops) count(err error) {
+func (d *DropCounters) count(err error) {
 	switch err {
 	case errVersion:
 		d.Version.Add(1)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -41,7 +41,7 @@
 		one := Member{Name: name, State: p.state, Zone: p.meta.Zone, Region: p.meta.Region, Tier: p.meta.Tier, Incarnation: p.meta.Incarnation,
 			Version: p.meta.Version, Config: p.meta.Digest, Address: p.addr}
 		switch {
-		case one.State == Gone || one.State == Left:
+		case one.State == Dead || one.State == Left:
 		case p.meta.Phase == phaseLeaving:
 			one.State = Left
 		case claims[name] > 1 && one.State == Alive:
@@ -50,7 +50,7 @@
 			one.State = Joining
 		}
 		if f := m.penalties[name]; f != nil {
-			one.Held = now < f.until
+			one.Suppressed = now < f.until
 		}
 		all[name] = one
 	}
@@ -94,24 +94,24 @@
 		m.council.see(now, m.live, m.left)
 	}
 	if rebuilt || v.Epoch != m.council.epoch {
-		v.Epoch, v.Roster = m.council.epoch, len(m.council.roster)
+		v.Epoch, v.MemberListSize = m.council.epoch, len(m.council.roster)
 		v.Digest = m.digest(v.Members)
 	}
-	v.Side, v.Under = m.council.side(now)
-	v.until, v.Settled = m.council.grantUntil, m.council.prev == nil
+	v.Side, v.LeaderProcess = m.council.side(now)
+	v.until, v.MemberListSettled = m.council.grantUntil, m.council.prev == nil
 	if self := m.shown[m.cfg.Name]; m.outUntil != 0 || self.State == Left {
-		v.Side, v.Under = Alone, 0 // not of the fleet, for now or any more
+		v.Side, v.LeaderProcess = Isolated, 0 // not of the fleet, for now or any more
 	}
-	if v.Names = m.council.roster; before == nil || v.Under != before.Under || v.Side != before.Side || v.Leader == "" {
+	if v.MemberList = m.council.roster; before == nil || v.LeaderProcess != before.LeaderProcess || v.Side != before.Side || v.Leader == "" {
 		v.Leader = m.leaderName(v)
 	}
 	m.view.Store(v)
 	if before == nil || before.Side != v.Side || before.Epoch != v.Epoch {
 		m.log.Info("view", "side", v.Side.String(), "epoch", fmt.Sprintf("%d/%s", v.Epoch.Number, v.Epoch.Leader),
-			"live", len(m.live), "roster", v.Roster, "under", fmt.Sprintf("%016x", v.Under), "digest", fmt.Sprintf("%016x", v.Digest))
+			"live", len(m.live), "roster", v.MemberListSize, "under", fmt.Sprintf("%016x", v.LeaderProcess), "digest", fmt.Sprintf("%016x", v.Digest))
 	}
-	if m.cfg.Changed != nil && (rebuilt || before.Side != v.Side || before.Epoch != v.Epoch) {
-		m.cfg.Changed(*v)
+	if m.cfg.OnViewChange != nil && (rebuilt || before.Side != v.Side || before.Epoch != v.Epoch) {
+		m.cfg.OnViewChange(*v)
 	}
 	if figures {
 		m.figures(v)
@@ -123,11 +123,11 @@
 	if v.Side < Majority {
 		return ""
 	}
-	if v.Under == m.process {
+	if v.LeaderProcess == m.process {
 		return m.cfg.Name
 	}
 	for _, p := range m.processes {
-		if p.number() == v.Under {
+		if p.number() == v.LeaderProcess {
 			return p.name
 		}
 	}
@@ -142,7 +142,7 @@
 		before, known := m.shown[name]
 		one.since = before.since
 		if !known || before.State != one.State || before.Incarnation != one.Incarnation {
-			if known && before.State == Gone && one.Lives() {
+			if known && before.State == Dead && one.IsLive() {
 				m.flap(name)
 			}
 			one.since = now
@@ -153,7 +153,7 @@
 			m.left[name] = true
 		}
 		// A process that leaves votes on until it has ended.
-		if m.ml != nil && (one.Lives() || one.State == Left && m.votes(name)) {
+		if m.ml != nil && (one.IsLive() || one.State == Left && m.votes(name)) {
 			m.live[name] = true
 		}
 	}
@@ -171,7 +171,7 @@
 	d.Reset()
 	fmt.Fprintf(&d, "%d/%s", m.council.epoch.Number, m.council.epoch.Leader)
 	for _, one := range sorted {
-		if one.Lives() {
+		if one.IsLive() {
 			fmt.Fprintf(&d, "|%s %d", one.Name, one.Incarnation)
 		}
 	}
@@ -232,11 +232,11 @@
 				about = append(about, x)
 			}
 		}
-		list = append(list, Disagreement{With: name, About: about, For: now - since})
+		list = append(list, Disagreement{Member: name, Disputed: about, Duration: now - since})
 	}
-	slices.SortFunc(list, func(a, b Disagreement) int { return cmp.Compare(a.With, b.With) })
+	slices.SortFunc(list, func(a, b Disagreement) int { return cmp.Compare(a.Member, b.Member) })
 	m.disagree.Store(&list)
 }
 
 // lives is Lives, and false for a member that is not known.
-func (one Member) lives() bool { return one.Name != "" && one.Lives() }
+func (one Member) lives() bool { return one.Name != "" && one.IsLive() }
--- a/internal/membership/virtual_test.go
+++ b/internal/membership/virtual_test.go
@@ -137,7 +137,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.Serving()
+		m.AnnounceServing()
 		all = append(all, m)
 		if i%20 == 19 {
 			time.Sleep(100 * time.Millisecond) // a rolling start
@@ -148,7 +148,7 @@
 			if m == nil {
 				continue
 			}
-			if v := m.View(); v.Side < Majority || v.Digest != all[0].View().Digest || v.Roster < n-1 {
+			if v := m.View(); v.Side < Majority || v.Digest != all[0].View().Digest || v.MemberListSize < n-1 {
 				return false
 			}
 		}
@@ -182,7 +182,7 @@
 	packets, bytes := measure(20 * time.Second)
 	gone := func(name string) (seen int) {
 		for _, m := range all {
-			if m != nil && m.state(name) == Gone {
+			if m != nil && m.state(name) == Dead {
 				seen++
 			}
 		}
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -16,8 +16,8 @@
 	full := message{From: "n1", Process: 2, Epoch: epoch, Roster: []string{"a"}, Prev: []string{"b"}, Base: Epoch{6, "n0"},
 		Next: &delta{Add: []string{"c"}, Del: []string{"d"}}, Last: &delta{Add: []string{"e"}}, Missing: []string{"f"}, Digest: 9,
 		Kind: ballot, For: 10, Poll: 11, Vote: 12, Left: 13, Holds: true, Whole: true, Body: json.RawMessage(`{"x":1}`), About: "n1~0a"}
-	member := Member{Name: "n", State: Gone, Zone: "z", Region: "r", Tier: 1, Incarnation: 2, Version: "v", Config: "c", Address: "a",
-		Age: 3, Held: true}
+	member := Member{Name: "n", State: Dead, Zone: "z", Region: "r", Tier: 1, Incarnation: 2, Version: "v", Config: "c", Address: "a",
+		Age: 3, Suppressed: true}
 	for name, form := range map[string]struct {
 		value any
 		want  string
@@ -32,8 +32,8 @@
 		"phases": {[]string{phaseJoining, phaseAlive, phaseLeaving}, `["j","a","l"]`},
 		"member": {member, `{"name":"n","state":"gone","zone":"z","region":"r","tier":1,"incarnation":2,"version":"v","config":"c",` +
 			`"address":"a","age_ns":3,"held":true}`},
-		"states":       {[]State{Joining, Alive, Suspect, Gone, Left, Conflict}, `["joining","alive","suspect","gone","left","conflict"]`},
-		"sides":        {[]Side{Alone, Minority, Majority, Whole}, `["alone","minority","majority","whole"]`},
+		"states":       {[]State{Joining, Alive, Suspect, Dead, Left, Conflict}, `["joining","alive","suspect","gone","left","conflict"]`},
+		"sides":        {[]PartitionSide{Isolated, Minority, Majority, Complete}, `["alone","minority","majority","whole"]`},
 		"counters":     {Counters{}, `{"states":null,"packets_out":0,"bytes_out":0,"dropped":null,"health":0}`},
 		"disagreement": {Disagreement{"n", []string{"x"}, 1}, `{"with":"n","about":["x"],"for_ns":1}`},
 	} {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -32,7 +32,7 @@
 // reserved is how many descriptors are for neither callers nor servers.
 func (c *Config) reserved() int {
 	if c.meshed() {
-		return reserved + membership.Descriptors
+		return reserved + membership.MaxDescriptors
 	}
 	return reserved
 }
@@ -42,8 +42,8 @@
 // startMesh joins the fleet.
 func (n *Node) startMesh() (*membership.Mesh, error) {
 	f, s := n.cfg.Fleet, n.cfg.Settings
-	return membership.Start(membership.Config{Deliver: n.deliver, Fleet: f.Name, Name: n.cfg.Name, Zone: s.Zone, Region: f.Region, Tier: s.Tier,
-		Version: version(), Digest: digest(s), Listen: f.Mesh.Listen, Seeds: f.Mesh.Seeds, Dial: f.Mesh.Dial, Probe: f.Mesh.Probe, Log: n.log, Changed: n.count})
+	return membership.Start(membership.Config{OnMessage: n.deliver, Fleet: f.Name, Name: n.cfg.Name, Zone: s.Zone, Region: f.Region, Tier: s.Tier,
+		Version: version(), Digest: digest(s), Listen: f.Mesh.Listen, Seeds: f.Mesh.Seeds, Dial: f.Mesh.Dial, Probe: f.Mesh.Probe, Log: n.log, OnViewChange: n.count})
 }
 
 // deliver takes what another member's part of the program sends.
@@ -60,7 +60,7 @@
 	if v.Side >= membership.Majority {
 		p.ByZone = map[string]int{}
 		for _, m := range v.Members {
-			if m.Tier == n.cfg.Settings.Tier && (m.State == membership.Alive || m.State == membership.Suspect) && !m.Held || m.Name == n.cfg.Name {
+			if m.Tier == n.cfg.Settings.Tier && (m.State == membership.Alive || m.State == membership.Suspect) && !m.Suppressed || m.Name == n.cfg.Name {
 				p.ByZone[m.Zone]++
 			}
 		}
@@ -104,7 +104,7 @@
 		ordering, stop := context.WithCancel(ctx)
 		var o *overridesHost
 		if n.cfg.Fleet.Orders != nil { // a new process of the mesh has a register of its own, which knows nothing yet
-			o = n.newOverrides(m.Process())
+			o = n.newOverrides(m.ProcessID())
 			n.orders.Store(o)
 			go o.run(ordering)
 		}
@@ -141,7 +141,7 @@
 func (n *Node) keepPlace(ctx context.Context, m *membership.Mesh) (passed bool) {
 	for told := false; ; {
 		if !told && n.life.now() == serving {
-			m.Serving()
+			m.AnnounceServing()
 			told = true
 		}
 		if n.handover.passed.Load() {
@@ -166,7 +166,7 @@
 	text, err := json.Marshal(struct {
 		Fleet   string                    `json:"fleet"`
 		Self    string                    `json:"self"`
-		Side    membership.Side           `json:"side"`
+		Side    membership.PartitionSide  `json:"side"`
 		Under   string                    `json:"under"`
 		Epoch   membership.Epoch          `json:"epoch"`
 		Roster  int                       `json:"roster"`
@@ -175,7 +175,7 @@
 		Members []membership.Member       `json:"members"`
 		Differ  []membership.Disagreement `json:"differ"`
 		Figures membership.Counters       `json:"figures"`
-	}{n.cfg.Fleet.Name, n.cfg.Name, v.Side, fmt.Sprintf("%016x", v.Under), v.Epoch, v.Roster, v.Settled, fmt.Sprintf("%016x", v.Digest), v.Members, m.Disagreements(), m.Counters()})
+	}{n.cfg.Fleet.Name, n.cfg.Name, v.Side, fmt.Sprintf("%016x", v.LeaderProcess), v.Epoch, v.MemberListSize, v.MemberListSettled, fmt.Sprintf("%016x", v.Digest), v.Members, m.Disagreements(), m.Counters()})
 	if err != nil {
 		n.log.Error("members", "err", err)
 		return nil, false
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -111,7 +111,7 @@
 func (o *overridesHost) look(now time.Duration) {
 	if m := o.mesh.Load(); m != nil {
 		o.view = m.View()
-		o.say(o.reg.View(now, o.view.Leader, o.view.Names))
+		o.say(o.reg.View(now, o.view.Leader, o.view.MemberList))
 	}
 }
 
@@ -127,7 +127,7 @@
 		panic(err) // plain values
 	}
 	if m := o.mesh.Load(); m != nil {
-		m.Tell(to, text)
+		m.Send(to, text)
 	}
 }
 
