--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -36,23 +36,23 @@
 			return err
 		}
 		switch m.Kind {
-		case simulator.Sync:
+		case simulator.BatchStart:
 			now = m.Now
-		case simulator.Hello:
+		case simulator.InstanceStart:
 			b, err := policy.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("instance %d: %w", m.Instance, err)
 			}
 			hosted[m.Instance] = b
-		case simulator.Stop:
+		case simulator.InstanceKilled:
 			delete(hosted, m.Instance)
-		case simulator.Event:
+		case simulator.PolicyEvent:
 			if b := hosted[m.Instance]; b != nil {
 				for _, a := range b.Handle(now, m.Event) {
 					enc.Action(m.Instance, a)
 				}
 			}
-		case simulator.End:
+		case simulator.BatchEnd:
 			if err := enc.Flush(); err != nil {
 				return err
 			}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,27 +15,27 @@
 
 // Config is a fleet configuration.
 type Config struct {
-	Name   string    `toml:"name"`   // of the fleet; processes of other fleets are strangers
-	Region string    `toml:"region"` // of this node; default: its zone
-	Mesh   *Mesh     `toml:"mesh"`   // nil: no membership
-	Orders *struct{} `toml:"orders"` // nil: no overrides
+	Name      string    `toml:"name"`   // of the fleet; processes of other fleets are strangers
+	Region    string    `toml:"region"` // of this node; default: its zone
+	Mesh      *Mesh     `toml:"mesh"`   // nil: no membership
+	Overrides *struct{} `toml:"orders"` // nil: no overrides
 }
 
 // Mesh configures membership.
 type Mesh struct {
-	Listen string            `toml:"listen"` // address for UDP and TCP; peers know this one
-	Seeds  []string          `toml:"seeds"`  // NAME=ADDRESS of some members, the same on all; they found the first roster
-	Dial   map[string]string `toml:"dial"`   // this process's own addresses for peers, by name
-	Probe  time.Duration     `toml:"probe"`  // between two probes; default 400 ms
+	Listen        string            `toml:"listen"` // address for UDP and TCP; peers know this one
+	Seeds         []string          `toml:"seeds"`  // NAME=ADDRESS of some members, the same on all; they found the first roster
+	DialAddresses map[string]string `toml:"dial"`   // this process's own addresses for peers, by name
+	ProbeInterval time.Duration     `toml:"probe"`  // between two probes; default 400 ms
 }
 
 // Limits of the values.
 const (
-	leastProbe = 50 * time.Millisecond
-	mostProbe  = 10 * time.Second
-	mostSeeds  = 64
-	mostDial   = 4096
-	mostName   = 64 // bytes of a name
+	minProbeInterval = 50 * time.Millisecond
+	maxProbeInterval = 10 * time.Second
+	maxSeeds         = 64
+	maxDialAddresses = 4096
+	maxNameBytes     = 64 // bytes of a name
 )
 
 // Load reads and checks a fleet configuration. The error joins a tomlfile.Problem for each thing wrong.
@@ -50,18 +50,18 @@
 	}
 	var all []error
 	bad := func(key, format string, args ...any) {
-		all = append(all, tomlfile.At(path, text, key, fmt.Sprintf(format, args...)))
+		all = append(all, tomlfile.ProblemAt(path, text, key, fmt.Sprintf(format, args...)))
 	}
-	if c.Name == "" || len(c.Name) > mostName {
-		bad("name", "must have 1 to %d bytes", mostName)
+	if c.Name == "" || len(c.Name) > maxNameBytes {
+		bad("name", "must have 1 to %d bytes", maxNameBytes)
 	}
-	if len(c.Region) > mostName {
-		bad("region", "has over %d bytes", mostName)
+	if len(c.Region) > maxNameBytes {
+		bad("region", "has over %d bytes", maxNameBytes)
 	}
 	if c.Mesh != nil {
 		c.Mesh.check(bad)
 	}
-	if c.Orders != nil && c.Mesh == nil {
+	if c.Overrides != nil && c.Mesh == nil {
 		bad("orders", "needs [mesh]")
 	}
 	return c, errors.Join(all...)
@@ -71,25 +71,25 @@
 	if err := address(m.Listen); err != nil {
 		bad("mesh.listen", "%v", err)
 	}
-	if m.Probe == 0 {
-		m.Probe = 400 * time.Millisecond
+	if m.ProbeInterval == 0 {
+		m.ProbeInterval = 400 * time.Millisecond
 	}
-	if m.Probe < leastProbe || m.Probe > mostProbe {
-		bad("mesh.probe", "must be from %v to %v", leastProbe, mostProbe)
+	if m.ProbeInterval < minProbeInterval || m.ProbeInterval > maxProbeInterval {
+		bad("mesh.probe", "must be from %v to %v", minProbeInterval, maxProbeInterval)
 	}
-	if len(m.Seeds) > mostSeeds || len(m.Dial) > mostDial {
-		bad("mesh.seeds", "at most %d seeds and %d addresses to dial", mostSeeds, mostDial)
+	if len(m.Seeds) > maxSeeds || len(m.DialAddresses) > maxDialAddresses {
+		bad("mesh.seeds", "at most %d seeds and %d addresses to dial", maxSeeds, maxDialAddresses)
 	}
 	seen := map[string]bool{}
 	for _, s := range m.Seeds {
 		name, addr, _ := strings.Cut(s, "=")
-		if err := address(addr); err != nil || name == "" || len(name) > mostName || seen[name] {
+		if err := address(addr); err != nil || name == "" || len(name) > maxNameBytes || seen[name] {
 			bad("mesh.seeds", "%q is not NAME=ADDRESS with a name of its own: %v", s, err)
 		}
 		seen[name] = true
 	}
-	for name, addr := range m.Dial {
-		if err := address(addr); err != nil || name == "" || len(name) > mostName {
+	for name, addr := range m.DialAddresses {
+		if err := address(addr); err != nil || name == "" || len(name) > maxNameBytes {
 			bad("mesh.dial", "%s = %q: %v", name, addr, err)
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -42,7 +42,7 @@
 		}
 	}
 	c, err := load(t, good)
-	if err != nil || c.Mesh == nil || c.Mesh.Probe != 400*time.Millisecond || c.Mesh.Dial["n2"] == "" {
+	if err != nil || c.Mesh == nil || c.Mesh.ProbeInterval != 400*time.Millisecond || c.Mesh.DialAddresses["n2"] == "" {
 		t.Errorf("%+v, %v", c, err)
 	}
 	if _, err := load(t, "name = \"x\"\n[orders]\n"); err == nil || !strings.Contains(err.Error(), "fleet.toml:2: orders: needs [mesh]") {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -43,7 +43,7 @@
 func (n *Node) startMesh() (*membership.Mesh, error) {
 	f, s := n.cfg.Fleet, n.cfg.Settings
 	return membership.Start(membership.Config{Deliver: n.deliver, Fleet: f.Name, Name: n.cfg.Name, Zone: s.Zone, Region: f.Region, Tier: s.Tier,
-		Version: version(), Digest: digest(s), Listen: f.Mesh.Listen, Seeds: f.Mesh.Seeds, Dial: f.Mesh.Dial, Probe: f.Mesh.Probe, Log: n.log, Changed: n.count})
+		Version: version(), Digest: digest(s), Listen: f.Mesh.Listen, Seeds: f.Mesh.Seeds, Dial: f.Mesh.DialAddresses, Probe: f.Mesh.ProbeInterval, Log: n.log, Changed: n.count})
 }
 
 // deliver takes what another member's part of the program sends.
@@ -103,7 +103,7 @@
 		n.mesh.Store(m)
 		ordering, stop := context.WithCancel(ctx)
 		var o *overridesHost
-		if n.cfg.Fleet.Orders != nil { // a new process of the mesh has a register of its own, which knows nothing yet
+		if n.cfg.Fleet.Overrides != nil { // a new process of the mesh has a register of its own, which knows nothing yet
 			o = n.newOverrides(m.Process())
 			n.orders.Store(o)
 			go o.run(ordering)
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -53,7 +53,7 @@
 	Revoke   bool               `json:"x,omitempty"`
 	Is       overrides.Override `json:"is"`
 	For      time.Duration      `json:"for"`
-	Replaces *overrides.Mark    `json:"replaces,omitempty"`
+	Replaces *overrides.Version `json:"replaces,omitempty"`
 }
 
 type orderReply struct {
@@ -111,11 +111,11 @@
 func (o *overridesHost) look(now time.Duration) {
 	if m := o.mesh.Load(); m != nil {
 		o.view = m.View()
-		o.say(o.reg.View(now, o.view.Leader, o.view.Names))
+		o.say(o.reg.UpdateMembership(now, o.view.Leader, o.view.Names))
 	}
 }
 
-func (o *overridesHost) say(out []overrides.Out) {
+func (o *overridesHost) say(out []overrides.OutboundMessage) {
 	for _, m := range out {
 		o.tell(m.To, envelope{Register: &m.Message})
 	}
@@ -135,7 +135,7 @@
 	switch {
 	case e.Register != nil:
 		e.Register.From = e.from
-		o.say(o.reg.Hear(now, *e.Register))
+		o.say(o.reg.Handle(now, *e.Register))
 	case e.Call != nil:
 		o.tell(e.from, envelope{Reply: &orderReply{e.Call.N, o.decide(now, *e.Call)}})
 	case e.Reply != nil:
@@ -166,11 +166,11 @@
 	status := http.StatusOK
 	switch {
 	case err == nil:
-	case errors.Is(err, overrides.ErrMinority), errors.Is(err, overrides.ErrNotYet):
+	case errors.Is(err, overrides.ErrNoQuorum), errors.Is(err, overrides.ErrLeaderNotReady):
 		status = http.StatusServiceUnavailable
-	case errors.Is(err, overrides.ErrLive), errors.Is(err, overrides.ErrFull):
+	case errors.Is(err, overrides.ErrIDInUse), errors.Is(err, overrides.ErrRegisterFull):
 		status = http.StatusConflict
-	case errors.Is(err, overrides.ErrUnknown):
+	case errors.Is(err, overrides.ErrNotFound):
 		status = http.StatusNotFound
 	default:
 		status = http.StatusBadRequest
@@ -186,8 +186,8 @@
 func (o *overridesHost) show(now time.Duration) {
 	until := map[string]time.Duration{}
 	for _, f := range o.reg.InForce(now) {
-		if f.Is.Kind == evacuate {
-			until[f.Is.Scope] = max(until[f.Is.Scope], now+f.Left)
+		if f.Override.Kind == evacuate {
+			until[f.Override.Scope] = max(until[f.Override.Scope], now+f.Remaining)
 		}
 	}
 	select {
@@ -247,8 +247,8 @@
 	}
 	var body struct {
 		overrides.Override
-		For      string          `json:"for"`
-		Replaces *overrides.Mark `json:"replaces"`
+		For      string             `json:"for"`
+		Replaces *overrides.Version `json:"replaces"`
 	}
 	d := json.NewDecoder(http.MaxBytesReader(nil, r.Body, mostOrder))
 	d.DisallowUnknownFields()
@@ -266,11 +266,11 @@
 func (o *overridesHost) call(now time.Duration, c orderCall, here bool, got chan answered) {
 	switch {
 	case here:
-		got <- answerOf(o.reg.PutHere(now, c.ID, c.Is, c.For), map[string]any{"id": c.ID, "here": true})
+		got <- answerOf(o.reg.PutLocal(now, c.ID, c.Is, c.For), map[string]any{"id": c.ID, "here": true})
 	case o.view.Leader == o.self:
 		got <- o.decide(now, c)
 	case o.view.Leader == "":
-		got <- answerOf(overrides.ErrMinority, nil)
+		got <- answerOf(overrides.ErrNoQuorum, nil)
 	default:
 		o.n++
 		c.N = o.n
@@ -282,6 +282,6 @@
 
 // figures is what the door shows.
 func (o *overridesHost) figures(now time.Duration) any {
-	return map[string]any{"leader": o.view.Leader, "mark": o.reg.Mark(), "confirmed_ns_ago": o.reg.Confirmed(now), "lacking": o.reg.Lacking(o.reg.Mark()),
-		"in_force": append([]overrides.Fact{}, o.reg.InForce(now)...)}
+	return map[string]any{"leader": o.view.Leader, "mark": o.reg.Version(), "confirmed_ns_ago": o.reg.StateAge(now), "lacking": o.reg.UnacknowledgedMembers(o.reg.Version()),
+		"in_force": append([]overrides.Entry{}, o.reg.InForce(now)...)}
 }
--- a/internal/overrides/fact.go
+++ b/internal/overrides/fact.go
@@ -23,23 +23,23 @@
 
 // Bounds of the register.
 const (
-	MostFacts = 256
-	MostTime  = 24 * time.Hour // that an override may last
-	MostHere  = 5 * time.Minute
-	mostID    = 64   // bytes
-	mostText  = 1024 // bytes of all other fields together
+	MaxEntries       = 256
+	MaxDuration      = 24 * time.Hour // that an override may last
+	MaxLocalDuration = 5 * time.Minute
+	maxIDBytes       = 64   // bytes
+	maxTextBytes     = 1024 // bytes of all other fields together
 )
 
-// Mark orders all changes of a fleet's register.
-type Mark struct {
-	Term   uint64 `json:"t"` // of leading: above all that its majority knew
-	Leader string `json:"l"`
-	N      uint64 `json:"n"` // change within the term
+// Version orders all changes of a fleet's register.
+type Version struct {
+	Term     uint64 `json:"t"` // of leading: above all that its majority knew
+	Leader   string `json:"l"`
+	Sequence uint64 `json:"n"` // change within the term
 }
 
 // Compare is negative if m is the older one.
-func (m Mark) Compare(o Mark) int {
-	return cmp.Or(cmp.Compare(m.Term, o.Term), cmp.Compare(m.Leader, o.Leader), cmp.Compare(m.N, o.N))
+func (m Version) Compare(o Version) int {
+	return cmp.Or(cmp.Compare(m.Term, o.Term), cmp.Compare(m.Leader, o.Leader), cmp.Compare(m.Sequence, o.Sequence))
 }
 
 // Override is what operators order.
@@ -51,32 +51,32 @@
 	Author string `json:"author"`
 }
 
-// Fact is one override as it travels. Left is counted from the moment at which its receiver asked.
-type Fact struct {
-	ID   string        `json:"id"`
-	Mark Mark          `json:"m"`
-	Is   Override      `json:"is"`
-	Left time.Duration `json:"left"`
+// Entry is one override as it travels. Left is counted from the moment at which its receiver asked.
+type Entry struct {
+	ID        string        `json:"id"`
+	Version   Version       `json:"m"`
+	Override  Override      `json:"is"`
+	Remaining time.Duration `json:"left"`
 }
 
 // held is a fact in a process's own clock.
 type held struct {
-	Fact
+	Entry
 	end    time.Duration
 	came   time.Duration // the question whose answer brought it
 	issued bool          // by this very process: its clock is the one that counts
 }
 
-// Margin is the part of the time since the last contact by which an override ends early, for clocks that run at other
+// ClockSkewMargin is the part of the time since the last contact by which an override ends early, for clocks that run at other
 // rates: two that differ by 1% do no harm.
-const Margin = 0.01
+const ClockSkewMargin = 0.01
 
 // until is when a fact ends by this process's clock, on the safe side.
 func (h *held) until() time.Duration {
 	if h.issued {
 		return h.end
 	}
-	return h.came + time.Duration(float64(h.end-h.came)/(1+Margin))
+	return h.came + time.Duration(float64(h.end-h.came)/(1+ClockSkewMargin))
 }
 
 // left is what a fact still has.
@@ -86,30 +86,30 @@
 func (h *held) inForce(now time.Duration) bool { return h.left(now) > 0 }
 
 // out is a fact as it goes to one that asks.
-func (h *held) out(now time.Duration) Fact {
-	f := h.Fact
-	f.Left = h.left(now)
+func (h *held) out(now time.Duration) Entry {
+	f := h.Entry
+	f.Remaining = h.left(now)
 	return f
 }
 
 // Why an override is not taken.
 var (
-	ErrMinority = errors.New("this side of the fleet has no majority; only an override marked here is taken")
-	ErrNotYet   = errors.New("the leader is still asking what the fleet holds")
-	ErrLive     = errors.New("another override lives under this id; name the version that this one replaces")
-	ErrFull     = fmt.Errorf("the register holds %d overrides, and takes no more", MostFacts)
-	ErrUnknown  = errors.New("no override lives under this id")
+	ErrNoQuorum       = errors.New("this side of the fleet has no majority; only an override marked here is taken")
+	ErrLeaderNotReady = errors.New("the leader is still asking what the fleet holds")
+	ErrIDInUse        = errors.New("another override lives under this id; name the version that this one replaces")
+	ErrRegisterFull   = fmt.Errorf("the register holds %d overrides, and takes no more", MaxEntries)
+	ErrNotFound       = errors.New("no override lives under this id")
 )
 
 // check says what is wrong with an override and its length.
 func check(id string, o Override, lasts, most time.Duration) error {
 	switch {
-	case id == "" || len(id) > mostID:
-		return fmt.Errorf("an id needs 1 to %d bytes", mostID)
+	case id == "" || len(id) > maxIDBytes:
+		return fmt.Errorf("an id needs 1 to %d bytes", maxIDBytes)
 	case o.Kind == "" || o.Scope == "" || o.Reason == "" || o.Author == "":
 		return errors.New("kind, scope, reason and author are needed")
-	case len(o.Kind)+len(o.Scope)+len(o.Value)+len(o.Reason)+len(o.Author) > mostText:
-		return fmt.Errorf("an override has more than %d bytes", mostText)
+	case len(o.Kind)+len(o.Scope)+len(o.Value)+len(o.Reason)+len(o.Author) > maxTextBytes:
+		return fmt.Errorf("an override has more than %d bytes", maxTextBytes)
 	case lasts <= 0 || lasts > most:
 		return fmt.Errorf("an override lasts from above 0 to %v", most)
 	}
--- a/internal/overrides/model_test.go
+++ b/internal/overrides/model_test.go
@@ -25,9 +25,9 @@
 	leader string
 	mail   []letter
 	next   uint64
-	ends   map[string]map[Mark]time.Duration // true ends, by id and version
-	sure   map[string]map[Mark]bool          // by id: versions that a majority has held under their leader
-	newest map[string]map[string]Mark        // by process and id: the newest of these that it has had
+	ends   map[string]map[Version]time.Duration // true ends, by id and version
+	sure   map[string]map[Version]bool          // by id: versions that a majority has held under their leader
+	newest map[string]map[string]Version        // by process and id: the newest of these that it has had
 	issued int
 	held   int // looks at overrides in force
 	broken string
@@ -35,15 +35,15 @@
 
 type letter struct {
 	at time.Duration
-	o  Out
+	o  OutboundMessage
 }
 
 const modelStep = 20 * time.Millisecond
 
 func newModel(seed uint64) *model {
 	m := &model{r: rand.New(rand.NewPCG(seed, 3)), names: []string{"a", "b", "c", "d", "e"}, at: map[string]*Register{}, skew: map[string]time.Duration{},
-		rate: map[string]float64{}, stop: map[string]time.Duration{}, cut: map[string]bool{}, ends: map[string]map[Mark]time.Duration{},
-		newest: map[string]map[string]Mark{}, sure: map[string]map[Mark]bool{}}
+		rate: map[string]float64{}, stop: map[string]time.Duration{}, cut: map[string]bool{}, ends: map[string]map[Version]time.Duration{},
+		newest: map[string]map[string]Version{}, sure: map[string]map[Version]bool{}}
 	for _, n := range m.names {
 		m.rate[n] = 0.995 + 0.01*m.r.Float64()
 		m.start(n)
@@ -54,7 +54,7 @@
 func (m *model) start(n string) {
 	m.next++
 	m.skew[n] = time.Duration(m.r.Int64N(int64(time.Hour)))
-	m.at[n], m.newest[n] = New(n, m.next), map[string]Mark{}
+	m.at[n], m.newest[n] = New(n, m.next), map[string]Version{}
 }
 
 func (m *model) clock(n string) time.Duration {
@@ -63,7 +63,7 @@
 
 func (m *model) up(n string) bool { return m.now >= m.stop[n] }
 
-func (m *model) send(out []Out) {
+func (m *model) send(out []OutboundMessage) {
 	for _, o := range out {
 		for m.r.Float64() < 0.8 { // now and then twice or more
 			m.mail = append(m.mail, letter{m.now + time.Duration(m.r.Int64N(int64(time.Second))), o})
@@ -80,7 +80,7 @@
 	if m.cut[n] && n != m.leader {
 		leader = ""
 	}
-	m.send(m.at[n].View(m.clock(n), leader, m.names))
+	m.send(m.at[n].UpdateMembership(m.clock(n), leader, m.names))
 }
 
 // lead ends the lead of whoever has it, and gives it to another that has a majority in reach.
@@ -107,9 +107,9 @@
 		}
 		return
 	}
-	var replaces *Mark
+	var replaces *Version
 	if old != nil && m.r.Float64() < 0.7 {
-		replaces = &old.Mark
+		replaces = &old.Version
 	}
 	lasts := time.Duration(1+m.r.IntN(20)) * time.Second
 	f, out, err := r.Put(now, id, Override{Kind: "zone", Scope: "x", Value: fmt.Sprint(m.r.IntN(9)), Reason: "r", Author: "a"}, lasts, replaces)
@@ -117,9 +117,9 @@
 		return
 	}
 	if m.ends[id] == nil {
-		m.ends[id] = map[Mark]time.Duration{}
+		m.ends[id] = map[Version]time.Duration{}
 	}
-	m.ends[id][f.Mark] = m.now + time.Duration(float64(lasts)/m.rate[m.leader])
+	m.ends[id][f.Version] = m.now + time.Duration(float64(lasts)/m.rate[m.leader])
 	m.issued++
 	m.send(out)
 }
@@ -156,7 +156,7 @@
 	m.mail = slices.DeleteFunc(m.mail, func(l letter) bool { return l.at <= m.now })
 	for _, l := range due {
 		if m.up(l.o.To) && (!m.cut[l.o.To] && !m.cut[l.o.From]) {
-			m.send(m.at[l.o.To].Hear(m.clock(l.o.To), l.o.Message))
+			m.send(m.at[l.o.To].Handle(m.clock(l.o.To), l.o.Message))
 		}
 	}
 	m.confirm()
@@ -175,15 +175,15 @@
 	for id, h := range m.at[m.leader].facts {
 		n := 0
 		for _, r := range m.at {
-			if o := r.facts[id]; o != nil && o.Mark == h.Mark && r.mark.Term == m.at[m.leader].mark.Term {
+			if o := r.facts[id]; o != nil && o.Version == h.Version && r.mark.Term == m.at[m.leader].mark.Term {
 				n++
 			}
 		}
 		if 2*n > len(m.names) {
 			if m.sure[id] == nil {
-				m.sure[id] = map[Mark]bool{}
+				m.sure[id] = map[Version]bool{}
 			}
-			m.sure[id][h.Mark] = true
+			m.sure[id][h.Version] = true
 		}
 	}
 }
@@ -193,16 +193,16 @@
 func (m *model) look(n string) {
 	for _, f := range m.at[n].InForce(m.clock(n)) {
 		m.held++
-		if end := m.ends[f.ID][f.Mark]; m.now > end+modelStep && m.broken == "" {
-			m.broken = fmt.Sprintf("at %v %s acts on %s %v, which ended at %v", m.now, n, f.ID, f.Mark, end)
+		if end := m.ends[f.ID][f.Version]; m.now > end+modelStep && m.broken == "" {
+			m.broken = fmt.Sprintf("at %v %s acts on %s %v, which ended at %v", m.now, n, f.ID, f.Version, end)
 		}
 	}
 	for id, h := range m.at[n].facts {
-		if before := m.newest[n][id]; h.Mark.Compare(before) < 0 && m.broken == "" {
-			m.broken = fmt.Sprintf("at %v %s holds %s %v again, after %v", m.now, n, id, h.Mark, before)
+		if before := m.newest[n][id]; h.Version.Compare(before) < 0 && m.broken == "" {
+			m.broken = fmt.Sprintf("at %v %s holds %s %v again, after %v", m.now, n, id, h.Version, before)
 		}
-		if m.sure[id][h.Mark] {
-			m.newest[n][id] = h.Mark
+		if m.sure[id][h.Version] {
+			m.newest[n][id] = h.Version
 		}
 	}
 }
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -15,22 +15,22 @@
 	"keelusher/policy"
 )
 
-// Kind tells what a Message carries.
-type Kind int
+// MessageKind tells what a Message carries.
+type MessageKind int
 
 // Message kinds.
 const (
-	Sync  Kind = iota // a batch begins; Now is set
-	Hello             // a new instance; Seed and Settings are set
-	Event             // Event is set
-	Stop              // the instance was killed
-	Other             // known, but of no use to the module
-	End               // the batch is over; a reply is due
+	BatchStart     MessageKind = iota // a batch begins; Now is set
+	InstanceStart                     // a new instance; Seed and Settings are set
+	PolicyEvent                       // Event is set
+	InstanceKilled                    // the instance was killed
+	Ignored                           // known, but of no use to the module
+	BatchEnd                          // the batch is over; a reply is due
 )
 
 // Message is one line of a batch, resolved.
 type Message struct {
-	Kind     Kind
+	Kind     MessageKind
 	Instance int
 	Now      time.Duration
 	Seed     uint64
@@ -106,13 +106,13 @@
 	if needsInstance && d.instance < 0 {
 		return m, false, fmt.Errorf("%s before any about", quote(name))
 	}
-	m.Kind = Event
+	m.Kind = PolicyEvent
 	switch name {
 	case "sync":
-		m.Kind, m.Now = Sync, f.ms(0)
+		m.Kind, m.Now = BatchStart, f.ms(0)
 		d.inBatch, d.instance = true, -1
 	case "eob":
-		m.Kind = End
+		m.Kind = BatchEnd
 		d.inBatch = false
 	case "about":
 		d.instance = f.num(0)
@@ -123,7 +123,7 @@
 	case "list":
 		return m, true, d.readList(f)
 	case "hello":
-		m.Kind = Hello
+		m.Kind = InstanceStart
 		seed, text, ok := strings.Cut(rest, "\t")
 		if !ok {
 			return m, false, fmt.Errorf("hello lacks its settings")
@@ -161,9 +161,9 @@
 	case "flowing":
 		m.Event = policy.ResponseStarted{ID: f.text(0), Attempt: f.num(3)}
 	case "crash_now":
-		m.Kind = Stop
+		m.Kind = InstanceKilled
 	case "checked", "mail":
-		m.Kind = Other
+		m.Kind = Ignored
 	default:
 		return m, false, fmt.Errorf("unknown message %s", quote(name))
 	}
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -36,14 +36,14 @@
 		t.Fatal(err)
 	}
 	want := []Message{
-		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
-		{Kind: Event, Instance: 3, Event: policy.EndpointUpdate{Snapshot: true, Cached: true,
+		{Kind: BatchStart, Instance: -1, Now: 8412250 * time.Microsecond},
+		{Kind: PolicyEvent, Instance: 3, Event: policy.EndpointUpdate{Snapshot: true, Cached: true,
 			Endpoints: []policy.Endpoint{{ID: "s:1", Zone: "z", MachineType: "k", Cell: 4, StartedAt: 6100500 * time.Microsecond}}}},
-		{Kind: Event, Instance: 3, Event: policy.Request{ID: "id", Class: "get", IsRetry: true,
+		{Kind: PolicyEvent, Instance: 3, Event: policy.Request{ID: "id", Class: "get", IsRetry: true,
 			Deadline: 8652250 * time.Microsecond}},
-		{Kind: Event, Instance: 3, Event: policy.AttemptEnded{ID: "id", Endpoint: "s:1", Answered: true,
+		{Kind: PolicyEvent, Instance: 3, Event: policy.AttemptEnded{ID: "id", Endpoint: "s:1", Answered: true,
 			Latency: 18500 * time.Microsecond, Load: &policy.Load{Busy: 3, Service: -1}}},
-		{Kind: End, Instance: 3},
+		{Kind: BatchEnd, Instance: 3},
 	}
 	if !reflect.DeepEqual(l, want) {
 		t.Fatalf("got %+v\nwant %+v", l, want)
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -55,7 +55,7 @@
 	bad := func(err error, under string) {
 		var key *testbed.KeyError
 		if errors.As(err, &key) {
-			all = append(all, tomlfile.At(path, text, under+key.Key, key.Why))
+			all = append(all, tomlfile.ProblemAt(path, text, under+key.Key, key.Why))
 		} else if err != nil {
 			all = append(all, tomlfile.Problem{File: path, Why: err.Error()})
 		}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -49,14 +49,14 @@
 	}
 	var all []error
 	for _, key := range meta.Undecoded() {
-		all = append(all, At(file, text, key.String(), "unknown key"))
+		all = append(all, ProblemAt(file, text, key.String(), "unknown key"))
 	}
 	return errors.Join(all...)
 }
 
-// At is a Problem with a key such as "world.tier[1].cores", at the line where the text has it or, where it is missing,
+// ProblemAt is a Problem with a key such as "world.tier[1].cores", at the line where the text has it or, where it is missing,
 // at its table.
-func At(file string, text []byte, key, why string) Problem {
+func ProblemAt(file string, text []byte, key, why string) Problem {
 	return Problem{file, line(text, key), key, why}
 }
 
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -44,7 +44,7 @@
 		"name": 1, "world.zones": 4, "world.tier[0].cores": 6, "world.tier[1].cores": 8, "world.tier[1].slots": 7,
 		"fault[0].kind": 10, "fault[1].kind": 11, "world.missing": 3, "missing": 0,
 	} {
-		if got := At("f", text, key, "").Line; got != want {
+		if got := ProblemAt("f", text, key, "").Line; got != want {
 			t.Errorf("%s is at line %d, want %d", key, got, want)
 		}
 	}
