--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -56,8 +56,8 @@
 	answer := make(chan []byte, 1)
 	select {
 	case m.asks <- func() {
-		c := m.council
-		all := lore{c.epoch, c.roster, c.prev, maps.Clone(m.highest)}
+		q := m.quorum
+		all := lore{q.list.epoch, q.list.names, q.list.previous, maps.Clone(m.highest)}
 		for _, p := range m.processes {
 			if !p.lives() && p.meta.Incarnation > all.Highest[p.name] {
 				all.Highest[p.name] = p.meta.Incarnation
@@ -67,7 +67,7 @@
 		answer <- text
 	}:
 		return <-answer
-	case <-time.After(tickEvery):
+	case <-time.After(tickInterval):
 		return nil // the mesh is busy with the library itself
 	}
 }
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -232,7 +232,7 @@
 		delete(m.named, p.name)
 	}
 	m.dirty = true
-	if p.meta.Incarnation > m.highest[p.name] && len(m.highest) < mostRost {
+	if p.meta.Incarnation > m.highest[p.name] && len(m.highest) < maxMembers {
 		m.highest[p.name] = p.meta.Incarnation
 	}
 }
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -194,7 +194,7 @@
 
 // ask1 asks a member whether it is there, and a few others whether they have an answer of it.
 func (m *Mesh) ask1(member string) {
-	q := message{From: m.cfg.Name, Process: m.process, Kind: ask, About: member}
+	q := message{From: m.cfg.Name, Process: m.process, Kind: kindProbe, Subject: member}
 	m.sendTo(m.processes[member], q)
 	n := 0
 	for other, p := range m.processes { // map order is random enough
@@ -212,37 +212,37 @@
 func (m *Mesh) attend(msg message) bool {
 	now := m.now()
 	switch msg.Kind {
-	case ask:
-		answer := message{From: m.cfg.Name, Process: m.process, Kind: here, About: msg.About, For: msg.Process}
-		if msg.About != m.member() {
-			at, ok := m.evidence.answered[msg.About]
+	case kindProbe:
+		answer := message{From: m.cfg.Name, Process: m.process, Kind: kindProbeReply, Subject: msg.Subject, TargetProcess: msg.Process}
+		if msg.Subject != m.member() {
+			at, ok := m.evidence.answered[msg.Subject]
 			if !ok || now-at > fresh/2 {
-				if p := m.processes[msg.About]; p != nil && p.lives() && len(m.evidence.asked) < askMost && m.others() <= smallFleet {
-					m.evidence.inquire(msg.About, now) // so that this process knows as soon as the other does
+				if p := m.processes[msg.Subject]; p != nil && p.lives() && len(m.evidence.asked) < askMost && m.others() <= smallFleet {
+					m.evidence.inquire(msg.Subject, now) // so that this process knows as soon as the other does
 				}
 				return true
 			}
-			answer.Kind = vouch
+			answer.Kind = kindIndirectAck
 		}
 		for _, p := range m.named[msg.From] {
 			if p.number() == msg.Process {
 				m.sendTo(p, answer)
 			}
 		}
-	case here:
-		if p := m.processes[msg.About]; p != nil && msg.For == m.process && p.number() == msg.Process {
+	case kindProbeReply:
+		if p := m.processes[msg.Subject]; p != nil && msg.TargetProcess == m.process && p.number() == msg.Process {
 			m.answered(p)
 		}
-	case vouch:
-		if m.processes[msg.About] != nil && msg.For == m.process {
-			m.evidence.vouched[msg.About] = now
+	case kindIndirectAck:
+		if m.processes[msg.Subject] != nil && msg.TargetProcess == m.process {
+			m.evidence.vouched[msg.Subject] = now
 			for _, p := range m.named[msg.From] {
 				if p.number() == msg.Process {
 					m.answered(p)
 				}
 			}
 		}
-	case carry:
+	case kindUserMessage:
 		if m.cfg.OnMessage != nil {
 			m.cfg.OnMessage(msg.From, msg.Body)
 		}
@@ -254,7 +254,7 @@
 
 // Send sends a body, in JSON, to a member; it may be lost.
 func (m *Mesh) Send(to string, body []byte) {
-	m.ask(func() { m.send(to, message{From: m.cfg.Name, Process: m.process, Kind: carry, Body: body}) })
+	m.ask(func() { m.send(to, message{From: m.cfg.Name, Process: m.process, Kind: kindUserMessage, Body: body}) })
 }
 
 // ProcessID is this process's number, which no other has.
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -15,9 +15,9 @@
 
 // merge takes the roster and the incarnations that another process remembers.
 func (m *Mesh) merge(l lore) {
-	m.council.adopt(message{Epoch: l.Epoch, Roster: l.Roster, Prev: l.Prev})
+	m.quorum.adoptMemberList(message{Epoch: l.Epoch, MemberList: l.Roster, Previous: l.Prev})
 	for name, i := range l.Highest {
-		if i > m.highest[name] && (len(m.highest) < mostRost || m.highest[name] > 0 || name == m.cfg.Name) {
+		if i > m.highest[name] && (len(m.highest) < maxMembers || m.highest[name] > 0 || name == m.cfg.Name) {
 			m.highest[name] = i
 		}
 	}
@@ -67,7 +67,7 @@
 	older := rival.meta.Incarnation > mine || rival.meta.Incarnation == mine && rival.member > m.member()
 	if older && now-m.conflictAt >= conflictFor {
 		m.log.Error("this process steps out of the mesh: a newer one has its name; clients are served as ever", "address", rival.addr)
-		m.ml.Leave(tickEvery) // where the word is late the others find out
+		m.ml.Leave(tickInterval) // where the word is late the others find out
 		m.shut()
 		m.processes, m.named, m.suspected, m.evidence = map[string]*process{}, map[string][]*process{}, map[string]bool{}, newEvidence()
 		m.conflictAt, m.outUntil, m.dirty = 0, now+stepOut/2+rand.N(stepOut), true
--- a/internal/membership/mesh.go
+++ b/internal/membership/mesh.go
@@ -20,29 +20,6 @@
 	"golang.org/x/time/rate"
 )
 
-// State is what a member is to the others.
-type State int
-
-// States of a member.
-const (
-	Joining  State = iota // its process runs and does not serve yet
-	Alive                 // serves
-	Suspect               // has not answered this process's probe, and can still refute that
-	Dead                  // did not refute it in time
-	Left                  // said that it leaves
-	Conflict              // two live processes claim its name
-)
-
-func (s State) String() string {
-	return [...]string{"joining", "alive", "suspect", "gone", "left", "conflict"}[s]
-}
-
-// MarshalText makes a state readable in JSON.
-func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
-
-// MarshalText makes a side readable in JSON.
-func (s PartitionSide) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
-
 // Config says who this process is and where it meets others.
 type Config struct {
 	Fleet, Name, Zone, Region string
@@ -60,7 +37,7 @@
 
 // Bounds and times.
 const (
-	tickEvery    = 100 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
 	mailQueue    = 256 // messages and events that wait for the mesh's goroutine
 	eventQueue   = 4096
 	mostEnded    = 2048             // processes that have ended, and are remembered
@@ -71,7 +48,7 @@
 	lookFor      = 2 * time.Minute // for a member that has left: most are back by then
 	conflictFor  = 5 * time.Second // two processes of one name live so long before the older steps out
 	stepOut      = 30 * time.Second
-	leaveWithin  = 800 * time.Millisecond // for the roster to be without us
+	leaveTimeout = 800 * time.Millisecond // for the roster to be without us
 	flapHalf     = time.Minute            // half-life of a member's penalty
 	flapHold     = 2.5                    // penalty from which it is held down: the third return in short order
 	flapBase     = 5 * time.Second
@@ -116,7 +93,7 @@
 	// The rest is of the mesh's goroutine, but for mine.
 	ml         *memberlist.Memberlist
 	wire       wire
-	council    *council
+	quorum     *quorum
 	processes  map[string]*process   // by member
 	named      map[string][]*process // the same by name
 	suspected  map[string]bool       // members, as of the last tick
@@ -186,7 +163,7 @@
 		name, _, _ := strings.Cut(s, "=")
 		seeds = append(seeds, name)
 	}
-	m.council = newCouncil(cfg.Name, m.process, seeds, 0)
+	m.quorum = newQuorum(cfg.Name, m.process, seeds, 0)
 	m.dirty = true
 	m.publish()
 	if err := m.open(); err != nil && !errors.Is(err, syscall.EADDRINUSE) {
@@ -237,16 +214,16 @@
 // know that it leads no more, and ends the mesh.
 func (m *Mesh) Leave() {
 	m.phase(phaseLeaving)
-	look := time.NewTicker(tickEvery / 4)
+	look := time.NewTicker(tickInterval / 4)
 	defer look.Stop()
-	for end := time.Now().Add(leaveWithin); time.Now().Before(end); <-look.C {
+	for end := time.Now().Add(leaveTimeout); time.Now().Before(end); <-look.C {
 		out := make(chan bool, 1)
 		if !m.ask(func() {
-			if _, in := slices.BinarySearch(m.council.roster, m.cfg.Name); in || m.council.prev != nil {
-				out <- len(m.council.live) == 1
+			if _, in := slices.BinarySearch(m.quorum.list.names, m.cfg.Name); in || m.quorum.list.previous != nil {
+				out <- len(m.quorum.liveness.liveSince) == 1
 				return
 			}
-			say, done := m.council.resign(m.now(), m.view.Load().Digest)
+			say, done := m.quorum.giveUpLead(m.now(), m.view.Load().Digest)
 			for to, msg := range say {
 				m.send(to, msg)
 			}
@@ -257,7 +234,7 @@
 	}
 	m.ask(func() {
 		if m.ml != nil {
-			m.ml.Leave(leaveWithin / 4) // an error means that the word did not get round in time
+			m.ml.Leave(leaveTimeout / 4) // an error means that the word did not get round in time
 		}
 	})
 	m.Close()
@@ -273,7 +250,7 @@
 func (m *Mesh) run() {
 	defer close(m.ended)
 	defer m.shut()
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	retry := time.Duration(0)
 	for {
@@ -319,8 +296,8 @@
 	if m.ml == nil {
 		return
 	}
-	m.council.mute = m.unheard()
-	for to, msg := range m.council.tick(m.now(), m.view.Load().Digest) {
+	m.quorum.sendFailure = m.unheard()
+	for to, msg := range m.quorum.tick(m.now(), m.view.Load().Digest) {
 		m.send(to, msg)
 	}
 	m.publish() // the council may have changed its mind
--- a/internal/membership/speak.go
+++ b/internal/membership/speak.go
@@ -16,20 +16,20 @@
 	own := m.view.Load().Digest
 	if msg.Digest == own {
 		delete(m.differs, msg.From)
-	} else if _, known := m.differs[msg.From]; !known && m.council.lives(msg.From) {
+	} else if _, known := m.differs[msg.From]; !known && m.quorum.liveness.isLive(msg.From) {
 		m.differs[msg.From] = m.now()
 	}
 	if m.ml == nil {
 		return
 	}
-	if msg.For == m.process && (msg.Kind == ballot || msg.Kind == poll && m.now()-msg.Vote < fresh) { // it has heard us
+	if msg.TargetProcess == m.process && (msg.Kind == kindVote || msg.Kind == kindHeartbeat && m.now()-msg.VoteAt < fresh) { // it has heard us
 		for _, p := range m.named[msg.From] {
 			if p.number() == msg.Process {
 				m.answered(p)
 			}
 		}
 	}
-	if answer, ok := m.council.hear(m.now(), msg, own); ok {
+	if answer, ok := m.quorum.handle(m.now(), msg, own); ok {
 		m.send(msg.From, answer)
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -91,18 +91,18 @@
 		m.dirty = false
 		m.rebuild(now)
 		v.Members = slices.SortedFunc(maps.Values(m.shown), func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-		m.council.see(now, m.live, m.left)
+		m.quorum.updateLiveness(now, m.live, m.left)
 	}
-	if rebuilt || v.Epoch != m.council.epoch {
-		v.Epoch, v.MemberListSize = m.council.epoch, len(m.council.roster)
+	if rebuilt || v.Epoch != m.quorum.list.epoch {
+		v.Epoch, v.MemberListSize = m.quorum.list.epoch, len(m.quorum.list.names)
 		v.Digest = m.digest(v.Members)
 	}
-	v.Side, v.LeaderProcess = m.council.side(now)
-	v.until, v.MemberListSettled = m.council.grantUntil, m.council.prev == nil
+	v.Side, v.LeaderProcess = m.quorum.side(now)
+	v.until, v.MemberListSettled = m.quorum.claim.until, m.quorum.list.previous == nil
 	if self := m.shown[m.cfg.Name]; m.outUntil != 0 || self.State == Left {
 		v.Side, v.LeaderProcess = Isolated, 0 // not of the fleet, for now or any more
 	}
-	if v.MemberList = m.council.roster; before == nil || v.LeaderProcess != before.LeaderProcess || v.Side != before.Side || v.Leader == "" {
+	if v.MemberList = m.quorum.list.names; before == nil || v.LeaderProcess != before.LeaderProcess || v.Side != before.Side || v.Leader == "" {
 		v.Leader = m.leaderName(v)
 	}
 	m.view.Store(v)
@@ -169,7 +169,7 @@
 func (m *Mesh) digest(sorted []Member) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	fmt.Fprintf(&d, "%d/%s", m.council.epoch.Number, m.council.epoch.Leader)
+	fmt.Fprintf(&d, "%d/%s", m.quorum.list.epoch.Number, m.quorum.list.epoch.Leader)
 	for _, one := range sorted {
 		if one.IsLive() {
 			fmt.Fprintf(&d, "|%s %d", one.Name, one.Incarnation)
@@ -213,14 +213,14 @@
 		"oversized": d.Oversized.Load(), "replayed": d.Replayed.Load(), "flood": d.Flood.Load(), "full": d.Full.Load(), "streams": d.Streams.Load()}
 	m.counters.Store(c)
 	now := m.now()
-	mine := m.council.missed
+	mine := m.quorum.liveness.missing
 	list := []Disagreement{}
 	for name, since := range m.differs {
-		if !m.council.lives(name) {
+		if !m.quorum.liveness.isLive(name) {
 			delete(m.differs, name)
 			continue
 		}
-		theirs := m.council.missing[name]
+		theirs := m.quorum.liveness.reportedMissing[name]
 		var about []string
 		for _, x := range mine {
 			if !slices.Contains(theirs, x) {
