--- /dev/null
+++ b/internal/overrides/entries.go
@@ -0,0 +1,116 @@
+package overrides
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// ClockSkewMargin is the part of the time since the last contact by which an override expires early, because clocks run
+// at different rates: two that differ by 1% do no harm.
+const ClockSkewMargin = 0.01
+
+// storedEntry is an entry with its expiry by the clock of this process.
+type storedEntry struct {
+	Entry
+	expiresAt   time.Duration
+	requestedAt time.Duration // when this process requested the state that contained it
+	issuedHere  bool          // by this very process, whose clock needs no margin
+}
+
+// newIssuedEntry returns an entry that this process issues.
+func newIssuedEntry(now time.Duration, id string, version Version, o Override, duration time.Duration) *storedEntry {
+	return &storedEntry{
+		Entry: Entry{
+			ID:       id,
+			Version:  version,
+			Override: o,
+		},
+		expiresAt:   now + duration,
+		requestedAt: now,
+		issuedHere:  true,
+	}
+}
+
+// newReceivedEntry returns an entry of a state that this process requested. What remains counts from the request, which
+// precedes the response, so the entry never expires later here than at its issuer.
+func newReceivedEntry(requestedAt time.Duration, entry Entry) *storedEntry {
+	remaining := min(max(0, entry.Remaining), MaxDuration)
+	return &storedEntry{
+		Entry:       entry,
+		expiresAt:   requestedAt + remaining,
+		requestedAt: requestedAt,
+	}
+}
+
+// safeExpiry is the expiry by the clock of this process, less the margin for clock skew.
+func (e *storedEntry) safeExpiry() time.Duration {
+	if e.issuedHere {
+		return e.expiresAt
+	}
+	return e.requestedAt + time.Duration(float64(e.expiresAt-e.requestedAt)/(1+ClockSkewMargin))
+}
+
+// remaining is the time until the entry expires, at least 0.
+func (e *storedEntry) remaining(now time.Duration) time.Duration { return max(0, e.safeExpiry()-now) }
+
+// inForce reports whether the override applies at a moment. Users have to ask at each decision.
+func (e *storedEntry) inForce(now time.Duration) bool { return e.remaining(now) > 0 }
+
+// export returns the entry as it is sent.
+func (e *storedEntry) export(now time.Duration) Entry {
+	entry := e.Entry
+	entry.Remaining = e.remaining(now)
+	return entry
+}
+
+// entrySet holds entries by id.
+type entrySet map[string]*storedEntry
+
+// removeExpired removes the entries that are no longer in force.
+func (s entrySet) removeExpired(now time.Duration) {
+	maps.DeleteFunc(s, func(_ string, e *storedEntry) bool { return !e.inForce(now) })
+}
+
+// export returns all entries, sorted by id.
+func (s entrySet) export(now time.Duration) []Entry {
+	var entries []Entry
+	for _, id := range slices.Sorted(maps.Keys(s)) {
+		entries = append(entries, s[id].export(now))
+	}
+	return entries
+}
+
+// inForce returns the entries that are in force, sorted by id.
+func (s entrySet) inForce(now time.Duration) []Entry {
+	return slices.DeleteFunc(s.export(now), func(e Entry) bool { return e.Remaining == 0 })
+}
+
+// replicatedState is the newest state of the fleet that this process knows.
+type replicatedState struct {
+	entries     entrySet
+	version     Version
+	requestedAt time.Duration // when the adopted state was requested
+}
+
+// known reports whether the process has ever had a leader's state.
+func (s *replicatedState) known() bool { return s.version.Term > 0 }
+
+// nextVersion counts a change, and returns its version.
+func (s *replicatedState) nextVersion() Version {
+	s.version.Sequence++
+	return s.version
+}
+
+// adopt replaces the state by that of a message. An entry that is missing there was never acknowledged by a majority, was
+// revoked or has expired.
+func (s *replicatedState) adopt(m Message) {
+	s.version = m.Version
+	s.requestedAt = m.RequestedAt
+	s.entries = entrySet{}
+	for _, entry := range m.Entries {
+		if len(entry.ID) <= maxIDBytes {
+			s.entries[entry.ID] = newReceivedEntry(m.RequestedAt, entry)
+		}
+	}
+}
--- /dev/null
+++ b/internal/overrides/message.go
@@ -0,0 +1,79 @@
+package overrides
+
+import "time"
+
+// MessageKind says what a Message asks for or carries. The numbers are part of the wire format.
+type MessageKind int
+
+// Kinds of messages.
+const (
+	KindStateRequest  MessageKind = 0 // a member requests the leader's state, and acknowledges the version that it has
+	KindStateResponse MessageKind = 1 // the leader's complete state
+	KindChangeNotice  MessageKind = 2 // the leader's state has changed
+	KindPrepare       MessageKind = 3 // a new leader requests a promise of its term, and the member's state
+	KindPromise       MessageKind = 4 // the member's promise and complete state
+)
+
+// Message is what registers send to each other. A response repeats Requester and RequestedAt of its request.
+type Message struct {
+	Kind        MessageKind   `json:"k"`
+	From        string        `json:"f"`
+	Requester   uint64        `json:"p"`           // incarnation of the process that requests
+	RequestedAt time.Duration `json:"s"`           // by the clock of that process
+	Version     Version       `json:"m"`           // of the sender's state
+	Term        uint64        `json:"t"`           // highest term that the sender has promised; in KindPrepare: the one it requests
+	PromisedTo  uint64        `json:"w,omitempty"` // incarnation of the leader to which Term is promised
+	Entries     []Entry       `json:"x,omitempty"`
+}
+
+// OutboundMessage is a message and the member to which it goes.
+type OutboundMessage struct {
+	To string
+	Message
+}
+
+// message returns a message from this process, without entries.
+func (r *Register) message(to string, kind MessageKind, requestedAt time.Duration) OutboundMessage {
+	return OutboundMessage{
+		To: to,
+		Message: Message{
+			Kind:        kind,
+			From:        r.self,
+			Requester:   r.incarnation,
+			RequestedAt: requestedAt,
+			Version:     r.state.version,
+			Term:        r.promised.term,
+			PromisedTo:  r.promised.incarnation,
+		},
+	}
+}
+
+// response answers a request with the complete state.
+func (r *Register) response(now time.Duration, kind MessageKind, request Message) []OutboundMessage {
+	out := r.message(request.From, kind, request.RequestedAt)
+	out.Requester = request.Requester
+	out.Entries = r.state.entries.export(now)
+	return []OutboundMessage{out}
+}
+
+// changeNotices notifies all other members of a change.
+func (r *Register) changeNotices(now time.Duration) []OutboundMessage {
+	var out []OutboundMessage
+	for _, member := range r.members {
+		if member != r.self {
+			out = append(out, r.message(member, KindChangeNotice, now))
+		}
+	}
+	return out
+}
+
+// prepareRequests asks each member whose promise is missing.
+func (r *Register) prepareRequests(now time.Duration) []OutboundMessage {
+	var out []OutboundMessage
+	for _, member := range r.members {
+		if !r.promises.has(member) {
+			out = append(out, r.message(member, KindPrepare, now))
+		}
+	}
+	return out
+}
--- a/internal/overrides/model_test.go
+++ b/internal/overrides/model_test.go
@@ -100,7 +100,7 @@
 func (m *model) order() {
 	r, now := m.at[m.leader], m.clock(m.leader)
 	id := fmt.Sprint("o", m.r.IntN(3))
-	old := r.facts[id]
+	old := r.state.entries[id]
 	if m.r.Float64() < 0.3 {
 		if _, out, err := r.Revoke(now, id); err == nil {
 			m.send(out)
@@ -169,13 +169,13 @@
 
 // confirm notes which versions a majority holds under the leader.
 func (m *model) confirm() {
-	if m.leader == "" || !m.at[m.leader].leads || m.at[m.leader].heard != nil {
+	if m.leader == "" || m.at[m.leader].role != roleLeading {
 		return
 	}
-	for id, h := range m.at[m.leader].facts {
+	for id, h := range m.at[m.leader].state.entries {
 		n := 0
 		for _, r := range m.at {
-			if o := r.facts[id]; o != nil && o.Version == h.Version && r.mark.Term == m.at[m.leader].mark.Term {
+			if o := r.state.entries[id]; o != nil && o.Version == h.Version && r.state.version.Term == m.at[m.leader].state.version.Term {
 				n++
 			}
 		}
@@ -197,7 +197,7 @@
 			m.broken = fmt.Sprintf("at %v %s acts on %s %v, which ended at %v", m.now, n, f.ID, f.Version, end)
 		}
 	}
-	for id, h := range m.at[n].facts {
+	for id, h := range m.at[n].state.entries {
 		if before := m.newest[n][id]; h.Version.Compare(before) < 0 && m.broken == "" {
 			m.broken = fmt.Sprintf("at %v %s holds %s %v again, after %v", m.now, n, id, h.Version, before)
 		}
@@ -215,9 +215,9 @@
 	m.cut, m.stop = map[string]bool{}, map[string]time.Duration{}
 	for from := m.now; m.broken == ""; {
 		m.step(true)
-		same := m.leader != "" && m.at[m.leader].heard == nil
+		same := m.leader != "" && m.at[m.leader].role == roleLeading
 		for _, n := range m.names {
-			same = same && m.at[n].mark == m.at[m.leader].mark
+			same = same && m.at[n].state.version == m.at[m.leader].state.version
 		}
 		if agreed = m.now - from; same {
 			break
--- /dev/null
+++ b/internal/overrides/operations.go
@@ -0,0 +1,91 @@
+package overrides
+
+import "time"
+
+// Put issues an override, or renews or replaces the one of its id if replaces names the version. It is idempotent by id
+// and content while the override is in force. With ErrIDInUse it returns the entry that is in force.
+func (r *Register) Put(
+	now time.Duration, id string, o Override, duration time.Duration, replaces *Version,
+) (Entry, []OutboundMessage, error) {
+	if err := validate(id, o, duration, MaxDuration); err != nil {
+		return Entry{}, nil, err
+	}
+	if err := r.requireLeadership(); err != nil {
+		return Entry{}, nil, err
+	}
+	old := r.state.entries[id]
+	oldInForce := old != nil && old.inForce(now)
+	switch {
+	case oldInForce && replaces == nil && old.Override == o:
+		return old.export(now), nil, nil
+	case oldInForce && (replaces == nil || *replaces != old.Version):
+		return old.export(now), nil, ErrIDInUse
+	case old == nil && len(r.state.entries) >= MaxEntries:
+		return Entry{}, nil, ErrRegisterFull
+	}
+	version := r.state.nextVersion()
+	entry := newIssuedEntry(now, id, version, o, duration)
+	r.state.entries[id] = entry
+	return entry.export(now), r.changeNotices(now), nil
+}
+
+// Revoke ends an override at once. A member that has the returned version no longer applies it.
+func (r *Register) Revoke(now time.Duration, id string) (Version, []OutboundMessage, error) {
+	if err := r.requireLeadership(); err != nil {
+		return Version{}, nil, err
+	}
+	if old := r.state.entries[id]; old == nil || !old.inForce(now) {
+		return Version{}, nil, ErrNotFound
+	}
+	delete(r.state.entries, id)
+	version := r.state.nextVersion()
+	return version, r.changeNotices(now), nil
+}
+
+func (r *Register) requireLeadership() error {
+	switch r.role {
+	case roleFollower:
+		return ErrNoQuorum
+	case rolePreparing:
+		return ErrLeaderNotReady
+	default:
+		return nil
+	}
+}
+
+// PutLocal issues an override for this process alone, with or without a quorum. It is never sent to other members.
+func (r *Register) PutLocal(now time.Duration, id string, o Override, duration time.Duration) error {
+	if err := validate(id, o, duration, MaxLocalDuration); err != nil {
+		return err
+	}
+	if len(r.local) >= MaxEntries {
+		return ErrRegisterFull
+	}
+	r.local[id] = newIssuedEntry(now, id, Version{}, o, duration)
+	return nil
+}
+
+// InForce returns the overrides in force, sorted by id; those of this process alone come last.
+func (r *Register) InForce(now time.Duration) []Entry {
+	return append(r.state.entries.inForce(now), r.local.inForce(now)...)
+}
+
+// UnacknowledgedMembers returns the members that have not acknowledged a version, as far as its leader knows. They may
+// still apply an older state.
+func (r *Register) UnacknowledgedMembers(version Version) []string {
+	return r.acknowledged.missing(r.members, r.self, version)
+}
+
+// Version is that of the state that this process has.
+func (r *Register) Version() Version { return r.state.version }
+
+// StateAge is the time since this process requested the state that it has; 0 at the leader, -1 if it never got one.
+func (r *Register) StateAge(now time.Duration) time.Duration {
+	switch {
+	case r.role != roleFollower:
+		return 0
+	case !r.state.known():
+		return -1
+	}
+	return now - r.state.requestedAt
+}
--- a/internal/overrides/register_test.go
+++ b/internal/overrides/register_test.go
@@ -34,7 +34,7 @@
 	if f, _, err := r.Put(time.Second, "x", order("y"), time.Hour, &first.Version); err != nil || f.Remaining != time.Hour || f.Version.Compare(first.Version) <= 0 {
 		t.Errorf("replaced by its version: %+v, %v", f, err)
 	}
-	for i := len(r.facts); i < MaxEntries; i++ {
+	for i := len(r.state.entries); i < MaxEntries; i++ {
 		if _, _, err := r.Put(time.Second, fmt.Sprint(i), order("z"), time.Minute, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -62,7 +62,7 @@
 	if err := r.PutLocal(0, "x", order("z"), MaxLocalDuration+1); err == nil {
 		t.Error("one that is here only lasts too long")
 	}
-	if err := r.PutLocal(0, "x", order("z"), time.Minute); err != nil || len(r.InForce(time.Minute-1)) != 1 || len(r.InForce(time.Minute)) != 0 || len(r.state(0)) != 0 {
+	if err := r.PutLocal(0, "x", order("z"), time.Minute); err != nil || len(r.InForce(time.Minute-1)) != 1 || len(r.InForce(time.Minute)) != 0 || len(r.state.entries.export(0)) != 0 {
 		t.Errorf("here: %v", err)
 	}
 }
@@ -74,8 +74,8 @@
 	for _, k := range []MessageKind{KindStateRequest, KindStateResponse, KindChangeNotice, KindPrepare, KindPromise} {
 		r.Handle(0, Message{Kind: k, From: "b", Requester: 1, Term: math.MaxUint64, Version: Version{Term: math.MaxUint64, Leader: "b"}})
 	}
-	if r.promised != 0 || r.mark.Term != 0 {
-		t.Errorf("promised %d, held %d", r.promised, r.mark.Term)
+	if r.promised.term != 0 || r.state.version.Term != 0 {
+		t.Errorf("promised %d, held %d", r.promised.term, r.state.version.Term)
 	}
 }
 
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	if b.promised != 2 {
-		t.Errorf("the new process asks for term %d, want 2", b.promised)
+	if b.promised.term != 2 {
+		t.Errorf("the new process asks for term %d, want 2", b.promised.term)
 	}
 }
