--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -19,56 +19,56 @@
 
 // attempt is one send of a call.
 type attempt struct {
-	call     *call
-	n        int
-	target   *target
-	wait     time.Duration // for an answer, or for the server to take the next bytes of a body that passes through
+	request     *clientRequest
+	number        int
+	endpoint   *endpoint
+	timeout     time.Duration // for an answer, or for the server to take the next bytes of a body that passes through
 	deadline time.Duration
-	started  time.Duration
-	told     time.Duration // the time that its server was told; set as its head is written
+	startedAt  time.Duration
+	budgetSent     time.Duration // the time that its server was told; set as its head is written
 
-	repeatBefore time.Duration // servers discard a repeat until then; 0: it is none, or need not be discarded
+	retryBefore time.Duration // servers discard a repeat until then; 0: it is none, or need not be discarded
 }
 
-var errDropped = errors.New("the rest of the answer is not wanted")
+var errResponseUnwanted = errors.New("the rest of the answer is not wanted")
 
 // start runs an attempt in a goroutine that ends with its result.
 func (p *pool) start(att *attempt) {
-	att.started = p.clock.now()
+	att.startedAt = p.clock.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.down { // shut waits for what was started before it; nobody is left to answer, and the loop ends next
+	if p.closed { // shut waits for what was started before it; nobody is left to answer, and the loop ends next
 		return
 	}
-	p.wg.Add(1)
+	p.running.Add(1)
 	go func() {
-		defer p.wg.Done()
-		p.results <- p.attempt(att)
+		defer p.running.Done()
+		p.results <- p.runAttempt(att)
 	}()
 }
 
-// attempt makes the one send of an attempt and waits for what comes back.
-func (p *pool) attempt(att *attempt) result {
-	ended := func(e policy.AttemptResult, why error) result { return result{att: att, ending: e, err: why} }
-	unsent := func(why guard.Verdict) result {
+// runAttempt makes the one send of an runAttempt and waits for what comes back.
+func (p *pool) runAttempt(att *attempt) attemptOutcome {
+	ended := func(e policy.AttemptResult, why error) attemptOutcome { return attemptOutcome{attempt: att, result: e, err: why} }
+	unsent := func(why guard.Verdict) attemptOutcome {
 		p.decisions.attemptNotSent(att, why)
-		return result{att: att, ending: policy.NotSent, why: why}
+		return attemptOutcome{attempt: att, result: policy.NotSent, notSentReason: why}
 	}
-	if why := p.maySend(att); why != guard.Allowed {
+	if why := p.checkSend(att); why != guard.Allowed {
 		return unsent(why)
 	}
-	c, err := p.take(att)
+	c, err := p.acquire(att)
 	if err != nil {
 		return ended(policy.ConnectFailed, err)
 	}
 	// Connecting takes time: the request may be over by now, or the server may have been told to drain.
-	if why := p.maySend(att); why != guard.Allowed {
-		p.park(c)
+	if why := p.checkSend(att); why != guard.Allowed {
+		p.release(c)
 		return unsent(why)
 	}
-	r, err := p.exchange(c, att)
+	r, err := p.roundTrip(c, att)
 	switch {
-	case err != nil && att.call.rest != nil && att.call.rest.failed() != nil:
+	case err != nil && att.request.bodyStream != nil && att.request.bodyStream.failed() != nil:
 		p.close(c)
 		return ended(policy.NotSent, err) // the caller did not give the last byte
 	case err != nil:
@@ -79,62 +79,62 @@
 	case r.err != nil:
 		return ended(policy.ConnectionLost, r.err)
 	}
-	res := result{att: att, ending: ending(r.resp), load: load(r.resp.Header), answer: answer{status: http.StatusOK,
-		contentType: r.resp.Header.Get("Content-Type"), body: r.body, held: r.held, rest: r.rest}}
+	res := attemptOutcome{attempt: att, result: attemptResult(r.resp), load: parseLoadReport(r.resp.Header), response: response{status: http.StatusOK,
+		contentType: r.resp.Header.Get("Content-Type"), body: r.body, bodyMemory: r.held, bodyStream: r.rest}}
 	switch {
 	case r.rest == nil:
-	case res.ending != policy.Success:
-		r.rest.end(errDropped, true) // a long error is nobody's
-		res.answer.rest = nil
+	case res.result != policy.Success:
+		r.rest.end(errResponseUnwanted, true) // a long error is nobody's
+		res.response.bodyStream = nil
 	default:
-		p.begins <- begun{att, res.answer}
+		p.responsesStarted <- responseStarted{att, res.response}
 		<-r.rest.over
-		res.passed = true
+		res.streamed = true
 		if res.err = r.rest.err; res.err != nil {
-			res.answer.status, res.ending = http.StatusBadGateway, policy.ConnectionLost
+			res.response.status, res.result = http.StatusBadGateway, policy.ConnectionLost
 			if r.rest.ours {
-				res.ending = policy.Canceled
+				res.result = policy.Canceled
 			}
 		}
 	}
 	if r.early || r.resp.Close || r.rest != nil && r.rest.err != nil {
 		p.close(c)
 	} else {
-		p.park(c)
+		p.release(c)
 	}
 	return res
 }
 
-// exchange writes the request and waits for what comes back. The error says why the last byte was not written.
-func (p *pool) exchange(c *conn, att *attempt) (reply, error) {
-	if att.call.rest == nil {
-		if _, err := c.Write(p.message(att)); err != nil {
+// roundTrip writes the request and waits for what comes back. The error says why the last byte was not written.
+func (p *pool) roundTrip(c *conn, att *attempt) (reply, error) {
+	if att.request.bodyStream == nil {
+		if _, err := c.Write(p.encodeRequest(att)); err != nil {
 			p.close(c)
 			(<-c.replies).drop() // an answer that came beside it, or the close
 			return reply{}, err
 		}
-		p.wrote(att, att.call.deadline)
+		p.recordWritten(att, att.request.deadline)
 		return <-c.replies, nil
 	}
 	p.setDeadline(c, time.Time{}) // the time for an answer runs from the last byte on
-	bw := bufio.NewWriterSize(&paced{conn: c, wait: att.wait}, p.buffers.chunk)
-	err := p.request(att, io.MultiReader(bytes.NewReader(att.call.body), att.call.rest)).Write(bw)
+	bw := bufio.NewWriterSize(&streamWriter{conn: c, timeout: att.timeout}, p.buffers.chunkSize)
+	err := p.outgoingRequest(att, io.MultiReader(bytes.NewReader(att.request.body), att.request.bodyStream)).Write(bw)
 	if err == nil {
 		err = bw.Flush()
 	}
 	if err == nil {
 		now := p.clock.now()
-		p.wrote(att, now+att.call.budget)
-		p.setDeadline(c, p.clock.at(now+min(att.wait, att.call.budget)))
-		p.sents <- sent{att, now}
+		p.recordWritten(att, now+att.request.budget)
+		p.setDeadline(c, p.clock.at(now+min(att.timeout, att.request.budget)))
+		p.requestsWritten <- requestWritten{att, now}
 		return <-c.replies, nil
 	}
 	// The server may have answered what it had not seen the end of. If not, the close makes the reader say so.
-	if !errors.Is(err, errEarly) {
+	if !errors.Is(err, errEarlyResponse) {
 		p.close(c)
 	}
 	r := <-c.replies
-	if r.err != nil || !errors.Is(err, errEarly) {
+	if r.err != nil || !errors.Is(err, errEarlyResponse) {
 		r.drop()
 		return reply{}, err
 	}
@@ -142,38 +142,38 @@
 	return r, nil
 }
 
-var errEarly = errors.New("answered before the end of the request")
+var errEarlyResponse = errors.New("answered before the end of the request")
 
-// paced writes a body as a server takes it, until that answers.
-type paced struct {
+// streamWriter writes a body as a server takes it, until that answers.
+type streamWriter struct {
 	*conn
-	wait time.Duration
+	timeout time.Duration
 }
 
-func (w *paced) Write(b []byte) (int, error) {
+func (w *streamWriter) Write(b []byte) (int, error) {
 	if len(w.replies) > 0 {
-		return 0, errEarly
+		return 0, errEarlyResponse
 	}
-	w.SetWriteDeadline(time.Now().Add(w.wait))
+	w.SetWriteDeadline(time.Now().Add(w.timeout))
 	n, err := w.conn.Write(b)
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		err = errEarly // it broke, and what the server said last is still to be read
+		err = errEarlyResponse // it broke, and what the server said last is still to be read
 	}
 	return n, err
 }
 
-// maySend asks the guard whether the attempt may be written now. Where the process has slept it waits until the news of
+// checkSend asks the guard whether the attempt may be written now. Where the process has slept it waits until the news of
 // the servers that came meanwhile is read.
-func (p *pool) maySend(att *attempt) guard.Verdict {
+func (p *pool) checkSend(att *attempt) guard.Verdict {
 	for {
 		why := guard.Send{
 			Now:             p.clock.now(),
 			Deadline:        att.deadline,
-			RepeatBefore:    att.repeatBefore,
-			RequestAnswered: att.call.closed.Load(),
-			EndpointRemoved: att.target.stopped.Load(),
+			RepeatBefore:    att.retryBefore,
+			RequestAnswered: att.request.finished.Load(),
+			EndpointRemoved: att.endpoint.unavailable.Load(),
 			ListOutdated:    p.staleness.hold(),
-			Client:          att.call.caller.state(),
+			Client:          att.request.connection.state(),
 		}.Verdict()
 		if why != guard.ListOutdated {
 			return why
@@ -182,53 +182,53 @@
 	}
 }
 
-// wrote counts an attempt that is whole at its server, and takes the second look at it.
-func (p *pool) wrote(att *attempt, clientDeadline time.Duration) {
+// recordWritten counts an attempt that is whole at its server, and takes the second look at it.
+func (p *pool) recordWritten(att *attempt, clientDeadline time.Duration) {
 	p.stats.count(func(c *counts) { c.written++ })
 	p.decisions.attemptWritten(att, guard.Sent{
 		Now:            p.clock.now(),
 		ClientDeadline: clientDeadline,
-		Told:           att.told,
-		RepeatBefore:   att.repeatBefore,
-		ClientLeft:     att.call.leftAt.get(),
-		RemovedAt:      att.target.removedAt.get(),
+		Told:           att.budgetSent,
+		RepeatBefore:   att.retryBefore,
+		ClientLeft:     att.request.disconnectedAt.get(),
+		RemovedAt:      att.endpoint.removedAt.get(),
 		RemovalGrace:   p.removalGrace,
 	})
 }
 
-// message is the whole request as it goes to a server.
-func (p *pool) message(att *attempt) []byte {
+// encodeRequest is the whole request as it goes to a server.
+func (p *pool) encodeRequest(att *attempt) []byte {
 	var body io.Reader
-	if len(att.call.body) > 0 {
-		body = bytes.NewReader(att.call.body)
+	if len(att.request.body) > 0 {
+		body = bytes.NewReader(att.request.body)
 	}
 	var b bytes.Buffer
-	p.request(att, body).Write(&b) // neither the buffer nor the body can fail
+	p.outgoingRequest(att, body).Write(&b) // neither the buffer nor the body can fail
 	return b.Bytes()
 }
 
-// request is a request as it came, but for the time that is left, which runs from its last byte.
-func (p *pool) request(att *attempt, body io.Reader) *http.Request {
-	c := att.call
+// outgoingRequest is a outgoingRequest as it came, but for the time that is left, which runs from its last byte.
+func (p *pool) outgoingRequest(att *attempt, body io.Reader) *http.Request {
+	c := att.request
 	header := c.header.Clone()
 	left := att.deadline - p.clock.now()
-	if c.rest != nil {
-		left = min(att.wait, c.budget)
+	if c.bodyStream != nil {
+		left = min(att.timeout, c.budget)
 	}
-	att.told = max(left, time.Microsecond)
-	header.Set("X-Budget", strconv.FormatInt(att.told.Microseconds(), 10)+"u")
+	att.budgetSent = max(left, time.Microsecond)
+	header.Set("X-Budget", strconv.FormatInt(att.budgetSent.Microseconds(), 10)+"u")
 	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = nil // else Request.Write adds its own
 	}
-	req := &http.Request{Method: c.method, URL: c.url, Host: c.host, Header: header, ContentLength: c.length}
+	req := &http.Request{Method: c.method, URL: c.url, Host: c.host, Header: header, ContentLength: c.contentLength}
 	if body != nil {
 		req.Body = io.NopCloser(body)
 	}
 	return req
 }
 
-// ending reads off an answer how the attempt ended.
-func ending(r *http.Response) policy.AttemptResult {
+// attemptResult reads off an answer how the attempt ended.
+func attemptResult(r *http.Response) policy.AttemptResult {
 	switch {
 	case r.StatusCode == http.StatusOK:
 		return policy.Success
@@ -239,9 +239,9 @@
 	return policy.ServerError // it may have run
 }
 
-// load reads a load report, in which the fields have the names that the settings give them. What is absent
+// parseLoadReport reads a parseLoadReport report, in which the fields have the names that the settings give them. What is absent
 // or odd is left out.
-func load(h http.Header) *policy.Load {
+func parseLoadReport(h http.Header) *policy.Load {
 	text := h.Get("X-Load-Report")
 	if text == "" {
 		return nil
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -14,55 +14,55 @@
 // be whole before a byte of them is passed on. Longer ones pass through buffers of a fixed size, one a connection
 // and direction, so that a slow peer slows the other side down and holds nothing else.
 const (
-	maxStream = 32 << 20 // of a body that passes through
-	slowest   = 64e3     // bytes a second that clients' bodies come with at least
+	maxStreamedBody = 32 << 20 // of a body that passes through
+	minBodyRate   = 64e3     // bytes a second that clients' bodies come with at least
 
-	silentMost = 2300 * time.Millisecond // between two pieces: a client that stops is owed an error or a close in 3 s
+	maxBodyReadGap = 2300 * time.Millisecond // between two pieces: a client that stops is owed an error or a close in 3 s
 )
 
-// budget bounds the sum of what is held whole. It never makes anyone wait: a body for which there is no room
+// memoryBudget bounds the sum of what is held whole. It never makes anyone wait: a body for which there is no room
 // passes through.
-type budget struct {
-	whole int
-	left  atomic.Int64 // below 0: what is out is over a whole that has become smaller
+type memoryBudget struct {
+	total int
+	available  atomic.Int64 // below 0: what is out is over a whole that has become smaller
 }
 
-func newBudget(n int) *budget {
-	b := &budget{whole: n}
-	b.left.Store(int64(n))
+func newMemoryBudget(n int) *memoryBudget {
+	b := &memoryBudget{total: n}
+	b.available.Store(int64(n))
 	return b
 }
 
-// share makes it a part of the whole. The parts are those of processes that share a limit.
-func (b *budget) share(was, now int) { b.left.Add(int64(b.whole/now - b.whole/was)) }
+// rescale makes it a part of the whole. The parts are those of processes that rescale a limit.
+func (b *memoryBudget) rescale(was, now int) { b.available.Add(int64(b.total/now - b.total/was)) }
 
-// take reserves n bytes; nil: there is no room.
-func (b *budget) take(n int) *lease {
-	if b.left.Add(int64(-n)) < 0 {
-		b.left.Add(int64(n))
+// reserve reserves n bytes; nil: there is no room.
+func (b *memoryBudget) reserve(n int) *memoryReservation {
+	if b.available.Add(int64(-n)) < 0 {
+		b.available.Add(int64(n))
 		return nil
 	}
-	return &lease{from: b, n: n}
+	return &memoryReservation{budget: b, size: n}
 }
 
-// lease is a reserved part of a budget. One owner at a time changes it.
-type lease struct {
-	from *budget
-	n    int
+// memoryReservation is a reserved part of a budget. One owner at a time changes it.
+type memoryReservation struct {
+	budget *memoryBudget
+	size    int
 }
 
 // shrink gives back what is over n bytes, all of it for 0.
-func (l *lease) shrink(n int) {
-	if l != nil && n < l.n {
-		l.from.left.Add(int64(l.n - n))
-		l.n = n
+func (l *memoryReservation) shrink(n int) {
+	if l != nil && n < l.size {
+		l.budget.available.Add(int64(l.size - n))
+		l.size = n
 	}
 }
 
 // buffers are the sizes that follow from the limits, so that all of them together stay in memory.
 type buffers struct {
-	requests, answers *budget
-	chunk             int // of what passes through, a connection and direction
+	requests, responses *memoryBudget
+	chunkSize             int // of what passes through, a connection and direction
 }
 
 // newBuffers gives an eighth of the memory to each kind.
@@ -71,13 +71,13 @@
 	if memoryMB == 0 {
 		part = 32 << 20
 	}
-	return buffers{requests: newBudget(part), answers: newBudget(part),
-		chunk: min(max(part/(2*connections), 2<<10), 32<<10)}
+	return buffers{requests: newMemoryBudget(part), responses: newMemoryBudget(part),
+		chunkSize: min(max(part/(2*connections), 2<<10), 32<<10)}
 }
 
 var (
-	errSlow   = errors.New("the body came too slowly")
-	errLong   = errors.New("the body is too long")
+	errBodyTooSlow   = errors.New("the body came too slowly")
+	errBodyTooLong   = errors.New("the body is too long")
 	errClosed = errors.New("nobody wants the rest of the body")
 )
 
@@ -119,9 +119,9 @@
 	case err == io.EOF: // from here on a read only watches for the client's leaving
 		u.rc.SetReadDeadline(time.Time{})
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		err = errSlow
-	case u.n > maxStream:
-		err = errLong
+		err = errBodyTooSlow
+	case u.n > maxStreamedBody:
+		err = errBodyTooLong
 	}
 	u.err = err
 	return n, err
@@ -143,10 +143,10 @@
 // expect gives the next bytes the time that a client at the slowest pace may still take, and no longer than one may be
 // silent. The time in which the server took nothing is not the client's.
 func (u *upload) expect(now time.Time) {
-	pace := time.Duration(float64(u.n) / slowest * float64(time.Second))
+	pace := time.Duration(float64(u.n) / minBodyRate * float64(time.Second))
 	left := u.first + pace - u.waited
 	if u.n > 0 {
-		left = min(left, silentMost)
+		left = min(left, maxBodyReadGap)
 	}
 	u.rc.SetReadDeadline(now.Add(left))
 }
@@ -155,7 +155,7 @@
 // reset the connection, and it might not get to read its answer.
 func (u *upload) discard() {
 	buf := make([]byte, 4<<10)
-	for n, err := 0, error(nil); err == nil && u.n < maxStream; u.n += int64(n) {
+	for n, err := 0, error(nil); err == nil && u.n < maxStreamedBody; u.n += int64(n) {
 		began := time.Now()
 		u.expect(began)
 		n, err = u.body.Read(buf)
@@ -185,10 +185,10 @@
 }
 
 func (d *download) Read(b []byte) (int, error) {
-	d.conn.SetReadDeadline(time.Now().Add(d.conn.pool.stall))
+	d.conn.SetReadDeadline(time.Now().Add(d.conn.pool.streamTimeout))
 	n, err := d.resp.Body.Read(b)
-	if d.n += int64(n); d.n > maxStream && err == nil {
-		err = errLong
+	if d.n += int64(n); d.n > maxStreamedBody && err == nil {
+		err = errBodyTooLong
 	}
 	return n, err
 }
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-const long = 40 * maxBody
+const long = 40 * maxBufferedBody
 
 // noise is a body without a pattern that a misplaced piece could hide in.
 func noise(n int) string {
@@ -47,7 +47,7 @@
 		},
 	}
 	for name, frame := range framings {
-		for _, size := range []int{0, 1, maxBody - 1, maxBody, maxBody + 1, long} {
+		for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, long} {
 			body := noise(size)
 			b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool { return frame(c, body) })
 			n := startWith(t, b)
@@ -98,7 +98,7 @@
 // The first bytes of a long answer reach the caller while the server still holds the rest, and a caller that does
 // not read holds the server back.
 func TestAnswersArePassedOnAsTheyCome(t *testing.T) {
-	const total = maxStream - 1
+	const total = maxStreamedBody - 1
 	release := make(chan struct{})
 	var written atomic.Int64
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
@@ -255,7 +255,7 @@
 				return
 			}
 			cuts.Add(1)
-			io.ReadFull(c, make([]byte, maxBody))
+			io.ReadFull(c, make([]byte, maxBufferedBody))
 			c.Close()
 		}
 	}()
@@ -279,8 +279,8 @@
 	cfg.Discovery = silentDiscovery(t)
 	const room = 1500 // for one of either kind
 	n := start(t, cfg, func(n *Node) {
-		n.buffers.requests.left.Store(room)
-		n.buffers.answers.left.Store(room)
+		n.buffers.requests.available.Store(room)
+		n.buffers.responses.available.Store(room)
 	})
 	done := make(chan error)
 	for i := range 20 {
@@ -303,15 +303,15 @@
 		}
 	}
 	eventually(t, "all room is back", func() bool {
-		return n.buffers.requests.left.Load() == room && n.buffers.answers.left.Load() == room
+		return n.buffers.requests.available.Load() == room && n.buffers.responses.available.Load() == room
 	})
-	small := newBudget(10)
-	l := small.take(8)
-	if l == nil || small.take(3) != nil {
+	small := newMemoryBudget(10)
+	l := small.reserve(8)
+	if l == nil || small.reserve(3) != nil {
 		t.Error("a budget gave more than it has")
 	}
-	small.share(1, 2)
-	if l.shrink(0); small.take(6) != nil || small.take(5) == nil {
+	small.rescale(1, 2)
+	if l.shrink(0); small.reserve(6) != nil || small.reserve(5) == nil {
 		t.Error("a shared budget did not give its half")
 	}
 }
@@ -322,8 +322,8 @@
 	b := newBackend(t, ok)
 	n := startWith(t, b)
 	b.ln.Close()
-	c := open(t, n, fmt.Sprintf("Content-Length: %d", maxBody+256000))
-	c.Write(make([]byte, maxBody)) // so that it is taken up
+	c := open(t, n, fmt.Sprintf("Content-Length: %d", maxBufferedBody+256000))
+	c.Write(make([]byte, maxBufferedBody)) // so that it is taken up
 	begin := time.Now()
 	if got := status(t, c); got != http.StatusServiceUnavailable {
 		t.Errorf("answered %d, want 503", got)
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -29,8 +29,8 @@
 // callers answers what callers ask.
 type callers struct {
 	clock      clock
-	arrivals   chan<- *call
-	gone       chan<- *call
+	arrivals   chan<- *clientRequest
+	gone       chan<- *clientRequest
 	stopped    <-chan struct{}
 	stats      *stats
 	decisions  *decisions
@@ -64,10 +64,10 @@
 		return
 	}
 	if !hold(r) {
-		c.held.shrink(0)
+		c.bodyMemory.shrink(0)
 		h.drop()
 	}
-	if c.rest != nil {
+	if c.bodyStream != nil {
 		http.NewResponseController(w).EnableFullDuplex() // the answer may come before the body's end
 	}
 	select {
@@ -76,8 +76,8 @@
 		panic(http.ErrAbortHandler)
 	}
 	select {
-	case a := <-c.reply:
-		if a.status == cut.status {
+	case a := <-c.responses:
+		if a.status == abortResponse.status {
 			h.abandon(c)
 		}
 		h.write(w, r, c, a)
@@ -87,8 +87,8 @@
 		case <-h.stopped:
 		}
 		select { // the answer may have come in the same moment, and no other comes after the loop has heard
-		case a := <-c.reply:
-			a.drop()
+		case a := <-c.responses:
+			a.discard()
 		default:
 		}
 		h.abandon(c)
@@ -97,9 +97,9 @@
 
 // abandon ends the handling of a call whose client is gone. A plain return would be a 200 that no server made, and a
 // client that closed one side only would read it.
-func (h *callers) abandon(c *call) {
-	if c.rest != nil {
-		c.rest.stop()
+func (h *callers) abandon(c *clientRequest) {
+	if c.bodyStream != nil {
+		c.bodyStream.stop()
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -136,20 +136,20 @@
 }
 
 // read turns an HTTP request into a call, or says with which status to turn it down.
-func (h *callers) read(w http.ResponseWriter, r *http.Request) (*call, int, error) {
-	bad := func(format string, args ...any) (*call, int, error) {
+func (h *callers) read(w http.ResponseWriter, r *http.Request) (*clientRequest, int, error) {
+	bad := func(format string, args ...any) (*clientRequest, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
 	}
-	c := &call{method: r.Method, url: r.URL, host: r.Host, reply: make(chan answer, 1), caller: connOf(r)}
-	c.req.ID = r.Header.Get("X-Call-Id")
-	c.req.Class = r.Header.Get("X-Call-Class")
-	c.req.Tenant = r.Header.Get("X-Caller")
-	c.req.IsRetry = r.Header.Get("X-Again") == "1"
-	if c.req.ID == "" {
+	c := &clientRequest{method: r.Method, url: r.URL, host: r.Host, responses: make(chan response, 1), connection: connOf(r)}
+	c.meta.ID = r.Header.Get("X-Call-Id")
+	c.meta.Class = r.Header.Get("X-Call-Class")
+	c.meta.Tenant = r.Header.Get("X-Caller")
+	c.meta.IsRetry = r.Header.Get("X-Again") == "1"
+	if c.meta.ID == "" {
 		return bad("X-Call-Id is missing")
 	}
 	// Servers fail what is of no class, and the module would take that for their ill health.
-	switch method := h.methods[c.req.Class]; method {
+	switch method := h.methods[c.meta.Class]; method {
 	case "":
 		return bad("X-Call-Class is missing or unknown")
 	case r.Method:
@@ -164,7 +164,7 @@
 	if key := r.Header.Get("X-Route-Hash"); key != "" {
 		sum := fnv.New64a() // the module only compares keys
 		sum.Write([]byte(key))
-		c.req.Key, c.req.HasKey = sum.Sum64(), true
+		c.meta.Key, c.meta.HasKey = sum.Sum64(), true
 	}
 	if status, err := h.body(w, r, c); err != nil {
 		return nil, status, err
@@ -177,43 +177,43 @@
 		return nil, http.StatusServiceUnavailable, errWaited
 	}
 	c.deadline = h.clock.now() + c.budget
-	c.req.Deadline, c.req.BodyIncomplete = c.deadline, c.rest != nil
+	c.meta.Deadline, c.meta.BodyIncomplete = c.deadline, c.bodyStream != nil
 	return c, 0, nil
 }
 
 // body reads a short body whole and the beginning of a long one, as far as there is room. The rest is left to the
 // server's pace. A peer that sends a long body's head alone so gets no server's time.
-func (h *callers) body(w http.ResponseWriter, r *http.Request, c *call) (int, error) {
-	if r.ContentLength > maxStream {
-		return http.StatusRequestEntityTooLarge, fmt.Errorf("the body is over %d bytes", maxStream)
+func (h *callers) body(w http.ResponseWriter, r *http.Request, c *clientRequest) (int, error) {
+	if r.ContentLength > maxStreamedBody {
+		return http.StatusRequestEntityTooLarge, fmt.Errorf("the body is over %d bytes", maxStreamedBody)
 	}
-	c.length = r.ContentLength
-	if c.length == 0 {
+	c.contentLength = r.ContentLength
+	if c.contentLength == 0 {
 		return 0, nil
 	}
 	u := &upload{rc: http.NewResponseController(w), body: r.Body, first: bodyDue(r)}
-	if c.held = h.buffers.requests.take(int(min(uint64(c.length), maxBody))); c.held == nil {
-		c.rest = u
+	if c.bodyMemory = h.buffers.requests.reserve(int(min(uint64(c.contentLength), maxBufferedBody))); c.bodyMemory == nil {
+		c.bodyStream = u
 		return 0, nil
 	}
 	var err error
-	c.body, err = io.ReadAll(io.LimitReader(u, int64(c.held.n)))
-	if err == nil && (len(c.body) < c.held.n || c.length == int64(c.held.n)) {
+	c.body, err = io.ReadAll(io.LimitReader(u, int64(c.bodyMemory.size)))
+	if err == nil && (len(c.body) < c.bodyMemory.size || c.contentLength == int64(c.bodyMemory.size)) {
 		_, err = u.Read(make([]byte, 1)) // the end
 	}
 	switch {
 	case err == nil:
 		u.touched.Store(false) // c.body can be sent again
-		c.rest = u
+		c.bodyStream = u
 	case err != io.EOF:
-		c.held.shrink(0)
+		c.bodyMemory.shrink(0)
 		return http.StatusBadRequest, errors.New("the body could not be read")
 	default:
-		c.length = int64(len(c.body))
-		c.held.shrink(len(c.body))
+		c.contentLength = int64(len(c.body))
+		c.bodyMemory.shrink(len(c.body))
 	}
 	if r.Method == http.MethodGet && len(c.body) > 0 {
-		c.held.shrink(0)
+		c.bodyMemory.shrink(0)
 		return http.StatusBadRequest, errNoBody
 	}
 	return 0, nil
@@ -271,12 +271,12 @@
 	}
 }
 
-func (h *callers) write(w http.ResponseWriter, r *http.Request, c *call, a answer) {
+func (h *callers) write(w http.ResponseWriter, r *http.Request, c *clientRequest, a response) {
 	rc := http.NewResponseController(w)
-	defer a.held.shrink(0)
+	defer a.bodyMemory.shrink(0)
 	rc.SetWriteDeadline(time.Now().Add(writeTime))
 	h.begin(w, r)
-	unread := c.rest != nil && !c.rest.stop()
+	unread := c.bodyStream != nil && !c.bodyStream.stop()
 	if unread {
 		w.Header().Set("Connection", "close")
 	}
@@ -286,7 +286,7 @@
 	if a.contentType != "" {
 		w.Header().Set("Content-Type", a.contentType)
 	}
-	if a.rest != nil {
+	if a.bodyStream != nil {
 		h.passOn(w, rc, a)
 	} else {
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -295,35 +295,35 @@
 	}
 	if unread {
 		rc.Flush()
-		c.rest.discard()
+		c.bodyStream.discard()
 	}
 }
 
 // passOn gives a caller what a server gives, as it comes. An answer that breaks off ends the connection, so that
 // the caller can tell.
-func (h *callers) passOn(w http.ResponseWriter, rc *http.ResponseController, a answer) {
-	if n := a.rest.resp.ContentLength; n >= 0 {
+func (h *callers) passOn(w http.ResponseWriter, rc *http.ResponseController, a response) {
+	if n := a.bodyStream.resp.ContentLength; n >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	w.WriteHeader(a.status)
-	buf, part := make([]byte, h.buffers.chunk), a.body
+	buf, part := make([]byte, h.buffers.chunkSize), a.body
 	for {
 		rc.SetWriteDeadline(time.Now().Add(writeTime))
 		_, err := w.Write(part)
 		if err = errors.Join(err, rc.Flush()); err != nil {
-			a.rest.end(err, true)
+			a.bodyStream.end(err, true)
 			panic(http.ErrAbortHandler)
 		}
-		n, err := a.rest.Read(buf)
+		n, err := a.bodyStream.Read(buf)
 		if part = buf[:n]; n > 0 {
 			continue // an error comes again
 		}
 		if err == io.EOF {
-			a.rest.end(nil, false)
+			a.bodyStream.end(nil, false)
 			return
 		}
 		if err != nil {
-			a.rest.end(err, false)
+			a.bodyStream.end(err, false)
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -51,7 +51,7 @@
 		"nothing left":     func(r *http.Request) { r.Header.Set("X-Budget", "0m") },
 		"endless":          func(r *http.Request) { r.Header.Set("X-Budget", "1e300m") },
 		"method":           func(r *http.Request) { r.Method = http.MethodDelete },
-		"body over 32 MiB": func(r *http.Request) { *r = *newRequest(t, n.url, "keyed", "big", strings.Repeat("x", maxStream+1)) },
+		"body over 32 MiB": func(r *http.Request) { *r = *newRequest(t, n.url, "keyed", "big", strings.Repeat("x", maxStreamedBody+1)) },
 		"GET with chunks": func(r *http.Request) {
 			r.Method = http.MethodGet
 			r.Header.Set("X-Call-Class", "safe")
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -22,7 +22,7 @@
 	net.Conn
 	raw     syscall.RawConn
 	pool    *pool
-	target  *target
+	target  *endpoint
 	in      *io.LimitedReader // what an answer may still take: net/http sets no bound to an answer's header
 	br      *bufio.Reader
 	replies chan reply
@@ -43,14 +43,14 @@
 type reply struct {
 	resp *http.Response
 	body []byte
-	held *lease    // for body
+	held *memoryReservation    // for body
 	rest *download // what comes after body; nil: nothing
 	err  error
 
 	early bool // the server had not seen the whole request: the connection is out of step
 }
 
-func (r reply) drop() { answer{held: r.held, rest: r.rest}.drop() }
+func (r reply) drop() { response{bodyMemory: r.held, bodyStream: r.rest}.discard() }
 
 // Read reads for the parser of answers, and notes in one step with the system's read whether a request was on the
 // connection: what came before it is no answer to it.
@@ -101,7 +101,7 @@
 // connection that is closed, gets bytes nobody asked for or is idle for long is dropped.
 func (c *conn) read() {
 	for {
-		c.in.N = maxHeader
+		c.in.N = maxResponseHead
 		_, err := c.br.Peek(1)
 		c.pool.mu.Lock()
 		idle := c.place != nil
@@ -156,19 +156,19 @@
 		}
 		c.in.N = math.MaxInt64
 		d := &download{conn: c, resp: resp, over: make(chan struct{})}
-		room := int(min(uint64(resp.ContentLength), maxBody)) // all of it, if the length is not known
-		held := c.pool.buffers.answers.take(room)
-		if resp.ContentLength > maxBody || held == nil {
+		room := int(min(uint64(resp.ContentLength), maxBufferedBody)) // all of it, if the length is not known
+		held := c.pool.buffers.responses.reserve(room)
+		if resp.ContentLength > maxBufferedBody || held == nil {
 			held.shrink(0)
 			return reply{resp: resp, rest: d}
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody))
 		held.shrink(len(body))
 		if err != nil {
 			held.shrink(0)
 			return reply{err: err}
 		}
-		if len(body) < maxBody || resp.ContentLength == maxBody {
+		if len(body) < maxBufferedBody || resp.ContentLength == maxBufferedBody {
 			d.check()
 			c.rest()
 			return reply{resp: resp, body: body, held: held}
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -150,11 +150,11 @@
 }
 
 // hasRested makes idle connections old enough to be used again.
-func hasRested(p *pool, t *target) {
+func hasRested(p *pool, t *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range t.idle {
-		c.parked = c.parked.Add(-restLeast)
+		c.parked = c.parked.Add(-minIdlePeriod)
 	}
 }
 
@@ -172,23 +172,23 @@
 			b := newBackend(t, ok)
 			p := testPool(t)
 			att := testAttempt(p, b.addr(), time.Minute)
-			if first := p.attempt(att); first.ending != policy.Success {
-				t.Fatalf("the first ended with %v", first.ending)
+			if first := p.runAttempt(att); first.result != policy.Success {
+				t.Fatalf("the first ended with %v", first.result)
 			}
 			second := *att
-			hasRested(p, att.target)
+			hasRested(p, att.endpoint)
 			p.mu.Lock()
-			ended := make(chan result, 1)
-			go func() { ended <- p.attempt(&second) }()
-			eventually(t, "the attempt is about to take it", blocked("(*pool).take"))
+			ended := make(chan attemptOutcome, 1)
+			go func() { ended <- p.runAttempt(&second) }()
+			eventually(t, "the attempt is about to take it", blocked("(*pool).acquire"))
 			b.mu.Lock()
 			c := b.conns[0]
 			b.mu.Unlock()
 			cross(c)
 			eventually(t, "the reader is about to look", blocked("(*conn).read"))
 			p.mu.Unlock()
-			if r := <-ended; r.ending != policy.Success || string(r.answer.body) != "done" {
-				t.Errorf("it ended with %v, %v and %q", r.ending, r.err, r.answer.body)
+			if r := <-ended; r.result != policy.Success || string(r.response.body) != "done" {
+				t.Errorf("it ended with %v, %v and %q", r.result, r.err, r.response.body)
 			}
 			if got := b.accepted(); got != 2 {
 				t.Errorf("%d connections, want a new one for the second", got)
@@ -202,23 +202,23 @@
 	b := newBackend(t, ok)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
-	if first := p.attempt(att); first.ending != policy.Success {
-		t.Fatalf("the first ended with %v", first.ending)
+	if first := p.runAttempt(att); first.result != policy.Success {
+		t.Fatalf("the first ended with %v", first.result)
 	}
-	hasRested(p, att.target)
-	c := att.target.idle[0]
+	hasRested(p, att.endpoint)
+	c := att.endpoint.idle[0]
 	c.step.Lock() // its reader, or the attempt, goes on first
 	second := *att
-	ended := make(chan result, 1)
-	go func() { ended <- p.attempt(&second) }()
+	ended := make(chan attemptOutcome, 1)
+	go func() { ended <- p.runAttempt(&second) }()
 	eventually(t, "the attempt is about to claim it", blocked("(*conn).claim"))
 	b.mu.Lock()
 	io.WriteString(b.conns[0], "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 	b.mu.Unlock()
 	eventually(t, "the reader is about to read", blocked("(*conn).Read"))
 	c.step.Unlock()
-	if r := <-ended; r.ending != policy.Success || string(r.answer.body) != "done" {
-		t.Errorf("it ended with %v, %v and %q", r.ending, r.err, r.answer.body)
+	if r := <-ended; r.result != policy.Success || string(r.response.body) != "done" {
+		t.Errorf("it ended with %v, %v and %q", r.result, r.err, r.response.body)
 	}
 }
 
@@ -261,7 +261,7 @@
 			first.Close()
 			eventually(t, "the loop knows that it left", func() bool {
 				var left bool
-				n.loop.ask(func() { left = n.loop.calls["1"].closed.Load() })
+				n.loop.ask(func() { left = n.loop.calls["1"].finished.Load() })
 				return left
 			})
 			again := ln.dial(t)
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -84,7 +84,7 @@
 // attemptNotSent is told of each attempt that the guard held back.
 func (d *decisions) attemptNotSent(att *attempt, why guard.Verdict) {
 	d.notSent.add(why)
-	d.line(d.lines, slog.LevelInfo, "attempt not sent", "id", att.call.req.ID, "attempt", att.n, "server", att.target.id, "reason", why.String())
+	d.line(d.lines, slog.LevelInfo, "attempt not sent", "id", att.request.meta.ID, "attempt", att.number, "server", att.endpoint.id, "reason", why.String())
 }
 
 // requestAnswered is told of each request that the module refuses or fails.
@@ -96,7 +96,7 @@
 // attemptWritten takes the second look at an attempt whose last byte was just written.
 func (d *decisions) attemptWritten(att *attempt, sent guard.Sent) {
 	if v := sent.Violation(); v != guard.Allowed {
-		d.violation(v, "id", att.call.req.ID, "attempt", att.n, "server", att.target.id, "told", sent.Told,
+		d.violation(v, "id", att.request.meta.ID, "attempt", att.number, "server", att.endpoint.id, "told", sent.Told,
 			"left", sent.ClientDeadline-sent.Now)
 	}
 }
--- a/internal/node/floods_test.go
+++ b/internal/node/floods_test.go
@@ -20,7 +20,7 @@
 			t.Parallel()
 			b := newBackend(t, ok)
 			n, ln := gatedNode(t, b)
-			whole := n.buffers.requests.left.Load()
+			whole := n.buffers.requests.available.Load()
 			ln.hold.Store(true)
 			c := ln.dial(t)
 			go func() { // more than the system takes before the node reads
@@ -34,7 +34,7 @@
 			eventually(t, "its connection is closed", c.node.isClosed)
 			ln.hold.Store(false)
 			n.onlyThoseThatStay(t, ln, b)
-			if left := n.buffers.requests.left.Load(); left != whole {
+			if left := n.buffers.requests.available.Load(); left != whole {
 				t.Errorf("%d bytes are held for nobody", whole-left)
 			}
 		})
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -15,11 +15,11 @@
 // A client that leaves in the moment of its answer leaves nothing behind: neither memory that is counted as held nor
 // an answer whose rest somebody waits for. The handler may see either first, so that a hundred show both.
 func TestClientLeavesAsItsAnswerComes(t *testing.T) {
-	arrivals, gone := make(chan *call), make(chan *call)
+	arrivals, gone := make(chan *clientRequest), make(chan *clientRequest)
 	h := &callers{clock: newClock(), arrivals: arrivals, gone: gone, stopped: make(chan struct{}), stats: newStats(nil),
 		buffers: newBuffers(64, 8), methods: map[string]string{"safe": http.MethodGet},
 		ready: func() bool { return true }, closing: func() bool { return false }}
-	whole := h.buffers.answers.left.Load()
+	whole := h.buffers.responses.available.Load()
 	for range 100 {
 		ctx, leave := context.WithCancel(context.Background())
 		r := httptest.NewRequest(http.MethodGet, "/api", nil).WithContext(ctx)
@@ -34,13 +34,13 @@
 		}()
 		c := <-arrivals
 		leave()
-		c.reply <- answer{status: http.StatusBadGateway, held: h.buffers.answers.take(100)}
+		c.responses <- response{status: http.StatusBadGateway, bodyMemory: h.buffers.responses.reserve(100)}
 		select {
 		case <-gone:
 			<-ended
 		case <-ended:
 		}
-		if left := h.buffers.answers.left.Load(); left != whole {
+		if left := h.buffers.responses.available.Load(); left != whole {
 			t.Fatalf("%d bytes are held for nobody", whole-left)
 		}
 	}
@@ -49,17 +49,17 @@
 // A server that answers and closes before it has read a request leaves no memory counted as held.
 func TestAnswerBesideAFailedWrite(t *testing.T) {
 	p := testPool(t)
-	whole := p.buffers.answers.left.Load()
+	whole := p.buffers.responses.available.Load()
 	b := newBackend(t, ok)
 	att := testAttempt(p, b.addr(), time.Minute)
-	if first := p.attempt(att); first.ending != policy.Success {
-		t.Fatalf("the first ended with %v", first.ending)
+	if first := p.runAttempt(att); first.result != policy.Success {
+		t.Fatalf("the first ended with %v", first.result)
 	} else {
-		first.answer.drop()
+		first.response.discard()
 	}
-	c := att.target.idle[0]
+	c := att.endpoint.idle[0]
 	p.mu.Lock()
-	p.unpark(c)
+	p.removeIdle(c)
 	p.mu.Unlock()
 	if !c.claim() {
 		t.Fatal("it cannot be taken")
@@ -69,11 +69,11 @@
 	b.mu.Unlock()
 	eventually(t, "the answer waits", func() bool { return len(c.replies) == 1 })
 	c.Close() // the write fails
-	if _, err := p.exchange(c, att); err == nil {
+	if _, err := p.roundTrip(c, att); err == nil {
 		t.Fatal("the write did not fail")
 	}
 	p.close(c)
-	if left := p.buffers.answers.left.Load(); left != whole {
+	if left := p.buffers.responses.available.Load(); left != whole {
 		t.Errorf("%d bytes are held for nobody", whole-left)
 	}
 }
@@ -82,7 +82,7 @@
 func TestBodyOfAnIDInUse(t *testing.T) {
 	b, release := stalled(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
 	n, ln := gatedNode(t, b)
-	whole := n.buffers.requests.left.Load()
+	whole := n.buffers.requests.available.Load()
 	first, second := ln.dial(t), ln.dial(t)
 	first.send(t, text("unsafe", "1", "payload"))
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
@@ -95,7 +95,7 @@
 		t.Errorf("the first got %d", status)
 	}
 	eventually(t, "all is over", n.idle)
-	if left := n.buffers.requests.left.Load(); left != whole {
+	if left := n.buffers.requests.available.Load(); left != whole {
 		t.Errorf("%d bytes are held for nobody", whole-left)
 	}
 }
--- a/internal/node/leavers_test.go
+++ b/internal/node/leavers_test.go
@@ -36,7 +36,7 @@
 	"an end of sending":             {text("unsafe", "left", "x"), func(t *testing.T, c *caller) { c.CloseWrite() }},
 	"a close behind more bytes":     {text("unsafe", "left", "x"), func(t *testing.T, c *caller) { c.send(t, "P"); c.Close() }},
 	"a close behind a request":      {text("unsafe", "left", "x"), func(t *testing.T, c *caller) { c.send(t, text("unsafe", "next", "")); c.Close() }},
-	"a close behind a long body":    {text("unsafe", "left", strings.Repeat("x", 3*maxBody/2)), func(t *testing.T, c *caller) { c.Close() }},
+	"a close behind a long body":    {text("unsafe", "left", strings.Repeat("x", 3*maxBufferedBody/2)), func(t *testing.T, c *caller) { c.Close() }},
 	"a close behind a chunked body": {text("unsafe", "left", "", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n", func(t *testing.T, c *caller) { c.Close() }},
 }
 
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -69,32 +69,32 @@
 	b := newBackend(t, ok)
 	p := testPool(t)
 	resting := testAttempt(p, b.addr(), time.Minute)
-	if first := p.attempt(resting); first.ending != policy.Success {
-		t.Fatalf("the first ended with %v", first.ending)
+	if first := p.runAttempt(resting); first.result != policy.Success {
+		t.Fatalf("the first ended with %v", first.result)
 	}
-	c := resting.target.idle[0]
+	c := resting.endpoint.idle[0]
 	dialing, up := make(chan struct{}), make(chan struct{})
 	p.dialer.Control = func(string, string, syscall.RawConn) error {
 		close(dialing)
 		<-up
 		return nil
 	}
-	ended := make(chan result, 1)
-	p.wg.Add(1)
+	ended := make(chan attemptOutcome, 1)
+	p.running.Add(1)
 	go func() {
-		defer p.wg.Done()
-		ended <- p.attempt(testAttempt(p, b.addr(), time.Minute))
+		defer p.running.Done()
+		ended <- p.runAttempt(testAttempt(p, b.addr(), time.Minute))
 	}()
 	<-dialing
 	shut := make(chan struct{})
 	go func() {
-		p.shut()
+		p.shutdown()
 		close(shut)
 	}()
 	<-c.gone // the end has begun
 	close(up)
-	if r := <-ended; r.ending != policy.ConnectFailed {
-		t.Errorf("it ended with %v, want Unreachable", r.ending)
+	if r := <-ended; r.result != policy.ConnectFailed {
+		t.Errorf("it ended with %v, want Unreachable", r.result)
 	}
 	<-shut
 	if got := b.requests(); got != 1 {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -23,7 +23,7 @@
 // sender carries attempts to servers. No method may block.
 type sender interface {
 	start(*attempt)
-	retire(*target)
+	retire(*endpoint)
 }
 
 // loop feeds the Balancer from one goroutine and carries out its actions.
@@ -36,18 +36,18 @@
 	staleness *watchdog // of discovery; nil: there is none
 
 	lists    chan news
-	arrivals chan *call
-	gone     chan *call
-	results  chan result
-	sents    chan sent
-	begins   chan begun
+	arrivals chan *clientRequest
+	gone     chan *clientRequest
+	results  chan attemptOutcome
+	sents    chan requestWritten
+	begins   chan responseStarted
 	peers    chan policy.ReplicaCounts     // holds the newest word of the mesh
 	ordered  chan map[string]time.Duration // holds the zones that overrides send away, with their ends
 	asks     chan func()                   // run here; must not block
 	stop     chan struct{}
 
-	calls     map[string]*call
-	targets   map[string]*target
+	calls     map[string]*clientRequest
+	targets   map[string]*endpoint
 	wakes     wakeHeap
 	stats     *stats
 	decisions *decisions
@@ -63,9 +63,9 @@
 
 func newLoop(ck clock, log *slog.Logger, bal *policy.Balancer, st *stats) *loop {
 	return &loop{clock: ck, log: log, bal: bal, stats: st, decisions: newDecisions(log),
-		lists: make(chan news), arrivals: make(chan *call), gone: make(chan *call),
-		results: make(chan result), sents: make(chan sent), begins: make(chan begun), peers: make(chan policy.ReplicaCounts, 1), ordered: make(chan map[string]time.Duration, 1), byHand: map[string]bool{}, asks: make(chan func()), stop: make(chan struct{}),
-		zones: map[string]policy.ZoneState{}, lines: rate.NewLimiter(zoneLines, 2*zoneLines), calls: map[string]*call{}, targets: map[string]*target{}}
+		lists: make(chan news), arrivals: make(chan *clientRequest), gone: make(chan *clientRequest),
+		results: make(chan attemptOutcome), sents: make(chan requestWritten), begins: make(chan responseStarted), peers: make(chan policy.ReplicaCounts, 1), ordered: make(chan map[string]time.Duration, 1), byHand: map[string]bool{}, asks: make(chan func()), stop: make(chan struct{}),
+		zones: map[string]policy.ZoneState{}, lines: rate.NewLimiter(zoneLines, 2*zoneLines), calls: map[string]*clientRequest{}, targets: map[string]*endpoint{}}
 }
 
 // run handles events until stop is closed. Senders on the channels may wait; the loop never does.
@@ -151,9 +151,9 @@
 		case policy.SendAttempt:
 			l.send(now, a)
 		case policy.Reject:
-			l.turnAway(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter}, a.Reason)
+			l.turnAway(a.ID, response{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter}, a.Reason)
 		case policy.Fail:
-			l.turnAway(a.ID, answer{status: http.StatusBadGateway}, a.Reason)
+			l.turnAway(a.ID, response{status: http.StatusBadGateway}, a.Reason)
 		case policy.SetTimer:
 			heap.Push(&l.wakes, a)
 		case policy.WatchEndpoints:
@@ -165,29 +165,29 @@
 	}
 }
 
-func (l *loop) takeCall(c *call) {
+func (l *loop) takeCall(c *clientRequest) {
 	// An id still in use would be taken by the module for the request that it has, and never answered. Where only
 	// attempts hold it whose client has gone, that client is here again: what may be repeated is refused, so that it
 	// comes once more; of the rest it must not think that nothing has run.
-	if held := l.calls[c.req.ID]; held != nil {
+	if held := l.calls[c.meta.ID]; held != nil {
 		status := http.StatusConflict
-		if held.closed.Load() && c.method == http.MethodGet {
+		if held.finished.Load() && c.method == http.MethodGet {
 			status = http.StatusServiceUnavailable
 		}
 		l.stats.turnedDown("X-Call-Id is in use")
-		c.held.shrink(0)
-		c.reply <- answer{status: status}
+		c.bodyMemory.shrink(0)
+		c.responses <- response{status: status}
 		return
 	}
-	l.calls[c.req.ID] = c
-	if c.rest == nil {
+	l.calls[c.meta.ID] = c
+	if c.bodyStream == nil {
 		l.count(c)
 	}
-	l.handle(c.req)
+	l.handle(c.meta)
 }
 
 // count counts a call as taken: when its last byte is there, or when it has its answer before that.
-func (l *loop) count(c *call) {
+func (l *loop) count(c *clientRequest) {
 	if !c.counted {
 		c.counted = true
 		l.stats.count(func(c *counts) { c.taken++ })
@@ -195,15 +195,15 @@
 }
 
 // leave ends a call whose client is gone, if it has not ended yet.
-func (l *loop) leave(c *call) bool {
-	if c.closed.Swap(true) {
+func (l *loop) leave(c *clientRequest) bool {
+	if c.finished.Swap(true) {
 		return false
 	}
-	c.leftAt.set(l.clock.now())
+	c.disconnectedAt.set(l.clock.now())
 	if c.counted {
 		l.stats.count(func(c *counts) { c.left++ })
 	}
-	l.handle(policy.ClientDisconnected{ID: c.req.ID})
+	l.handle(policy.ClientDisconnected{ID: c.meta.ID})
 	return true
 }
 
@@ -215,24 +215,24 @@
 }
 
 // takeSent starts the time of a request that came piece by piece.
-func (l *loop) takeSent(s sent) {
-	c := s.att.call
-	c.deadline = s.at + c.budget
-	if !c.closed.Load() {
+func (l *loop) takeSent(s requestWritten) {
+	c := s.attempt.request
+	c.deadline = s.writtenAt + c.budget
+	if !c.finished.Load() {
 		l.count(c)
 	}
-	l.handle(policy.RequestSent{ID: c.req.ID, Attempt: s.att.n, Deadline: c.deadline})
+	l.handle(policy.RequestSent{ID: c.meta.ID, Attempt: s.attempt.number, Deadline: c.deadline})
 }
 
 // takeBegun gives a long answer to the caller as it comes. It is counted when it has ended.
-func (l *loop) takeBegun(b begun) {
-	c := b.att.call
-	if c.closed.Swap(true) {
-		b.answer.drop()
+func (l *loop) takeBegun(b responseStarted) {
+	c := b.attempt.request
+	if c.finished.Swap(true) {
+		b.response.discard()
 		return
 	}
-	l.handle(policy.ResponseStarted{ID: c.req.ID, Attempt: b.att.n})
-	c.reply <- b.answer
+	l.handle(policy.ResponseStarted{ID: c.meta.ID, Attempt: b.attempt.number})
+	c.responses <- b.response
 }
 
 func (l *loop) send(now time.Duration, a policy.SendAttempt) {
@@ -241,68 +241,68 @@
 		l.log.Error("send for an unknown request", "id", a.ID)
 		return
 	}
-	att := &attempt{call: c, n: c.attempts, target: l.targets[a.Endpoint],
-		wait: a.Timeout, deadline: min(now+a.Timeout, c.deadline), repeatBefore: a.RetryBefore}
-	if att.target == nil { // no such server any more: the attempt ends unsent
-		att.target = &target{id: a.Endpoint}
-		att.target.stopped.Store(true)
+	att := &attempt{request: c, number: c.attemptCount, endpoint: l.targets[a.Endpoint],
+		timeout: a.Timeout, deadline: min(now+a.Timeout, c.deadline), retryBefore: a.RetryBefore}
+	if att.endpoint == nil { // no such server any more: the attempt ends unsent
+		att.endpoint = &endpoint{id: a.Endpoint}
+		att.endpoint.unavailable.Store(true)
 	}
-	c.attempts++
-	c.out++
+	c.attemptCount++
+	c.inFlight++
 	l.out++
 	l.sender.start(att)
 }
 
 // turnAway gives the one final answer of a request that the module refuses or fails; later ones go nowhere.
-func (l *loop) turnAway(id string, a answer, why guard.Verdict) {
+func (l *loop) turnAway(id string, a response, why guard.Verdict) {
 	c := l.calls[id]
-	if c == nil || c.closed.Swap(true) {
+	if c == nil || c.finished.Swap(true) {
 		return
 	}
-	l.decisions.requestAnswered(id, a.status, c.attempts, why)
-	c.reply <- a
+	l.decisions.requestAnswered(id, a.status, c.attemptCount, why)
+	c.responses <- a
 	l.count(c)
-	l.stats.answered(c.req.Class, a.status, c.attempts)
+	l.stats.answered(c.meta.Class, a.status, c.attemptCount)
 	l.forget(c)
 }
 
 // forget drops a call that is closed and has no attempt out.
-func (l *loop) forget(c *call) {
-	if c.closed.Load() && c.out == 0 && l.calls[c.req.ID] == c {
-		delete(l.calls, c.req.ID)
-		c.held.shrink(0)
+func (l *loop) forget(c *clientRequest) {
+	if c.finished.Load() && c.inFlight == 0 && l.calls[c.meta.ID] == c {
+		delete(l.calls, c.meta.ID)
+		c.bodyMemory.shrink(0)
 	}
 }
 
-func (l *loop) takeResult(r result) {
-	c := r.att.call
-	c.out--
+func (l *loop) takeResult(r attemptOutcome) {
+	c := r.attempt.request
+	c.inFlight--
 	l.out--
-	l.stats.ended(r.att.target.id, r.ending, l.clock.now()-r.att.started, r.err)
-	if r.why == guard.ClientLeft && l.leave(c) {
-		c.reply <- cut
+	l.stats.ended(r.attempt.endpoint.id, r.result, l.clock.now()-r.attempt.startedAt, r.err)
+	if r.notSentReason == guard.ClientLeft && l.leave(c) {
+		c.responses <- abortResponse
 	}
 	var spent bool
-	if c.rest != nil && !c.closed.Load() {
-		spent = c.rest.touched.Load()
-		if why := c.rest.failed(); why != nil { // no server is to blame, and no other would get more of it
+	if c.bodyStream != nil && !c.finished.Load() {
+		spent = c.bodyStream.touched.Load()
+		if why := c.bodyStream.failed(); why != nil { // no server is to blame, and no other would get more of it
 			l.leave(c)
-			c.reply <- answer{status: http.StatusRequestTimeout}
+			c.responses <- response{status: http.StatusRequestTimeout}
 		}
 	}
 	switch {
-	case r.passed:
+	case r.streamed:
 		l.count(c)
-		l.stats.answered(c.req.Class, r.answer.status, c.attempts)
-	case r.ending == policy.Success && !c.closed.Swap(true):
+		l.stats.answered(c.meta.Class, r.response.status, c.attemptCount)
+	case r.result == policy.Success && !c.finished.Swap(true):
 		l.count(c)
-		l.stats.answered(c.req.Class, http.StatusOK, c.attempts)
-		c.reply <- r.answer
+		l.stats.answered(c.meta.Class, http.StatusOK, c.attemptCount)
+		c.responses <- r.response
 	default:
-		r.answer.drop()
+		r.response.discard()
 	}
-	l.handle(policy.AttemptEnded{ID: c.req.ID, Attempt: r.att.n, Endpoint: r.att.target.id, Result: r.ending,
-		Latency: l.clock.now() - r.att.started, Answered: c.closed.Load(), BodyConsumed: spent, Load: r.load})
+	l.handle(policy.AttemptEnded{ID: c.meta.ID, Attempt: r.attempt.number, Endpoint: r.attempt.endpoint.id, Result: r.result,
+		Latency: l.clock.now() - r.attempt.startedAt, Answered: c.finished.Load(), BodyConsumed: spent, Load: r.load})
 	l.forget(c)
 }
 
@@ -324,9 +324,9 @@
 			continue
 		}
 		// A server that moved or started anew shares no connection with the one before.
-		if old == nil || old.addr != h.Dial || old.boot != s.StartedAt {
+		if old == nil || old.addr != h.Dial || old.startedAt != s.StartedAt {
 			l.drop(h.Host)
-			l.targets[h.Host] = &target{id: h.Host, addr: h.Dial, boot: s.StartedAt}
+			l.targets[h.Host] = &endpoint{id: h.Host, addr: h.Dial, startedAt: s.StartedAt}
 		}
 	}
 	if n.list.Whole {
@@ -343,7 +343,7 @@
 // drop stops all sends to a server, those that wait for a connection among them.
 func (l *loop) drop(id string) {
 	if t := l.targets[id]; t != nil {
-		t.stopped.Store(true)
+		t.unavailable.Store(true)
 		t.removedAt.set(l.clock.now())
 		l.sender.retire(t)
 		delete(l.targets, id)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -241,7 +241,7 @@
 		operators.Close()
 	}
 	stopWatching()
-	n.pool.shut()
+	n.pool.shutdown()
 	close(n.loop.stop)
 	owned.Wait()
 	n.log.Info("stopped")
@@ -290,12 +290,12 @@
 	defer n.sharing.Unlock()
 	was := 1 + n.others
 	n.others += more
-	n.buffers.requests.share(was, 1+n.others)
-	n.buffers.answers.share(was, 1+n.others)
+	n.buffers.requests.rescale(was, 1+n.others)
+	n.buffers.responses.rescale(was, 1+n.others)
 	sockets := n.cfg.Sockets / (1 + n.others)
 	in := max(leastPlaces, n.cfg.inboundPlaces(sockets))
 	n.inbound.resize(in)
-	n.pool.resize(max(leastPlaces, sockets-n.cfg.reserved()-in))
+	n.pool.setLimit(max(leastPlaces, sockets-n.cfg.reserved()-in))
 	if n.cfg.Shared != nil {
 		n.cfg.Shared(1 + n.others)
 	}
--- a/internal/node/pace_test.go
+++ b/internal/node/pace_test.go
@@ -59,7 +59,7 @@
 // at the least pace its bytes would have taken far longer.
 func TestStopInALongBody(t *testing.T) {
 	t.Parallel()
-	for name, length := range map[string]int{"of 3 MB": 3 << 20, "of 64 KiB": maxBody} {
+	for name, length := range map[string]int{"of 3 MB": 3 << 20, "of 64 KiB": maxBufferedBody} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			n := startWith(t, newBackend(t, ok))
--- a/internal/node/repeat_window_test.go
+++ b/internal/node/repeat_window_test.go
@@ -56,24 +56,24 @@
 func TestSecondLookCountsWhatWentOutLate(t *testing.T) {
 	for want, heldUp := range map[guard.Verdict]func(now time.Duration, att *attempt){
 		guard.Allowed:          func(time.Duration, *attempt) {},
-		guard.RepeatWindowOver: func(now time.Duration, att *attempt) { att.repeatBefore = now },
-		guard.ClientLeft:       func(now time.Duration, att *attempt) { att.call.leftAt.set(now - time.Second) },
-		guard.EndpointRemoved:  func(now time.Duration, att *attempt) { att.target.removedAt.set(now - 4*time.Second) },
-		guard.ToldTooMuchTime:  func(now time.Duration, att *attempt) { att.call.deadline = now + time.Second },
+		guard.RepeatWindowOver: func(now time.Duration, att *attempt) { att.retryBefore = now },
+		guard.ClientLeft:       func(now time.Duration, att *attempt) { att.request.disconnectedAt.set(now - time.Second) },
+		guard.EndpointRemoved:  func(now time.Duration, att *attempt) { att.endpoint.removedAt.set(now - 4*time.Second) },
+		guard.ToldTooMuchTime:  func(now time.Duration, att *attempt) { att.request.deadline = now + time.Second },
 	} {
 		t.Run(want.String(), func(t *testing.T) {
 			p := testPool(t)
 			att := testAttempt(p, newBackend(t, ok).addr(), time.Minute)
-			att.call.deadline = att.deadline
-			if why := p.maySend(att); why != guard.Allowed {
+			att.request.deadline = att.deadline
+			if why := p.checkSend(att); why != guard.Allowed {
 				t.Fatalf("held back: %v", why)
 			}
-			c, err := p.take(att)
+			c, err := p.acquire(att)
 			if err != nil {
 				t.Fatal(err)
 			}
 			heldUp(p.clock.now(), att)
-			if r, err := p.exchange(c, att); err != nil || r.err != nil {
+			if r, err := p.roundTrip(c, att); err != nil || r.err != nil {
 				t.Fatal(err, r.err)
 			}
 			got := p.decisions.violations.figures()
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -110,7 +110,7 @@
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "503 Service Unavailable", "", "X-Rejected: 1", "Connection: close")
 	})
-	status, _, _ := do(t, newRequest(t, startWith(t, b).url, "unsafe", "1", strings.Repeat("x", maxBody)))
+	status, _, _ := do(t, newRequest(t, startWith(t, b).url, "unsafe", "1", strings.Repeat("x", maxBufferedBody)))
 	if status != http.StatusServiceUnavailable {
 		t.Errorf("answered %d, want 503", status)
 	}
@@ -125,7 +125,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
-				io.WriteString(c, parts[0]+strings.Repeat(parts[1], 16*maxBody/len(parts[1])))
+				io.WriteString(c, parts[0]+strings.Repeat(parts[1], 16*maxBufferedBody/len(parts[1])))
 				io.Copy(io.Discard, c) // until the node closes
 				return false
 			})
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	maxBody   = 64 << 10 // of a request or an answer
-	maxHeader = 16 << 10 // of an answer, with the interim ones before it
+	maxBufferedBody   = 64 << 10 // of a request or an answer
+	maxResponseHead = 16 << 10 // of an answer, with the interim ones before it
 )
 
-// target is a server at one address, from one start of it to the next.
-type target struct {
+// endpoint is a server at one address, from one start of it to the next.
+type endpoint struct {
 	id      string
 	addr    string
-	boot    time.Duration
-	stopped atomic.Bool // it drains or is gone: nothing new may go to it
+	startedAt    time.Duration
+	unavailable atomic.Bool // it drains or is gone: nothing new may go to it
 
 	removedAt atomicTime // when the node heard of that
 
@@ -36,11 +36,11 @@
 type pool struct {
 	clock     clock
 	dialer    net.Dialer
-	idleFor   time.Duration
-	stall     time.Duration // a server that gives nothing more of a long answer for so long is gone
-	results   chan<- result
-	sents     chan<- sent
-	begins    chan<- begun
+	idleTimeout   time.Duration
+	streamTimeout     time.Duration // a server that gives nothing more of a long answer for so long is gone
+	results   chan<- attemptOutcome
+	requestsWritten     chan<- requestWritten
+	responsesStarted    chan<- responseStarted
 	stats     *stats
 	staleness *watchdog // of discovery
 	buffers   buffers
@@ -49,52 +49,52 @@
 	removalGrace time.Duration // so long after the news a server that drains or is gone may still get something new
 
 	mu   sync.Mutex
-	most int // connections at once
+	limit int // connections at once
 	open map[*conn]bool
-	dial int        // connections that are coming up
-	down bool       // the node ends
+	dialing int        // connections that are coming up
+	closed bool       // the node ends
 	idle *list.List // of *conn, the oldest first
-	wg   sync.WaitGroup
+	running   sync.WaitGroup
 }
 
 func newPool(cfg Config, most int, l *loop, b buffers) *pool {
 	return &pool{clock: l.clock, dialer: net.Dialer{Timeout: cfg.connectTimeout, KeepAlive: -1},
-		idleFor: cfg.connIdle / 2, stall: cfg.connIdle, most: most, buffers: b,
-		results: l.results, sents: l.sents, begins: l.begins, stats: l.stats,
+		idleTimeout: cfg.connIdle / 2, streamTimeout: cfg.connIdle, limit: most, buffers: b,
+		results: l.results, requestsWritten: l.sents, responsesStarted: l.begins, stats: l.stats,
 		decisions: l.decisions, removalGrace: cfg.removalGrace,
 		open: map[*conn]bool{}, idle: list.New()}
 }
 
-var errDown = errors.New("the node ends")
+var errPoolClosed = errors.New("the node ends")
 
-var errFull = errors.New("no socket left for another connection")
+var errConnectionLimit = errors.New("no socket left for another connection")
 
-// restLeast is how long a connection rests between an answer and the next request. A server may answer twice, the second
+// minIdlePeriod is how long a connection rests between an answer and the next request. A server may answer twice, the second
 // time some milliseconds late, and answers carry nothing by which the next request's could be told from it.
-const restLeast = 20 * time.Millisecond
+const minIdlePeriod = 20 * time.Millisecond
 
-// rested gives an idle connection that has rested for long enough, the newest of these, else the one that comes to it
+// pickIdle gives an idle connection that has pickIdle for long enough, the newest of these, else the one that comes to it
 // next, and how long that still takes. The caller holds the lock, and there is one.
-func (t *target) rested(now time.Time) (c *conn, wait time.Duration) {
+func (t *endpoint) pickIdle(now time.Time) (c *conn, wait time.Duration) {
 	for _, c := range slices.Backward(t.idle) {
-		if now.Sub(c.parked) >= restLeast {
+		if now.Sub(c.parked) >= minIdlePeriod {
 			return c, 0
 		}
 	}
 	c = t.idle[0] // the longest parked
-	return c, restLeast - now.Sub(c.parked)
+	return c, minIdlePeriod - now.Sub(c.parked)
 }
 
-// take gives an idle connection, else opens one.
-func (p *pool) take(att *attempt) (*conn, error) {
-	t, deadline := att.target, p.clock.at(att.deadline)
+// acquire gives an idle connection, else opens one.
+func (p *pool) acquire(att *attempt) (*conn, error) {
+	t, deadline := att.endpoint, p.clock.at(att.deadline)
 	p.mu.Lock()
 	for len(t.idle) > 0 {
-		c, wait := t.rested(time.Now())
-		if wait > 0 && len(p.open)+p.dial < p.most {
+		c, wait := t.pickIdle(time.Now())
+		if wait > 0 && len(p.open)+p.dialing < p.limit {
 			break // a new one is worth more than the wait
 		}
-		p.unpark(c)
+		p.removeIdle(c)
 		c.deadline = deadline
 		c.SetDeadline(deadline)
 		if wait > 0 {
@@ -109,14 +109,14 @@
 		p.stats.count(func(c *counts) { c.stale++ })
 		p.closeLocked(c) // nothing of this attempt was on it
 	}
-	for len(p.open)+p.dial >= p.most && p.idle.Len() > 0 {
+	for len(p.open)+p.dialing >= p.limit && p.idle.Len() > 0 {
 		p.closeLocked(p.idle.Front().Value.(*conn))
 	}
-	if len(p.open)+p.dial >= p.most {
+	if len(p.open)+p.dialing >= p.limit {
 		p.mu.Unlock()
-		return nil, errFull
+		return nil, errConnectionLimit
 	}
-	p.dial++
+	p.dialing++
 	p.mu.Unlock()
 
 	d := p.dialer
@@ -124,10 +124,10 @@
 	nc, err := d.Dial("tcp", t.addr)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dial--
-	if err == nil && p.down { // shut has closed all that it knew of
+	p.dialing--
+	if err == nil && p.closed { // shut has closed all that it knew of
 		nc.Close()
-		err = errDown
+		err = errPoolClosed
 	}
 	if err != nil {
 		return nil, err
@@ -143,19 +143,19 @@
 	c.br = bufio.NewReaderSize(c.in, 4<<10)
 	p.open[c] = true
 	nc.SetDeadline(deadline)
-	p.wg.Add(1)
+	p.running.Add(1)
 	go func() {
-		defer p.wg.Done()
+		defer p.running.Done()
 		c.read()
 	}()
 	return c, nil
 }
 
-// resize changes how many connections there may be. What is open beyond them stays until it ends.
-func (p *pool) resize(most int) {
+// setLimit changes how many connections there may be. What is open beyond them stays until it ends.
+func (p *pool) setLimit(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most = most
+	p.limit = most
 }
 
 // setDeadline changes until when a connection in use waits.
@@ -166,26 +166,26 @@
 	c.SetDeadline(t)
 }
 
-// park puts a connection by for the next attempt.
-func (p *pool) park(c *conn) {
+// release puts a connection by for the next attempt.
+func (p *pool) release(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.dead {
 		return
 	}
-	if c.target.stopped.Load() {
+	if c.target.unavailable.Load() {
 		p.closeLocked(c)
 		return
 	}
 	c.rest()
-	c.deadline = time.Now().Add(p.idleFor)
+	c.deadline = time.Now().Add(p.idleTimeout)
 	c.SetDeadline(c.deadline)
 	c.place, c.parked = p.idle.PushBack(c), time.Now()
 	c.target.idle = append(c.target.idle, c)
 }
 
-// unpark takes a connection from the idle ones. The caller holds the lock.
-func (p *pool) unpark(c *conn) {
+// removeIdle takes a connection from the idle ones. The caller holds the lock.
+func (p *pool) removeIdle(c *conn) {
 	p.idle.Remove(c.place)
 	c.place = nil
 	for i, o := range c.target.idle {
@@ -209,14 +209,14 @@
 	c.dead = true
 	close(c.gone)
 	if c.place != nil {
-		p.unpark(c)
+		p.removeIdle(c)
 	}
 	c.Close()
 	delete(p.open, c)
 }
 
 // retire closes the idle connections to a server that gets nothing new.
-func (p *pool) retire(t *target) {
+func (p *pool) retire(t *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(t.idle) > 0 {
@@ -224,14 +224,14 @@
 	}
 }
 
-// shut closes all connections and waits until every attempt has ended. What is still out then is for
+// shutdown closes all connections and waits until every attempt has ended. What is still out then is for
 // callers that have their answer or are gone.
-func (p *pool) shut() {
+func (p *pool) shutdown() {
 	p.mu.Lock()
-	p.down = true
+	p.closed = true
 	for c := range p.open {
 		p.closeLocked(c)
 	}
 	p.mu.Unlock()
-	p.wg.Wait()
+	p.running.Wait()
 }
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -17,14 +17,14 @@
 func testPool(t *testing.T) *pool {
 	cfg := testConfig(t, "pushed")
 	p := newPool(cfg, 8, newLoop(newClock(), quiet(), nil, newStats(nil)), newBuffers(cfg.MemoryMB, 8))
-	t.Cleanup(p.shut)
+	t.Cleanup(p.shutdown)
 	return p
 }
 
 func testAttempt(p *pool, addr string, wait time.Duration) *attempt {
-	c := &call{method: http.MethodPost, url: &url.URL{Path: "/api"}, host: "service.internal",
-		header: http.Header{"X-Call-Id": {"1"}, "Idempotency-Key": {"k"}}, body: []byte("payload"), length: 7}
-	return &attempt{call: c, target: &target{id: "s", addr: addr}, deadline: p.clock.now() + wait}
+	c := &clientRequest{method: http.MethodPost, url: &url.URL{Path: "/api"}, host: "service.internal",
+		header: http.Header{"X-Call-Id": {"1"}, "Idempotency-Key": {"k"}}, body: []byte("payload"), contentLength: 7}
+	return &attempt{request: c, endpoint: &endpoint{id: "s", addr: addr}, deadline: p.clock.now() + wait}
 }
 
 func TestEndings(t *testing.T) {
@@ -59,12 +59,12 @@
 			return false
 		}, policy.ConnectionLost},
 		"a long error": {func(_ int, c net.Conn, _ *http.Request) bool {
-			return respond(c, "500 Internal Server Error", strings.Repeat("x", maxBody+1))
+			return respond(c, "500 Internal Server Error", strings.Repeat("x", maxBufferedBody+1))
 		}, policy.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := testPool(t), newBackend(t, tc.serve)
-			if got := p.attempt(testAttempt(p, b.addr(), time.Minute)).ending; got != tc.want {
+			if got := p.runAttempt(testAttempt(p, b.addr(), time.Minute)).result; got != tc.want {
 				t.Errorf("ending %v, want %v", got, tc.want)
 			}
 			if n := b.requests(); n != 1 {
@@ -79,7 +79,7 @@
 		}
 		ln.Close()
 		p := testPool(t)
-		if got := p.attempt(testAttempt(p, ln.Addr().String(), time.Minute)).ending; got != policy.ConnectFailed {
+		if got := p.runAttempt(testAttempt(p, ln.Addr().String(), time.Minute)).result; got != policy.ConnectFailed {
 			t.Errorf("ending %v, want Unreachable", got)
 		}
 	})
@@ -91,7 +91,7 @@
 			return false
 		})
 		p := testPool(t)
-		if got := p.attempt(testAttempt(p, b.addr(), 100*time.Millisecond)).ending; got != policy.TimedOut {
+		if got := p.runAttempt(testAttempt(p, b.addr(), 100*time.Millisecond)).result; got != policy.TimedOut {
 			t.Errorf("ending %v, want TimedOut", got)
 		}
 		<-left // an attempt is given up by closing its connection
@@ -102,8 +102,8 @@
 // over, must not send a byte.
 func TestNothingSentAfterSlowConnect(t *testing.T) {
 	for name, stop := range map[string]func(*attempt){
-		"drained":  func(a *attempt) { a.target.stopped.Store(true) },
-		"answered": func(a *attempt) { a.call.closed.Store(true) },
+		"drained":  func(a *attempt) { a.endpoint.unavailable.Store(true) },
+		"answered": func(a *attempt) { a.request.finished.Store(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, b := testPool(t), newBackend(t, ok)
@@ -112,10 +112,10 @@
 				stop(att) // the dial is under way
 				return nil
 			}
-			if got := p.attempt(att).ending; got != policy.NotSent {
+			if got := p.runAttempt(att).result; got != policy.NotSent {
 				t.Errorf("ending %v, want Void", got)
 			}
-			p.shut()
+			p.shutdown()
 			if n := b.requests(); n != 0 {
 				t.Errorf("the server saw %d requests", n)
 			}
@@ -135,9 +135,9 @@
 	p := testPool(t)
 	first := testAttempt(p, b.addr(), time.Minute)
 	for _, want := range []string{"one", "two"} {
-		att := &attempt{call: first.call, target: first.target, deadline: first.deadline}
-		if r := p.attempt(att); r.ending != policy.Success || string(r.answer.body) != want {
-			t.Errorf("got %v %q, want %q", r.ending, r.answer.body, want)
+		att := &attempt{request: first.request, endpoint: first.endpoint, deadline: first.deadline}
+		if r := p.runAttempt(att); r.result != policy.Success || string(r.response.body) != want {
+			t.Errorf("got %v %q, want %q", r.result, r.response.body, want)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 	})
 	p := testPool(t)
 	for i := range 3 {
-		if got := p.attempt(testAttempt(p, b.addr(), time.Minute)).ending; got != policy.Success {
+		if got := p.runAttempt(testAttempt(p, b.addr(), time.Minute)).result; got != policy.Success {
 			t.Fatalf("attempt %d ended %v", i, got)
 		}
 		eventually(t, "the closed connection is dropped", func() bool {
@@ -164,7 +164,7 @@
 
 func mustTake(t *testing.T, p *pool, att *attempt) *conn {
 	t.Helper()
-	c, err := p.take(att)
+	c, err := p.acquire(att)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,29 +176,29 @@
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
 	for range 5 {
-		att = &attempt{call: att.call, target: att.target, deadline: att.deadline}
-		if got := p.attempt(att).ending; got != policy.Success {
+		att = &attempt{request: att.request, endpoint: att.endpoint, deadline: att.deadline}
+		if got := p.runAttempt(att).result; got != policy.Success {
 			t.Fatalf("ended %v", got)
 		}
-		hasRested(p, att.target)
+		hasRested(p, att.endpoint)
 	}
 	if n := b.accepted(); n != 1 {
 		t.Errorf("%d connections for 5 requests, each after a rest", n)
 	}
-	p.resize(1) // no room for another: the one there is waits until it has rested
+	p.setLimit(1) // no room for another: the one there is waits until it has rested
 	for range 3 {
-		p.park(mustTake(t, p, att))
+		p.release(mustTake(t, p, att))
 		began := time.Now()
 		c := mustTake(t, p, att)
-		if took := time.Since(began); took < restLeast/2 {
+		if took := time.Since(began); took < minIdlePeriod/2 {
 			t.Errorf("a connection was used again after %v", took)
 		}
-		p.park(c)
+		p.release(c)
 	}
 	if n := b.accepted(); n != 1 {
 		t.Errorf("%d connections where there is room for one", n)
 	}
-	p.retire(att.target)
+	p.retire(att.endpoint)
 	if len(p.open) != 0 {
 		t.Errorf("%d connections stay open to a server that gets nothing new", len(p.open))
 	}
@@ -208,10 +208,10 @@
 func TestNoMoreConnectionsThanAllowed(t *testing.T) {
 	a, b := newBackend(t, ok), newBackend(t, ok)
 	p := testPool(t)
-	p.most = 1
+	p.limit = 1
 	for range 2 {
 		for _, s := range []*backend{a, b} {
-			if got := p.attempt(testAttempt(p, s.addr(), time.Minute)).ending; got != policy.Success {
+			if got := p.runAttempt(testAttempt(p, s.addr(), time.Minute)).result; got != policy.Success {
 				t.Fatalf("ended %v", got)
 			}
 			if len(p.open) != 1 {
@@ -223,7 +223,7 @@
 	for c := range p.open {
 		c.place, c.target.idle = nil, nil
 	}
-	if got := p.attempt(testAttempt(p, a.addr(), time.Minute)).ending; got != policy.ConnectFailed {
+	if got := p.runAttempt(testAttempt(p, a.addr(), time.Minute)).result; got != policy.ConnectFailed {
 		t.Errorf("ended %v, want Unreachable", got)
 	}
 }
@@ -231,8 +231,8 @@
 func TestMessageIsUnchanged(t *testing.T) {
 	p := testPool(t)
 	att := testAttempt(p, "127.0.0.1:1", 400*time.Millisecond)
-	att.call.url = &url.URL{Path: "/a/b c", RawPath: "/a%2Fb%20c", RawQuery: "x=%20&y"}
-	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(string(p.message(att)))))
+	att.request.url = &url.URL{Path: "/a/b c", RawPath: "/a%2Fb%20c", RawQuery: "x=%20&y"}
+	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(string(p.encodeRequest(att)))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -248,11 +248,11 @@
 
 // The names are those that the settings give, as servers were seen to send them.
 func TestLoadReport(t *testing.T) {
-	l := load(http.Header{"X-Load-Report": {`{"svc_ms":27.5,"busy_reqs":2.25,"other":1}`}})
+	l := parseLoadReport(http.Header{"X-Load-Report": {`{"svc_ms":27.5,"busy_reqs":2.25,"other":1}`}})
 	if l == nil || l.Busy != 2.25 || l.Service != 27500*time.Microsecond {
 		t.Errorf("got %+v", l)
 	}
-	if l := load(http.Header{"X-Load-Report": {"{"}}); l != nil {
+	if l := parseLoadReport(http.Header{"X-Load-Report": {"{"}}); l != nil {
 		t.Errorf("a broken report gave %+v", l)
 	}
 }
