--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,5 +1,6 @@
-// Package logsink takes log lines from a program that must never wait for whoever reads them. A pipe whose reader stands
-// still blocks its writer once it is full, and the logger's lock with it, so that every goroutine that logs would stop.
+// Package logsink takes log lines from a program that must never wait for whoever reads them. A pipe whose reader
+// stands still blocks its writer once it is full, and the logger's lock with it, so that every goroutine that logs
+// would stop.
 package logsink
 
 import (
--- a/internal/overrides/entries.go
+++ b/internal/overrides/entries.go
@@ -102,8 +102,8 @@
 	return s.version
 }
 
-// adopt replaces the state by that of a message. An entry that is missing there was never acknowledged by a majority, was
-// revoked or has expired.
+// adopt replaces the state by that of a message. An entry that is missing there was never acknowledged by a majority,
+// was revoked or has expired.
 func (s *replicatedState) adopt(m Message) {
 	s.version = m.Version
 	s.requestedAt = m.RequestedAt
--- a/internal/overrides/message.go
+++ b/internal/overrides/message.go
@@ -21,7 +21,7 @@
 	Requester   uint64        `json:"p"`           // incarnation of the process that requests
 	RequestedAt time.Duration `json:"s"`           // by the clock of that process
 	Version     Version       `json:"m"`           // of the sender's state
-	Term        uint64        `json:"t"`           // highest term that the sender has promised; in KindPrepare: the one it requests
+	Term        uint64        `json:"t"`           // promised by the sender; in KindPrepare: requested
 	PromisedTo  uint64        `json:"w,omitempty"` // incarnation of the leader to which Term is promised
 	Entries     []Entry       `json:"x,omitempty"`
 }
--- a/internal/overrides/model_test.go
+++ b/internal/overrides/model_test.go
@@ -3,249 +3,293 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"slices"
-	"strconv"
-	"testing"
 	"time"
 )
 
-// model plays registers in virtual time: clocks that run 0.5% fast or slow and start anywhere, messages that are late, lost
-// and come twice, cuts, stops, restarts with nothing, and leaders that change. The mesh's promise is kept: no two lead at one
-// moment, and a leader has a majority in reach when it begins.
-type model struct {
-	r      *rand.Rand
-	now    time.Duration // true time
-	names  []string
-	at     map[string]*Register
-	skew   map[string]time.Duration
-	rate   map[string]float64
-	stop   map[string]time.Duration
-	cut    map[string]bool // cut off from all
-	leader string
-	mail   []letter
-	next   uint64
-	ends   map[string]map[Version]time.Duration // true ends, by id and version
-	sure   map[string]map[Version]bool          // by id: versions that a majority has held under their leader
-	newest map[string]map[string]Version        // by process and id: the newest of these that it has had
-	issued int
-	held   int // looks at overrides in force
-	broken string
-}
-
-type letter struct {
-	at time.Duration
-	o  OutboundMessage
+// fleetModel runs registers in virtual time under random faults: clocks that run 0.5% fast or slow and start
+// anywhere, messages that are delayed, lost and duplicated, partitions, suspensions, restarts without state, and
+// leaders that change. It keeps the membership's promise: there is at most one leader at a time, and a majority is
+// reachable when its leadership begins.
+type fleetModel struct {
+	random      *rand.Rand
+	now         time.Duration // true time
+	names       []string
+	registers   map[string]*Register
+	clockOffset map[string]time.Duration
+	clockRate   map[string]float64
+	resumesAt   map[string]time.Duration // end of the suspension
+	isolated    map[string]bool          // cut off from all
+	leader      string
+	inFlight    []delivery
+	incarnation uint64 // the last one used
+
+	trueExpiry   map[string]map[Version]time.Duration // by id and version
+	acknowledged map[string]map[Version]bool          // by id: versions that a majority has had under their leader
+	newest       map[string]map[string]Version        // by process and id: the newest acknowledged version it has had
+
+	issued    int
+	checks    int    // of overrides in force
+	violation string // the first one
+}
+
+// delivery is a message that arrives at a time.
+type delivery struct {
+	at      time.Duration
+	message OutboundMessage
 }
 
 const modelStep = 20 * time.Millisecond
 
-func newModel(seed uint64) *model {
-	m := &model{r: rand.New(rand.NewPCG(seed, 3)), names: []string{"a", "b", "c", "d", "e"}, at: map[string]*Register{}, skew: map[string]time.Duration{},
-		rate: map[string]float64{}, stop: map[string]time.Duration{}, cut: map[string]bool{}, ends: map[string]map[Version]time.Duration{},
-		newest: map[string]map[string]Version{}, sure: map[string]map[Version]bool{}}
-	for _, n := range m.names {
-		m.rate[n] = 0.995 + 0.01*m.r.Float64()
-		m.start(n)
+func newFleetModel(seed uint64) *fleetModel {
+	m := &fleetModel{
+		random:       rand.New(rand.NewPCG(seed, 3)),
+		names:        []string{"a", "b", "c", "d", "e"},
+		registers:    map[string]*Register{},
+		clockOffset:  map[string]time.Duration{},
+		clockRate:    map[string]float64{},
+		resumesAt:    map[string]time.Duration{},
+		isolated:     map[string]bool{},
+		trueExpiry:   map[string]map[Version]time.Duration{},
+		acknowledged: map[string]map[Version]bool{},
+		newest:       map[string]map[string]Version{},
+	}
+	for _, name := range m.names {
+		m.clockRate[name] = 0.995 + 0.01*m.random.Float64()
+		m.start(name)
 	}
 	return m
 }
 
-func (m *model) start(n string) {
-	m.next++
-	m.skew[n] = time.Duration(m.r.Int64N(int64(time.Hour)))
-	m.at[n], m.newest[n] = New(n, m.next), map[string]Version{}
+// start begins a new process, without state.
+func (m *fleetModel) start(name string) {
+	m.incarnation++
+	m.clockOffset[name] = m.randomDuration(time.Hour)
+	m.registers[name] = New(name, m.incarnation)
+	m.newest[name] = map[string]Version{}
+}
+
+func (m *fleetModel) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(m.random.Int64N(int64(limit)))
 }
 
-func (m *model) clock(n string) time.Duration {
-	return m.skew[n] + time.Duration(float64(m.now)*m.rate[n])
+// clock is what a process reads.
+func (m *fleetModel) clock(name string) time.Duration {
+	return m.clockOffset[name] + time.Duration(float64(m.now)*m.clockRate[name])
 }
 
-func (m *model) up(n string) bool { return m.now >= m.stop[n] }
+func (m *fleetModel) running(name string) bool { return m.now >= m.resumesAt[name] }
 
-func (m *model) send(out []OutboundMessage) {
-	for _, o := range out {
-		for m.r.Float64() < 0.8 { // now and then twice or more
-			m.mail = append(m.mail, letter{m.now + time.Duration(m.r.Int64N(int64(time.Second))), o})
-			if m.r.Float64() < 0.9 {
+// send delays each message by up to a second, loses some and duplicates others.
+func (m *fleetModel) send(out []OutboundMessage) {
+	for _, message := range out {
+		for m.random.Float64() < 0.8 {
+			at := m.now + m.randomDuration(time.Second)
+			m.inFlight = append(m.inFlight, delivery{at: at, message: message})
+			if m.random.Float64() < 0.9 {
 				break
 			}
 		}
 	}
 }
 
-// view tells a process whom the mesh has for the leader, as far as it can know.
-func (m *model) view(n string) {
+// updateMembership tells a process who leads, as far as it can know.
+func (m *fleetModel) updateMembership(name string) {
 	leader := m.leader
-	if m.cut[n] && n != m.leader {
+	if m.isolated[name] && name != m.leader {
 		leader = ""
 	}
-	m.send(m.at[n].UpdateMembership(m.clock(n), leader, m.names))
+	m.send(m.registers[name].UpdateMembership(m.clock(name), leader, m.names))
 }
 
-// lead ends the lead of whoever has it, and gives it to another that has a majority in reach.
-func (m *model) lead() {
-	m.leader = ""
-	for _, n := range m.names {
-		if m.up(n) {
-			m.view(n)
+func (m *fleetModel) updateAllMemberships() {
+	for _, name := range m.names {
+		if m.running(name) {
+			m.updateMembership(name)
 		}
 	}
-	reach := slices.DeleteFunc(slices.Clone(m.names), func(n string) bool { return m.cut[n] || !m.up(n) })
-	if len(reach) > len(m.names)/2 {
-		m.leader = reach[m.r.IntN(len(reach))]
+}
+
+// changeLeader ends the leadership, and elects a process if a majority is reachable.
+func (m *fleetModel) changeLeader() {
+	m.leader = ""
+	m.updateAllMemberships()
+	reachable := slices.DeleteFunc(slices.Clone(m.names), func(name string) bool {
+		return m.isolated[name] || !m.running(name)
+	})
+	if len(reachable) > len(m.names)/2 {
+		m.leader = reachable[m.random.IntN(len(reachable))]
 	}
 }
 
-func (m *model) order() {
-	r, now := m.at[m.leader], m.clock(m.leader)
-	id := fmt.Sprint("o", m.r.IntN(3))
-	old := r.state.entries[id]
-	if m.r.Float64() < 0.3 {
-		if _, out, err := r.Revoke(now, id); err == nil {
+// changeOverride revokes, issues, renews or replaces an override at the leader.
+func (m *fleetModel) changeOverride() {
+	register, now := m.registers[m.leader], m.clock(m.leader)
+	id := fmt.Sprint("o", m.random.IntN(3))
+	old := register.state.entries[id]
+	if m.random.Float64() < 0.3 {
+		if _, out, err := register.Revoke(now, id); err == nil {
 			m.send(out)
 		}
 		return
 	}
 	var replaces *Version
-	if old != nil && m.r.Float64() < 0.7 {
+	if old != nil && m.random.Float64() < 0.7 {
 		replaces = &old.Version
 	}
-	lasts := time.Duration(1+m.r.IntN(20)) * time.Second
-	f, out, err := r.Put(now, id, Override{Kind: "zone", Scope: "x", Value: fmt.Sprint(m.r.IntN(9)), Reason: "r", Author: "a"}, lasts, replaces)
+	duration := time.Duration(1+m.random.IntN(20)) * time.Second
+	override := Override{Kind: "zone", Scope: "x", Value: fmt.Sprint(m.random.IntN(9)), Reason: "r", Author: "a"}
+	entry, out, err := register.Put(now, id, override, duration, replaces)
 	if err != nil || out == nil {
 		return
 	}
-	if m.ends[id] == nil {
-		m.ends[id] = map[Version]time.Duration{}
+	if m.trueExpiry[id] == nil {
+		m.trueExpiry[id] = map[Version]time.Duration{}
 	}
-	m.ends[id][f.Version] = m.now + time.Duration(float64(lasts)/m.rate[m.leader])
+	m.trueExpiry[id][entry.Version] = m.now + time.Duration(float64(duration)/m.clockRate[m.leader])
 	m.issued++
 	m.send(out)
 }
 
-func (m *model) step(calm bool) {
-	m.now += modelStep
-	if !calm {
-		n := m.names[m.r.IntN(len(m.names))]
-		switch x := m.r.Float64(); {
-		case x < 0.004:
-			m.cut[n] = !m.cut[n]
-		case x < 0.007:
-			m.stop[n] = m.now + time.Duration(m.r.Int64N(int64(10*time.Second)))
-		case x < 0.009:
-			m.start(n)
-			if m.leader == n {
-				m.lead()
-			}
-		case x < 0.015:
-			m.lead()
-		case x < 0.05 && m.leader != "" && m.up(m.leader):
-			m.order()
+// injectFault makes one process fail in a random way, or changes an override.
+func (m *fleetModel) injectFault() {
+	name := m.names[m.random.IntN(len(m.names))]
+	switch x := m.random.Float64(); {
+	case x < 0.004:
+		m.isolated[name] = !m.isolated[name]
+	case x < 0.007:
+		m.resumesAt[name] = m.now + m.randomDuration(10*time.Second)
+	case x < 0.009:
+		m.start(name)
+		if m.leader == name {
+			m.changeLeader()
 		}
+	case x < 0.015:
+		m.changeLeader()
+	case x < 0.05 && m.leader != "" && m.running(m.leader):
+		m.changeOverride()
 	}
-	if m.leader != "" && (!m.up(m.leader) || m.cut[m.leader]) || m.leader == "" && m.r.Float64() < 0.02 {
-		m.lead()
+}
+
+// step advances the time, with or without faults.
+func (m *fleetModel) step(faults bool) {
+	m.now += modelStep
+	if faults {
+		m.injectFault()
 	}
-	for _, n := range m.names {
-		if m.up(n) {
-			m.view(n)
-		}
+	leaderLost := m.leader != "" && (!m.running(m.leader) || m.isolated[m.leader])
+	if leaderLost || m.leader == "" && m.random.Float64() < 0.02 {
+		m.changeLeader()
 	}
-	due := slices.DeleteFunc(slices.Clone(m.mail), func(l letter) bool { return l.at > m.now })
-	m.mail = slices.DeleteFunc(m.mail, func(l letter) bool { return l.at <= m.now })
-	for _, l := range due {
-		if m.up(l.o.To) && (!m.cut[l.o.To] && !m.cut[l.o.From]) {
-			m.send(m.at[l.o.To].Handle(m.clock(l.o.To), l.o.Message))
+	m.updateAllMemberships()
+	m.deliver()
+	m.recordAcknowledged()
+	for _, name := range m.names {
+		if m.running(name) {
+			m.checkInvariants(name)
 		}
 	}
-	m.confirm()
-	for _, n := range m.names {
-		if m.up(n) {
-			m.look(n)
+}
+
+// deliver hands over the messages that are due.
+func (m *fleetModel) deliver() {
+	isDue := func(d delivery) bool { return d.at <= m.now }
+	due := slices.DeleteFunc(slices.Clone(m.inFlight), func(d delivery) bool { return !isDue(d) })
+	m.inFlight = slices.DeleteFunc(m.inFlight, isDue)
+	for _, d := range due {
+		to, from := d.message.To, d.message.From
+		if m.running(to) && !m.isolated[to] && !m.isolated[from] {
+			m.send(m.registers[to].Handle(m.clock(to), d.message.Message))
 		}
 	}
 }
 
-// confirm notes which versions a majority holds under the leader.
-func (m *model) confirm() {
-	if m.leader == "" || m.at[m.leader].role != roleLeading {
+// recordAcknowledged records which versions a majority has under the leader.
+func (m *fleetModel) recordAcknowledged() {
+	if m.leader == "" || m.registers[m.leader].role != roleLeading {
 		return
 	}
-	for id, h := range m.at[m.leader].state.entries {
-		n := 0
-		for _, r := range m.at {
-			if o := r.state.entries[id]; o != nil && o.Version == h.Version && r.state.version.Term == m.at[m.leader].state.version.Term {
-				n++
-			}
+	leader := m.registers[m.leader]
+	for id, entry := range leader.state.entries {
+		if 2*m.holders(id, entry.Version, leader.state.version.Term) <= len(m.names) {
+			continue
 		}
-		if 2*n > len(m.names) {
-			if m.sure[id] == nil {
-				m.sure[id] = map[Version]bool{}
-			}
-			m.sure[id][h.Version] = true
+		if m.acknowledged[id] == nil {
+			m.acknowledged[id] = map[Version]bool{}
+		}
+		m.acknowledged[id][entry.Version] = true
+	}
+}
+
+// holders counts the processes that have a version of an override, and a state of a term.
+func (m *fleetModel) holders(id string, version Version, term uint64) int {
+	count := 0
+	for _, register := range m.registers {
+		entry := register.state.entries[id]
+		if entry != nil && entry.Version == version && register.state.version.Term == term {
+			count++
 		}
 	}
+	return count
 }
 
-// look checks the invariants: nothing acts past the true end of its version, and none comes back after a newer one that
-// was confirmed.
-func (m *model) look(n string) {
-	for _, f := range m.at[n].InForce(m.clock(n)) {
-		m.held++
-		if end := m.ends[f.ID][f.Version]; m.now > end+modelStep && m.broken == "" {
-			m.broken = fmt.Sprintf("at %v %s acts on %s %v, which ended at %v", m.now, n, f.ID, f.Version, end)
+// checkInvariants checks that a process applies nothing past the true expiry of its version, and that no override
+// returns after a newer version that a majority has acknowledged.
+func (m *fleetModel) checkInvariants(name string) {
+	for _, entry := range m.registers[name].InForce(m.clock(name)) {
+		m.checks++
+		if expiry := m.trueExpiry[entry.ID][entry.Version]; m.now > expiry+modelStep {
+			m.violate("at %v %s applies %s %v, which expired at %v", m.now, name, entry.ID, entry.Version, expiry)
 		}
 	}
-	for id, h := range m.at[n].state.entries {
-		if before := m.newest[n][id]; h.Version.Compare(before) < 0 && m.broken == "" {
-			m.broken = fmt.Sprintf("at %v %s holds %s %v again, after %v", m.now, n, id, h.Version, before)
+	for id, entry := range m.registers[name].state.entries {
+		if newest := m.newest[name][id]; entry.Version.Compare(newest) < 0 {
+			m.violate("at %v %s holds %s %v again, after %v", m.now, name, id, entry.Version, newest)
 		}
-		if m.sure[id][h.Version] {
-			m.newest[n][id] = h.Version
+		if m.acknowledged[id][entry.Version] {
+			m.newest[name][id] = entry.Version
 		}
 	}
 }
 
-// play returns what was broken, if anything, and how long after the last fault all held the same.
-func (m *model) play() (broken string, agreed time.Duration) {
-	for m.now < time.Minute && m.broken == "" {
-		m.step(false)
+// violate records the first violation.
+func (m *fleetModel) violate(format string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf(format, args...)
 	}
-	m.cut, m.stop = map[string]bool{}, map[string]time.Duration{}
-	for from := m.now; m.broken == ""; {
+}
+
+// run returns the first violation, and how long after the last fault all processes had the same state.
+func (m *fleetModel) run() (violation string, agreedAfter time.Duration) {
+	const convergenceLimit = 30 * time.Second
+	for m.now < time.Minute && m.violation == "" {
 		m.step(true)
-		same := m.leader != "" && m.at[m.leader].role == roleLeading
-		for _, n := range m.names {
-			same = same && m.at[n].state.version == m.at[m.leader].state.version
-		}
-		if agreed = m.now - from; same {
+	}
+	m.isolated = map[string]bool{}
+	m.resumesAt = map[string]time.Duration{}
+	lastFault := m.now
+	for m.violation == "" {
+		m.step(false)
+		agreedAfter = m.now - lastFault
+		if m.agreed() {
 			break
 		}
-		if agreed > 30*time.Second {
-			m.broken = "not agreed 30 s after the last fault"
+		if agreedAfter > convergenceLimit {
+			m.violate("not agreed %v after the last fault", convergenceLimit)
 		}
 	}
-	return m.broken, agreed
+	return m.violation, agreedAfter
 }
 
-// ORDERS_SEEDS=20000 go test -run Model ./internal/orders plays as many seeds as one likes.
-func TestModelOfTheRegister(t *testing.T) {
-	seeds := 300
-	if s := os.Getenv("ORDERS_SEEDS"); s != "" {
-		seeds, _ = strconv.Atoi(s)
+// agreed reports whether all processes have the leader's state.
+func (m *fleetModel) agreed() bool {
+	if m.leader == "" || m.registers[m.leader].role != roleLeading {
+		return false
 	}
-	issued, held, worst := 0, 0, time.Duration(0)
-	first, _ := strconv.ParseUint(os.Getenv("ORDERS_FIRST"), 10, 64)
-	for seed := first; seed < first+uint64(seeds); seed++ {
-		m := newModel(seed)
-		broken, agreed := m.play()
-		if broken != "" {
-			t.Errorf("seed %d: %s", seed, broken)
+	for _, name := range m.names {
+		if m.registers[name].state.version != m.registers[m.leader].state.version {
+			return false
 		}
-		issued, held, worst = issued+m.issued, held+m.held, max(worst, agreed)
-	}
-	if t.Logf("%d seeds: %d orders, %d looks at one in force, all agreed %v after the last fault at the worst", seeds, issued, held, worst); issued < 3*seeds || held < 100*seeds {
-		t.Error("too little was ordered to prove anything")
 	}
+	return true
 }
--- /dev/null
+++ b/internal/overrides/random_faults_test.go
@@ -0,0 +1,55 @@
+package overrides
+
+import (
+	"os"
+	"strconv"
+	"testing"
+	"time"
+)
+
+// The environment variables of TestModelOfTheRegister: OVERRIDES_SEEDS=20000 go test -run Model ./internal/overrides
+// runs as many seeds as wanted.
+const (
+	seedCountVariable = "OVERRIDES_SEEDS"
+	firstSeedVariable = "OVERRIDES_FIRST_SEED"
+	defaultSeedCount  = 300
+)
+
+// seedRange reads from the environment which seeds to run.
+func seedRange(t *testing.T) (first, count uint64) {
+	t.Helper()
+	return uintVariable(t, firstSeedVariable, 0), uintVariable(t, seedCountVariable, defaultSeedCount)
+}
+
+func uintVariable(t *testing.T, name string, fallback uint64) uint64 {
+	t.Helper()
+	text := os.Getenv(name)
+	if text == "" {
+		return fallback
+	}
+	value, err := strconv.ParseUint(text, 10, 32)
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	return value
+}
+
+func TestModelOfTheRegister(t *testing.T) {
+	first, count := seedRange(t)
+	issued, checks, slowest := 0, 0, time.Duration(0)
+	for seed := first; seed < first+count; seed++ {
+		m := newFleetModel(seed)
+		violation, agreedAfter := m.run()
+		if violation != "" {
+			t.Errorf("seed %d: %s", seed, violation)
+		}
+		issued += m.issued
+		checks += m.checks
+		slowest = max(slowest, agreedAfter)
+	}
+	t.Logf("%d seeds: %d overrides issued, %d checks of one in force, all agreed %v after the last fault at the latest",
+		count, issued, checks, slowest)
+	if issued < 3*int(count) || checks < 100*int(count) {
+		t.Error("too few overrides were issued to prove anything")
+	}
+}
--- a/internal/overrides/register.go
+++ b/internal/overrides/register.go
@@ -11,8 +11,8 @@
 	maxTermAdvance  = 1 << 20                // by one message, so that invalid ones cannot exhaust the terms
 )
 
-// Register is the part of one process in the replicated register. It belongs to one goroutine. Times are readings of the
-// process's monotonic clock and never decrease.
+// Register is the part of one process in the replicated register. It belongs to one goroutine. Times are readings of
+// the process's monotonic clock and never decrease.
 type Register struct {
 	self        string
 	incarnation uint64
--- a/internal/overrides/term.go
+++ b/internal/overrides/term.go
@@ -14,8 +14,8 @@
 	roleLeading
 )
 
-// termPromise is the highest term that this process has promised, and to which incarnation of a leader: a leader that has
-// restarted does not inherit the promises of its earlier incarnation.
+// termPromise is the highest term that this process has promised, and to which incarnation of a leader: a leader that
+// has restarted does not inherit the promises of its earlier incarnation.
 type termPromise struct {
 	term        uint64
 	incarnation uint64
@@ -29,8 +29,8 @@
 	return ok
 }
 
-// complete reports whether the promises suffice to lead. A member that has restarted may have forgotten what it promised
-// and held, so it counts only where all members have answered.
+// complete reports whether the promises suffice to lead. A member that has restarted may have forgotten what it
+// promised and held, so it counts only where all members have answered.
 func (p promiseSet) complete(members []string) bool {
 	knew := 0
 	answered := 0
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -54,8 +54,8 @@
 	return errors.Join(all...)
 }
 
-// ProblemAt is a Problem with a key such as "world.tier[1].cores", at the line where the text has it or, where it is missing,
-// at its table.
+// ProblemAt is a Problem with a key such as "world.tier[1].cores", at the line where the text has it or, where it is
+// missing, at its table.
 func ProblemAt(file string, text []byte, key, why string) Problem {
 	return Problem{file, line(text, key), key, why}
 }
