--- a/internal/node/accept_faults_test.go
+++ b/internal/node/accept_faults_test.go
@@ -102,12 +102,12 @@
 
 // A listener that is none any more ends the accepting, and so does its close while the node waits for the system.
 func TestAcceptingEnds(t *testing.T) {
-	broken := newLimitedListener(newFaultyListener(t, syscall.EBADF), 1, newStats(nil), newDecisions(quiet()))
+	broken := newLimitedListener(newFaultyListener(t, syscall.EBADF), 1, newMetrics(nil), newDecisions(quiet()))
 	if _, err := broken.Accept(); !errors.Is(err, syscall.EBADF) {
 		t.Errorf("a listener without a descriptor: %v", err)
 	}
 	failing := newFaultyListener(t, slices.Repeat([]syscall.Errno{syscall.ENOMEM}, 10_000)...)
-	closed := newLimitedListener(failing, 1, newStats(nil), newDecisions(quiet()))
+	closed := newLimitedListener(failing, 1, newMetrics(nil), newDecisions(quiet()))
 	ended := make(chan error, 1)
 	go func() {
 		_, err := closed.Accept()
@@ -155,7 +155,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	h := &handover{path: filepath.Join(dir, "s"), log: quiet(), ln: ln.(syscall.Conn), phase: func() phase { return serving },
+	h := &handover{path: filepath.Join(dir, "s"), log: quiet(), ln: ln.(syscall.Conn), phase: func() phase { return phaseServing },
 		share: func(int) {}, moved: make(chan struct{}, 1)}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -172,19 +172,19 @@
 			RepeatBefore:    att.repeatBefore,
 			RequestAnswered: att.call.closed.Load(),
 			EndpointRemoved: att.target.stopped.Load(),
-			ListOutdated:    p.staleness.hold(),
+			ListOutdated:    p.staleness.holdSends(),
 			Client:          att.call.caller.state(),
 		}.Verdict()
 		if why != guard.ListOutdated {
 			return why
 		}
-		time.Sleep(settle / 10)
+		time.Sleep(resumeQuietPeriod / 10)
 	}
 }
 
 // wrote counts an attempt that is whole at its server, and takes the second look at it.
 func (p *pool) wrote(att *attempt, clientDeadline time.Duration) {
-	p.stats.count(func(c *counts) { c.written++ })
+	p.stats.update(func(c *counters) { c.attemptsWritten++ })
 	p.decisions.attemptWritten(att, guard.Sent{
 		Now:            p.clock.now(),
 		ClientDeadline: clientDeadline,
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -90,7 +90,7 @@
 		}
 		eventually(t, "it is counted", func() bool {
 			c := n.loop.stats.snapshot()
-			return c.failed["unsafe"] == 1 && c.served["unsafe"] == 0 && c.inflight() == 0
+			return c.failed["unsafe"] == 1 && c.succeeded["unsafe"] == 0 && c.inFlight() == 0
 		})
 	}
 }
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -32,11 +32,11 @@
 	arrivals   chan<- *call
 	gone       chan<- *call
 	stopped    <-chan struct{}
-	stats      *stats
+	stats      *metrics
 	decisions  *decisions
 	buffers    buffers
 	methods    map[string]string // by class; others are no classes
-	suspension *suspension       // nil: stops of the process are not noticed
+	suspension *suspensionDetector       // nil: stops of the process are not noticed
 	ready      func() bool
 	closing    func() bool // every answer ends its connection
 }
@@ -107,7 +107,7 @@
 // drop ends the handling of a request whose connection the node has closed. Its client sends it again, so that to send
 // it on would run it twice.
 func (h *callers) drop() {
-	h.stats.count(func(c *counts) { c.crossed++ })
+	h.stats.update(func(c *counters) { c.requestsAfterClose++ })
 	h.decisions.violation(guard.RequestRead)
 	panic(http.ErrAbortHandler)
 }
@@ -115,7 +115,7 @@
 // turnDown answers what is no proper request and ends its connection: the body may not have been read to
 // its end, and what follows on the connection need not be a request.
 func (h *callers) turnDown(w http.ResponseWriter, status int, err error) {
-	h.stats.turnedDown(err.Error())
+	h.stats.countInvalidRequest(err.Error())
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 }
@@ -172,7 +172,7 @@
 	c.header = forwardable(r.Header)
 	c.budget = budget
 	// A request that waited for a process that stood still has used up a part of its time.
-	c.budget -= min(h.suspension.waited(), connOf(r).restedFor())
+	c.budget -= min(h.suspension.timeQueued(), connOf(r).restedFor())
 	if c.budget <= 0 {
 		return nil, http.StatusServiceUnavailable, errWaited
 	}
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -63,7 +63,7 @@
 	c.of.mu.Lock()
 	defer c.of.mu.Unlock()
 	if c.in == c.of.waiting && c.place != nil && c.seen.half() {
-		c.of.stats.count(func(c *counts) { c.halves++ })
+		c.of.stats.update(func(c *counters) { c.incompleteHeads++ })
 	}
 	c.unplace()
 	return c.silent
@@ -170,11 +170,11 @@
 func (c *clientConn) cause(evicted, rests bool) closeCause {
 	switch {
 	case evicted:
-		return closeMakesRoom
+		return closeEvicted
 	case c.ending:
-		return closeLeaving
+		return closeShutdown
 	case rests && c.kept:
-		return closeRested
+		return closeIdle
 	}
 	return closeSlowHead
 }
--- a/internal/node/client_listener.go
+++ b/internal/node/client_listener.go
@@ -17,7 +17,7 @@
 // alone knows whether a whole request has come in meanwhile; that one is served, and another connection makes room.
 type limitedListener struct {
 	net.Listener
-	stats     *stats
+	stats     *metrics
 	decisions *decisions
 	ended     chan struct{} // closed by Close
 
@@ -32,7 +32,7 @@
 	evicted *clientConn // its reader was told to make room; nil: none
 }
 
-func newLimitedListener(ln net.Listener, most int, st *stats, d *decisions) *limitedListener {
+func newLimitedListener(ln net.Listener, most int, st *metrics, d *decisions) *limitedListener {
 	b := &limitedListener{Listener: ln, stats: st, decisions: d, ended: make(chan struct{}), most: most, waiting: list.New(),
 		coming: list.New()}
 	b.freed = sync.NewCond(&b.mu)
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b.stats.count(func(c *counts) { c.accepted++ })
+	b.stats.update(func(c *counters) { c.acceptedConnections++ })
 	p := &clientConn{Conn: c, of: b, born: time.Now()}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,7 +88,7 @@
 	if e == nil || b.evicted != nil {
 		return
 	}
-	b.stats.count(func(c *counts) { c.evicted++ })
+	b.stats.update(func(c *counters) { c.evictedConnections++ })
 	b.evicted = e.Value.(*clientConn)
 	b.evicted.Conn.SetReadDeadline(longAgo)
 }
--- a/internal/node/client_listener_test.go
+++ b/internal/node/client_listener_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b = newLimitedListener(ln, 1, newStats(nil), newDecisions(quiet()))
+	b = newLimitedListener(ln, 1, newMetrics(nil), newDecisions(quiet()))
 	out := make(chan net.Conn)
 	go func() {
 		defer close(out)
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -119,8 +119,8 @@
 	if got := b.requests(); got != sent+2 {
 		t.Errorf("servers got %d requests, want 2", got-sent)
 	}
-	if crossed := n.loop.stats.snapshot().crossed; crossed != 0 || len(n.loop.decisions.violations.figures()) > 0 {
-		t.Errorf("%d were dropped, violations %v", crossed, n.loop.decisions.violations.figures())
+	if crossed := n.loop.stats.snapshot().requestsAfterClose; crossed != 0 || len(n.loop.decisions.violations.nonZero()) > 0 {
+		t.Errorf("%d were dropped, violations %v", crossed, n.loop.decisions.violations.nonZero())
 	}
 }
 
--- a/internal/node/decisions_test.go
+++ b/internal/node/decisions_test.go
@@ -17,13 +17,13 @@
 func TestDecisionsAreCountedAndLogged(t *testing.T) {
 	var log bytes.Buffer
 	d := newDecisions(slog.New(slog.NewTextHandler(&log, nil)))
-	for range 3 * lineBurst {
-		d.requestAnswered("1", http.StatusServiceUnavailable, 0, guard.NoRoom)
+	for range 3 * logLineBurst {
+		d.requestRejected("1", http.StatusServiceUnavailable, 0, guard.NoRoom)
 		d.acceptFailed(errors.New("none"))
 	}
 	d.violation(guard.RequestRead, "id", "crossed")
-	f := d.figures()
-	if f.Answered["no_room"] != 3*lineBurst || f.FailedAccepts != 3*lineBurst || f.Violations["request_read"] != 1 || f.Silenced == 0 {
+	f := d.page()
+	if f.RequestsRejected["no_room"] != 3*logLineBurst || f.FailedAccepts != 3*logLineBurst || f.Violations["request_read"] != 1 || f.SuppressedLines == 0 {
 		t.Errorf("counted %+v", f)
 	}
 	if !strings.Contains(log.String(), `msg=violation reason=request_read id=crossed`) {
@@ -41,7 +41,7 @@
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	var f decisionFigures
+	var f decisionsPage
 	if err = errors.Join(err, json.Unmarshal(text, &f)); err != nil || f.Violations["told_too_much_time"] != 1 {
 		t.Errorf("%v: %s", err, text)
 	}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -72,7 +72,7 @@
 	client    *http.Client
 	tell      func(context.Context, news) error // hands news to the loop
 	asks      chan struct{}                     // the module's wish for a watch, or a move
-	staleness *watchdog
+	staleness *stalenessMonitor
 
 	mu   sync.Mutex
 	addr string
@@ -81,7 +81,7 @@
 
 func newDiscovery(cfg Config, log *slog.Logger, tell func(context.Context, news) error) *discovery {
 	return &discovery{addr: cfg.Discovery, asked: cfg.Settings.PollEndpoints, seq: cfg.Known.Seq, log: log, tell: tell, asks: make(chan struct{}, 1),
-		staleness: newWatchdog(silence, !cfg.Settings.PollEndpoints),
+		staleness: newStalenessMonitor(watchSilenceTimeout, !cfg.Settings.PollEndpoints),
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:        (&net.Dialer{Timeout: time.Second}).DialContext,
 			DisableKeepAlives:  true,
@@ -130,7 +130,7 @@
 			wait = retryMin
 		}
 		pause := wait/2 + rand.N(wait/2) // jitter keeps nodes from calling together
-		d.staleness.close(pause)
+		d.staleness.watchEnded(pause)
 		if ctx.Err() != nil {
 			return
 		}
@@ -166,7 +166,7 @@
 		defer d.mu.Unlock()
 		d.cut = nil
 	}()
-	d.staleness.open(cancel) // a cut-off machine says nothing: the connection stays open, and only the missing lines tell
+	d.staleness.watchStarted(cancel) // a cut-off machine says nothing: the connection stays open, and only the missing lines tell
 	body, err := d.get(ctx, "?watch=1&from="+strconv.FormatInt(d.seq, 10))
 	if err != nil {
 		return 0, withCause(ctx, err)
@@ -178,20 +178,20 @@
 	for in.Scan() {
 		if len(in.Bytes()) == 0 && begun == nil {
 			lines++
-			d.staleness.line()
+			d.staleness.lineReceived()
 			continue
 		}
 		// An empty line says that all before it is whole.
 		begun = append(begun, in.Bytes()...)
 		if len(in.Bytes()) > 0 && len(begun) <= maxLine && !ended(in.Bytes(), begun) {
 			begun = append(begun, '\n')
-			d.staleness.part()
+			d.staleness.partReceived()
 			continue
 		}
 		n, err := parseRoster(begun)
 		begun = nil
 		lines++
-		d.staleness.line()
+		d.staleness.lineReceived()
 		if err == nil && !n.Whole && n.Seq < d.seq {
 			err = errGap
 		}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -54,7 +54,7 @@
 			return ctx.Err()
 		}
 	})
-	d.staleness.silence = silence
+	d.staleness.silenceTimeout = silence
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -60,9 +60,9 @@
 		"/control/decisions":      {http.MethodGet, d.decisions},
 		"/control/members":        {http.MethodGet, d.fleet},
 		"/control/zones":          {http.MethodGet, d.zones},
-		"/control/ready":          {http.MethodGet, yes(func() bool { return d.life.knows() && d.usable() })},
-		"/control/out-of-service": {http.MethodPut, yes(func() bool { return d.life.take(drain) })},
-		"/control/in-service":     {http.MethodPut, yes(func() bool { return d.life.take(resume) })},
+		"/control/ready":          {http.MethodGet, yes(func() bool { return d.life.canServe() && d.usable() })},
+		"/control/out-of-service": {http.MethodPut, yes(func() bool { return d.life.transition(eventDrain) })},
+		"/control/in-service":     {http.MethodPut, yes(func() bool { return d.life.transition(eventResume) })},
 	}
 	call, ok := calls[r.URL.Path]
 	if name, order, is := zonePath(r.URL.Path); is {
@@ -82,8 +82,8 @@
 
 // counters answers with the figures as they are now, so that they are never old.
 func (d *door) counters(w http.ResponseWriter) {
-	var f figures
-	if !d.loop.ask(func() { f = d.loop.stats.figures(d.loop.bal.EndpointCounts(d.loop.clock.now())) }) {
+	var f countersPage
+	if !d.loop.ask(func() { f = d.loop.stats.page(d.loop.bal.EndpointCounts(d.loop.clock.now())) }) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -94,7 +94,7 @@
 // decisions answers with what the guard decided since the start, by reason.
 func (d *door) decisions(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(d.loop.decisions.figures()) // fails only as the operator leaves
+	json.NewEncoder(w).Encode(d.loop.decisions.page()) // fails only as the operator leaves
 }
 
 // fleet answers with the members as this node sees them; 404 without a mesh.
--- a/internal/node/door_test.go
+++ b/internal/node/door_test.go
@@ -199,26 +199,26 @@
 // A node that is told to stop does not come back, and one that has not heard of its servers is not in service.
 func TestPhases(t *testing.T) {
 	for name, tc := range map[string]struct {
-		signals []signal
+		signals []lifecycleEvent
 		want    phase
 		refused bool // of the last signal
 	}{
-		"heard":                      {[]signal{heard}, serving, false},
-		"drained before it is heard": {[]signal{drain, heard}, drained, false},
-		"taken back too early":       {[]signal{drain, resume}, starting, false},
-		"taken back, then heard":     {[]signal{drain, resume, heard}, serving, false},
-		"drained and back, twice":    {[]signal{heard, drain, resume, drain, resume}, serving, false},
-		"no way back":                {[]signal{heard, leave, resume}, leaving, true},
-		"drained, then told to stop": {[]signal{heard, drain, leave}, leaving, false},
-		"out of service as it is":    {[]signal{heard, leave, drain}, leaving, false},
+		"heard":                      {[]lifecycleEvent{eventListReceived}, phaseServing, false},
+		"drained before it is heard": {[]lifecycleEvent{eventDrain, eventListReceived}, phaseDrained, false},
+		"taken back too early":       {[]lifecycleEvent{eventDrain, eventResume}, phaseStarting, false},
+		"taken back, then heard":     {[]lifecycleEvent{eventDrain, eventResume, eventListReceived}, phaseServing, false},
+		"drained and back, twice":    {[]lifecycleEvent{eventListReceived, eventDrain, eventResume, eventDrain, eventResume}, phaseServing, false},
+		"no way back":                {[]lifecycleEvent{eventListReceived, eventShutdown, eventResume}, phaseShuttingDown, true},
+		"drained, then told to stop": {[]lifecycleEvent{eventListReceived, eventDrain, eventShutdown}, phaseShuttingDown, false},
+		"out of service as it is":    {[]lifecycleEvent{eventListReceived, eventShutdown, eventDrain}, phaseShuttingDown, false},
 	} {
-		l := &lifecycle{moved: func(phase, phase) {}}
+		l := &lifecycle{onTransition: func(phase, phase) {}}
 		ok := true
 		for _, s := range tc.signals {
-			ok = l.take(s)
+			ok = l.transition(s)
 		}
-		if l.now() != tc.want || ok == tc.refused {
-			t.Errorf("%s: %v, allowed %v", name, l.now(), ok)
+		if l.current() != tc.want || ok == tc.refused {
+			t.Errorf("%s: %v, allowed %v", name, l.current(), ok)
 		}
 	}
 }
@@ -258,7 +258,7 @@
 		return respond(c, "200 OK", "done")
 	})
 	n := startWith(t, good)
-	read := func() (f figures) {
+	read := func() (f countersPage) {
 		t.Helper()
 		status, text := n.ask(t, "GET", "/control/counters")
 		if err := json.Unmarshal([]byte(text), &f); status != http.StatusOK || err != nil {
@@ -277,17 +277,17 @@
 		held <- true
 	}()
 	eventually(t, "it is out", func() bool { return good.requests() == 6 })
-	want := figures{Success: perName{"unsafe": 2, "keyed": 1, "safe": 0}, Busy: perName{"unsafe": 1, "keyed": 0, "safe": 0},
-		Failure: perName{"unsafe": 1, "keyed": 0, "safe": 0}, Written: 6, Inflight: 1, Listed: 1, Down: 1}
+	want := countersPage{Succeeded: countByName{"unsafe": 2, "keyed": 1, "safe": 0}, Rejected: countByName{"unsafe": 1, "keyed": 0, "safe": 0},
+		Failed: countByName{"unsafe": 1, "keyed": 0, "safe": 0}, AttemptsWritten: 6, InFlight: 1, EndpointsListed: 1, EndpointsAvoided: 1}
 	if got := read(); !reflect.DeepEqual(got, want) { // the one server has just refused for want of room
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	close(release)
 	<-held
-	if got := read(); got.Inflight != 0 || got.Success["unsafe"] != 3 {
+	if got := read(); got.InFlight != 0 || got.Succeeded["unsafe"] != 3 {
 		t.Errorf("after the last answer %+v", got)
 	}
-	if c := n.loop.stats.snapshot(); c.served.sum() != 4 || c.written != 6 {
+	if c := n.loop.stats.snapshot(); c.succeeded.sum() != 4 || c.attemptsWritten != 6 {
 		t.Errorf("the log would say %+v", c)
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -140,7 +140,7 @@
 // keepPlace says when the node serves, and returns once ctx ends or a successor serves.
 func (n *Node) keepPlace(ctx context.Context, m *membership.Mesh) (passed bool) {
 	for told := false; ; {
-		if !told && n.life.now() == serving {
+		if !told && n.life.current() == phaseServing {
 			m.Serving()
 			told = true
 		}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -99,7 +99,7 @@
 	}
 	served := func(r *running) int {
 		c := r.loop.stats.snapshot()
-		return c.served.sum()
+		return c.succeeded.sum()
 	}
 	eventually(t, "the old one serves", func() bool { return served(old) > 20 })
 	young := process(t, cfg)
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -16,7 +16,7 @@
 // an answer whose rest somebody waits for. The handler may see either first, so that a hundred show both.
 func TestClientLeavesAsItsAnswerComes(t *testing.T) {
 	arrivals, gone := make(chan *call), make(chan *call)
-	h := &callers{clock: newClock(), arrivals: arrivals, gone: gone, stopped: make(chan struct{}), stats: newStats(nil),
+	h := &callers{clock: newClock(), arrivals: arrivals, gone: gone, stopped: make(chan struct{}), stats: newMetrics(nil),
 		buffers: newBuffers(64, 8), methods: map[string]string{"safe": http.MethodGet},
 		ready: func() bool { return true }, closing: func() bool { return false }}
 	whole := h.buffers.answers.left.Load()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -33,7 +33,7 @@
 	bal       *policy.Balancer
 	sender    sender
 	subscribe func()    // asks discovery for a watch; must not block
-	staleness *watchdog // of discovery; nil: there is none
+	staleness *stalenessMonitor // of discovery; nil: there is none
 
 	lists    chan news
 	arrivals chan *call
@@ -49,7 +49,7 @@
 	calls     map[string]*call
 	targets   map[string]*target
 	wakes     wakeHeap
-	stats     *stats
+	stats     *metrics
 	decisions *decisions
 	out       int // attempts without an ending
 	turns     int // of zones, as of the last look
@@ -61,7 +61,7 @@
 	until     map[string]time.Duration // zones that overrides send away, and when each ends
 }
 
-func newLoop(ck clock, log *slog.Logger, bal *policy.Balancer, st *stats) *loop {
+func newLoop(ck clock, log *slog.Logger, bal *policy.Balancer, st *metrics) *loop {
 	return &loop{clock: ck, log: log, bal: bal, stats: st, decisions: newDecisions(log),
 		lists: make(chan news), arrivals: make(chan *call), gone: make(chan *call),
 		results: make(chan result), sents: make(chan sent), begins: make(chan begun), peers: make(chan policy.ReplicaCounts, 1), ordered: make(chan map[string]time.Duration, 1), byHand: map[string]bool{}, asks: make(chan func()), stop: make(chan struct{}),
@@ -72,7 +72,7 @@
 func (l *loop) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	report := time.NewTicker(reportEvery)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	for {
 		// News of the servers goes ahead of waiting traffic: the grace of a drain is running.
@@ -117,9 +117,9 @@
 			f()
 		case <-timer.C:
 		case <-report.C:
-			l.stats.report(l.log, l.out)
+			l.stats.logReport(l.log, l.out)
 		case <-l.stop:
-			l.stats.report(l.log, l.out)
+			l.stats.logReport(l.log, l.out)
 			return
 		}
 	}
@@ -127,11 +127,11 @@
 
 // catchUp takes news before anything else once the process has slept: some of it may be overdue.
 func (l *loop) catchUp() {
-	for l.staleness.hold() {
+	for l.staleness.holdSends() {
 		select {
 		case n := <-l.lists:
 			l.takeNews(n)
-		case <-time.After(settle / 10):
+		case <-time.After(resumeQuietPeriod / 10):
 		case <-l.stop:
 			return
 		}
@@ -174,7 +174,7 @@
 		if held.closed.Load() && c.method == http.MethodGet {
 			status = http.StatusServiceUnavailable
 		}
-		l.stats.turnedDown("X-Call-Id is in use")
+		l.stats.countInvalidRequest("X-Call-Id is in use")
 		c.held.shrink(0)
 		c.reply <- answer{status: status}
 		return
@@ -190,7 +190,7 @@
 func (l *loop) count(c *call) {
 	if !c.counted {
 		c.counted = true
-		l.stats.count(func(c *counts) { c.taken++ })
+		l.stats.update(func(c *counters) { c.requests++ })
 	}
 }
 
@@ -201,7 +201,7 @@
 	}
 	c.leftAt.set(l.clock.now())
 	if c.counted {
-		l.stats.count(func(c *counts) { c.left++ })
+		l.stats.update(func(c *counters) { c.clientDisconnects++ })
 	}
 	l.handle(policy.ClientDisconnected{ID: c.req.ID})
 	return true
@@ -259,10 +259,10 @@
 	if c == nil || c.closed.Swap(true) {
 		return
 	}
-	l.decisions.requestAnswered(id, a.status, c.attempts, why)
+	l.decisions.requestRejected(id, a.status, c.attempts, why)
 	c.reply <- a
 	l.count(c)
-	l.stats.answered(c.req.Class, a.status, c.attempts)
+	l.stats.countAnswer(c.req.Class, a.status, c.attempts)
 	l.forget(c)
 }
 
@@ -278,7 +278,7 @@
 	c := r.att.call
 	c.out--
 	l.out--
-	l.stats.ended(r.att.target.id, r.ending, l.clock.now()-r.att.started, r.err)
+	l.stats.countAttemptResult(r.att.target.id, r.ending, l.clock.now()-r.att.started, r.err)
 	if r.why == guard.ClientLeft && l.leave(c) {
 		c.reply <- cut
 	}
@@ -293,10 +293,10 @@
 	switch {
 	case r.passed:
 		l.count(c)
-		l.stats.answered(c.req.Class, r.answer.status, c.attempts)
+		l.stats.countAnswer(c.req.Class, r.answer.status, c.attempts)
 	case r.ending == policy.Success && !c.closed.Swap(true):
 		l.count(c)
-		l.stats.answered(c.req.Class, http.StatusOK, c.attempts)
+		l.stats.countAnswer(c.req.Class, http.StatusOK, c.attempts)
 		c.reply <- r.answer
 	default:
 		r.answer.drop()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,9 +63,9 @@
 	}
 	n := &Node{cfg: cfg, log: logger}
 	ck := newClock()
-	n.loop = newLoop(ck, logger, bal, newStats(cfg.Settings.Classes))
+	n.loop = newLoop(ck, logger, bal, newMetrics(cfg.Settings.Classes))
 	n.moves, n.served = make(chan struct{}, 1), make(chan struct{}, 1)
-	n.life = &lifecycle{moved: func(from, to phase) {
+	n.life = &lifecycle{onTransition: func(from, to phase) {
 		logger.Info("phase", "from", from.String(), "to", to.String())
 		for _, c := range []chan struct{}{n.moves, n.served} {
 			select {
@@ -81,7 +81,7 @@
 	n.disc = newDiscovery(cfg, logger, func(ctx context.Context, w news) error {
 		select {
 		case n.loop.lists <- w:
-			n.life.take(heard)
+			n.life.transition(eventListReceived)
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
@@ -142,10 +142,10 @@
 	own(n.loop.run)
 	n.loop.lists <- news{list: n.cfg.Known.whole(), cached: true}
 	watching, stopWatching := context.WithCancel(context.Background())
-	suspension := newSuspension()
+	suspension := newSuspensionDetector()
 	own(func() { suspension.run(watching) })
 	own(func() { n.disc.run(watching) })
-	grace := time.AfterFunc(firstList, func() { n.life.take(heard) })
+	grace := time.AfterFunc(firstList, func() { n.life.transition(eventListReceived) })
 	defer grace.Stop()
 
 	n.inbound = newLimitedListener(ln, n.cfg.inboundPlaces(n.cfg.Sockets), n.loop.stats, n.loop.decisions)
@@ -162,15 +162,15 @@
 		MaxHeaderBytes: maxHead,
 		ErrorLog:       slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
 	}
-	n.handover = &handover{path: n.cfg.handover, log: n.log, ln: ln.(syscall.Conn), phase: n.life.now, share: n.share, moved: make(chan struct{}, 1)}
+	n.handover = &handover{path: n.cfg.handover, log: n.log, ln: ln.(syscall.Conn), phase: n.life.current, share: n.share, moved: make(chan struct{}, 1)}
 	begun := make(chan struct{})                             // callers are accepted here
 	known, alone := make(chan struct{}), make(chan struct{}) // to the process before; there is none any more
 	if before == nil {
 		close(begun)
 	} else {
 		n.share(+1)
-		if before.phase == drained {
-			n.life.take(drain)
+		if before.phase == phaseDrained {
+			n.life.transition(eventDrain)
 		}
 		defer before.conn.Close()
 		go func() { // ends with the connection
@@ -217,7 +217,7 @@
 		operators = newDoor(&door{members: n.members, orders: &n.orders, life: n.life, loop: n.loop,
 			usable: func() bool { return n.open.Load() && n.loop.usable.Load() }}, n.log)
 		own(func() {
-			endpoint := newLimitedListener(doorAt, doorPlaces, newStats(nil), n.loop.decisions)
+			endpoint := newLimitedListener(doorAt, doorPlaces, newMetrics(nil), n.loop.decisions)
 			if err := operators.Serve(endpoint); !errors.Is(err, http.ErrServerClosed) {
 				n.log.Error("the operators' endpoint has ended; clients are served as ever", "err", err)
 			}
@@ -251,29 +251,29 @@
 // ready says that callers may come: the node knows a server in service, from discovery itself if that answers.
 // To callers two processes are one node: while this one leaves, its successor has them.
 func (n *Node) ready() bool {
-	phase := n.life.now()
+	phase := n.life.current()
 	why := guard.TakeClients{
-		Serving:         phase == serving,
-		Leaving:         phase == leaving,
+		Serving:         phase == phaseServing,
+		Leaving:         phase == phaseShuttingDown,
 		SuccessorServes: n.handover.passed.Load(),
 		ServerKnown:     n.loop.usable.Load(),
 	}.Verdict()
 	if why != guard.Allowed {
-		n.loop.decisions.notReady.add(why)
+		n.loop.decisions.readinessRefused.add(why)
 	}
 	return why == guard.Allowed
 }
 
 // closing says that every answer ends its connection.
 func (n *Node) closing() bool {
-	return n.life.away() >= frontNotice || n.life.now() == leaving && n.handover.passed.Load()
+	return n.life.drainedFor() >= frontNotice || n.life.current() == phaseShuttingDown && n.handover.passed.Load()
 }
 
 // await returns when this process can serve, or has to because the one before is gone.
 func (n *Node) await(ctx context.Context, alone <-chan struct{}) {
 	look := time.NewTicker(5 * time.Millisecond)
 	defer look.Stop()
-	for !(n.life.knows() && n.loop.usable.Load()) {
+	for !(n.life.canServe() && n.loop.usable.Load()) {
 		select {
 		case <-look.C:
 		case <-alone:
@@ -307,7 +307,7 @@
 	look := time.NewTicker(tendEvery)
 	defer look.Stop()
 	for {
-		if n.life.away() == 0 {
+		if n.life.drainedFor() == 0 {
 			look.Stop()
 		} else {
 			look.Reset(tendEvery)
@@ -315,7 +315,7 @@
 		select {
 		case <-n.moves:
 		case <-look.C:
-			if n.life.away() >= frontNotice+lastCalls {
+			if n.life.drainedFor() >= frontNotice+lastCalls {
 				n.inbound.closeWaiting(lastCalls)
 			}
 		case <-ctx.Done():
@@ -328,7 +328,7 @@
 // front still deals out, and idle ones closed at once would cross requests. Server.Shutdown will not do: it ends a
 // connection without an answer when its request is read after the call.
 func (n *Node) drain(accepting <-chan error) {
-	n.life.take(leave)
+	n.life.transition(eventShutdown)
 	began, longest := time.Now(), longestDeadline(n.cfg.Settings)
 	last := began.Add(min(longest, killMost) + killAfter - lastAnswers)
 	end := began.Add(frontNotice + lastCalls + longest + 20*time.Millisecond)
--- a/internal/node/repeat_window_test.go
+++ b/internal/node/repeat_window_test.go
@@ -76,7 +76,7 @@
 			if r, err := p.exchange(c, att); err != nil || r.err != nil {
 				t.Fatal(err, r.err)
 			}
-			got := p.decisions.violations.figures()
+			got := p.decisions.violations.nonZero()
 			if want == guard.Allowed && len(got) > 0 || want != guard.Allowed && (got[want.String()] != 1 || len(got) > 1) {
 				t.Errorf("counted %v", got)
 			}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -41,8 +41,8 @@
 	results   chan<- result
 	sents     chan<- sent
 	begins    chan<- begun
-	stats     *stats
-	staleness *watchdog // of discovery
+	stats     *metrics
+	staleness *stalenessMonitor // of discovery
 	buffers   buffers
 
 	decisions    *decisions
@@ -106,7 +106,7 @@
 			p.mu.Unlock()
 			return c, nil
 		}
-		p.stats.count(func(c *counts) { c.stale++ })
+		p.stats.update(func(c *counters) { c.staleConnections++ })
 		p.closeLocked(c) // nothing of this attempt was on it
 	}
 	for len(p.open)+p.dial >= p.most && p.idle.Len() > 0 {
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -11,139 +11,139 @@
 	"keelusher/policy"
 )
 
-// reportEvery bounds the volume of the log: one line for so long in which anything happened.
-const reportEvery = 5 * time.Second
-
-// counts are of what a node did since it started. They never fall, so a log line is the difference of two.
-type counts struct {
-	accepted                int // connections from callers
-	evicted                 int // of these, closed without a request in work to make room
-	halves                  int // of these, closed by the node after half a head
-	turned                  int // turned down before the module saw it
-	crossed                 int // requests read off a connection that had made room: their clients send them again
-	taken, left             int // requests, and those whose clients left
-	served, refused, failed perName
-	unsent                  int // refused or failed without an attempt
-	stale                   int // connections to servers found ended, or with bytes nobody asked for, when next needed
-	written                 int // attempts that went whole to a server
-	endings                 [policy.NotSent + 1]int
-	waited                  time.Duration // over all attempts that ended
+// reportInterval bounds the volume of the log: one line for so long in which anything happened.
+const reportInterval = 5 * time.Second
+
+// counters are of what a node did since it started. They never fall, so a log line is the difference of two.
+type counters struct {
+	acceptedConnections                int // connections from callers
+	evictedConnections                 int // of these, closed without a request in work to make room
+	incompleteHeads                  int // of these, closed by the node after half a head
+	invalidRequests                  int // turned down before the module saw it
+	requestsAfterClose                 int // requests read off a connection that had made room: their clients send them again
+	requests, clientDisconnects             int // requests, and those whose clients left
+	succeeded, rejected, failed countByName
+	answeredWithoutAttempt                  int // refused or failed without an attempt
+	staleConnections                   int // connections to servers found ended, or with bytes nobody asked for, when next needed
+	attemptsWritten                 int // attempts that went whole to a server
+	attemptResults                 [policy.NotSent + 1]int
+	attemptTime                  time.Duration // over all attempts that ended
 }
 
-// perName counts by the name of a class or a server.
-type perName map[string]int
+// countByName counts by the name of a class or a server.
+type countByName map[string]int
 
-func (p perName) sum() (n int) {
+func (p countByName) sum() (n int) {
 	for _, v := range p {
 		n += v
 	}
 	return n
 }
 
-// inflight is the requests taken and not ended.
-func (c *counts) inflight() int {
-	return c.taken - c.left - c.served.sum() - c.refused.sum() - c.failed.sum()
+// inFlight is the requests taken and not ended.
+func (c *counters) inFlight() int {
+	return c.requests - c.clientDisconnects - c.succeeded.sum() - c.rejected.sum() - c.failed.sum()
 }
 
-// stats is the one source of the log's counts and of the figures at the door.
-type stats struct {
+// metrics is the one source of the log's counts and of the figures at the door.
+type metrics struct {
 	mu     sync.Mutex
-	now    counts
-	last   counts  // as they were at the last report
-	fault  string  // why the last attempt that lacks an answer does
-	reason string  // of the last one turned down; it stands for the others
-	bad    perName // attempts without an answer since the last report, by server
+	current    counters
+	lastReported   counters  // as they were at the last report
+	lastAttemptError  string  // why the last attempt that lacks an answer does
+	lastInvalidReason string  // of the last one turned down; it stands for the others
+	failedAttempts    countByName // attempts without an answer since the last report, by server
 }
 
-func newStats(classes []policy.Class) *stats {
-	s := &stats{bad: perName{}, now: counts{served: perName{}, refused: perName{}, failed: perName{}}}
+func newMetrics(classes []policy.Class) *metrics {
+	s := &metrics{failedAttempts: countByName{}, current: counters{succeeded: countByName{}, rejected: countByName{}, failed: countByName{}}}
 	for _, c := range classes {
-		s.now.served[c.Name], s.now.refused[c.Name], s.now.failed[c.Name] = 0, 0, 0
+		s.current.succeeded[c.Name], s.current.rejected[c.Name], s.current.failed[c.Name] = 0, 0, 0
 	}
 	return s
 }
 
-var endingNames = [...]string{policy.Success: "ok", policy.ServerError: "error", policy.Overloaded: "full",
+var attemptResultNames = [...]string{policy.Success: "ok", policy.ServerError: "error", policy.Overloaded: "full",
 	policy.TimedOut: "timeout", policy.ConnectFailed: "unreachable", policy.ConnectionLost: "reset",
 	policy.Canceled: "withdrawn", policy.NotSent: "void"}
 
-func (s *stats) count(f func(*counts)) {
+func (s *metrics) update(f func(*counters)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(&s.now)
+	f(&s.current)
 }
 
 // snapshot is the counts as they are; nothing that is counted later changes it.
-func (s *stats) snapshot() counts {
+func (s *metrics) snapshot() counters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.now
-	c.served, c.refused, c.failed = maps.Clone(c.served), maps.Clone(c.refused), maps.Clone(c.failed)
+	c := s.current
+	c.succeeded, c.rejected, c.failed = maps.Clone(c.succeeded), maps.Clone(c.rejected), maps.Clone(c.failed)
 	return c
 }
 
-// turnedDown counts what was turned down.
-func (s *stats) turnedDown(reason string) {
+// countInvalidRequest counts what was turned down.
+func (s *metrics) countInvalidRequest(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.now.turned++
-	s.reason = reason
+	s.current.invalidRequests++
+	s.lastInvalidReason = reason
 }
 
-// answered counts a final answer.
-func (s *stats) answered(class string, status, attempts int) {
-	s.count(func(c *counts) {
+// countAnswer counts a final answer.
+func (s *metrics) countAnswer(class string, status, attempts int) {
+	s.update(func(c *counters) {
 		switch status {
 		case http.StatusOK:
-			c.served[class]++
+			c.succeeded[class]++
 		case http.StatusServiceUnavailable:
-			c.refused[class]++
+			c.rejected[class]++
 		default:
 			c.failed[class]++
 		}
 		if attempts == 0 {
-			c.unsent++
+			c.answeredWithoutAttempt++
 		}
 	})
 }
 
-// ended counts the ending of an attempt at a server.
-func (s *stats) ended(server string, e policy.AttemptResult, took time.Duration, why error) {
+// countAttemptResult counts the ending of an attempt at a server.
+func (s *metrics) countAttemptResult(server string, e policy.AttemptResult, took time.Duration, why error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.now.endings[e]++
-	s.now.waited += took
+	s.current.attemptResults[e]++
+	s.current.attemptTime += took
 	if e != policy.Success {
-		s.bad[server]++
+		s.failedAttempts[server]++
 	}
 	if why != nil {
-		s.fault = why.Error()
+		s.lastAttemptError = why.Error()
 	}
 }
 
-// report logs the counts of the time since the last one, if there are any.
-func (s *stats) report(log *slog.Logger, out int) {
-	now, was := s.snapshot(), s.last
-	s.last = now // the loop alone reports
+// logReport logs the counts of the time since the last one, if there are any.
+func (s *metrics) logReport(log *slog.Logger, out int) {
+	now, was := s.snapshot(), s.lastReported
+	s.lastReported = now // the loop alone reports
 	s.mu.Lock()
-	fault, reason, bad := s.fault, s.reason, s.bad
-	s.fault, s.reason, s.bad = "", "", perName{}
+	fault, reason, bad := s.lastAttemptError, s.lastInvalidReason, s.failedAttempts
+	s.lastAttemptError, s.lastInvalidReason, s.failedAttempts = "", "", countByName{}
 	s.mu.Unlock()
 	ended := 0
-	attempts := make([]any, 0, len(now.endings)+2)
-	for e := range now.endings {
-		if n := now.endings[e] - was.endings[e]; n > 0 {
+	attempts := make([]any, 0, len(now.attemptResults)+2)
+	for e := range now.attemptResults {
+		if n := now.attemptResults[e] - was.attemptResults[e]; n > 0 {
 			ended += n
-			attempts = append(attempts, slog.Int(endingNames[e], n))
+			attempts = append(attempts, slog.Int(attemptResultNames[e], n))
 		}
 	}
-	accepted, turned, taken, left := now.accepted-was.accepted, now.turned-was.turned, now.taken-was.taken, now.left-was.left
-	served, refused, failed := now.served.sum()-was.served.sum(), now.refused.sum()-was.refused.sum(), now.failed.sum()-was.failed.sum()
+	accepted, turned, taken, left := now.acceptedConnections-was.acceptedConnections, now.invalidRequests-was.invalidRequests, now.requests-was.requests, now.clientDisconnects-was.clientDisconnects
+	served, refused, failed := now.succeeded.sum()-was.succeeded.sum(), now.rejected.sum()-was.rejected.sum(), now.failed.sum()-was.failed.sum()
 	if accepted+turned+taken+served+refused+failed+left+ended == 0 {
 		return
 	}
 	if ended > 0 {
-		attempts = append(attempts, slog.Duration("mean", (now.waited-was.waited)/time.Duration(ended)))
+		attempts = append(attempts, slog.Duration("mean", (now.attemptTime-was.attemptTime)/time.Duration(ended)))
 	}
 	if len(bad) > 0 { // one server that stands out is ill; many alike point at the tier behind them
 		worst := slices.MaxFunc(slices.Sorted(maps.Keys(bad)), func(a, b string) int { return bad[a] - bad[b] })
@@ -153,24 +153,24 @@
 		attempts = append(attempts, slog.String("fault", fault))
 	}
 	log.Info("counts", "taken", taken, "served", served, "refused", refused, "failed", failed, "left", left,
-		"unsent", now.unsent-was.unsent, "open", now.inflight(), "out", out, "written", now.written-was.written,
+		"unsent", now.answeredWithoutAttempt-was.answeredWithoutAttempt, "open", now.inFlight(), "out", out, "written", now.attemptsWritten-was.attemptsWritten,
 		slog.Group("ended", attempts...), "accepted", accepted,
-		"evicted", now.evicted-was.evicted, "half_heads", now.halves-was.halves, "turned_down", turned, "reason", reason, "crossed", now.crossed-was.crossed, "stale", now.stale-was.stale)
+		"evicted", now.evictedConnections-was.evictedConnections, "half_heads", now.incompleteHeads-was.incompleteHeads, "turned_down", turned, "reason", reason, "crossed", now.requestsAfterClose-was.requestsAfterClose, "stale", now.staleConnections-was.staleConnections)
 }
 
-// figures are the counts in the form that operators read.
-type figures struct {
-	Success  perName `json:"success"`
-	Busy     perName `json:"busy"`
-	Failure  perName `json:"failure"`
-	Written  int     `json:"backend_calls"`
-	Inflight int     `json:"inflight"`
-	Listed   int     `json:"hosts_listed"`
-	Down     int     `json:"hosts_down"`
+// countersPage are the counts in the form that operators read.
+type countersPage struct {
+	Succeeded  countByName `json:"success"`
+	Rejected     countByName `json:"busy"`
+	Failed  countByName `json:"failure"`
+	AttemptsWritten  int     `json:"backend_calls"`
+	InFlight int     `json:"inflight"`
+	EndpointsListed   int     `json:"hosts_listed"`
+	EndpointsAvoided     int     `json:"hosts_down"`
 }
 
-func (s *stats) figures(listed, down int) figures {
+func (s *metrics) page(listed, down int) countersPage {
 	c := s.snapshot()
-	return figures{Success: c.served, Busy: c.refused, Failure: c.failed, Written: c.written,
-		Inflight: c.inflight(), Listed: listed, Down: down}
+	return countersPage{Succeeded: c.succeeded, Rejected: c.rejected, Failed: c.failed, AttemptsWritten: c.attemptsWritten,
+		InFlight: c.inFlight(), EndpointsListed: listed, EndpointsAvoided: down}
 }
--- a/internal/node/stats_test.go
+++ b/internal/node/stats_test.go
@@ -14,25 +14,25 @@
 func TestReportsOnlyWhatHappened(t *testing.T) {
 	var out strings.Builder
 	log := slog.New(slog.NewTextHandler(&out, nil))
-	s := newStats([]policy.Class{{Name: "a"}, {Name: "b"}})
-	s.report(log, 0)
+	s := newMetrics([]policy.Class{{Name: "a"}, {Name: "b"}})
+	s.logReport(log, 0)
 	if out.Len() > 0 {
 		t.Errorf("nothing happened, yet it said %q", out.String())
 	}
 	happen := func() {
-		s.count(func(c *counts) { c.taken += 4 })
-		s.answered("a", 200, 1)
-		s.answered("a", 503, 0)
-		s.answered("b", 502, 2)
-		s.ended("s-1", policy.Success, time.Second, nil)
-		s.ended("s-1", policy.TimedOut, 2*time.Second, errors.New("late"))
-		s.turnedDown("odd")
+		s.update(func(c *counters) { c.requests += 4 })
+		s.countAnswer("a", 200, 1)
+		s.countAnswer("a", 503, 0)
+		s.countAnswer("b", 502, 2)
+		s.countAttemptResult("s-1", policy.Success, time.Second, nil)
+		s.countAttemptResult("s-1", policy.TimedOut, 2*time.Second, errors.New("late"))
+		s.countInvalidRequest("odd")
 	}
 	happen()
-	s.report(log, 5)
-	s.report(log, 5)
+	s.logReport(log, 5)
+	s.logReport(log, 5)
 	happen()
-	s.report(log, 5)
+	s.logReport(log, 5)
 	for _, want := range []string{"taken=4 served=1 refused=1 failed=1 left=0 unsent=1 open=1 out=5",
 		"taken=4 served=1 refused=1 failed=1 left=0 unsent=1 open=2 out=5"} {
 		if strings.Count(out.String(), want) != 1 {
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -11,59 +11,59 @@
 )
 
 const (
-	beatEvery   = 50 * time.Millisecond // between two signs of life that the process gives itself
-	readsWithin = 50 * time.Millisecond // after a stop, what waited in the system has been read
+	heartbeatInterval   = 50 * time.Millisecond // between two signs of life that the process gives itself
+	backlogReadTime = 50 * time.Millisecond // after a stop, what waited in the system has been read
 )
 
-// suspension notices that the process was stopped, or got no processor, for longer than a promise allows for. A request
+// suspensionDetector notices that the process was stopped, or got no processor, for longer than a promise allows for. A request
 // that comes in just after has lain in the system for up to that time, and its client counts from when it sent it.
-type suspension struct {
-	began   time.Time
-	beat    atomic.Int64 // the last sign of life, after began
-	gap     atomic.Int64 // how long the last stop was
-	resumed atomic.Int64 // when it ended, after began; 0: there was none
+type suspensionDetector struct {
+	start   time.Time
+	lastHeartbeat    atomic.Int64 // the last sign of life, after began
+	lastPause     atomic.Int64 // how long the last stop was
+	resumedAt atomic.Int64 // when it ended, after began; 0: there was none
 }
 
-func newSuspension() *suspension { return &suspension{began: time.Now()} }
+func newSuspensionDetector() *suspensionDetector { return &suspensionDetector{start: time.Now()} }
 
 // run gives signs of life until ctx ends.
-func (s *suspension) run(ctx context.Context) {
-	tick := time.NewTicker(beatEvery)
+func (s *suspensionDetector) run(ctx context.Context) {
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			s.note(time.Since(s.began))
+			s.heartbeat(time.Since(s.start))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// note takes a sign of life.
-func (s *suspension) note(now time.Duration) {
-	gap := now - time.Duration(s.beat.Swap(int64(now)))
+// heartbeat takes a sign of life.
+func (s *suspensionDetector) heartbeat(now time.Duration) {
+	gap := now - time.Duration(s.lastHeartbeat.Swap(int64(now)))
 	if gap > guard.HeldUpMost {
-		s.gap.Store(int64(gap))
-		s.resumed.Store(int64(now))
+		s.lastPause.Store(int64(gap))
+		s.resumedAt.Store(int64(now))
 	}
 }
 
-// waited is how long a request that has just been read may have lain in the system because the process stood still;
+// timeQueued is how long a request that has just been read may have lain in the system because the process stood still;
 // less than a promise allows for counts as nothing.
-func (s *suspension) waited() time.Duration {
+func (s *suspensionDetector) timeQueued() time.Duration {
 	if s == nil {
 		return 0
 	}
-	return s.waitedAt(time.Since(s.began))
+	return s.timeQueuedAt(time.Since(s.start))
 }
 
-func (s *suspension) waitedAt(now time.Duration) time.Duration {
-	if gap := now - time.Duration(s.beat.Load()); gap > guard.HeldUpMost {
+func (s *suspensionDetector) timeQueuedAt(now time.Duration) time.Duration {
+	if gap := now - time.Duration(s.lastHeartbeat.Load()); gap > guard.HeldUpMost {
 		return gap // it has just gone on
 	}
-	if resumed := time.Duration(s.resumed.Load()); resumed > 0 && now-resumed < readsWithin {
-		return time.Duration(s.gap.Load())
+	if resumed := time.Duration(s.resumedAt.Load()); resumed > 0 && now-resumed < backlogReadTime {
+		return time.Duration(s.lastPause.Load())
 	}
 	return 0
 }
--- a/internal/node/suspension_test.go
+++ b/internal/node/suspension_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestSuspensionTellsWhatMayHaveWaited(t *testing.T) {
-	s := newSuspension()
+	s := newSuspensionDetector()
 	at := time.Second
-	s.beat.Store(int64(at)) // the last sign of life
+	s.lastHeartbeat.Store(int64(at)) // the last sign of life
 	for _, x := range []struct {
 		after time.Duration
 		beats bool
@@ -20,20 +20,20 @@
 		{guard.HeldUpMost, false, 0},
 		{3 * time.Second, false, 3*time.Second + guard.HeldUpMost}, // it goes on, and a request is read ahead of the beat
 		{0, true, 3*time.Second + guard.HeldUpMost},
-		{readsWithin - 1, false, 3*time.Second + guard.HeldUpMost},
+		{backlogReadTime - 1, false, 3*time.Second + guard.HeldUpMost},
 		{1, false, 0},
 		{0, true, 0},
 	} {
 		at += x.after
 		if x.beats {
-			s.note(at)
+			s.heartbeat(at)
 		}
-		if got := s.waitedAt(at); got != x.want {
+		if got := s.timeQueuedAt(at); got != x.want {
 			t.Errorf("at %v: %v, want %v", at, got, x.want)
 		}
 	}
-	var none *suspension
-	if none.waited() != 0 {
+	var none *suspensionDetector
+	if none.timeQueued() != 0 {
 		t.Error("without a monitor something waited")
 	}
 }
--- a/internal/node/watchdog_test.go
+++ b/internal/node/watchdog_test.go
@@ -57,10 +57,10 @@
 }
 
 // oversleep is what a stop of the process for so long does to a watchdog.
-func (w *watchdog) oversleep(d time.Duration) {
+func (w *stalenessMonitor) oversleep(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.began = w.began.Add(-d)
+	w.start = w.start.Add(-d)
 	w.timer.Reset(0)
 }
 
@@ -76,26 +76,26 @@
 // After a stop the node is behind until all that waited is read. A watch with nothing to read is cut then, not before.
 func TestWatchdogThatOverslept(t *testing.T) {
 	cuts := make(chan error, 1)
-	w := newWatchdog(time.Minute, false)
-	w.open(func(why error) { cuts <- why })
-	if w.line(); w.hold() {
+	w := newStalenessMonitor(time.Minute, false)
+	w.watchStarted(func(why error) { cuts <- why })
+	if w.lineReceived(); w.holdSends() {
 		t.Fatal("held while all is well")
 	}
 	w.oversleep(2 * time.Minute)
-	if !w.hold() {
+	if !w.holdSends() {
 		t.Fatal("not held after the stop")
 	}
-	until(t, "the watchdog wakes", func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.late })
-	if w.line(); !w.hold() {
+	until(t, "the watchdog wakes", func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.suspended })
+	if w.lineReceived(); !w.holdSends() {
 		t.Error("not held while more may be waiting")
 	}
-	until(t, "all is read", func() bool { return !w.hold() })
-	if w.behind() {
+	until(t, "all is read", func() bool { return !w.holdSends() })
+	if w.stale() {
 		t.Error("let go by the limit, not for what was read")
 	}
 	w.oversleep(2 * time.Minute)
-	if why := <-cuts; !errors.Is(why, errSilent) || w.behind() {
-		t.Errorf("cut for %v, behind %v", why, w.behind())
+	if why := <-cuts; !errors.Is(why, errSilent) || w.stale() {
+		t.Errorf("cut for %v, behind %v", why, w.stale())
 	}
 }
 
@@ -110,10 +110,10 @@
 	until(t, "the line is heard", func() bool {
 		n.disc.staleness.mu.Lock()
 		defer n.disc.staleness.mu.Unlock()
-		return n.disc.staleness.heard
+		return n.disc.staleness.readSinceResume
 	})
 	n.disc.staleness.oversleep(time.Minute)
-	time.AfterFunc(settle/5, func() {
+	time.AfterFunc(resumeQuietPeriod/5, func() {
 		a.lines <- `{"seq":2,"hosts":[{"host":"s-2","dial":"` + second.addr() + `","site":"z","health":"terminating"}]}`
 	})
 	for i := range 10 {
