--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -33,7 +33,7 @@
 	bal       *policy.Balancer
 	sender    sender
 	subscribe func()    // asks discovery for a watch; must not block
-	staleness *watchdog // of discovery; nil: there is none
+	staleness *stalenessMonitor // of discovery; nil: there is none
 
 	lists    chan news
 	arrivals chan *clientRequest
@@ -49,7 +49,7 @@
 	calls     map[string]*clientRequest
 	targets   map[string]*endpoint
 	wakes     wakeHeap
-	stats     *stats
+	stats     *metrics
 	decisions *decisions
 	out       int // attempts without an ending
 	turns     int // of zones, as of the last look
@@ -61,7 +61,7 @@
 	until     map[string]time.Duration // zones that overrides send away, and when each ends
 }
 
-func newLoop(ck clock, log *slog.Logger, bal *policy.Balancer, st *stats) *loop {
+func newLoop(ck clock, log *slog.Logger, bal *policy.Balancer, st *metrics) *loop {
 	return &loop{clock: ck, log: log, bal: bal, stats: st, decisions: newDecisions(log),
 		lists: make(chan news), arrivals: make(chan *clientRequest), gone: make(chan *clientRequest),
 		results: make(chan attemptOutcome), sents: make(chan requestWritten), begins: make(chan responseStarted), peers: make(chan policy.ReplicaCounts, 1), ordered: make(chan map[string]time.Duration, 1), byHand: map[string]bool{}, asks: make(chan func()), stop: make(chan struct{}),
@@ -72,7 +72,7 @@
 func (l *loop) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	report := time.NewTicker(reportEvery)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	for {
 		// News of the servers goes ahead of waiting traffic: the grace of a drain is running.
@@ -117,9 +117,9 @@
 			f()
 		case <-timer.C:
 		case <-report.C:
-			l.stats.report(l.log, l.out)
+			l.stats.logReport(l.log, l.out)
 		case <-l.stop:
-			l.stats.report(l.log, l.out)
+			l.stats.logReport(l.log, l.out)
 			return
 		}
 	}
@@ -127,11 +127,11 @@
 
 // catchUp takes news before anything else once the process has slept: some of it may be overdue.
 func (l *loop) catchUp() {
-	for l.staleness.hold() {
+	for l.staleness.holdSends() {
 		select {
 		case n := <-l.lists:
 			l.takeNews(n)
-		case <-time.After(settle / 10):
+		case <-time.After(resumeQuietPeriod / 10):
 		case <-l.stop:
 			return
 		}
@@ -174,7 +174,7 @@
 		if held.finished.Load() && c.method == http.MethodGet {
 			status = http.StatusServiceUnavailable
 		}
-		l.stats.turnedDown("X-Call-Id is in use")
+		l.stats.countInvalidRequest("X-Call-Id is in use")
 		c.bodyMemory.shrink(0)
 		c.responses <- response{status: status}
 		return
@@ -190,7 +190,7 @@
 func (l *loop) count(c *clientRequest) {
 	if !c.counted {
 		c.counted = true
-		l.stats.count(func(c *counts) { c.taken++ })
+		l.stats.update(func(c *counters) { c.requests++ })
 	}
 }
 
@@ -201,7 +201,7 @@
 	}
 	c.disconnectedAt.set(l.clock.now())
 	if c.counted {
-		l.stats.count(func(c *counts) { c.left++ })
+		l.stats.update(func(c *counters) { c.clientDisconnects++ })
 	}
 	l.handle(policy.ClientDisconnected{ID: c.meta.ID})
 	return true
@@ -259,10 +259,10 @@
 	if c == nil || c.finished.Swap(true) {
 		return
 	}
-	l.decisions.requestAnswered(id, a.status, c.attemptCount, why)
+	l.decisions.requestRejected(id, a.status, c.attemptCount, why)
 	c.responses <- a
 	l.count(c)
-	l.stats.answered(c.meta.Class, a.status, c.attemptCount)
+	l.stats.countAnswer(c.meta.Class, a.status, c.attemptCount)
 	l.forget(c)
 }
 
@@ -278,7 +278,7 @@
 	c := r.attempt.request
 	c.inFlight--
 	l.out--
-	l.stats.ended(r.attempt.endpoint.id, r.result, l.clock.now()-r.attempt.startedAt, r.err)
+	l.stats.countAttemptResult(r.attempt.endpoint.id, r.result, l.clock.now()-r.attempt.startedAt, r.err)
 	if r.notSentReason == guard.ClientLeft && l.leave(c) {
 		c.responses <- abortResponse
 	}
@@ -293,10 +293,10 @@
 	switch {
 	case r.streamed:
 		l.count(c)
-		l.stats.answered(c.meta.Class, r.response.status, c.attemptCount)
+		l.stats.countAnswer(c.meta.Class, r.response.status, c.attemptCount)
 	case r.result == policy.Success && !c.finished.Swap(true):
 		l.count(c)
-		l.stats.answered(c.meta.Class, http.StatusOK, c.attemptCount)
+		l.stats.countAnswer(c.meta.Class, http.StatusOK, c.attemptCount)
 		c.responses <- r.response
 	default:
 		r.response.discard()
