--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -19,13 +19,13 @@
 
 // attempt is one send of a call.
 type attempt struct {
-	request     *clientRequest
-	number        int
+	request    *clientRequest
+	number     int
 	endpoint   *endpoint
-	timeout     time.Duration // for an answer, or for the server to take the next bytes of a body that passes through
-	deadline time.Duration
+	timeout    time.Duration // for an answer, or for the server to take the next bytes of a body that passes through
+	deadline   time.Duration
 	startedAt  time.Duration
-	budgetSent     time.Duration // the time that its server was told; set as its head is written
+	budgetSent time.Duration // the time that its server was told; set as its head is written
 
 	retryBefore time.Duration // servers discard a repeat until then; 0: it is none, or need not be discarded
 }
@@ -49,7 +49,9 @@
 
 // runAttempt makes the one send of an runAttempt and waits for what comes back.
 func (p *pool) runAttempt(att *attempt) attemptOutcome {
-	ended := func(e policy.AttemptResult, why error) attemptOutcome { return attemptOutcome{attempt: att, result: e, err: why} }
+	ended := func(e policy.AttemptResult, why error) attemptOutcome {
+		return attemptOutcome{attempt: att, result: e, err: why}
+	}
 	unsent := func(why guard.Verdict) attemptOutcome {
 		p.decisions.attemptNotSent(att, why)
 		return attemptOutcome{attempt: att, result: policy.NotSent, notSentReason: why}
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -15,7 +15,7 @@
 // and direction, so that a slow peer slows the other side down and holds nothing else.
 const (
 	maxStreamedBody = 32 << 20 // of a body that passes through
-	minBodyRate   = 64e3     // bytes a second that clients' bodies come with at least
+	minBodyRate     = 64e3     // bytes a second that clients' bodies come with at least
 
 	maxBodyReadGap = 2300 * time.Millisecond // between two pieces: a client that stops is owed an error or a close in 3 s
 )
@@ -23,8 +23,8 @@
 // memoryBudget bounds the sum of what is held whole. It never makes anyone wait: a body for which there is no room
 // passes through.
 type memoryBudget struct {
-	total int
-	available  atomic.Int64 // below 0: what is out is over a whole that has become smaller
+	total     int
+	available atomic.Int64 // below 0: what is out is over a whole that has become smaller
 }
 
 func newMemoryBudget(n int) *memoryBudget {
@@ -48,7 +48,7 @@
 // memoryReservation is a reserved part of a budget. One owner at a time changes it.
 type memoryReservation struct {
 	budget *memoryBudget
-	size    int
+	size   int
 }
 
 // shrink gives back what is over n bytes, all of it for 0.
@@ -62,7 +62,7 @@
 // buffers are the sizes that follow from the limits, so that all of them together stay in memory.
 type buffers struct {
 	requests, responses *memoryBudget
-	chunkSize             int // of what passes through, a connection and direction
+	chunkSize           int // of what passes through, a connection and direction
 }
 
 // newBuffers gives an eighth of the memory to each kind.
@@ -76,9 +76,9 @@
 }
 
 var (
-	errBodyTooSlow   = errors.New("the body came too slowly")
-	errBodyTooLong   = errors.New("the body is too long")
-	errClosed = errors.New("nobody wants the rest of the body")
+	errBodyTooSlow = errors.New("the body came too slowly")
+	errBodyTooLong = errors.New("the body is too long")
+	errClosed      = errors.New("nobody wants the rest of the body")
 )
 
 // upload is a body that has not been read whole when its request is taken. It is read at the pace of the server
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -43,8 +43,8 @@
 type reply struct {
 	resp *http.Response
 	body []byte
-	held *memoryReservation    // for body
-	rest *download // what comes after body; nil: nothing
+	held *memoryReservation // for body
+	rest *download          // what comes after body; nil: nothing
 	err  error
 
 	early bool // the server had not seen the whole request: the connection is out of step
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -32,7 +32,7 @@
 	log       *slog.Logger
 	bal       *policy.Balancer
 	sender    sender
-	subscribe func()    // asks discovery for a watch; must not block
+	subscribe func()            // asks discovery for a watch; must not block
 	staleness *stalenessMonitor // of discovery; nil: there is none
 
 	lists    chan news
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	maxBufferedBody   = 64 << 10 // of a request or an answer
+	maxBufferedBody = 64 << 10 // of a request or an answer
 	maxResponseHead = 16 << 10 // of an answer, with the interim ones before it
 )
 
 // endpoint is a server at one address, from one start of it to the next.
 type endpoint struct {
-	id      string
-	addr    string
-	startedAt    time.Duration
+	id          string
+	addr        string
+	startedAt   time.Duration
 	unavailable atomic.Bool // it drains or is gone: nothing new may go to it
 
 	removedAt atomicTime // when the node heard of that
@@ -34,27 +34,27 @@
 // http.Transport sends a request again by itself when a kept connection breaks, which could run
 // an unsafe one twice.
 type pool struct {
-	clock     clock
-	dialer    net.Dialer
-	idleTimeout   time.Duration
-	streamTimeout     time.Duration // a server that gives nothing more of a long answer for so long is gone
-	results   chan<- attemptOutcome
-	requestsWritten     chan<- requestWritten
-	responsesStarted    chan<- responseStarted
-	stats     *metrics
-	staleness *stalenessMonitor // of discovery
-	buffers   buffers
+	clock            clock
+	dialer           net.Dialer
+	idleTimeout      time.Duration
+	streamTimeout    time.Duration // a server that gives nothing more of a long answer for so long is gone
+	results          chan<- attemptOutcome
+	requestsWritten  chan<- requestWritten
+	responsesStarted chan<- responseStarted
+	stats            *metrics
+	staleness        *stalenessMonitor // of discovery
+	buffers          buffers
 
 	decisions    *decisions
 	removalGrace time.Duration // so long after the news a server that drains or is gone may still get something new
 
-	mu   sync.Mutex
-	limit int // connections at once
-	open map[*conn]bool
+	mu      sync.Mutex
+	limit   int // connections at once
+	open    map[*conn]bool
 	dialing int        // connections that are coming up
-	closed bool       // the node ends
-	idle *list.List // of *conn, the oldest first
-	running   sync.WaitGroup
+	closed  bool       // the node ends
+	idle    *list.List // of *conn, the oldest first
+	running sync.WaitGroup
 }
 
 func newPool(cfg Config, most int, l *loop, b buffers) *pool {
