--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -169,7 +169,7 @@
 		why := guard.Send{
 			Now:             p.clock.now(),
 			Deadline:        att.deadline,
-			RepeatBefore:    att.repeatBefore,
+			RetryBefore:     att.repeatBefore,
 			RequestAnswered: att.call.closed.Load(),
 			EndpointRemoved: att.target.stopped.Load(),
 			ListOutdated:    p.staleness.hold(),
@@ -188,9 +188,9 @@
 	p.decisions.attemptWritten(att, guard.Sent{
 		Now:            p.clock.now(),
 		ClientDeadline: clientDeadline,
-		Told:           att.told,
-		RepeatBefore:   att.repeatBefore,
-		ClientLeft:     att.call.leftAt.get(),
+		Timeout:        att.told,
+		RetryBefore:    att.repeatBefore,
+		DisconnectedAt: att.call.leftAt.get(),
 		RemovedAt:      att.target.removedAt.get(),
 		RemovalGrace:   p.removalGrace,
 	})
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -184,16 +184,16 @@
 // notices a client's leaving by reading on; so does a process that sleeps or has much to do.
 func (c *clientConn) state() guard.ClientState {
 	if c == nil {
-		return guard.ClientThere
+		return guard.ClientConnected
 	}
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
-		return guard.ClientThere // a connection that has no descriptor to ask
+		return guard.ClientConnected // a connection that has no descriptor to ask
 	}
-	said := guard.ClientNotKnown
+	said := guard.ClientStateUnknown
 	err = raw.Control(func(fd uintptr) { said = pollClient(int32(fd)) })
 	if err != nil { // closed here
-		return guard.ClientGone
+		return guard.ClientClosed
 	}
 	return said
 }
@@ -208,11 +208,11 @@
 			continue
 		}
 		if look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
-			return guard.ClientGone
+			return guard.ClientClosed
 		}
-		return guard.ClientThere
+		return guard.ClientConnected
 	}
-	return guard.ClientNotKnown
+	return guard.ClientStateUnknown
 }
 
 // unread says that bytes lie in the system.
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -96,7 +96,7 @@
 // attemptWritten takes the second look at an attempt whose last byte was just written.
 func (d *decisions) attemptWritten(att *attempt, sent guard.Sent) {
 	if v := sent.Violation(); v != guard.Allowed {
-		d.violation(v, "id", att.call.req.ID, "attempt", att.n, "server", att.target.id, "told", sent.Told,
+		d.violation(v, "id", att.call.req.ID, "attempt", att.n, "server", att.target.id, "told", sent.Timeout,
 			"left", sent.ClientDeadline-sent.Now)
 	}
 }
--- a/internal/node/decisions_test.go
+++ b/internal/node/decisions_test.go
@@ -18,7 +18,7 @@
 	var log bytes.Buffer
 	d := newDecisions(slog.New(slog.NewTextHandler(&log, nil)))
 	for range 3 * lineBurst {
-		d.requestAnswered("1", http.StatusServiceUnavailable, 0, guard.NoRoom)
+		d.requestAnswered("1", http.StatusServiceUnavailable, 0, guard.NoCapacity)
 		d.acceptFailed(errors.New("none"))
 	}
 	d.violation(guard.RequestRead, "id", "crossed")
@@ -34,7 +34,7 @@
 // The operators' endpoint shows them.
 func TestDecisionsAtTheEndpoint(t *testing.T) {
 	n := startWith(t, newBackend(t, ok))
-	n.loop.decisions.violation(guard.ToldTooMuchTime)
+	n.loop.decisions.violation(guard.TimeoutTooLong)
 	resp, err := http.Get("http://" + n.door + "/control/decisions")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -279,7 +279,7 @@
 	c.out--
 	l.out--
 	l.stats.ended(r.att.target.id, r.ending, l.clock.now()-r.att.started, r.err)
-	if r.why == guard.ClientLeft && l.leave(c) {
+	if r.why == guard.ClientDisconnected && l.leave(c) {
 		c.reply <- cut
 	}
 	var spent bool
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -252,11 +252,11 @@
 // To callers two processes are one node: while this one leaves, its successor has them.
 func (n *Node) ready() bool {
 	phase := n.life.now()
-	why := guard.TakeClients{
+	why := guard.AcceptClients{
 		Serving:         phase == serving,
-		Leaving:         phase == leaving,
+		ShuttingDown:    phase == leaving,
 		SuccessorServes: n.handover.passed.Load(),
-		ServerKnown:     n.loop.usable.Load(),
+		EndpointKnown:   n.loop.usable.Load(),
 	}.Verdict()
 	if why != guard.Allowed {
 		n.loop.decisions.notReady.add(why)
--- a/internal/node/repeat_window_test.go
+++ b/internal/node/repeat_window_test.go
@@ -55,11 +55,11 @@
 // before the fact, as by a process that is held up between its clock and its write.
 func TestSecondLookCountsWhatWentOutLate(t *testing.T) {
 	for want, heldUp := range map[guard.Verdict]func(now time.Duration, att *attempt){
-		guard.Allowed:          func(time.Duration, *attempt) {},
-		guard.RepeatWindowOver: func(now time.Duration, att *attempt) { att.repeatBefore = now },
-		guard.ClientLeft:       func(now time.Duration, att *attempt) { att.call.leftAt.set(now - time.Second) },
-		guard.EndpointRemoved:  func(now time.Duration, att *attempt) { att.target.removedAt.set(now - 4*time.Second) },
-		guard.ToldTooMuchTime:  func(now time.Duration, att *attempt) { att.call.deadline = now + time.Second },
+		guard.Allowed:                 func(time.Duration, *attempt) {},
+		guard.DeduplicationWindowOver: func(now time.Duration, att *attempt) { att.repeatBefore = now },
+		guard.ClientDisconnected:      func(now time.Duration, att *attempt) { att.call.leftAt.set(now - time.Second) },
+		guard.EndpointRemoved:         func(now time.Duration, att *attempt) { att.target.removedAt.set(now - 4*time.Second) },
+		guard.TimeoutTooLong:          func(now time.Duration, att *attempt) { att.call.deadline = now + time.Second },
 	} {
 		t.Run(want.String(), func(t *testing.T) {
 			p := testPool(t)
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -43,7 +43,7 @@
 // note takes a sign of life.
 func (s *suspension) note(now time.Duration) {
 	gap := now - time.Duration(s.beat.Swap(int64(now)))
-	if gap > guard.HeldUpMost {
+	if gap > guard.MaxSuspension {
 		s.gap.Store(int64(gap))
 		s.resumed.Store(int64(now))
 	}
@@ -59,7 +59,7 @@
 }
 
 func (s *suspension) waitedAt(now time.Duration) time.Duration {
-	if gap := now - time.Duration(s.beat.Load()); gap > guard.HeldUpMost {
+	if gap := now - time.Duration(s.beat.Load()); gap > guard.MaxSuspension {
 		return gap // it has just gone on
 	}
 	if resumed := time.Duration(s.resumed.Load()); resumed > 0 && now-resumed < readsWithin {
--- a/internal/node/suspension_test.go
+++ b/internal/node/suspension_test.go
@@ -16,11 +16,11 @@
 		beats bool
 		want  time.Duration
 	}{
-		{guard.HeldUpMost, true, 0},
-		{guard.HeldUpMost, false, 0},
-		{3 * time.Second, false, 3*time.Second + guard.HeldUpMost}, // it goes on, and a request is read ahead of the beat
-		{0, true, 3*time.Second + guard.HeldUpMost},
-		{readsWithin - 1, false, 3*time.Second + guard.HeldUpMost},
+		{guard.MaxSuspension, true, 0},
+		{guard.MaxSuspension, false, 0},
+		{3 * time.Second, false, 3*time.Second + guard.MaxSuspension}, // it goes on, and a request is read ahead of the beat
+		{0, true, 3*time.Second + guard.MaxSuspension},
+		{readsWithin - 1, false, 3*time.Second + guard.MaxSuspension},
 		{1, false, 0},
 		{0, true, 0},
 	} {
--- a/policy/api.go
+++ b/policy/api.go
@@ -237,9 +237,9 @@
 	// with an idempotency key may only be sent before the clock time RetryBefore: endpoints do not discard it as a
 	// duplicate later. 0: no such bound.
 	SendAttempt struct {
-		ID           string
-		Endpoint     string
-		Timeout      time.Duration
+		ID          string
+		Endpoint    string
+		Timeout     time.Duration
 		RetryBefore time.Duration
 	}
 	// Reject is a final answer which promises that a retry by the client does no harm.
--- a/policy/guard/guard.go
+++ b/policy/guard/guard.go
@@ -1,10 +1,10 @@
-// Package guard decides whether the node may act now: send an attempt, repeat a request, close a client's
-// connection or take clients in. Each question is a struct of facts, each answer a Verdict. The package
-// does no I/O and has no clock: the same facts always get the same verdict. Log lines, counters and tests
-// use the verdict's name as it is.
+// Package guard decides whether the node may act now: send an attempt, retry a request, close a client's
+// connection or accept clients. Each question is a struct of facts, each answer a Verdict. The package does
+// no I/O and has no clock: the same facts always get the same verdict. Log lines, counters and tests use the
+// verdict's name as it is.
 //
-// What passed the guard can still be wrong when it is done, for a process may be held up between the two.
-// Sent is the second look, after the act; what it returns is a broken promise.
+// What the guard allowed can still be wrong when it is done, for the process may be suspended between the
+// two. Sent is checked after the act; a verdict other than Allowed is a violation.
 package guard
 
 import "time"
@@ -17,30 +17,30 @@
 	NotAsked Verdict = iota
 	Allowed
 
-	RequestAnswered   // the request has its final answer
-	EndpointRemoved   // the server drains or is gone
-	DeadlineOver      // the request's time is over
-	ClientLeft        // the client has closed its connection
-	ClientUnknown     // the system did not say whether the client is still there
-	ListOutdated      // the process was held up, and news of the servers may be waiting
-	RepeatWindowOver  // servers do not discard a repeat for much longer
-	EffectForbids     // the request may have run, and must not run twice
-	AttemptsExhausted // the settings allow no further attempt
-	BodySpent         // the request's body is gone, and cannot be sent again
-	AnswerBegun       // some of an answer was passed on
-	RetryBudgetSpent  // the node has used up its retries
-	NoTimeForAnswer   // what is left of the request's time is too short for an answer
-	NoEndpoint        // no server may be drawn
-	NoRoom            // the limit on concurrent requests held it back for too long
-	QueueTooLong      // too many requests of the same key are ahead of it
-	ProcessEnds       // the process is about to be killed
-	RequestRead       // a whole request was read from the connection, and has no answer
-	BytesUnread       // bytes wait in the system, which may be a request
-	ToldTooMuchTime   // a server was told more time than the client has left
-	NotServing        // the process does not serve clients yet, or no longer
-	NoServerKnown     // discovery has named no server in service
-
-	numberOfVerdicts // has to stay the last
+	RequestAnswered         // the request has its final answer
+	EndpointRemoved         // the endpoint is draining or removed
+	DeadlineOver            // the request's time is over
+	ClientDisconnected      // the client has closed its connection
+	ClientUnknown           // the system did not say whether the client is still connected
+	ListOutdated            // the process was suspended, and endpoint updates may be waiting
+	DeduplicationWindowOver // endpoints do not discard a duplicate for much longer
+	MayNotRunTwice          // the request may have run, and is not idempotent
+	AttemptsExhausted       // the settings allow no more attempts
+	BodyConsumed            // the request's body cannot be sent again
+	ResponseStarted         // part of a response was forwarded
+	RetryBudgetExhausted    // the node has used up its retry budget
+	NoTimeForAnswer         // what is left of the request's time is too short for an answer
+	NoEndpoint              // no endpoint may be drawn
+	NoCapacity              // the limit on concurrent requests kept it queued for too long
+	QueueTooLong            // too many requests of the same key are ahead of it
+	ProcessEnds             // the process is about to be killed
+	RequestRead             // a complete request was read from the connection, and has no answer
+	BytesUnread             // bytes wait in the system, which may be a request
+	TimeoutTooLong          // an endpoint was given more time than the client has left
+	NotServing              // the process does not serve clients yet, or no longer
+	NoEndpointKnown         // discovery has named no endpoint in service
+
+	numberOfVerdicts // must stay the last
 )
 
 // NumberOfVerdicts is the length of an array indexed by verdict.
@@ -48,37 +48,37 @@
 
 // Limits in time.
 const (
-	HeldUpMost      = 150 * time.Millisecond // of a process between its clock and its write
-	sentLateMost    = 100 * time.Millisecond // an attempt may begin so long after its client left
-	toldTooMuchMost = 150 * time.Millisecond // slack of the time that a server is told
-	limitsSlack     = 50 * time.Millisecond  // every limit in time is so much longer on sockets
+	MaxSuspension          = 150 * time.Millisecond // of the process between its clock and its write
+	maxSendAfterDisconnect = 100 * time.Millisecond // an attempt may begin so long after its client left
+	maxTimeoutExcess       = 150 * time.Millisecond // of an endpoint's time over what its client has left
+	timerSlack             = 50 * time.Millisecond  // limits in time are so much longer on sockets
 )
 
 var names = [...]string{
-	NotAsked:          "not_asked",
-	Allowed:           "allowed",
-	RequestAnswered:   "request_answered",
-	EndpointRemoved:   "endpoint_removed",
-	DeadlineOver:      "deadline_over",
-	ClientLeft:        "client_left",
-	ClientUnknown:     "client_unknown",
-	ListOutdated:      "list_outdated",
-	RepeatWindowOver:  "repeat_window_over",
-	EffectForbids:     "effect_forbids",
-	AttemptsExhausted: "attempts_exhausted",
-	BodySpent:         "body_spent",
-	AnswerBegun:       "answer_begun",
-	RetryBudgetSpent:  "retry_budget_spent",
-	NoTimeForAnswer:   "no_time_for_answer",
-	NoEndpoint:        "no_endpoint",
-	NoRoom:            "no_room",
-	QueueTooLong:      "queue_too_long",
-	ProcessEnds:       "process_ends",
-	RequestRead:       "request_read",
-	BytesUnread:       "bytes_unread",
-	ToldTooMuchTime:   "told_too_much_time",
-	NotServing:        "not_serving",
-	NoServerKnown:     "no_server_known",
+	NotAsked:                "not_asked",
+	Allowed:                 "allowed",
+	RequestAnswered:         "request_answered",
+	EndpointRemoved:         "endpoint_removed",
+	DeadlineOver:            "deadline_over",
+	ClientDisconnected:      "client_left",
+	ClientUnknown:           "client_unknown",
+	ListOutdated:            "list_outdated",
+	DeduplicationWindowOver: "repeat_window_over",
+	MayNotRunTwice:          "effect_forbids",
+	AttemptsExhausted:       "attempts_exhausted",
+	BodyConsumed:            "body_spent",
+	ResponseStarted:         "answer_begun",
+	RetryBudgetExhausted:    "retry_budget_spent",
+	NoTimeForAnswer:         "no_time_for_answer",
+	NoEndpoint:              "no_endpoint",
+	NoCapacity:              "no_room",
+	QueueTooLong:            "queue_too_long",
+	ProcessEnds:             "process_ends",
+	RequestRead:             "request_read",
+	BytesUnread:             "bytes_unread",
+	TimeoutTooLong:          "told_too_much_time",
+	NotServing:              "not_serving",
+	NoEndpointKnown:         "no_server_known",
 }
 
 // String is the verdict's name in log lines, counters and tests.
@@ -92,18 +92,18 @@
 // ClientState is what the system says of a client's connection.
 type ClientState int
 
-// States of a client.
+// Client states.
 const (
-	ClientThere ClientState = iota
-	ClientGone
-	ClientNotKnown // the system gave an error
+	ClientConnected ClientState = iota
+	ClientClosed
+	ClientStateUnknown // the system gave an error
 )
 
 // Send is what is known just before the first byte of an attempt is written.
 type Send struct {
 	Now             time.Duration
 	Deadline        time.Duration // until when the attempt may run
-	RepeatBefore    time.Duration // a repeat is discarded by servers until then; 0: it need not be
+	RetryBefore     time.Duration // endpoints discard a duplicate until then; 0: they need not
 	RequestAnswered bool
 	EndpointRemoved bool
 	ListOutdated    bool
@@ -117,15 +117,15 @@
 		return ListOutdated
 	case f.RequestAnswered:
 		return RequestAnswered
-	case f.Client == ClientGone:
-		return ClientLeft
+	case f.Client == ClientClosed:
+		return ClientDisconnected
 	case f.EndpointRemoved:
 		return EndpointRemoved
 	case f.Now >= f.Deadline:
 		return DeadlineOver
-	case f.RepeatBefore > 0 && f.Now+HeldUpMost >= f.RepeatBefore:
-		return RepeatWindowOver
-	case f.Client == ClientNotKnown:
+	case f.RetryBefore > 0 && f.Now+MaxSuspension >= f.RetryBefore:
+		return DeduplicationWindowOver
+	case f.Client == ClientStateUnknown:
 		return ClientUnknown
 	}
 	return Allowed
@@ -136,65 +136,65 @@
 type Sent struct {
 	Now            time.Duration
 	ClientDeadline time.Duration // when the client's time is over
-	Told           time.Duration // the time that the server was told
-	RepeatBefore   time.Duration // as in Send
-	ClientLeft     time.Duration // when the node heard that the client had gone
-	RemovedAt      time.Duration // when the node heard that the server drains or is gone
-	RemovalGrace   time.Duration // so long after that something new may still be sent
+	Timeout        time.Duration // the time that the endpoint was given
+	RetryBefore    time.Duration // as in Send
+	DisconnectedAt time.Duration // when the node was notified that the client had disconnected
+	RemovedAt      time.Duration // when the node was notified that the endpoint was draining or removed
+	RemovalGrace   time.Duration // a new attempt may still be sent so long after that
 }
 
-// Violation says which promise the attempt broke; Allowed: none.
+// Violation says which rule the attempt broke; Allowed: none.
 func (f Sent) Violation() Verdict {
 	switch {
-	case f.RepeatBefore > 0 && f.Now >= f.RepeatBefore:
-		return RepeatWindowOver
-	case f.RemovedAt > 0 && f.Now > f.RemovedAt+f.RemovalGrace+limitsSlack:
+	case f.RetryBefore > 0 && f.Now >= f.RetryBefore:
+		return DeduplicationWindowOver
+	case f.RemovedAt > 0 && f.Now > f.RemovedAt+f.RemovalGrace+timerSlack:
 		return EndpointRemoved
-	case f.ClientLeft > 0 && f.Now > f.ClientLeft+sentLateMost:
-		return ClientLeft
-	case f.Told > f.ClientDeadline-f.Now+toldTooMuchMost:
-		return ToldTooMuchTime
+	case f.DisconnectedAt > 0 && f.Now > f.DisconnectedAt+maxSendAfterDisconnect:
+		return ClientDisconnected
+	case f.Timeout > f.ClientDeadline-f.Now+maxTimeoutExcess:
+		return TimeoutTooLong
 	}
 	return Allowed
 }
 
-// Repeat is what is known of a request whose attempts have all ended without an answer for its client.
-type Repeat struct {
-	Now         time.Duration
-	Answered    bool
-	AnswerBegun bool
-	BodySpent   bool
-	Attempts    int
-	MaxAttempts int
-	MayHaveRun  bool          // an attempt may have run
-	NeverTwice  bool          // the class must not run twice
-	Before      time.Duration // servers discard a repeat until then; 0: they need not
+// Retry is what is known of a request whose attempts have all ended without an answer for its client.
+type Retry struct {
+	Now             time.Duration
+	Answered        bool
+	ResponseStarted bool
+	BodyConsumed    bool
+	Attempts        int
+	MaxAttempts     int
+	MayHaveRun      bool          // an attempt may have run
+	NotIdempotent   bool          // the class is not idempotent
+	Before          time.Duration // endpoints discard a duplicate until then; 0: they need not
 }
 
-// Verdict says whether the request may be sent once more.
-func (f Repeat) Verdict() Verdict {
+// Verdict says whether the request may be sent again.
+func (f Retry) Verdict() Verdict {
 	switch {
 	case f.Answered:
 		return RequestAnswered
-	case f.AnswerBegun:
-		return AnswerBegun
-	case f.BodySpent:
-		return BodySpent
+	case f.ResponseStarted:
+		return ResponseStarted
+	case f.BodyConsumed:
+		return BodyConsumed
 	case f.Attempts >= f.MaxAttempts:
 		return AttemptsExhausted
-	case f.MayHaveRun && f.NeverTwice:
-		return EffectForbids
-	case f.MayHaveRun && f.Before > 0 && f.Now+HeldUpMost >= f.Before:
-		return RepeatWindowOver
+	case f.MayHaveRun && f.NotIdempotent:
+		return MayNotRunTwice
+	case f.MayHaveRun && f.Before > 0 && f.Now+MaxSuspension >= f.Before:
+		return DeduplicationWindowOver
 	}
 	return Allowed
 }
 
-// Close is what is known of a client's connection that the node wants to end without a word: it rested for
-// long enough, has to make room, or the process leaves.
+// Close is what is known of a client's connection that the node wants to close without a response: it has
+// been idle for long enough, is evicted for another, or the process shuts down.
 type Close struct {
-	RequestRead bool // all of a request was read from it, and has no final answer
-	BytesUnread bool // bytes lie in the system
+	RequestRead bool // a complete request was read from it, and has no final answer
+	BytesUnread bool // bytes wait in the system
 }
 
 // Verdict says whether the connection may be closed.
@@ -208,24 +208,24 @@
 	return Allowed
 }
 
-// TakeClients is what is known when somebody asks whether clients may come.
-type TakeClients struct {
+// AcceptClients is what is known when a health check asks whether clients may connect.
+type AcceptClients struct {
 	Serving         bool // the process is in service
-	Leaving         bool // it was told to stop
+	ShuttingDown    bool // it is shutting down
 	SuccessorServes bool // a new process serves at the same address
-	ServerKnown     bool // some server is in service
+	EndpointKnown   bool // some endpoint is in service
 }
 
-// Verdict says whether clients may come. To clients two processes at one address are one node: while the
-// old one leaves, its successor takes them.
-func (f TakeClients) Verdict() Verdict {
+// Verdict says whether clients may connect. To clients two processes at one address are one node: while the
+// predecessor shuts down, its successor accepts them.
+func (f AcceptClients) Verdict() Verdict {
 	switch {
-	case f.Leaving && f.SuccessorServes:
+	case f.ShuttingDown && f.SuccessorServes:
 		return Allowed
-	case !f.Serving || f.Leaving:
+	case !f.Serving || f.ShuttingDown:
 		return NotServing
-	case !f.ServerKnown:
-		return NoServerKnown
+	case !f.EndpointKnown:
+		return NoEndpointKnown
 	}
 	return Allowed
 }
--- a/policy/guard/guard_test.go
+++ b/policy/guard/guard_test.go
@@ -19,14 +19,14 @@
 func TestSend(t *testing.T) {
 	good := Send{Now: time.Second, Deadline: 2 * time.Second}
 	for want, change := range map[Verdict]func(*Send){
-		Allowed:          func(f *Send) { f.RepeatBefore = time.Second + HeldUpMost + 1 },
-		RequestAnswered:  func(f *Send) { f.RequestAnswered = true },
-		EndpointRemoved:  func(f *Send) { f.EndpointRemoved = true },
-		DeadlineOver:     func(f *Send) { f.Deadline = f.Now },
-		RepeatWindowOver: func(f *Send) { f.RepeatBefore = time.Second + HeldUpMost },
-		ClientLeft:       func(f *Send) { f.Client = ClientGone },
-		ClientUnknown:    func(f *Send) { f.Client = ClientNotKnown },
-		ListOutdated:     func(f *Send) { f.ListOutdated = true },
+		Allowed:                 func(f *Send) { f.RetryBefore = time.Second + MaxSuspension + 1 },
+		RequestAnswered:         func(f *Send) { f.RequestAnswered = true },
+		EndpointRemoved:         func(f *Send) { f.EndpointRemoved = true },
+		DeadlineOver:            func(f *Send) { f.Deadline = f.Now },
+		DeduplicationWindowOver: func(f *Send) { f.RetryBefore = time.Second + MaxSuspension },
+		ClientDisconnected:      func(f *Send) { f.Client = ClientClosed },
+		ClientUnknown:           func(f *Send) { f.Client = ClientStateUnknown },
+		ListOutdated:            func(f *Send) { f.ListOutdated = true },
 	} {
 		f := good
 		change(&f)
@@ -36,18 +36,18 @@
 	}
 }
 
-// What was in order when it was asked and went out late is a violation, each kind by its name.
+// An attempt that was allowed and sent too late is a violation, each kind with its own verdict.
 func TestSentFindsEachPlantedViolation(t *testing.T) {
-	good := Sent{Now: 10 * time.Second, ClientDeadline: 11 * time.Second, Told: time.Second, RemovalGrace: 3 * time.Second}
+	good := Sent{Now: 10 * time.Second, ClientDeadline: 11 * time.Second, Timeout: time.Second, RemovalGrace: 3 * time.Second}
 	for want, change := range map[Verdict]func(*Sent){
 		Allowed: func(f *Sent) {
-			f.RepeatBefore, f.ClientLeft, f.RemovedAt = f.Now+1, f.Now-sentLateMost, f.Now-f.RemovalGrace
-			f.Told += toldTooMuchMost
+			f.RetryBefore, f.DisconnectedAt, f.RemovedAt = f.Now+1, f.Now-maxSendAfterDisconnect, f.Now-f.RemovalGrace
+			f.Timeout += maxTimeoutExcess
 		},
-		RepeatWindowOver: func(f *Sent) { f.RepeatBefore = f.Now },
-		EndpointRemoved:  func(f *Sent) { f.RemovedAt = f.Now - f.RemovalGrace - limitsSlack - 1 },
-		ClientLeft:       func(f *Sent) { f.ClientLeft = f.Now - sentLateMost - 1 },
-		ToldTooMuchTime:  func(f *Sent) { f.Told += toldTooMuchMost + 1 },
+		DeduplicationWindowOver: func(f *Sent) { f.RetryBefore = f.Now },
+		EndpointRemoved:         func(f *Sent) { f.RemovedAt = f.Now - f.RemovalGrace - timerSlack - 1 },
+		ClientDisconnected:      func(f *Sent) { f.DisconnectedAt = f.Now - maxSendAfterDisconnect - 1 },
+		TimeoutTooLong:          func(f *Sent) { f.Timeout += maxTimeoutExcess + 1 },
 	} {
 		f := good
 		change(&f)
@@ -57,16 +57,16 @@
 	}
 }
 
-func TestRepeat(t *testing.T) {
-	good := Repeat{Now: time.Second, Attempts: 1, MaxAttempts: 2, MayHaveRun: true}
-	for want, change := range map[Verdict]func(*Repeat){
-		Allowed:           func(f *Repeat) { f.Before = time.Second + HeldUpMost + 1 },
-		RequestAnswered:   func(f *Repeat) { f.Answered = true },
-		AnswerBegun:       func(f *Repeat) { f.AnswerBegun = true },
-		BodySpent:         func(f *Repeat) { f.BodySpent = true },
-		AttemptsExhausted: func(f *Repeat) { f.Attempts = 2 },
-		EffectForbids:     func(f *Repeat) { f.NeverTwice = true },
-		RepeatWindowOver:  func(f *Repeat) { f.Before = time.Second + HeldUpMost },
+func TestRetry(t *testing.T) {
+	good := Retry{Now: time.Second, Attempts: 1, MaxAttempts: 2, MayHaveRun: true}
+	for want, change := range map[Verdict]func(*Retry){
+		Allowed:                 func(f *Retry) { f.Before = time.Second + MaxSuspension + 1 },
+		RequestAnswered:         func(f *Retry) { f.Answered = true },
+		ResponseStarted:         func(f *Retry) { f.ResponseStarted = true },
+		BodyConsumed:            func(f *Retry) { f.BodyConsumed = true },
+		AttemptsExhausted:       func(f *Retry) { f.Attempts = 2 },
+		MayNotRunTwice:          func(f *Retry) { f.NotIdempotent = true },
+		DeduplicationWindowOver: func(f *Retry) { f.Before = time.Second + MaxSuspension },
 	} {
 		f := good
 		change(&f)
@@ -74,21 +74,21 @@
 			t.Errorf("%+v: %v, want %v", f, got, want)
 		}
 	}
-	if got := (Repeat{MaxAttempts: 1, NeverTwice: true}).Verdict(); got != Allowed {
+	if got := (Retry{MaxAttempts: 1, NotIdempotent: true}).Verdict(); got != Allowed {
 		t.Errorf("what never ran: %v", got)
 	}
 }
 
-func TestCloseAndTakeClients(t *testing.T) {
+func TestCloseAndAcceptClients(t *testing.T) {
 	for _, c := range []struct{ got, want Verdict }{
 		{Close{}.Verdict(), Allowed},
 		{Close{RequestRead: true, BytesUnread: true}.Verdict(), RequestRead},
 		{Close{BytesUnread: true}.Verdict(), BytesUnread},
-		{TakeClients{Serving: true, ServerKnown: true}.Verdict(), Allowed},
-		{TakeClients{Serving: true}.Verdict(), NoServerKnown},
-		{TakeClients{ServerKnown: true}.Verdict(), NotServing},
-		{TakeClients{Leaving: true, ServerKnown: true}.Verdict(), NotServing},
-		{TakeClients{Leaving: true, SuccessorServes: true}.Verdict(), Allowed},
+		{AcceptClients{Serving: true, EndpointKnown: true}.Verdict(), Allowed},
+		{AcceptClients{Serving: true}.Verdict(), NoEndpointKnown},
+		{AcceptClients{EndpointKnown: true}.Verdict(), NotServing},
+		{AcceptClients{ShuttingDown: true, EndpointKnown: true}.Verdict(), NotServing},
+		{AcceptClients{ShuttingDown: true, SuccessorServes: true}.Verdict(), Allowed},
 	} {
 		if c.got != c.want {
 			t.Errorf("got %v, want %v", c.got, c.want)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -542,9 +542,9 @@
 	p.inFlight++
 	p.peak = max(float64(p.inFlight), p.peak-memory/4*(p.peak-float64(p.inFlight)))
 	b.do(SendAttempt{
-		ID:           r.id,
-		Endpoint:     s.ID,
-		Timeout:      max(b.useful(r)-b.now, b.set.TimerResolution),
+		ID:          r.id,
+		Endpoint:    s.ID,
+		Timeout:     max(b.useful(r)-b.now, b.set.TimerResolution),
 		RetryBefore: repeatBefore,
 	})
 }
@@ -560,9 +560,9 @@
 // hold keeps a request back; its timer makes sure that it is answered.
 func (b *Balancer) hold(r *request) {
 	if b.now >= b.holdUntil(r) {
-		why := guard.NoRoom
+		why := guard.NoCapacity
 		if len(r.class.pool.ready) == 0 {
-			why = guard.NoServerKnown
+			why = guard.NoEndpointKnown
 		}
 		b.answer(r, why)
 		return
@@ -928,16 +928,16 @@
 
 // mayRepeat says whether the class's effect and the limits allow one more attempt now.
 func (b *Balancer) mayRepeat(r *request) guard.Verdict {
-	return guard.Repeat{
-		Now:         b.now,
-		Answered:    r.answered,
-		AnswerBegun: r.streaming,
-		BodySpent:   r.spent,
-		Attempts:    len(r.attempts),
-		MaxAttempts: max(1, b.set.MaxAttempts),
-		MayHaveRun:  slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.unsent }),
-		NeverTwice:  r.class.Idempotency == NotIdempotent,
-		Before:      b.repeatBefore(r),
+	return guard.Retry{
+		Now:             b.now,
+		Answered:        r.answered,
+		ResponseStarted: r.streaming,
+		BodyConsumed:    r.spent,
+		Attempts:        len(r.attempts),
+		MaxAttempts:     max(1, b.set.MaxAttempts),
+		MayHaveRun:      slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.unsent }),
+		NotIdempotent:   r.class.Idempotency == NotIdempotent,
+		Before:          b.repeatBefore(r),
 	}.Verdict()
 }
 
@@ -962,7 +962,7 @@
 	switch {
 	case why != guard.Allowed:
 	case b.tokens < cost:
-		why = guard.RetryBudgetSpent
+		why = guard.RetryBudgetExhausted
 	case left < r.class.mean/2:
 		why = guard.NoTimeForAnswer
 	default:
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -321,9 +321,9 @@
 // A request whose body is gone is never sent again. It is refused at once where no attempt ran.
 func TestSpentRequestIsNotSentAgain(t *testing.T) {
 	for ending, want := range map[AttemptResult]Action{
-		ConnectFailed:  Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.BodySpent},
-		NotSent:        Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.BodySpent},
-		ConnectionLost: Fail{ID: "a", Reason: guard.BodySpent}} {
+		ConnectFailed:  Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.BodyConsumed},
+		NotSent:        Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.BodyConsumed},
+		ConnectionLost: Fail{ID: "a", Reason: guard.BodyConsumed}} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 		got := sends(b.Handle(0, Request{ID: "a", Class: "post", Deadline: time.Second, BodyIncomplete: true}))
