--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -10,14 +10,14 @@
 func TestWindowShrinksWithTheList(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(20)})
-	b.pools[0].window = 100
+	b.subsets[0].limit = 100
 	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
-	if b.pools[0].window != 50 {
-		t.Errorf("window %v after half of the list went, want 50", b.pools[0].window)
+	if b.subsets[0].limit != 50 {
+		t.Errorf("window %v after half of the list went, want 50", b.subsets[0].limit)
 	}
 	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(20)})
-	if b.pools[0].window != 50 {
-		t.Errorf("window %v after the list grew, want 50: it grows by answers alone", b.pools[0].window)
+	if b.subsets[0].limit != 50 {
+		t.Errorf("window %v after the list grew, want 50: it grows by answers alone", b.subsets[0].limit)
 	}
 }
 
@@ -26,8 +26,8 @@
 	for _, c := range []struct{ tiers, tier, want int }{{0, 0, 1}, {1, 0, 1}, {3, 0, 3}, {3, 2, 1}} {
 		b := newBalancer(t, func(s *Settings) { s.Tiers, s.Tier = c.tiers, c.tier })
 		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(4)})
-		if want := windowKnee * 2 * float64(c.want); b.pools[0].window != want {
-			t.Errorf("tier %d of %d: window %v for 4 servers and 2 copies, want %v", c.tier, c.tiers, b.pools[0].window, want)
+		if want := initialLimitPerEndpoint * 2 * float64(c.want); b.subsets[0].limit != want {
+			t.Errorf("tier %d of %d: window %v for 4 servers and 2 copies, want %v", c.tier, c.tiers, b.subsets[0].limit, want)
 		}
 	}
 }
@@ -43,22 +43,22 @@
 		for i := range n {
 			id := fmt.Sprint(now, i)
 			todo := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + 1500*msec}))
-			b.pools[0].inFlight += 1000 // a window in full use
+			b.subsets[0].inFlight += 1000 // a window in full use
 			for _, s := range todo {
 				settle(b, now+after, id, s, Success)
 			}
-			b.pools[0].inFlight -= 1000
+			b.subsets[0].inFlight -= 1000
 			now += after
 		}
 	}
 	answers(300, 490*msec)
-	if knee := windowKnee * 2.0; b.pools[0].window >= knee || b.pools[0].window < windowFloor*knee {
-		t.Errorf("window %v after late answers, want it under the knee of the 4 servers it knew, %v", b.pools[0].window, knee)
+	if knee := initialLimitPerEndpoint * 2.0; b.subsets[0].limit >= knee || b.subsets[0].limit < minLimitShare*knee {
+		t.Errorf("window %v after late answers, want it under the knee of the 4 servers it knew, %v", b.subsets[0].limit, knee)
 	}
-	before := b.pools[0].base
+	before := b.subsets[0].countedEndpoints
 	answers(300, 5*msec)
-	if b.pools[0].base <= before || b.pools[0].base > b.pools[0].fair {
-		t.Errorf("base %v after answers in good time, %v before", b.pools[0].base, before)
+	if b.subsets[0].countedEndpoints <= before || b.subsets[0].countedEndpoints > b.subsets[0].fairShare {
+		t.Errorf("base %v after answers in good time, %v before", b.subsets[0].countedEndpoints, before)
 	}
 }
 
@@ -70,21 +70,21 @@
 	}{{450 * msec, false}, {40 * msec, true}} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(4)})
-		start, now := b.pools[0].window, time.Duration(0)
+		start, now := b.subsets[0].limit, time.Duration(0)
 		var open []SendAttempt
 		for i := range 3000 {
 			now += 4 * msec
 			open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
-			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+tc.took <= now {
+			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sentAt+tc.took <= now {
 				s := open[0]
 				open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
 			}
 		}
-		if grew := b.pools[0].window > start; grew != tc.grow || b.pools[0].window < windowFloor*start {
-			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.pools[0].window, start)
+		if grew := b.subsets[0].limit > start; grew != tc.grow || b.subsets[0].limit < minLimitShare*start {
+			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.subsets[0].limit, start)
 		}
-		if !tc.grow && b.pools[0].window > start/2 {
-			t.Errorf("late answers left the window at %.1f of %.1f", b.pools[0].window, start)
+		if !tc.grow && b.subsets[0].limit > start/2 {
+			t.Errorf("late answers left the window at %.1f of %.1f", b.subsets[0].limit, start)
 		}
 	}
 }
@@ -93,13 +93,13 @@
 func TestFirstTriesGoBeforeRepeats(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(1)})
-	b.pools[0].window = 1
+	b.subsets[0].limit = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
 	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, IsRetry: true})
 	b.classes["get"].LateAnswerWeight = 0.5
-	b.pools[0].inFlight = int(windowKnee*b.pools[0].fair) + 2
-	b.pools[0].window = float64(b.pools[0].inFlight) // one comes free by the next answer
+	b.subsets[0].inFlight = int(initialLimitPerEndpoint*b.subsets[0].fairShare) + 2
+	b.subsets[0].limit = float64(b.subsets[0].inFlight) // one comes free by the next answer
 	next := sends(settle(b, 10*msec, "a", first[0], Success))
 	if len(next) == 0 || next[0].ID != "new" {
 		t.Errorf("after an answer %v was sent", next)
@@ -112,30 +112,30 @@
 		s.Tenants, s.OverQuotaWeight = []Tenant{{Name: "big", Quota: 2}, {Name: "small", Quota: 2}}, 0.05
 	})
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(1)})
-	b.pools[0].window = 1
+	b.subsets[0].limit = 1
 	now := 10 * time.Second // what is saved lies ready at this copy: three requests
 	first := sends(b.Handle(now, Request{ID: "first", Class: "get", Tenant: "big", Deadline: now + time.Second}))
 	for _, id := range []string{"second", "third"} {
 		b.Handle(now, Request{ID: id, Class: "pay", Tenant: "big", Deadline: now + time.Second})
-		if b.requests[id].over {
+		if b.requests[id].overQuota {
 			t.Errorf("%s is beyond its share", id)
 		}
 		b.Handle(now, ClientDisconnected{ID: id})
 	}
-	b.pools[0].inFlight = int(windowKnee*b.pools[0].fair) + 2
-	b.pools[0].window = float64(b.pools[0].inFlight) // one comes free by the next answer
+	b.subsets[0].inFlight = int(initialLimitPerEndpoint*b.subsets[0].fairShare) + 2
+	b.subsets[0].limit = float64(b.subsets[0].inFlight) // one comes free by the next answer
 	b.Handle(now, Request{ID: "within", Class: "get", Tenant: "small", Deadline: now + time.Second})
 	b.Handle(now+msec, Request{ID: "over", Class: "get", Tenant: "big", Deadline: now + time.Second})
 	b.Handle(now+msec, Request{ID: "unknown", Class: "get", Tenant: "none", Deadline: now + time.Second})
-	if r := b.requests; r["first"].over || r["within"].over || !r["over"].over || !r["unknown"].over {
-		t.Errorf("beyond their shares: %v %v %v %v", r["first"].over, r["within"].over, r["over"].over, r["unknown"].over)
+	if r := b.requests; r["first"].overQuota || r["within"].overQuota || !r["over"].overQuota || !r["unknown"].overQuota {
+		t.Errorf("beyond their shares: %v %v %v %v", r["first"].overQuota, r["within"].overQuota, r["over"].overQuota, r["unknown"].overQuota)
 	}
 	next := sends(settle(b, now+10*msec, "first", first[0], Success))
 	if len(next) == 0 || next[0].ID != "within" {
 		t.Errorf("after an answer %v was sent", next)
 	}
 	b.Handle(now+2*time.Second, Request{ID: "later", Class: "get", Tenant: "big", Deadline: now + 3*time.Second})
-	if r := b.requests["later"]; r == nil || r.over {
+	if r := b.requests["later"]; r == nil || r.overQuota {
 		t.Errorf("the share was not refilled: %+v", r)
 	}
 }
@@ -148,11 +148,11 @@
 	}{{0, 4}, {0.5, 2}, {0.9, 0}} {
 		b := newBalancer(t, nil)
 		b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(20)})
-		for _, s := range b.pools[0].ready[:10] {
-			s.until = time.Minute
+		for _, s := range b.subsets[0].ready[:10] {
+			s.ejectedUntil = time.Minute
 		}
-		b.pools[0].shed = c.shed
-		_, out := b.ruledOut(&request{class: b.classes["get"]}, b.pools[0].ready)
+		b.subsets[0].shedRate = c.shed
+		_, out := b.excludeUnhealthy(&request{class: b.classes["get"]}, b.subsets[0].ready)
 		if out != c.want {
 			t.Errorf("shed %.1f: %d ruled out, want %d", c.shed, out, c.want)
 		}
@@ -169,16 +169,16 @@
 		{340 * msec, 340 * msec, false}, {340 * msec, 400 * msec, true}, {480 * msec, 480 * msec, true}} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(40)})
-		p, start := b.pools[0], b.pools[0].window
+		p, start := b.subsets[0], b.subsets[0].limit
 		answers := func(took time.Duration) {
 			for range 300 {
-				p.inFlight = int(p.window)
-				b.steer(&request{class: b.classes["get"], attempts: []*attempt{{sent: b.now - took}}}, AttemptEnded{Result: Success})
+				p.inFlight = int(p.limit)
+				b.adjustLimit(&request{class: b.classes["get"], attempts: []*attempt{{sentAt: b.now - took}}}, AttemptEnded{Result: Success})
 			}
 		}
 		answers(c.before)
-		if answers(c.took); p.window < start != c.falls {
-			t.Errorf("answers after %v, before %v: window %.1f from %.1f", c.took, c.before, p.window, start)
+		if answers(c.took); p.limit < start != c.falls {
+			t.Errorf("answers after %v, before %v: window %.1f from %.1f", c.took, c.before, p.limit, start)
 		}
 	}
 }
@@ -188,23 +188,23 @@
 func TestWindowYieldsWhereAllIsLateAndRecovers(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(40)})
-	p, start := b.pools[0], b.pools[0].window
+	p, start := b.subsets[0], b.subsets[0].limit
 	answers := func(n int, e AttemptResult) {
 		for range n {
-			p.inFlight = int(p.window)
-			b.steer(&request{class: b.classes["get"], attempts: []*attempt{{sent: b.now - 10*msec}}}, AttemptEnded{Result: e})
+			p.inFlight = int(p.limit)
+			b.adjustLimit(&request{class: b.classes["get"], attempts: []*attempt{{sentAt: b.now - 10*msec}}}, AttemptEnded{Result: e})
 		}
 	}
-	p.fill = 1
-	if answers(60, TimedOut); p.window > start/2 {
-		t.Errorf("window %.0f from %.0f after 60 time-outs", p.window, start)
+	p.latencyRatio = 1
+	if answers(60, TimedOut); p.limit > start/2 {
+		t.Errorf("window %.0f from %.0f after 60 time-outs", p.limit, start)
 	}
-	p.fill = 0.3
-	if answers(100, Success); p.window < start {
-		t.Errorf("window %.0f after 100 answers in good time, want %.0f again", p.window, start)
+	p.latencyRatio = 0.3
+	if answers(100, Success); p.limit < start {
+		t.Errorf("window %.0f after 100 answers in good time, want %.0f again", p.limit, start)
 	}
-	if answers(100, Success); p.window > 1.1*start {
-		t.Errorf("window %.0f from %.0f: beyond its start it must grow slowly", p.window, start)
+	if answers(100, Success); p.limit > 1.1*start {
+		t.Errorf("window %.0f from %.0f: beyond its start it must grow slowly", p.limit, start)
 	}
 }
 
@@ -214,20 +214,20 @@
 	window := func(spread float64) float64 {
 		b := newBalancer(t, nil)
 		b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
-		b.pools[0].window, b.pools[0].fill = 100, 0.4
-		b.pools[0].answers, b.pools[0].least = 1000, 0.1 // they were quicker before
-		r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+		b.subsets[0].limit, b.subsets[0].latencyRatio = 100, 0.4
+		b.subsets[0].samples, b.subsets[0].minLatencyRatio = 1000, 0.1 // they were quicker before
+		r := &request{class: b.classes["get"], attempts: []*attempt{{sentAt: 0}}}
 		for i := range 50 {
-			b.pools[0].shed = 0.8
-			for k, s := range b.pools[0].ready {
-				s.slow = spread * (float64(k%2) - 0.5)
+			b.subsets[0].shedRate = 0.8
+			for k, s := range b.subsets[0].ready {
+				s.relativeLatency = spread * (float64(k%2) - 0.5)
 			}
-			b.now, b.pools[0].inFlight = 200*msec, int(b.pools[0].window)
-			if b.steer(r, AttemptEnded{Result: Success}); b.pools[0].fill < 0.39 {
-				t.Fatalf("fill fell to %.2f at answer %d", b.pools[0].fill, i)
+			b.now, b.subsets[0].inFlight = 200*msec, int(b.subsets[0].limit)
+			if b.adjustLimit(r, AttemptEnded{Result: Success}); b.subsets[0].latencyRatio < 0.39 {
+				t.Fatalf("fill fell to %.2f at answer %d", b.subsets[0].latencyRatio, i)
 			}
 		}
-		return b.pools[0].window
+		return b.subsets[0].limit
 	}
 	if alike, apart := window(0), window(1); alike <= 100 || apart >= 100 {
 		t.Errorf("window from 100: alike %.1f, want growth; apart %.1f, want shrinking", alike, apart)
@@ -238,12 +238,12 @@
 func TestRefusalsBringClientsBackSoon(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: servers(2)})
-	b.pools[0].window, b.pools[0].inFlight = 1, 1
+	b.subsets[0].limit, b.subsets[0].inFlight = 1, 1
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, TimerFired{Token: "r:a"}) {
 		if f, ok := a.(Reject); ok {
-			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
+			if limit := b.settings.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
 			}
 			return
@@ -280,9 +280,9 @@
 // Two pools that overlap must not both count a server in the floors of their windows.
 func TestFloorsOfOverlappingPoolsDoNotAddUp(t *testing.T) {
 	b, _ := boundToSlow(t, 12)
-	free, bound := b.classes["get"].pool, b.classes["post"].pool
-	if bound.fair != 2 || free.fair != 4 {
-		t.Errorf("12 servers for 2 copies: %v fair ones for the bound pool, %v for the free one; want 2 and 4", bound.fair, free.fair)
+	free, bound := b.classes["get"].subset, b.classes["post"].subset
+	if bound.fairShare != 2 || free.fairShare != 4 {
+		t.Errorf("12 servers for 2 copies: %v fair ones for the bound pool, %v for the free one; want 2 and 4", bound.fairShare, free.fairShare)
 	}
 }
 
@@ -291,7 +291,7 @@
 func TestCallsOfClientsThatLeftKeepTheirRoom(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 5 })
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
-	b.pools[0].window = 4
+	b.subsets[0].limit = 4
 	var sent []SendAttempt
 	for i := range 40 {
 		id := fmt.Sprint(i)
@@ -313,11 +313,11 @@
 func TestFallingWindowIsRoundedByADraw(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 40 })
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(12)}) // a floor of 1.5 calls
-	p, closed := b.pools[0], 0
+	p, closed := b.subsets[0], 0
 	ends := func(fill float64, e AttemptResult) bool {
-		p.window, p.fill, p.inFlight = 1.5, fill, 1
-		b.steer(&request{class: b.classes["get"], attempts: []*attempt{{}}}, AttemptEnded{Result: e})
-		return b.full(p)
+		p.limit, p.latencyRatio, p.inFlight = 1.5, fill, 1
+		b.adjustLimit(&request{class: b.classes["get"], attempts: []*attempt{{}}}, AttemptEnded{Result: e})
+		return b.atLimit(p)
 	}
 	for range 400 {
 		if ends(1, TimedOut) {
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -27,7 +27,7 @@
 	b := newBalancer(t, nil)
 	now := 2 * time.Hour
 	list := servers(6)
-	list[2].StartedAt = now - time.Duration(believedAge*float64(b.set.SlowStartDuration))
+	list[2].StartedAt = now - time.Duration(maxCreditedShare*float64(b.settings.SlowStartDuration))
 	b.Handle(now, EndpointUpdate{Snapshot: true, Endpoints: list})
 	return sentTo(b, list[2].ID, now)
 }
@@ -50,7 +50,7 @@
 			if most := believedMost(t); cold > most+most/4 || cold == 0 {
 				t.Errorf("a server that came back gets %d, one that is believed to be as old as can be %d, a warm one %d", cold, most, warm)
 			}
-			now += b.set.SlowStartDuration + time.Second
+			now += b.settings.SlowStartDuration + time.Second
 			if later := sentTo(b, id, now); later < warm/2 {
 				t.Errorf("when it is warm it gets %d, before %d", later, warm)
 			}
@@ -66,7 +66,7 @@
 	list[2].StartedAt = now + time.Hour
 	b.Handle(now, EndpointUpdate{Snapshot: true, Endpoints: list})
 	cold := sentTo(b, list[2].ID, now)
-	now += b.set.SlowStartDuration + time.Second
+	now += b.settings.SlowStartDuration + time.Second
 	if warm := sentTo(b, list[2].ID, now); cold > warm/2 {
 		t.Errorf("it gets %d at first, %d when it is warm", cold, warm)
 	}
--- a/policy/figures.go
+++ b/policy/figures.go
@@ -8,14 +8,14 @@
 // decides nothing itself: it asks the rules by which choose passes servers over, for a request that must not run twice.
 func (b *Balancer) EndpointCounts(now time.Duration) (listed, avoided int) {
 	b.now = max(b.now, now)
-	drawn := map[*server]bool{}
-	for _, p := range b.pools {
-		out, _ := b.ruledOut(&request{class: &class{pool: p}}, p.ready)
+	drawn := map[*endpoint]bool{}
+	for _, p := range b.subsets {
+		out, _ := b.excludeUnhealthy(&request{class: &class{subset: p}}, p.ready)
 		for i, s := range p.ready {
-			drawn[s] = drawn[s] || !out[i] && s.calls < b.roomy(s)
+			drawn[s] = drawn[s] || !out[i] && s.inFlight < b.capacityOf(s)
 		}
 	}
-	for _, s := range b.servers {
+	for _, s := range b.endpoints {
 		if s.listed {
 			listed++
 			if !drawn[s] {
@@ -27,12 +27,12 @@
 }
 
 // ZoneTransitions counts the changes of zones' states: who sees it rise may look at Zones.
-func (b *Balancer) ZoneTransitions() int { return b.turns }
+func (b *Balancer) ZoneTransitions() int { return b.zoneTransitions }
 
 // Zones shows what the Balancer knows of each zone, by name. It decides nothing.
 func (b *Balancer) Zones() (all []Zone) {
-	for _, z := range b.zoneOrder {
-		all = append(all, Zone{z.name, z.state, z.ordered, z.share, z.since, z.servers, b.doubt(z), len(z.open)})
+	for _, z := range b.zonesByName {
+		all = append(all, Zone{z.name, z.state, z.evacuatedByOperator, z.share, z.since, z.endpoints, b.unresponsiveEndpoints(z), len(z.attempts)})
 	}
 	return all
 }
--- a/policy/figures_test.go
+++ b/policy/figures_test.go
@@ -29,10 +29,10 @@
 	}
 	want("one drains", 11, 1)
 	for _, id := range []string{"a", "b", "c"} {
-		b.servers[id].until = time.Minute
+		b.endpoints[id].ejectedUntil = time.Minute
 	}
 	want("two of three ill ones may be kept out of ten", 11, 3)
-	b.servers["d"].room, b.servers["d"].full = 0, time.Minute
+	b.endpoints["d"].capacity, b.endpoints["d"].fullUntil = 0, time.Minute
 	want("one refused all", 11, 4)
 	b.EndpointCounts(2 * time.Minute)
 	want("time has passed", 11, 1)
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -97,8 +97,8 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(10)})
 	wide(b)
-	s := b.servers["s03"]
-	s.level, s.until = 1, 0
+	s := b.endpoints["s03"]
+	s.ejectionCount, s.ejectedUntil = 1, 0
 	if got := traffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
@@ -112,7 +112,7 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(6)})
 	wide(b)
-	b.servers["s00"].calls, b.pools[0].inFlight = 2, 2
+	b.endpoints["s00"].inFlight, b.subsets[0].inFlight = 2, 2
 	got := traffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
@@ -164,9 +164,9 @@
 	for _, multiple := range []float64{0, 1, 2, 3} {
 		b := newBalancer(t, func(s *Settings) { s.SlowStartInitialCapacity, s.SlowStartOverloadFactor = 0.5, multiple })
 		b.now = 2 * time.Second
-		cold := &server{Endpoint: Endpoint{StartedAt: 2 * time.Second}, start: 2 * time.Second}
+		cold := &endpoint{Endpoint: Endpoint{StartedAt: 2 * time.Second}, slowStartFrom: 2 * time.Second}
 		for range 2000 {
-			if b.warmEnough(cold, 0) {
+			if b.admittedBySlowStart(cold, 0) {
 				drawn[multiple]++
 			}
 		}
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -21,10 +21,10 @@
 				left++
 			}
 		}
-		if len(got) < leastReach || len(got) > leastReach+2 || left*2 != len(got) {
+		if len(got) < minSliceEndpoints || len(got) > minSliceEndpoints+2 || left*2 != len(got) {
 			t.Fatalf("copy %d drew %d servers, %d of them left", self, len(got), left)
 		}
-		b.pools[0].inFlight = 160
+		b.subsets[0].inFlight = 160
 		if got := traffic(b, 4000, "get", func(string) AttemptResult { return Success }); len(got) < 70 {
 			t.Fatalf("swamped copy %d drew only %d servers", self, len(got))
 		}
@@ -42,7 +42,7 @@
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: servers(80)})
 	own := traffic(b, 400, "get", func(string) AttemptResult { return Success })
 	for id := range own {
-		b.servers[id].full, b.servers[id].room = time.Hour, 0
+		b.endpoints[id].fullUntil, b.endpoints[id].capacity = time.Hour, 0
 	}
 	got := traffic(b, 100, "get", func(string) AttemptResult { return Success })
 	for id := range got {
@@ -72,7 +72,7 @@
 			now, id := b.now+20*msec, fmt.Sprint(n)
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
 				took := 20 * msec
-				if b.servers[s.Endpoint].Zone == "y" {
+				if b.endpoints[s.Endpoint].Zone == "y" {
 					took = home
 				} else {
 					far++
@@ -111,7 +111,7 @@
 	b, list := boundToSlow(t, 9)
 	bound := 0
 	for id, n := range traffic(b, 1000, "get", func(string) AttemptResult { return Success }) {
-		if b.servers[id].MachineType == "slow" {
+		if b.endpoints[id].MachineType == "slow" {
 			bound += n
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -42,7 +42,7 @@
 }
 
 // wide makes a copy draw from the whole list for some hundred calls, as a busy one does.
-func wide(b *Balancer) { b.pools[0].peak = 1e9 }
+func wide(b *Balancer) { b.subsets[0].peakInFlight = 1e9 }
 
 func servers(n int) []Endpoint {
 	var l []Endpoint
@@ -64,16 +64,16 @@
 }
 
 func TestPickFollowsTheDesign(t *testing.T) {
-	mk := func(calls ...int) []*server {
-		var l []*server
+	mk := func(calls ...int) []*endpoint {
+		var l []*endpoint
 		for i, c := range calls {
-			l = append(l, &server{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, calls: c})
+			l = append(l, &endpoint{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, inFlight: c})
 		}
 		return l
 	}
 	b := newBalancer(t, nil)
 	const n = 20000
-	shareLeft := func(left, right []*server) float64 {
+	shareLeft := func(left, right []*endpoint) float64 {
 		got := 0
 		for range n {
 			s := b.pick(left, right)
@@ -87,7 +87,7 @@
 	}
 	for _, c := range []struct {
 		name        string
-		left, right []*server
+		left, right []*endpoint
 		want        float64
 	}{
 		{"fewer left", mk(1), mk(2), 1},
@@ -105,7 +105,7 @@
 	if b.pick(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
-	left, count := mk(0, 0, 0, 0), map[*server]int{}
+	left, count := mk(0, 0, 0, 0), map[*endpoint]int{}
 	for range n {
 		count[b.pick(left, nil)]++
 	}
@@ -124,8 +124,8 @@
 		b.Handle(0, EndpointUpdate{Endpoints: l[i : i+1]})
 	}
 	for i := range l {
-		if a.pools[0].ready[i].ID != b.pools[0].ready[i].ID {
-			t.Fatalf("order differs at %d: %s, %s", i, a.pools[0].ready[i].ID, b.pools[0].ready[i].ID)
+		if a.subsets[0].ready[i].ID != b.subsets[0].ready[i].ID {
+			t.Fatalf("order differs at %d: %s, %s", i, a.subsets[0].ready[i].ID, b.subsets[0].ready[i].ID)
 		}
 	}
 }
@@ -206,12 +206,12 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 1200*msec})
-	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != 0 {
+	if r := b.requests["first"]; r == nil || r.isRetry || r.arrived != 0 {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
 	// The repeat's aim of 500 ms began 300 ms before it came: without a server it is still held.
 	r := b.requests["again"]
-	if r == nil || !r.repeat || r.arrived != 5*time.Second-300*msec {
+	if r == nil || !r.isRetry || r.arrived != 5*time.Second-300*msec {
 		t.Errorf("the repeat was not seen: %+v", r)
 	}
 }
@@ -242,11 +242,11 @@
 	b := newBalancer(t, func(s *Settings) { s.ClientsMarkRetries = true })
 	b.Handle(0, Request{ID: "last", Class: "get", Deadline: 1400 * msec, IsRetry: true})
 	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2100 * msec})
-	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != time.Second {
+	if r := b.requests["first"]; r == nil || r.isRetry || r.arrived != time.Second {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 6400 * msec, IsRetry: true})
-	if r := b.requests["again"]; r == nil || !r.repeat || r.arrived != 4900*msec {
+	if r := b.requests["again"]; r == nil || !r.isRetry || r.arrived != 4900*msec {
 		t.Errorf("the marked repeat was not dated back: %+v", r)
 	}
 }
@@ -298,22 +298,22 @@
 			settle(b, now+10*msec, id, s, Success)
 		}
 	}
-	s := b.servers[got[0].Endpoint]
-	if b.silent(s) {
+	s := b.endpoints[got[0].Endpoint]
+	if b.unresponsive(s) {
 		t.Error("its server counts as silent while its body comes")
 	}
-	mean := b.classes["get"].mean
+	mean := b.classes["get"].meanLatency
 	b.Handle(10*time.Second, RequestSent{ID: "long", Deadline: 12 * time.Second})
 	r := b.requests["long"]
-	if r.deadline != 12*time.Second || r.arrived != 10*time.Second || r.attempts[0].sent != 10*time.Second {
-		t.Errorf("arrived %v, deadline %v, sent %v", r.arrived, r.deadline, r.attempts[0].sent)
+	if r.deadline != 12*time.Second || r.arrived != 10*time.Second || r.attempts[0].sentAt != 10*time.Second {
+		t.Errorf("arrived %v, deadline %v, sent %v", r.arrived, r.deadline, r.attempts[0].sentAt)
 	}
 	b.Handle(10*time.Second+10*msec, ResponseStarted{ID: "long"})
-	if b.silent(s) {
+	if b.unresponsive(s) {
 		t.Error("its server counts as silent while its answer passes through")
 	}
 	b.Handle(time.Minute, AttemptEnded{ID: "long", Endpoint: s.ID, Result: Success, Answered: true})
-	if now := b.classes["get"].mean; now > mean {
+	if now := b.classes["get"].meanLatency; now > mean {
 		t.Errorf("the mean latency rose from %v to %v ns", mean, now)
 	}
 }
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -151,32 +151,32 @@
 	at := func(d time.Duration, e Event) (copies float64) {
 		now += d
 		b.Handle(now, e)
-		for _, p := range b.pools {
-			if got, want := p.fair, 24/b.copies; got != want {
-				t.Errorf("at %v a fair share is %v of 24 servers for %v copies", now, got, b.copies)
+		for _, p := range b.subsets {
+			if got, want := p.fairShare, 24/b.replicas; got != want {
+				t.Errorf("at %v a fair share is %v of 24 servers for %v copies", now, got, b.replicas)
 			}
 		}
-		if got, want := b.tenants["a"].rate, 60/b.copies; got != want {
-			t.Errorf("at %v the tenant's rate is %v for %v copies", now, got, b.copies)
+		if got, want := b.quotas["a"].rate, 60/b.replicas; got != want {
+			t.Errorf("at %v the tenant's rate is %v for %v copies", now, got, b.replicas)
 		}
-		return b.copies
+		return b.replicas
 	}
 	idle := TimerFired{Token: "x"}
 	if c := at(0, ReplicaCounts{ByZone: map[string]int{"x": 1, "y": 1}}); c != 4 {
 		t.Errorf("at once there are %v copies, want 4", c)
 	}
-	if c := at(peersHalf, idle); c < 2.9 || c > 3.1 {
+	if c := at(replicasHalfLife, idle); c < 2.9 || c > 3.1 {
 		t.Errorf("after a half-life there are %.2f copies, want 3 on the way from 4 to 2", c)
 	}
-	if c := at(20*peersHalf, idle); c != 2 {
+	if c := at(20*replicasHalfLife, idle); c != 2 {
 		t.Errorf("in the end there are %v copies, want 2", c)
 	}
 	at(0, ReplicaCounts{ByZone: map[string]int{"x": 1000}})
-	if c := at(20*peersHalf, idle); c != 4*peersSpan {
-		t.Errorf("of a thousand %v are believed, want %v", c, 4*peersSpan)
+	if c := at(20*replicasHalfLife, idle); c != 4*maxReplicasFactor {
+		t.Errorf("of a thousand %v are believed, want %v", c, 4*maxReplicasFactor)
 	}
 	at(0, ReplicaCounts{})
-	if c := at(20*peersHalf, idle); c != 4 {
+	if c := at(20*replicasHalfLife, idle); c != 4 {
 		t.Errorf("with no word there are %v copies, want the settings' 4", c)
 	}
 	sum, n := played(t, dueEvent{at: 10 * time.Second, e: ReplicaCounts{ByZone: map[string]int{"x": 6}}})
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -236,16 +236,16 @@
 		if len(log) < 1000 {
 			t.Errorf("seed %d: only %d actions", seed, len(log))
 		}
-		if len(b.requests) > 0 || len(b.lines) > 0 {
-			t.Errorf("seed %d: %d requests and %d lines are left over", seed, len(b.requests), len(b.lines))
+		if len(b.requests) > 0 || len(b.keyQueues) > 0 {
+			t.Errorf("seed %d: %d requests and %d lines are left over", seed, len(b.requests), len(b.keyQueues))
 		}
-		for i, p := range b.pools {
-			if len(p.held) > 0 || p.inFlight != 0 {
-				t.Errorf("seed %d: %d held and %d calls of pool %d are left over", seed, len(p.held), p.inFlight, i)
+		for i, p := range b.subsets {
+			if len(p.queue) > 0 || p.inFlight != 0 {
+				t.Errorf("seed %d: %d held and %d calls of pool %d are left over", seed, len(p.queue), p.inFlight, i)
 			}
 		}
-		for id, s := range b.servers {
-			if !s.listed || s.calls != 0 || len(s.open) != 0 {
+		for id, s := range b.endpoints {
+			if !s.listed || s.inFlight != 0 || len(s.attempts) != 0 {
 				t.Errorf("seed %d: server %s is left over", seed, id)
 			}
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -51,19 +51,19 @@
 
 // addClass takes a class of the settings in, with a pool for each placement.
 func (b *Balancer) addClass(c Class) {
-	k := &class{Class: c, mean: float64(c.LatencyObjective) / 4, dev: float64(c.LatencyObjective) / 8}
-	i := slices.IndexFunc(b.pools, func(p *pool) bool {
-		return reflect.DeepEqual([][]string{p.zones, p.kinds}, [][]string{c.AllowedZones, c.AllowedMachineTypes})
+	k := &class{Class: c, meanLatency: float64(c.LatencyObjective) / 4, latencyDeviation: float64(c.LatencyObjective) / 8}
+	i := slices.IndexFunc(b.subsets, func(p *endpointSubset) bool {
+		return reflect.DeepEqual([][]string{p.zones, p.machineTypes}, [][]string{c.AllowedZones, c.AllowedMachineTypes})
 	})
 	if i < 0 {
-		i, b.pools = len(b.pools), append(b.pools, &pool{zones: c.AllowedZones, kinds: c.AllowedMachineTypes})
+		i, b.subsets = len(b.subsets), append(b.subsets, &endpointSubset{zones: c.AllowedZones, machineTypes: c.AllowedMachineTypes})
 	}
-	k.pool = b.pools[i]
-	for _, t := range b.set.Tenants { // who sends what is not told: each class counts alike
+	k.subset = b.subsets[i]
+	for _, t := range b.settings.Tenants { // who sends what is not told: each class counts alike
 		if c.Name != "" {
-			k.pool.promise += t.Quota * c.LatencyObjective.Seconds() / float64(len(b.set.Classes))
+			k.subset.quotaLoad += t.Quota * c.LatencyObjective.Seconds() / float64(len(b.settings.Classes))
 		}
 	}
 	b.classes[c.Name] = k
-	b.order = append(b.order, k)
+	b.classOrder = append(b.classOrder, k)
 }
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -66,7 +66,7 @@
 		case SetTimer:
 			h.later(a.At, TimerFired{a.Token})
 		case SendAttempt:
-			r, s := h.b.requests[a.ID], h.b.servers[a.Endpoint].Endpoint
+			r, s := h.b.requests[a.ID], h.b.endpoints[a.Endpoint].Endpoint
 			h.sends[s.Zone]++
 			h.sends[""]++
 			if r.class.Idempotency == NotIdempotent {
@@ -231,18 +231,18 @@
 	b := newBalancer(t, nil)
 	list := (&halls{names: []string{"x", "y"}}).servers()
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
-	full := b.pools[0].window
+	full := b.subsets[0].limit
 	b.Handle(1, ZoneEvacuation{"y", true})
-	if w := b.pools[0].window / full; w < 0.70 || w > 0.72 {
+	if w := b.subsets[0].limit / full; w < 0.70 || w > 0.72 {
 		t.Errorf("with half of the servers the window is %.2f of itself", w)
 	}
 	b.Handle(2, EndpointUpdate{Snapshot: true, Endpoints: slices.DeleteFunc(slices.Clone(list), func(s Endpoint) bool { return s.Zone == "y" })})
-	if w := b.pools[0].window / full; w < 0.70 || w > 0.72 {
+	if w := b.subsets[0].limit / full; w < 0.70 || w > 0.72 {
 		t.Errorf("once the list follows it is %.2f: that zone was counted out twice", w)
 	}
 	b.Handle(3, EndpointUpdate{Snapshot: true, Endpoints: list})
 	b.Handle(4, ZoneEvacuation{"y", false})
-	if w := b.pools[0].window / full; w < 0.83 || w > 0.85 {
+	if w := b.subsets[0].limit / full; w < 0.83 || w > 0.85 {
 		t.Errorf("after the return it is %.2f of itself", w)
 	}
 }
