--- a/policy/api.go
+++ b/policy/api.go
@@ -39,7 +39,7 @@
 	Name                string
 	Idempotency         Idempotency
 	DeduplicationScope  DeduplicationScope // for IdempotentWithKey
-	DeduplicationWindow time.Duration      // for IdempotentWithKey: how long duplicates are discarded, from the first attempt
+	DeduplicationWindow time.Duration      // for IdempotentWithKey; it starts with the first attempt
 	LatencyObjective    time.Duration      // answers within it earn the full weight
 	Deadline            time.Duration      // how long a client waits over all its attempts
 	LateAnswerWeight    float64            // part of the weight that an answer after the objective earns
@@ -128,8 +128,8 @@
 type Event interface{ event() }
 
 type (
-	// EndpointUpdate is a watch event of discovery. A snapshot is the complete list: absent endpoints are removed.
-	// Otherwise it has only changed entries.
+	// EndpointUpdate is a watch event of discovery. A snapshot is the complete list: absent endpoints are
+	// removed. Otherwise it has only changed entries.
 	EndpointUpdate struct {
 		Snapshot  bool
 		Cached    bool // known before a restart, possibly out of date
@@ -159,15 +159,15 @@
 		BodyConsumed bool // the request's body cannot be sent again
 		Load         *Load
 	}
-	// RequestSent says that an attempt whose body was forwarded while it arrived is complete at its endpoint only now:
-	// the time of both request and attempt counts from here.
+	// RequestSent says that an attempt whose body was forwarded while it arrived is complete at its
+	// endpoint only now: the time of both request and attempt counts from here.
 	RequestSent struct {
 		ID       string
 		Attempt  int
 		Deadline time.Duration // clock time
 	}
-	// ResponseStarted says that a streamed response has begun. Its client sets the pace from here on, so how long the
-	// rest takes says nothing of the endpoint.
+	// ResponseStarted says that a streamed response has begun. Its client sets the pace from here on, so
+	// how long the rest takes says nothing of the endpoint.
 	ResponseStarted struct {
 		ID      string
 		Attempt int
@@ -176,11 +176,11 @@
 	ClientDisconnected struct{ ID string }
 	// ShutdownDeadline says that the process ends: the request gets its final answer now.
 	ShutdownDeadline struct{ ID string }
-	// ReplicaCounts says how many replicas send to this tier now, by zone, in place of Settings.Replicas. Without any
-	// the number is not known, and that of the settings holds again.
+	// ReplicaCounts says how many replicas send to this tier now, by zone, in place of Settings.Replicas.
+	// Without any the number is not known, and that of the settings holds again.
 	ReplicaCounts struct{ ByZone map[string]int }
-	// ZoneEvacuation is an operator's override to send nothing to a zone, or its end. It holds until the next one, and has
-	// no effect while all zones open to a class are evacuated.
+	// ZoneEvacuation is an operator's override to send nothing to a zone, or its end. It holds until the
+	// next one, and has no effect while all zones open to a class are evacuated.
 	ZoneEvacuation struct {
 		Zone     string
 		Evacuate bool
@@ -233,9 +233,9 @@
 type Action interface{ action() }
 
 type (
-	// SendAttempt starts the next attempt of a request (numbered from 0); it times out after Timeout. A retry of a request
-	// with an idempotency key may only be sent before the clock time RetryBefore: endpoints do not discard it as a
-	// duplicate later. 0: no such bound.
+	// SendAttempt starts the next attempt of a request (numbered from 0); it times out after Timeout. A
+	// retry of a request with an idempotency key may only be sent before the clock time RetryBefore:
+	// endpoints do not discard it as a duplicate later. 0: no such bound.
 	SendAttempt struct {
 		ID          string
 		Endpoint    string
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,7 +8,7 @@
 	"keelusher/policy"
 )
 
-// One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
+// One Balancer driven by hand: an endpoint list, a request, an attempt that never ran, and its answer.
 func Example() {
 	b, err := policy.New(policy.Settings{
 		Classes: []policy.Class{{Name: "read", Idempotency: policy.Idempotent, DeduplicationScope: policy.ScopeAll,
@@ -23,23 +23,23 @@
 	b.Handle(0, policy.EndpointUpdate{Snapshot: true, Endpoints: []policy.Endpoint{{ID: "a:80"}, {ID: "b:80"}}})
 
 	now := 5 * time.Millisecond
-	acts := b.Handle(now, policy.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
-	first := acts[0].(policy.SendAttempt)
-	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
+	actions := b.Handle(now, policy.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
+	first := actions[0].(policy.SendAttempt)
+	fmt.Println("sent", first.ID, "with a timeout of", first.Timeout)
 
 	now += 3 * time.Millisecond
-	acts = b.Handle(now, policy.AttemptEnded{ID: "r1", Attempt: 0, Endpoint: first.Endpoint,
+	actions = b.Handle(now, policy.AttemptEnded{ID: "r1", Attempt: 0, Endpoint: first.Endpoint,
 		Result: policy.ConnectFailed, Latency: 3 * time.Millisecond})
-	second := acts[0].(policy.SendAttempt)
-	fmt.Println("sent again to another server:", second.Endpoint != first.Endpoint)
+	second := actions[0].(policy.SendAttempt)
+	fmt.Println("sent again to another endpoint:", second.Endpoint != first.Endpoint)
 
 	now += 20 * time.Millisecond
-	acts = b.Handle(now, policy.AttemptEnded{ID: "r1", Attempt: 1, Endpoint: second.Endpoint,
+	actions = b.Handle(now, policy.AttemptEnded{ID: "r1", Attempt: 1, Endpoint: second.Endpoint,
 		Result: policy.Success, Latency: 20 * time.Millisecond, Answered: true})
-	fmt.Println("left to do:", len(acts))
+	fmt.Println("left to do:", len(actions))
 	// Output:
-	// sent r1 with a time-out of 200ms
-	// sent again to another server: true
+	// sent r1 with a timeout of 200ms
+	// sent again to another endpoint: true
 	// left to do: 0
 }
 
--- a/policy/guard/guard_test.go
+++ b/policy/guard/guard_test.go
@@ -38,7 +38,12 @@
 
 // An attempt that was allowed and sent too late is a violation, each kind with its own verdict.
 func TestSentFindsEachPlantedViolation(t *testing.T) {
-	good := Sent{Now: 10 * time.Second, ClientDeadline: 11 * time.Second, Timeout: time.Second, RemovalGrace: 3 * time.Second}
+	good := Sent{
+		Now:            10 * time.Second,
+		ClientDeadline: 11 * time.Second,
+		Timeout:        time.Second,
+		RemovalGrace:   3 * time.Second,
+	}
 	for want, change := range map[Verdict]func(*Sent){
 		Allowed: func(f *Sent) {
 			f.RetryBefore, f.DisconnectedAt, f.RemovedAt = f.Now+1, f.Now-maxSendAfterDisconnect, f.Now-f.RemovalGrace
--- /dev/null
+++ b/policy/metrics_test.go
@@ -0,0 +1,48 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// An endpoint counts as avoided if it is passed over: draining ones, and unhealthy ones up to the share that may be
+// excluded.
+func TestEndpointCountsWhatIsAvoided(t *testing.T) {
+	b, err := New(Settings{
+		Classes: []Class{{
+			Name:             "a",
+			Idempotency:      Idempotent,
+			LatencyObjective: time.Second,
+			Deadline:         2 * time.Second,
+			PriorityWeight:   1,
+		}},
+		MaxAttempts:     1,
+		TimerResolution: time.Millisecond,
+	}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var list EndpointUpdate
+	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k"} {
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: id})
+	}
+	list.Snapshot = true
+	list.Endpoints[10].State = Draining
+	b.Handle(0, list)
+	b.Handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: "removed", State: Removed}}})
+	want := func(what string, listed, avoided int) {
+		t.Helper()
+		if l, a := b.EndpointCounts(b.now); l != listed || a != avoided {
+			t.Errorf("%s: %d listed and %d avoided, want %d and %d", what, l, a, listed, avoided)
+		}
+	}
+	want("one is draining", 11, 1)
+	for _, id := range []string{"a", "b", "c"} {
+		b.endpoints[id].outlier.ejectedUntil = time.Minute
+	}
+	want("two of three unhealthy ones may be excluded of ten", 11, 3)
+	b.endpoints["d"].rejection.inFlight, b.endpoints["d"].rejection.until = 0, time.Minute
+	want("one rejected all", 11, 4)
+	b.EndpointCounts(2 * time.Minute)
+	want("time has passed", 11, 1)
+}
--- a/policy/processes_test.go
+++ b/policy/processes_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// Map order and hash seeds differ between processes; the actions must not. The test runs itself twice
-// more and compares what the same events led to.
+// Map order and hash seeds differ between processes; the actions must not. The test runs itself twice more and
+// compares what the same events lead to.
 func TestSameActionsInSeveralProcesses(t *testing.T) {
-	log, _ := run(t, ruleSettings(), 8, 2000, nil)
+	log, _ := runRandomEvents(t, ruleSettings(), 8, 2000, nil)
 	own := fmt.Sprintf("actions %x", sha256.Sum256([]byte(strings.Join(log, "\n"))))
 	if os.Getenv("POLICY_CHILD") != "" {
 		fmt.Println(own)
--- /dev/null
+++ b/policy/retry.go
@@ -0,0 +1,91 @@
+package policy
+
+import (
+	"slices"
+	"time"
+
+	"keelusher/policy/guard"
+)
+
+// Retry budget, in retries.
+const (
+	retryBudgetPerSuccess = 0.15
+	maxRetryBudget        = 10
+	initialRetryBudget    = maxRetryBudget / 2
+	retryCost             = 1.0
+	unsentRetryCost       = 0.1 // of a retry of an attempt that never ran
+)
+
+// retryTimeDivisor: the mean latency over this must be left for a retry.
+const retryTimeDivisor = 2
+
+// retryBudget is a token bucket filled by successes. Without it, the retries of all tiers would multiply.
+type retryBudget struct {
+	tokens float64
+}
+
+func newRetryBudget() retryBudget { return retryBudget{tokens: initialRetryBudget} }
+
+func (b *retryBudget) recordSuccess() { b.tokens = min(maxRetryBudget, b.tokens+retryBudgetPerSuccess) }
+
+func (b *retryBudget) covers(cost float64) bool { return b.tokens >= cost }
+
+func (b *retryBudget) spend(cost float64) { b.tokens -= cost }
+
+// retryOrAnswer retries a request without attempts in flight, if that is allowed, within the budget and in
+// time, and answers it otherwise.
+func (b *Balancer) retryOrAnswer(r *request) {
+	cost := r.retryCost()
+	timeLeft := float64(r.usefulUntil(b.settings.Tier) - b.now)
+	verdict := b.mayRetry(r)
+	switch {
+	case verdict != guard.Allowed:
+	case !b.retries.covers(cost):
+		verdict = guard.RetryBudgetExhausted
+	case timeLeft < r.class.meanLatency/retryTimeDivisor:
+		verdict = guard.NoTimeForAnswer
+	default:
+		if target := b.choose(r); target != nil {
+			b.retries.spend(cost)
+			b.send(r, target)
+			return
+		}
+		verdict = guard.NoEndpoint
+	}
+	b.answer(r, verdict)
+}
+
+// mayRetry says whether the idempotency of the class and the settings allow another attempt.
+func (b *Balancer) mayRetry(r *request) guard.Verdict {
+	return guard.Retry{
+		Now:             b.now,
+		Answered:        r.answered,
+		ResponseStarted: r.streaming,
+		BodyConsumed:    r.bodyConsumed,
+		Attempts:        len(r.attempts),
+		MaxAttempts:     max(1, b.settings.MaxAttempts),
+		MayHaveRun:      r.mayHaveRun(),
+		NotIdempotent:   r.class.Idempotency == NotIdempotent,
+		Before:          r.retryBefore(b.settings.TimerResolution),
+	}.Verdict()
+}
+
+func (r *request) retryCost() float64 {
+	if last := r.attempts[len(r.attempts)-1]; last.neverRan {
+		return unsentRetryCost
+	}
+	return retryCost
+}
+
+// retryBefore is until when endpoints discard duplicates of the request, or 0 if they need not. The
+// deduplication window starts with the first attempt that may have run.
+func (r *request) retryBefore(resolution time.Duration) time.Duration {
+	if r.class.Idempotency != IdempotentWithKey {
+		return 0
+	}
+	first := slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
+	if first < 0 {
+		return 0
+	}
+	return r.attempts[first].sentAt + r.class.DeduplicationWindow - 2*resolution
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,71 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"keelusher/policy/guard"
+)
+
+// An answer after the objective that has no weight is not waited for: the attempt ends with the objective, and what
+// is left of the client's time buys no retry. The tiers below know no objective, only the time they are given.
+func TestNoWaitForALateAnswerWithoutWeight(t *testing.T) {
+	for _, c := range []struct {
+		tier       int
+		lateWeight float64
+		want       time.Duration
+	}{{0, 0, 500 * msec}, {0, 0.5, 1500 * msec}, {1, 0, 1500 * msec}} {
+		b := newBalancer(t, func(s *Settings) { s.Tier, s.Classes[0].LateAnswerWeight = c.tier, c.lateWeight })
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(4)})
+		got := sendAttempts(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * msec}))
+		if len(got) != 1 || got[0].Timeout != c.want {
+			t.Fatalf("tier %d, late weight %v: sent %v, want a timeout of %v", c.tier, c.lateWeight, got, c.want)
+		}
+		actions := endAttempt(b, c.want, "a", got[0], TimedOut)
+		want := Action(Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.NoTimeForAnswer})
+		if len(actions) != 1 || actions[0] != want {
+			t.Errorf("tier %d, late weight %v: after the timeout %v, want a rejection", c.tier, c.lateWeight, actions)
+		}
+	}
+}
+
+// A request whose body is consumed is never sent again. It is rejected at once where no attempt ran.
+func TestConsumedBodyIsNotSentAgain(t *testing.T) {
+	for result, want := range map[AttemptResult]Action{
+		ConnectFailed:  Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.BodyConsumed},
+		NotSent:        Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.BodyConsumed},
+		ConnectionLost: Fail{ID: "a", Reason: guard.BodyConsumed}} {
+		b := newBalancer(t, nil)
+		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(10)})
+		got := sendAttempts(b.Handle(0, Request{ID: "a", Class: "post", Deadline: time.Second, BodyIncomplete: true}))
+		if len(got) != 1 {
+			t.Fatalf("sent %v", got)
+		}
+		actions := b.Handle(msec, AttemptEnded{ID: "a", Endpoint: got[0].Endpoint, Result: result, BodyConsumed: true})
+		if len(actions) != 1 || actions[0] != want {
+			t.Errorf("result %d: %v, want %v", result, actions, want)
+		}
+	}
+}
+
+// Successes fill the retry budget up to its bound, and retries empty it.
+func TestRetryBudget(t *testing.T) {
+	budget := newRetryBudget()
+	for range initialRetryBudget {
+		budget.spend(retryCost)
+	}
+	if budget.covers(unsentRetryCost) {
+		t.Errorf("an empty budget of %v covers a retry", budget.tokens)
+	}
+	budget.recordSuccess()
+	if !budget.covers(unsentRetryCost) || budget.covers(retryCost) {
+		t.Errorf("after a success a budget of %v should cover the retry of an attempt that never ran, and no other",
+			budget.tokens)
+	}
+	for range 1000 {
+		budget.recordSuccess()
+	}
+	if budget.tokens != maxRetryBudget {
+		t.Errorf("after many successes the budget is %v, want %v", budget.tokens, maxRetryBudget)
+	}
+}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,68 +2,97 @@
 
 import (
 	"fmt"
-	"reflect"
-	"slices"
 	"time"
 )
 
-// validate names the setting at fault.
-func (s Settings) validate() error {
-	if len(s.Classes) == 0 {
-		return fmt.Errorf("policy: Classes is empty")
-	}
-	for i, c := range s.Classes {
-		if c.Name == "" {
-			return fmt.Errorf("policy: Classes[%d].Name is empty", i)
-		}
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DeduplicationWindow < 0 {
-			return fmt.Errorf("policy: Classes[%d] (%s): Aim, Deadline or Window out of range", i, c.Name)
-		}
-		if !(c.PriorityWeight >= 0) || !(c.LateAnswerWeight >= 0 && c.LateAnswerWeight <= 1) {
-			return fmt.Errorf("policy: Classes[%d] (%s): Worth or LateShare out of range", i, c.Name)
-		}
-	}
-	for i, t := range s.Tenants {
-		if !(t.Quota >= 0) {
-			return fmt.Errorf("policy: Tenants[%d] (%s): Quota out of range", i, t.Name)
+// settingError names the setting at fault.
+type settingError struct {
+	setting string
+	problem string
+}
+
+func (e *settingError) Error() string {
+	return "policy: " + e.setting + " " + e.problem
+}
+
+// settingCheck is one requirement on a setting.
+type settingCheck struct {
+	setting string
+	valid   bool
+	problem string
+}
+
+// firstFault returns the error of the first requirement that does not hold; nil: all hold.
+func firstFault(checks ...settingCheck) error {
+	for _, check := range checks {
+		if !check.valid {
+			return &settingError{setting: check.setting, problem: check.problem}
 		}
 	}
-	if !(s.OverQuotaWeight >= 0 && s.OverQuotaWeight <= 1) {
-		return fmt.Errorf("policy: OverWorth must be from 0 to 1")
-	}
-	if !(s.SlowStartInitialCapacity >= 0 && s.SlowStartInitialCapacity <= 1) {
-		return fmt.Errorf("policy: ColdFrom must be from 0 to 1")
+	return nil
+}
+
+// Requirements are written so that a NaN fails them.
+
+func isShare(setting string, value float64) settingCheck {
+	return settingCheck{setting, value >= 0 && value <= 1, "must be from 0 to 1"}
+}
+
+func isPositive(setting string, value time.Duration) settingCheck {
+	return settingCheck{setting, value > 0, "must be positive"}
+}
+
+func notNegative[T int | float64 | time.Duration](setting string, value T) settingCheck {
+	return settingCheck{setting, value >= 0, "is negative"}
+}
+
+// validate returns an error that names the setting at fault.
+func (s Settings) validate() error {
+	if err := s.validateClasses(); err != nil {
+		return err
 	}
-	for _, d := range []struct {
-		name string
-		v    time.Duration
-	}{{"AskWithin", s.MaxPollInterval}, {"Tick", s.TimerResolution}, {"MaxRetryAfter", s.MaxRetryAfter}, {"OrderSettle", s.KeySettleTime},
-		{"WarmAfter", s.SlowStartDuration}} {
-		if d.v < 0 {
-			return fmt.Errorf("policy: %s is negative", d.name)
+	for i, tenant := range s.Tenants {
+		name := fmt.Sprintf("Tenants[%d] (%s).Quota", i, tenant.Name)
+		if err := firstFault(notNegative(name, tenant.Quota)); err != nil {
+			return err
 		}
 	}
-	if s.Tiers < 0 || s.Tier < 0 || s.Replicas < 0 || s.ReplicaIndex < 0 || s.MaxAttempts < 0 || !(s.SlowStartOverloadFactor >= 0) {
-		return fmt.Errorf("policy: Tiers, Tier, Balancers, Self, MaxAttempts or FallMultiple is negative")
-	}
-	return nil
+	return firstFault(
+		isShare("OverQuotaWeight", s.OverQuotaWeight),
+		isShare("SlowStartInitialCapacity", s.SlowStartInitialCapacity),
+		notNegative("MaxPollInterval", s.MaxPollInterval),
+		notNegative("TimerResolution", s.TimerResolution),
+		notNegative("MaxRetryAfter", s.MaxRetryAfter),
+		notNegative("KeySettleTime", s.KeySettleTime),
+		notNegative("SlowStartDuration", s.SlowStartDuration),
+		notNegative("Tiers", s.Tiers),
+		notNegative("Tier", s.Tier),
+		notNegative("Replicas", s.Replicas),
+		notNegative("ReplicaIndex", s.ReplicaIndex),
+		notNegative("MaxAttempts", s.MaxAttempts),
+		notNegative("SlowStartOverloadFactor", s.SlowStartOverloadFactor),
+	)
 }
 
-// addClass takes a class of the settings in, with a pool for each placement.
-func (b *Balancer) addClass(c Class) {
-	k := &class{Class: c, meanLatency: float64(c.LatencyObjective) / 4, latencyDeviation: float64(c.LatencyObjective) / 8}
-	i := slices.IndexFunc(b.subsets, func(p *endpointSubset) bool {
-		return reflect.DeepEqual([][]string{p.zones, p.machineTypes}, [][]string{c.AllowedZones, c.AllowedMachineTypes})
-	})
-	if i < 0 {
-		i, b.subsets = len(b.subsets), append(b.subsets, &endpointSubset{zones: c.AllowedZones, machineTypes: c.AllowedMachineTypes})
+func (s Settings) validateClasses() error {
+	if len(s.Classes) == 0 {
+		return &settingError{setting: "Classes", problem: "is empty"}
 	}
-	k.subset = b.subsets[i]
-	for _, t := range b.settings.Tenants { // who sends what is not told: each class counts alike
-		if c.Name != "" {
-			k.subset.quotaLoad += t.Quota * c.LatencyObjective.Seconds() / float64(len(b.settings.Classes))
+	for i, c := range s.Classes {
+		if c.Name == "" {
+			return &settingError{setting: fmt.Sprintf("Classes[%d].Name", i), problem: "is empty"}
+		}
+		name := fmt.Sprintf("Classes[%d] (%s).", i, c.Name)
+		err := firstFault(
+			isPositive(name+"LatencyObjective", c.LatencyObjective),
+			isPositive(name+"Deadline", c.Deadline),
+			notNegative(name+"DeduplicationWindow", c.DeduplicationWindow),
+			notNegative(name+"PriorityWeight", c.PriorityWeight),
+			isShare(name+"LateAnswerWeight", c.LateAnswerWeight),
+		)
+		if err != nil {
+			return err
 		}
 	}
-	b.classes[c.Name] = k
-	b.classOrder = append(b.classOrder, k)
+	return nil
 }
