--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -279,7 +279,7 @@
 	c.inFlight--
 	l.out--
 	l.stats.countAttemptResult(r.attempt.endpoint.id, r.result, l.clock.now()-r.attempt.startedAt, r.err)
-	if r.notSentReason == guard.ClientLeft && l.leave(c) {
+	if r.notSentReason == guard.ClientDisconnected && l.leave(c) {
 		c.responses <- abortResponse
 	}
 	var spent bool
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -43,7 +43,7 @@
 // heartbeat takes a sign of life.
 func (s *suspensionDetector) heartbeat(now time.Duration) {
 	gap := now - time.Duration(s.lastHeartbeat.Swap(int64(now)))
-	if gap > guard.HeldUpMost {
+	if gap > guard.MaxSuspension {
 		s.lastPause.Store(int64(gap))
 		s.resumedAt.Store(int64(now))
 	}
@@ -59,7 +59,7 @@
 }
 
 func (s *suspensionDetector) timeQueuedAt(now time.Duration) time.Duration {
-	if gap := now - time.Duration(s.lastHeartbeat.Load()); gap > guard.HeldUpMost {
+	if gap := now - time.Duration(s.lastHeartbeat.Load()); gap > guard.MaxSuspension {
 		return gap // it has just gone on
 	}
 	if resumed := time.Duration(s.resumedAt.Load()); resumed > 0 && now-resumed < backlogReadTime {
