--- a/cmd/balancer-sim/main_test.go
+++ b/cmd/balancer-sim/main_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-const hello = `hello	7	{"lanes":[{"name":"get","effect":"read_like","target-ms":500,"deadline-ms":900}],` +
+const instanceStart = `hello	7	{"lanes":[{"name":"get","effect":"read_like","target-ms":500,"deadline-ms":900}],` +
 	`"limits":{"max-attempts":3},"tick-ms":2,"tiers":["a"]}`
 
 func TestRunAnswersABatch(t *testing.T) {
-	in := "sync\t1\neob\nsync\t2\nabout\t0\n" + hello + "\nlist\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\n" +
+	in := "sync\t1\neob\nsync\t2\nabout\t0\n" + instanceStart + "\nlist\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\n" +
 		"announce\t2\t0\t1\njob_in\tid\t900\t-\tget\t0\t-\t-\neob\n"
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestRunStopsAtBadInputWithoutHalfAReply(t *testing.T) {
+func TestInvalidInputLeavesNoPartialReply(t *testing.T) {
 	for _, bad := range []string{"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n"} {
 		var out bytes.Buffer
 		err := run(strings.NewReader("sync\t1\neob\n"+bad), &out)
@@ -35,12 +35,12 @@
 	}
 }
 
-// A killed instance forgets all: what comes after its fresh start for an old request is ignored,
-// and with an empty list a new request is held.
-func TestKillAndFreshStart(t *testing.T) {
+// A killed instance loses its state: after its restart an event of an old request is ignored, and with an empty list
+// a new request is queued.
+func TestKilledInstanceRestartsWithoutState(t *testing.T) {
 	list := "list\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\nannounce\t2\t0\t1\n"
-	in := "sync\t2\nabout\t0\n" + hello + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
-		"sync\t4\nabout\t0\ncrash_now\n" + hello + "\nlist\t1\t0\nannounce\t2\t1\t1\n" +
+	in := "sync\t2\nabout\t0\n" + instanceStart + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
+		"sync\t4\nabout\t0\ncrash_now\n" + instanceStart + "\nlist\t1\t0\nannounce\t2\t1\t1\n" +
 		"outcome\told\ts:1\t2\t0\t0\tfailure\t-\njob_in\tnew\t900\t-\tget\t0\t-\t-\neob\n" +
 		"sync\t890\nabout\t0\nring\tr:old\neob\nsync\t898\nabout\t0\nring\tr:new\neob\n"
 	var out bytes.Buffer
--- /dev/null
+++ b/internal/simulator/protocol.go
@@ -0,0 +1,149 @@
+// Package simulator reads batches of events in the simulator's text protocol, and writes the replies. It makes no
+// decisions.
+//
+// A line is a word followed by values, separated by tabs. The protocol's words are mapped to the terms of package
+// policy here and nowhere else: the words of lines and values in protocol.go, those of the settings as JSON tags in
+// settings.go.
+package simulator
+
+import (
+	"time"
+
+	"keelusher/policy"
+)
+
+// Words that begin the lines of a batch.
+const (
+	wordBatchStart         = "sync"
+	wordBatchEnd           = "eob"
+	wordInstance           = "about" // the following lines belong to this instance
+	wordInstanceStart      = "hello"
+	wordInstanceKilled     = "crash_now"
+	wordEndpointList       = "list" // of which wordEndpointUpdate names the number
+	wordEndpoint           = "item"
+	wordEndpointUpdate     = "announce"
+	wordRequest            = "job_in"
+	wordTimerFired         = "ring"
+	wordAttemptEnded       = "outcome"
+	wordResponseStarted    = "flowing"
+	wordClientDisconnected = "timed_out_client"
+	wordHealthChecked      = "checked" // ignored: no health checks are sent
+	wordInstanceMessage    = "mail"    // ignored: no messages between instances are sent
+)
+
+// Words that begin the lines of a reply.
+const (
+	wordReplyInstance  = "instance"
+	wordSendAttempt    = "forward"
+	wordReject         = "turn_away"
+	wordFail           = "report_failure"
+	wordSetTimer       = "remind"
+	wordWatchEndpoints = "subscribe"
+	wordReplyEnd       = "yield"
+)
+
+// absentValue stands for a value that is not set.
+const absentValue = "-"
+
+// Positions of the values in lines.
+const (
+	batchStartTime = 0
+
+	instanceNumber = 0
+
+	instanceStartSeed = 0
+
+	endpointListNumber = 0
+	endpointListLength = 1
+
+	endpointID          = 0
+	endpointZone        = 1
+	endpointMachineType = 2
+	endpointCell        = 3
+	endpointState       = 4
+	endpointStartedAt   = 6
+
+	endpointUpdateMode = 0
+	endpointUpdateList = 1
+
+	requestID       = 0
+	requestDeadline = 1
+	requestKey      = 2
+	requestClass    = 3
+	requestFlags    = 4
+	requestTenant   = 5
+
+	timerToken = 0
+
+	attemptRequestID = 0
+	attemptEndpoint  = 1
+	attemptLatency   = 2
+	attemptAnswered  = 3
+	attemptNumber    = 4
+	attemptResult    = 5
+	attemptLoad      = 6
+
+	responseRequestID = 0
+	responseAttempt   = 3
+
+	disconnectedRequestID = 0
+)
+
+// Modes of an endpoint update.
+const (
+	modeChanges        = 0
+	modeSnapshot       = 1
+	modeCachedSnapshot = 2
+	modeFailed         = 3
+)
+
+const (
+	retryFlag    = 1 << 1 // in the flags of a request
+	answeredFlag = "1"
+)
+
+// Names of the values in a load report; others are ignored.
+const (
+	loadBusy    = "busy_reqs"
+	loadService = "svc_ms"
+)
+
+var endpointStates = map[int]policy.EndpointState{
+	0: policy.Draining,
+	1: policy.Removed,
+	2: policy.Ready,
+}
+
+var attemptResults = map[string]policy.AttemptResult{
+	"success":     policy.Success,
+	"failure":     policy.ServerError,
+	"overloaded":  policy.Overloaded,
+	"timed_out":   policy.TimedOut,
+	"unreachable": policy.ConnectFailed,
+	"broken":      policy.ConnectionLost,
+	"withdrawn":   policy.Canceled,
+	"void":        policy.NotSent,
+}
+
+// MessageKind tells what a Message carries.
+type MessageKind int
+
+// Kinds of messages.
+const (
+	BatchStart     MessageKind = iota // Now is set
+	InstanceStart                     // a new instance; Seed and Settings are set
+	PolicyEvent                       // Event is set
+	InstanceKilled                    // the instance loses its state
+	Ignored                           // known, but of no use to the policy
+	BatchEnd                          // a reply is due
+)
+
+// Message is a line of a batch, or an endpoint update with the list that it names.
+type Message struct {
+	Kind     MessageKind
+	Instance int
+	Now      time.Duration
+	Seed     uint64
+	Settings policy.Settings
+	Event    policy.Event
+}
--- /dev/null
+++ b/internal/simulator/values.go
@@ -0,0 +1,152 @@
+package simulator
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"keelusher/policy"
+)
+
+// maxNumber bounds times in milliseconds and reported loads, so that they fit a time.Duration.
+const maxNumber = 1e12
+
+// values reads the values of one line by position, and keeps the first error.
+type values struct {
+	word  string
+	parts []string
+	err   error
+}
+
+func newValues(word, rest string) *values {
+	return &values{
+		word:  word,
+		parts: strings.Split(rest, "\t"),
+	}
+}
+
+func (v *values) fail(position int, problem string) {
+	if v.err == nil {
+		v.err = fmt.Errorf("%s: value %d %s", v.word, position+1, problem)
+	}
+}
+
+// optionalText returns a value, or "" if it is absent.
+func (v *values) optionalText(position int) string {
+	if position >= len(v.parts) || v.parts[position] == absentValue {
+		return ""
+	}
+	return v.parts[position]
+}
+
+func (v *values) text(position int) string {
+	text := v.optionalText(position)
+	if text == "" {
+		v.fail(position, "is missing")
+	}
+	return text
+}
+
+func (v *values) integer(position int) int {
+	number, err := strconv.Atoi(v.text(position))
+	if err != nil {
+		v.fail(position, "is no whole number")
+	}
+	return number
+}
+
+func (v *values) optionalInteger(position int) int {
+	if v.optionalText(position) == "" {
+		return 0
+	}
+	return v.integer(position)
+}
+
+// unsigned returns a value of 64 bits, which may be written as a signed number.
+func (v *values) unsigned(position int) uint64 {
+	text := v.text(position)
+	if number, err := strconv.ParseUint(text, 10, 64); err == nil {
+		return number
+	}
+	number, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		v.fail(position, "is no whole number")
+	}
+	return uint64(number)
+}
+
+func (v *values) optionalUnsigned(position int) uint64 {
+	if v.optionalText(position) == "" {
+		return 0
+	}
+	return v.unsigned(position)
+}
+
+func (v *values) milliseconds(position int) time.Duration {
+	number, ok := parseNumber(v.text(position))
+	if !ok {
+		v.fail(position, "is no time in milliseconds")
+		return 0
+	}
+	return fromMilliseconds(number)
+}
+
+func (v *values) optionalMilliseconds(position int) time.Duration {
+	if v.optionalText(position) == "" {
+		return 0
+	}
+	return v.milliseconds(position)
+}
+
+func (v *values) endpointState(position int) policy.EndpointState {
+	state, ok := endpointStates[v.integer(position)]
+	if !ok {
+		v.fail(position, "is no state")
+	}
+	return state
+}
+
+func (v *values) attemptResult(position int) policy.AttemptResult {
+	result, ok := attemptResults[v.text(position)]
+	if !ok {
+		v.fail(position, "is no ending")
+	}
+	return result
+}
+
+// load reads a load report of name:value pairs, nil if it is absent.
+func (v *values) load(position int) *policy.Load {
+	report := v.optionalText(position)
+	if report == "" {
+		return nil
+	}
+	load := &policy.Load{Busy: -1, Service: -1}
+	for _, pair := range strings.Split(report, ",") {
+		name, text, _ := strings.Cut(pair, ":")
+		number, ok := parseNumber(text)
+		if !ok {
+			v.fail(position, "is no load report")
+			return nil
+		}
+		switch name {
+		case loadBusy:
+			load.Busy = number
+		case loadService:
+			load.Service = fromMilliseconds(number)
+		}
+	}
+	return load
+}
+
+// parseNumber returns a number within the bounds.
+func parseNumber(text string) (number float64, ok bool) {
+	number, err := strconv.ParseFloat(text, 64)
+	ok = err == nil && !math.IsNaN(number) && math.Abs(number) <= maxNumber
+	return number, ok
+}
+
+func fromMilliseconds(number float64) time.Duration {
+	return time.Duration(math.Round(number * float64(time.Millisecond)))
+}
