--- a/internal/simulator/decoder_test.go
+++ b/internal/simulator/decoder_test.go
@@ -125,6 +125,10 @@
 		"sync\t1\n":                            "input ends inside a batch",
 		"sync\t1\nabout\t1\nhello\t5\t{bad\n":  "settings",
 		"sync\t1\nabout\t1\nannounce\t9\t0\t0": "input ends inside a batch",
+
+		// A number that does not fit reads as the nearest that does, which is no list either.
+		"sync\t1\nabout\t1\nannounce\t0\t99999999999999999999\n": "announce: value 2 is no whole number",
+		"sync\t1\nabout\t1\nannounce\tx\t-1\n":                   "announce: value 1 is no whole number",
 	} {
 		if _, err := decodeAll(t, text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: got %v, want %q", text, err, want)
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -66,7 +66,7 @@
 		return nil
 	}
 	list := v.integer(endpointUpdateList)
-	if v.err == nil && (list < 0 || list >= len(d.lists)) {
+	if list < 0 || list >= len(d.lists) {
 		v.fail(endpointUpdateList, "is no list number")
 		return nil
 	}
