--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -51,7 +51,7 @@
 		"nothing left":     func(r *http.Request) { r.Header.Set("X-Budget", "0m") },
 		"endless":          func(r *http.Request) { r.Header.Set("X-Budget", "1e300m") },
 		"method":           func(r *http.Request) { r.Method = http.MethodDelete },
-		"body over 32 MiB": func(r *http.Request) { *r = *newRequest(t, n.url, "keyed", "big", strings.Repeat("x", maxStream+1)) },
+		"body over 32 MiB": func(r *http.Request) { *r = *newRequest(t, n.url, "keyed", "big", strings.Repeat("x", maxStreamedBody+1)) },
 		"GET with chunks": func(r *http.Request) {
 			r.Method = http.MethodGet
 			r.Header.Set("X-Call-Class", "safe")
@@ -273,7 +273,7 @@
 	}()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.life.now() == leaving })
+	eventually(t, "leaving", func() bool { return n.life.current() == phaseShuttingDown })
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := fresh.Do(newRequest(t, n.url, "unsafe", "late", "x"))
 	if err != nil {
