--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,7 +15,7 @@
 
 // Config is a fleet configuration.
 type Config struct {
-	Name      string    `toml:"name"`   // of the fleet; processes of other fleets are strangers
+	Name      string    `toml:"name"`   // of the fleet; processes of other fleets do not become members
 	Region    string    `toml:"region"` // of this node; default: its zone
 	Mesh      *Mesh     `toml:"mesh"`   // nil: no membership
 	Overrides *struct{} `toml:"orders"` // nil: no overrides
@@ -23,22 +23,22 @@
 
 // Mesh configures membership.
 type Mesh struct {
-	Listen        string            `toml:"listen"` // address for UDP and TCP; peers know this one
-	Seeds         []string          `toml:"seeds"`  // NAME=ADDRESS of some members, the same on all; they found the first roster
-	DialAddresses map[string]string `toml:"dial"`   // this process's own addresses for peers, by name
-	ProbeInterval time.Duration     `toml:"probe"`  // between two probes; default 400 ms
+	Listen        string            `toml:"listen"` // address for UDP and TCP, which peers know
+	Seeds         []string          `toml:"seeds"`  // NAME=ADDRESS of the first members, the same on all nodes
+	DialAddresses map[string]string `toml:"dial"`   // by peer, for this process alone; default: the peer's own
+	ProbeInterval time.Duration     `toml:"probe"`  // default: defaultProbeInterval
 }
 
-// Limits of the values.
 const (
-	minProbeInterval = 50 * time.Millisecond
-	maxProbeInterval = 10 * time.Second
-	maxSeeds         = 64
-	maxDialAddresses = 4096
-	maxNameBytes     = 64 // bytes of a name
+	defaultProbeInterval = 400 * time.Millisecond
+	minProbeInterval     = 50 * time.Millisecond
+	maxProbeInterval     = 10 * time.Second
+	maxSeeds             = 64
+	maxDialAddresses     = 4096
+	maxNameBytes         = 64
 )
 
-// Load reads and checks a fleet configuration. The error joins a tomlfile.Problem for each thing wrong.
+// Load reads and checks a fleet configuration. The error joins a tomlfile.Problem for each invalid value.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -48,56 +48,78 @@
 	if err := tomlfile.Decode(path, text, c); err != nil {
 		return nil, err
 	}
-	var all []error
-	bad := func(key, format string, args ...any) {
-		all = append(all, tomlfile.ProblemAt(path, text, key, fmt.Sprintf(format, args...)))
-	}
+	p := &problems{path: path, text: text}
+	c.check(p)
+	return c, errors.Join(p.found...)
+}
+
+// problems collects what is wrong with a file.
+type problems struct {
+	path  string
+	text  []byte
+	found []error
+}
+
+func (p *problems) add(key, format string, args ...any) {
+	p.found = append(p.found, tomlfile.ProblemAt(p.path, p.text, key, fmt.Sprintf(format, args...)))
+}
+
+func (c *Config) check(p *problems) {
 	if c.Name == "" || len(c.Name) > maxNameBytes {
-		bad("name", "must have 1 to %d bytes", maxNameBytes)
+		p.add("name", "must have 1 to %d bytes", maxNameBytes)
 	}
 	if len(c.Region) > maxNameBytes {
-		bad("region", "has over %d bytes", maxNameBytes)
+		p.add("region", "has over %d bytes", maxNameBytes)
 	}
 	if c.Mesh != nil {
-		c.Mesh.check(bad)
+		c.Mesh.setDefaults()
+		c.Mesh.check(p)
 	}
 	if c.Overrides != nil && c.Mesh == nil {
-		bad("orders", "needs [mesh]")
+		p.add("orders", "needs [mesh]")
 	}
-	return c, errors.Join(all...)
 }
 
-func (m *Mesh) check(bad func(key, format string, args ...any)) {
-	if err := address(m.Listen); err != nil {
-		bad("mesh.listen", "%v", err)
-	}
+func (m *Mesh) setDefaults() {
 	if m.ProbeInterval == 0 {
-		m.ProbeInterval = 400 * time.Millisecond
+		m.ProbeInterval = defaultProbeInterval
+	}
+}
+
+func (m *Mesh) check(p *problems) {
+	if err := checkAddress(m.Listen); err != nil {
+		p.add("mesh.listen", "%v", err)
 	}
 	if m.ProbeInterval < minProbeInterval || m.ProbeInterval > maxProbeInterval {
-		bad("mesh.probe", "must be from %v to %v", minProbeInterval, maxProbeInterval)
+		p.add("mesh.probe", "must be from %v to %v", minProbeInterval, maxProbeInterval)
 	}
 	if len(m.Seeds) > maxSeeds || len(m.DialAddresses) > maxDialAddresses {
-		bad("mesh.seeds", "at most %d seeds and %d addresses to dial", maxSeeds, maxDialAddresses)
+		p.add("mesh.seeds", "at most %d seeds and %d addresses to dial", maxSeeds, maxDialAddresses)
 	}
-	seen := map[string]bool{}
-	for _, s := range m.Seeds {
-		name, addr, _ := strings.Cut(s, "=")
-		if err := address(addr); err != nil || name == "" || len(name) > maxNameBytes || seen[name] {
-			bad("mesh.seeds", "%q is not NAME=ADDRESS with a name of its own: %v", s, err)
+	m.checkSeeds(p)
+	for name, address := range m.DialAddresses {
+		if err := checkAddress(address); err != nil || !isValidName(name) {
+			p.add("mesh.dial", "%s = %q: %v", name, address, err)
 		}
-		seen[name] = true
 	}
-	for name, addr := range m.DialAddresses {
-		if err := address(addr); err != nil || name == "" || len(name) > maxNameBytes {
-			bad("mesh.dial", "%s = %q: %v", name, addr, err)
+}
+
+func (m *Mesh) checkSeeds(p *problems) {
+	seen := map[string]bool{}
+	for _, seed := range m.Seeds {
+		name, address, _ := strings.Cut(seed, "=")
+		if err := checkAddress(address); err != nil || !isValidName(name) || seen[name] {
+			p.add("mesh.seeds", "%q is not NAME=ADDRESS with a name of its own: %v", seed, err)
 		}
+		seen[name] = true
 	}
 }
 
-// address checks for an IPv4 address and a port: there are no names to resolve on the platform.
-func address(text string) error {
-	host, _, err := net.SplitHostPort(text)
+func isValidName(name string) bool { return name != "" && len(name) <= maxNameBytes }
+
+// checkAddress checks for an IPv4 address and a port: the platform has no names to resolve.
+func checkAddress(address string) error {
+	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -7,36 +7,52 @@
 	"testing"
 )
 
-// gatedWriter blocks until it is opened, and keeps what it gets.
+// gatedWriter blocks until its gate is closed, and keeps what it gets.
 type gatedWriter struct {
-	open chan struct{}
-	got  bytes.Buffer
+	gate    chan struct{}
+	written bytes.Buffer
 }
 
-func (w *gatedWriter) Write(b []byte) (int, error) {
-	<-w.open
-	return w.got.Write(b)
+func newGatedWriter() *gatedWriter {
+	return &gatedWriter{gate: make(chan struct{})}
+}
+
+func (w *gatedWriter) Write(line []byte) (int, error) {
+	<-w.gate
+	return w.written.Write(line)
+}
+
+// mustWrite writes a line, which must never fail.
+func mustWrite(t *testing.T, s *Sink, line string) {
+	t.Helper()
+	if n, err := s.Write([]byte(line)); n != len(line) || err != nil {
+		t.Errorf("wrote %d bytes of %d: %v", n, len(line), err)
+	}
 }
 
 func TestBlockedWriterBlocksNobody(t *testing.T) {
-	w := &gatedWriter{open: make(chan struct{})}
+	w := newGatedWriter()
 	s := New(w)
-	for range 2 * queueLines { // more than can wait
-		s.Write([]byte("x\n"))
+	for range 2 * queueLines {
+		mustWrite(t, s, "x\n")
 	}
-	close(w.open)
+	close(w.gate)
 	s.Close()
-	if text := w.got.String(); strings.Count(text, "x\n") < queueLines || !strings.Contains(text, `msg="log lines lost" n=`) {
-		t.Errorf("%d lines came, and not how many are lost", strings.Count(text, "x\n"))
+	text := w.written.String()
+	if lines := strings.Count(text, "x\n"); lines < queueLines {
+		t.Errorf("%d lines are written, want at least %d", lines, queueLines)
+	}
+	if !strings.Contains(text, `msg="log lines lost" n=`) {
+		t.Error("no line says how many are lost")
 	}
 }
 
-func TestCloseDoesNotWaitForGood(t *testing.T) {
-	w := &gatedWriter{open: make(chan struct{})}
+func TestCloseDoesNotWaitForABlockedWriter(t *testing.T) {
+	w := newGatedWriter()
 	s := New(w)
-	s.Write([]byte("x\n"))
+	mustWrite(t, s, "x\n")
 	s.Close() // returns though the writer is blocked
-	close(w.open)
+	close(w.gate)
 	<-s.ended
 }
 
@@ -46,8 +62,6 @@
 
 func TestFailingWriterFailsNobody(t *testing.T) {
 	s := New(failingWriter{})
-	if n, err := s.Write([]byte("x\n")); n != 2 || err != nil {
-		t.Errorf("%d, %v", n, err)
-	}
+	mustWrite(t, s, "x\n")
 	s.Close()
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,10 +1,9 @@
-// Package tomlfile reads TOML files strictly: a key that nothing takes is an error, and every error names the file,
-// the line and the key.
+// Package tomlfile reads TOML files strictly: an unknown key is an error, and every error names the file, the line and
+// the key.
 package tomlfile
 
 import (
 	"errors"
-	"fmt"
 	"regexp"
 	"strconv"
 	"strings"
@@ -15,98 +14,72 @@
 // Problem is one thing that is wrong with a file.
 type Problem struct {
 	File string
-	Line int // 0: not known
-	Key  string
+	Line int    // 0: not known
+	Key  string // empty: not known
 	Why  string
 }
 
+// Error returns FILE:LINE: KEY: WHY, without what is not known.
 func (p Problem) Error() string {
-	at := p.File
+	location := p.File
 	if p.Line > 0 {
-		at += ":" + strconv.Itoa(p.Line)
+		location += ":" + strconv.Itoa(p.Line)
 	}
 	if p.Key != "" {
-		at += ": " + p.Key
+		location += ": " + p.Key
 	}
-	return at + ": " + p.Why
+	return location + ": " + p.Why
 }
 
-// Decode reads text into a struct with toml tags. The error joins a Problem for each key that the struct does not have,
-// or holds the one Problem that made the text unreadable.
+// Decode reads text into a struct with toml tags. The error joins a Problem for each unknown key, or is the one Problem
+// for which the text cannot be read.
 func Decode(file string, text []byte, into any) error {
 	meta, err := toml.Decode(string(text), into)
-	var parse toml.ParseError
-	switch {
-	case errors.As(err, &parse):
-		return Problem{file, parse.Position.Line, parse.LastKey, parse.Message}
-	case err != nil:
-		why := strings.TrimPrefix(err.Error(), "toml: ")
-		if m := located.FindStringSubmatch(why); m != nil {
-			n, _ := strconv.Atoi(m[1]) // digits
-			return Problem{file, n, m[2], m[3]}
-		}
-		return Problem{file, 0, "", why}
+	if err != nil {
+		return decodeProblem(file, err)
 	}
-	var all []error
+	var problems []error
 	for _, key := range meta.Undecoded() {
-		all = append(all, ProblemAt(file, text, key.String(), "unknown key"))
+		problems = append(problems, ProblemAt(file, text, key.String(), "unknown key"))
 	}
-	return errors.Join(all...)
+	return errors.Join(problems...)
 }
 
-// ProblemAt is a Problem with a key such as "world.tier[1].cores", at the line where the text has it or, where it is
-// missing, at its table.
-func ProblemAt(file string, text []byte, key, why string) Problem {
-	return Problem{file, line(text, key), key, why}
-}
-
-var (
-	header = regexp.MustCompile(`^\s*(\[\[?)\s*([^\]]+?)\s*\]`)
-	assign = regexp.MustCompile(`^\s*([A-Za-z0-9_."-]+)\s*=`)
-	// located is the library's word on a value of the wrong type.
-	located = regexp.MustCompile(`^line (\d+) \(last key "(.*?)"\): (.*)$`)
-	index   = regexp.MustCompile(`\[\d+\]`)
-)
+// typeMessage is the library's message on a value of the wrong type.
+var typeMessage = regexp.MustCompile(`^line (\d+) \(last key "(.*?)"\): (.*)$`)
 
-// line finds a key. A table array's index counts its headers; a key without indices is found in the first that has it.
-func line(text []byte, key string) int {
-	loose := index.ReplaceAllString(key, "") == key
-	table, best := 0, 0
-	prefix := "" // of the table that the line is in, with indices
-	counts := map[string]int{}
-	for n, l := range strings.Split(string(text), "\n") {
-		if m := header.FindStringSubmatch(l); m != nil {
-			prefix = m[2]
-			if m[1] == "[[" {
-				prefix = fmt.Sprintf("%s[%d]", m[2], counts[m[2]])
-				counts[m[2]]++
-			}
-			if same(prefix, key, loose) {
-				return n + 1
-			}
-			if strings.HasPrefix(strip(key, loose), strip(prefix, loose)+".") && len(prefix) > best {
-				table, best = n+1, len(prefix)
-			}
-			continue
-		}
-		if m := assign.FindStringSubmatch(l); m != nil {
-			full := m[1]
-			if prefix != "" {
-				full = prefix + "." + m[1]
-			}
-			if same(full, key, loose) {
-				return n + 1
-			}
+// decodeProblem is the Problem for an error of the library.
+func decodeProblem(file string, err error) Problem {
+	var parseError toml.ParseError
+	if errors.As(err, &parseError) {
+		return Problem{
+			File: file,
+			Line: parseError.Position.Line,
+			Key:  parseError.LastKey,
+			Why:  parseError.Message,
 		}
 	}
-	return table
+	message := strings.TrimPrefix(err.Error(), "toml: ")
+	parts := typeMessage.FindStringSubmatch(message)
+	if parts == nil {
+		return Problem{File: file, Why: message}
+	}
+	line, _ := strconv.Atoi(parts[1]) // digits
+	return Problem{
+		File: file,
+		Line: line,
+		Key:  parts[2],
+		Why:  parts[3],
+	}
 }
 
-func strip(key string, loose bool) string {
-	if loose {
-		return index.ReplaceAllString(key, "")
+// ProblemAt is a Problem with a key such as "world.tier[1].cores", at the line where the text has it or, where it is
+// missing, at its table.
+func ProblemAt(file string, text []byte, key, why string) Problem {
+	return Problem{
+		File: file,
+		Line: findLine(text, key),
+		Key:  key,
+		Why:  why,
 	}
-	return key
 }
-
-func same(full, key string, loose bool) bool { return strip(full, loose) == key }
