--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -36,10 +36,10 @@
 		return err
 	}
 	if cfg.MemoryMB > 0 {
-		cfg.Shared = func(processes int) {
+		cfg.ProcessesChanged = func(processes int) {
 			debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4 / int64(processes)) // the rest is for stacks of the kernel and sockets
 		}
-		cfg.Shared(1)
+		cfg.ProcessesChanged(1)
 	}
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
--- a/internal/node/accept_faults_test.go
+++ b/internal/node/accept_faults_test.go
@@ -155,8 +155,8 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	h := &handover{path: filepath.Join(dir, "s"), log: quiet(), ln: ln.(syscall.Conn), phase: func() phase { return phaseServing },
-		share: func(int) {}, moved: make(chan struct{}, 1)}
+	h := &handoverServer{path: filepath.Join(dir, "s"), log: quiet(), listener: ln.(syscall.Conn), phase: func() phase { return phaseServing },
+		changeProcesses: func(int) {}, changed: make(chan struct{}, 1)}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -168,12 +168,12 @@
 		t.Fatal(err)
 	}
 	eventually(t, "a successor gets the listener", func() bool {
-		p, err := succeed(h.path)
+		p, err := connectPredecessor(h.path)
 		if p == nil || err != nil {
 			return false
 		}
 		p.conn.Close()
-		return p.ln.Close() == nil
+		return p.listener.Close() == nil
 	})
 	stop()
 	<-ended
--- a/internal/node/door_test.go
+++ b/internal/node/admin_test.go
@@ -81,10 +81,10 @@
 	})
 	cfg := testConfig(t, "pushed", inService("s", b.addr()))
 	cfg.Discovery = silentDiscovery(t)
-	cfg.Sockets = 2 * reserved // the least there may be
+	cfg.Sockets = 2 * reservedDescriptors // the least there may be
 	n := start(t, cfg)
 	held := make(chan bool)
-	most := cfg.inboundPlaces(cfg.Sockets)
+	most := cfg.clientConnectionLimit(cfg.Sockets)
 	for i := range most {
 		go func() {
 			resp, err := http.DefaultClient.Do(newRequest(t, n.url, "unsafe", fmt.Sprint(i), "x"))
@@ -99,7 +99,7 @@
 		defer n.inbound.mu.Unlock()
 		return n.inbound.taken == most && n.inbound.waiting.Len() == 0
 	})
-	for i := range 2 * doorPlaces {
+	for i := range 2 * adminMaxConnections {
 		c, err := net.Dial("tcp", n.door)
 		if err != nil {
 			t.Fatal(err)
@@ -111,7 +111,7 @@
 	if status, _ := n.ask(t, "GET", "/control/ready"); status != http.StatusOK {
 		t.Errorf("answered %d", status)
 	}
-	if took := time.Since(begin); took > doorTime/2 { // so no mute peer had to run out of its time first
+	if took := time.Since(begin); took > adminCallTimeout/2 { // so no mute peer had to run out of its time first
 		t.Errorf("answered after %v", took)
 	}
 	close(release)
@@ -131,7 +131,7 @@
 	}
 	defer c.Close()
 	io.WriteString(c, "GET /control/ready HTTP/1.1\r\nHost")
-	c.SetReadDeadline(time.Now().Add(2 * doorTime))
+	c.SetReadDeadline(time.Now().Add(2 * adminCallTimeout))
 	if _, err := io.Copy(io.Discard, c); err != nil && strings.Contains(err.Error(), "timeout") {
 		t.Error("left open")
 	}
@@ -287,7 +287,7 @@
 	if got := read(); got.InFlight != 0 || got.Succeeded["unsafe"] != 3 {
 		t.Errorf("after the last answer %+v", got)
 	}
-	if c := n.loop.stats.snapshot(); c.succeeded.sum() != 4 || c.attemptsWritten != 6 {
+	if c := n.loop.metrics.snapshot(); c.succeeded.sum() != 4 || c.attemptsWritten != 6 {
 		t.Errorf("the log would say %+v", c)
 	}
 }
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -89,7 +89,7 @@
 			t.Errorf("%s: passed off as whole", name)
 		}
 		eventually(t, "it is counted", func() bool {
-			c := n.loop.stats.snapshot()
+			c := n.loop.metrics.snapshot()
 			return c.failed["unsafe"] == 1 && c.succeeded["unsafe"] == 0 && c.inFlight() == 0
 		})
 	}
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -35,8 +35,8 @@
 	stats      *metrics
 	decisions  *decisions
 	buffers    buffers
-	methods    map[string]string // by class; others are no classes
-	suspension *suspensionDetector       // nil: stops of the process are not noticed
+	methods    map[string]string   // by class; others are no classes
+	suspension *suspensionDetector // nil: stops of the process are not noticed
 	ready      func() bool
 	closing    func() bool // every answer ends its connection
 }
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -273,7 +273,7 @@
 	}()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.life.current() == phaseShuttingDown })
+	eventually(t, "leaving", func() bool { return n.lifecycle.current() == phaseShuttingDown })
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := fresh.Do(newRequest(t, n.url, "unsafe", "late", "x"))
 	if err != nil {
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -20,18 +20,18 @@
 	return c.start.Add(t - time.Duration(c.start.UnixNano()))
 }
 
-// wakeHeap holds the timers that the module asked for, the next one first.
-type wakeHeap []policy.SetTimer
+// timerHeap holds the timers that the module asked for, the next one first.
+type timerHeap []policy.SetTimer
 
-func (h wakeHeap) Len() int { return len(h) }
+func (h timerHeap) Len() int { return len(h) }
 
-func (h wakeHeap) Less(i, j int) bool { return h[i].At < h[j].At }
+func (h timerHeap) Less(i, j int) bool { return h[i].At < h[j].At }
 
-func (h wakeHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *wakeHeap) Push(x any) { *h = append(*h, x.(policy.SetTimer)) }
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(policy.SetTimer)) }
 
-func (h *wakeHeap) Pop() any {
+func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	w := (*h)[last]
 	*h = (*h)[:last]
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -17,24 +17,24 @@
 
 // Config is what the platform tells a node at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Control   string // where operators call; "": nowhere
-	Discovery string
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Known     roster // the servers as this node last had them
-	Settings  policy.Settings
-	Fleet     *fleet.Config       // nil: the node knows of no others
-	Shared    func(processes int) // told when so many processes share the limits; may be nil
+	Name             string
+	Listen           string
+	Control          string // where operators call; "": nowhere
+	Discovery        string
+	Seed             uint64
+	Cores            float64
+	MemoryMB         int
+	Sockets          int
+	KnownEndpoints   endpointList // the servers as this node last had them
+	Settings         policy.Settings
+	Fleet            *fleet.Config       // nil: the node knows of no others
+	ProcessesChanged func(processes int) // told when so many processes share the limits; may be nil
 
-	fleetPath      string        // as the configuration names it
-	handover       string        // where a process that takes over this address finds this one; "": nowhere
-	connectTimeout time.Duration // a connection not up by then is given up
-	connIdle       time.Duration // a server closes a connection idle for this long
-	removalGrace   time.Duration // a server may get something new so long after the news that it drains or is gone
+	fleetPath             string        // as the configuration names it
+	handoverSocket        string        // where a process that takes over this address finds this one; "": nowhere
+	connectTimeout        time.Duration // a connection not up by then is given up
+	connectionIdleTimeout time.Duration // a server closes a connection idle for this long
+	removalGrace          time.Duration // a server may get something new so long after the news that it drains or is gone
 }
 
 // LoadConfig reads the configuration file. The error says in one line what is wrong with it.
@@ -53,10 +53,10 @@
 	if err := c.loadFleet(cmp.Or(c.fleetPath, os.Getenv("ROUTER_FLEET"))); err != nil {
 		return Config{}, err
 	}
-	if c.Sockets > 0 && c.Sockets < 2*c.reserved() {
+	if c.Sockets > 0 && c.Sockets < 2*c.reservedDescriptors() {
 		return Config{}, fmt.Errorf("configuration %s: limits: %d sockets are too few with a mesh", path, c.Sockets)
 	}
-	c.handover = handoverPath(os.Getenv("TMPDIR"), c.Listen)
+	c.handoverSocket = handoverPath(os.Getenv("TMPDIR"), c.Listen)
 	return c, nil
 }
 
@@ -73,13 +73,13 @@
 			MemoryMB int     `json:"memory_mb"`
 			Sockets  int     `json:"sockets"`
 		} `json:"limits"`
-		Known    roster          `json:"known"`
+		Known    endpointList    `json:"known"`
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return Config{}, err
 	}
-	c := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Known: raw.Known, fleetPath: raw.Fleet,
+	c := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, KnownEndpoints: raw.Known, fleetPath: raw.Fleet,
 		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets}
 	c.Control = cmp.Or(raw.Control, os.Getenv("ROUTER_CONTROL"))
 	for _, a := range []struct{ name, addr string }{{"listen", c.Listen}, {"control", c.Control}, {"discovery", c.Discovery}} {
@@ -94,7 +94,7 @@
 	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
 		return Config{}, fmt.Errorf("seed: %w", err)
 	}
-	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < 2*reserved {
+	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < 2*reservedDescriptors {
 		return Config{}, errors.New("limits: out of range")
 	}
 	if len(raw.Settings) == 0 {
@@ -117,12 +117,12 @@
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	c.connectTimeout = millis(conns.Limits.ConnectTimeout)
-	c.connIdle = millis(conns.Limits.ConnIdle)
+	c.connectionIdleTimeout = millis(conns.Limits.ConnIdle)
 	c.removalGrace = defaultRemovalGrace
 	if grace := conns.Rules.StopSending; grace != nil {
 		c.removalGrace = millis(*grace)
 	}
-	if c.connectTimeout <= 0 || c.connIdle <= 0 {
+	if c.connectTimeout <= 0 || c.connectionIdleTimeout <= 0 {
 		return Config{}, errors.New("settings: limits.connect-timeout-ms and limits.conn-idle-ms must be above 0")
 	}
 	return c, nil
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -119,7 +119,7 @@
 	if got := b.requests(); got != sent+2 {
 		t.Errorf("servers got %d requests, want 2", got-sent)
 	}
-	if crossed := n.loop.stats.snapshot().requestsAfterClose; crossed != 0 || len(n.loop.decisions.violations.nonZero()) > 0 {
+	if crossed := n.loop.metrics.snapshot().requestsAfterClose; crossed != 0 || len(n.loop.decisions.violations.nonZero()) > 0 {
 		t.Errorf("%d were dropped, violations %v", crossed, n.loop.decisions.violations.nonZero())
 	}
 }
@@ -261,7 +261,7 @@
 			first.Close()
 			eventually(t, "the loop knows that it left", func() bool {
 				var left bool
-				n.loop.ask(func() { left = n.loop.calls["1"].closed.Load() })
+				n.loop.runTask(func() { left = n.loop.calls["1"].closed.Load() })
 				return left
 			})
 			again := ln.dial(t)
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -16,7 +16,7 @@
 const (
 	decisionLinesPerSecond  = 2  // log lines about decisions, a second: samples, for the counts are whole
 	violationLinesPerSecond = 10 // the same about violations, each of which is a fault
-	logLineBurst      = 20
+	logLineBurst            = 20
 )
 
 // verdictCounters counts by verdict.
@@ -39,10 +39,10 @@
 type closeCause int
 
 const (
-	closeIdle    closeCause = iota // it had no request for as long as it may rest
-	closeSlowHead                    // its request's head did not come in time
-	closeEvicted                   // all places are taken, and it has gone without a request for longest
-	closeShutdown                     // the process sends its clients away
+	closeIdle     closeCause = iota // it had no request for as long as it may rest
+	closeSlowHead                   // its request's head did not come in time
+	closeEvicted                    // all places are taken, and it has gone without a request for longest
+	closeShutdown                   // the process sends its clients away
 	numberOfCloseCauses
 )
 
@@ -51,22 +51,22 @@
 
 // decisions is the one place where decisions are counted and logged. Its counts run from the start of the process.
 type decisions struct {
-	log    *slog.Logger
+	log            *slog.Logger
 	decisionLimit  *rate.Limiter
 	violationLimit *rate.Limiter // of violations: nothing else may crowd them out
 
-	attemptsNotSent       verdictCounters // attempts, by why they were not sent
-	requestsRejected      verdictCounters // requests refused or failed by the module, by why
-	readinessRefused      verdictCounters // answers to the front that clients may not come
-	violations    verdictCounters // promises that were broken, by which; each is a fault of the node's
-	closedConnections        [numberOfCloseCauses]atomic.Int64
-	failedAccepts atomic.Int64
-	suppressedLines      atomic.Int64 // log lines left out
+	attemptsNotSent   verdictCounters // attempts, by why they were not sent
+	requestsRejected  verdictCounters // requests refused or failed by the module, by why
+	readinessRefused  verdictCounters // answers to the front that clients may not come
+	violations        verdictCounters // promises that were broken, by which; each is a fault of the node's
+	closedConnections [numberOfCloseCauses]atomic.Int64
+	failedAccepts     atomic.Int64
+	suppressedLines   atomic.Int64 // log lines left out
 }
 
 func newDecisions(log *slog.Logger) *decisions {
 	return &decisions{
-		log:    log,
+		log:            log,
 		decisionLimit:  rate.NewLimiter(decisionLinesPerSecond, logLineBurst),
 		violationLimit: rate.NewLimiter(violationLinesPerSecond, logLineBurst),
 	}
@@ -118,24 +118,24 @@
 
 // decisionsPage is what operators read of the decisions.
 type decisionsPage struct {
-	AttemptsNotSent       map[string]int64 `json:"attempts_not_sent"`
-	RequestsRejected      map[string]int64 `json:"requests_turned_away"`
-	ReadinessRefused      map[string]int64 `json:"not_ready"`
-	Violations    map[string]int64 `json:"violations"`
-	ClosedConnections        map[string]int64 `json:"connections_closed"`
-	FailedAccepts int64            `json:"failed_accepts"`
-	SuppressedLines      int64            `json:"log_lines_left_out"`
+	AttemptsNotSent   map[string]int64 `json:"attempts_not_sent"`
+	RequestsRejected  map[string]int64 `json:"requests_turned_away"`
+	ReadinessRefused  map[string]int64 `json:"not_ready"`
+	Violations        map[string]int64 `json:"violations"`
+	ClosedConnections map[string]int64 `json:"connections_closed"`
+	FailedAccepts     int64            `json:"failed_accepts"`
+	SuppressedLines   int64            `json:"log_lines_left_out"`
 }
 
 func (d *decisions) page() decisionsPage {
 	f := decisionsPage{
-		AttemptsNotSent:       d.attemptsNotSent.nonZero(),
-		RequestsRejected:      d.requestsRejected.nonZero(),
-		ReadinessRefused:      d.readinessRefused.nonZero(),
-		Violations:    d.violations.nonZero(),
-		ClosedConnections:        map[string]int64{},
-		FailedAccepts: d.failedAccepts.Load(),
-		SuppressedLines:      d.suppressedLines.Load(),
+		AttemptsNotSent:   d.attemptsNotSent.nonZero(),
+		RequestsRejected:  d.requestsRejected.nonZero(),
+		ReadinessRefused:  d.readinessRefused.nonZero(),
+		Violations:        d.violations.nonZero(),
+		ClosedConnections: map[string]int64{},
+		FailedAccepts:     d.failedAccepts.Load(),
+		SuppressedLines:   d.suppressedLines.Load(),
 	}
 	for cause, name := range closeCauseNames {
 		if n := d.closedConnections[cause].Load(); n > 0 {
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -21,30 +21,30 @@
 )
 
 const (
-	retryMin  = 100 * time.Millisecond
-	retryMost = time.Second // two calls must fit in the grace of a drain that the agent knows of
-	maxLine   = 4 << 20
+	minBackoff  = 100 * time.Millisecond
+	maxBackoff  = time.Second // two calls must fit in the grace of a drain that the agent knows of
+	maxListSize = 4 << 20
 )
 
-// roster is the list of servers, or its changes, in discovery's form.
-type roster struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []host `json:"hosts"`
+// endpointList is the list of servers, or its changes, in discovery's form.
+type endpointList struct {
+	Version   int64            `json:"seq"`
+	Snapshot  bool             `json:"whole"`
+	Endpoints []listedEndpoint `json:"hosts"`
 }
 
-type host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Born   float64 `json:"born_ms"`
+type listedEndpoint struct {
+	ID              string  `json:"host"`
+	Address         string  `json:"dial"`
+	Zone            string  `json:"site"`
+	MachineType     string  `json:"class"`
+	Cell            int     `json:"block"`
+	Health          string  `json:"health"`
+	StartedAtMillis float64 `json:"born_ms"`
 }
 
-func (h host) server() policy.Endpoint {
-	s := policy.Endpoint{ID: h.Host, Zone: h.Site, MachineType: h.Class, Cell: h.Block, StartedAt: millis(h.Born)}
+func (h listedEndpoint) endpoint() policy.Endpoint {
+	s := policy.Endpoint{ID: h.ID, Zone: h.Zone, MachineType: h.MachineType, Cell: h.Cell, StartedAt: millis(h.StartedAtMillis)}
 	switch h.Health {
 	case "in_service":
 		s.State = policy.Ready
@@ -56,31 +56,31 @@
 	return s
 }
 
-// news is what discovery has to tell the loop.
-type news struct {
-	list   roster
-	cached bool
-	failed bool // an asked watch failed or ended
+// watchEvent is what discovery has to tell the loop.
+type watchEvent struct {
+	list       endpointList
+	cached     bool
+	pollFailed bool // an asked watch failed or ended
 }
 
 // discovery keeps a watch on the list. Where lists are pushed it mends a broken watch by itself;
 // where they are asked for, the module says when to ask.
 type discovery struct {
-	asked     bool
-	seq       int64
-	log       *slog.Logger
-	client    *http.Client
-	tell      func(context.Context, news) error // hands news to the loop
-	asks      chan struct{}                     // the module's wish for a watch, or a move
-	staleness *stalenessMonitor
+	polled        bool
+	version       int64
+	log           *slog.Logger
+	client        *http.Client
+	deliver       func(context.Context, watchEvent) error // hands news to the loop
+	watchRequests chan struct{}                           // the module's wish for a watch, or a move
+	staleness     *stalenessMonitor
 
-	mu   sync.Mutex
-	addr string
-	cut  context.CancelCauseFunc // ends the watch that is on; nil: none is
+	mu          sync.Mutex
+	address     string
+	cancelWatch context.CancelCauseFunc // ends the watch that is on; nil: none is
 }
 
-func newDiscovery(cfg Config, log *slog.Logger, tell func(context.Context, news) error) *discovery {
-	return &discovery{addr: cfg.Discovery, asked: cfg.Settings.PollEndpoints, seq: cfg.Known.Seq, log: log, tell: tell, asks: make(chan struct{}, 1),
+func newDiscovery(cfg Config, log *slog.Logger, tell func(context.Context, watchEvent) error) *discovery {
+	return &discovery{address: cfg.Discovery, polled: cfg.Settings.PollEndpoints, version: cfg.KnownEndpoints.Version, log: log, deliver: tell, watchRequests: make(chan struct{}, 1),
 		staleness: newStalenessMonitor(watchSilenceTimeout, !cfg.Settings.PollEndpoints),
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:        (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -89,45 +89,45 @@
 		}}}
 }
 
-// subscribe asks for a watch; one that is asked for already is enough.
-func (d *discovery) subscribe() {
+// requestWatch asks for a watch; one that is asked for already is enough.
+func (d *discovery) requestWatch() {
 	select {
-	case d.asks <- struct{}{}:
+	case d.watchRequests <- struct{}{}:
 	default:
 	}
 }
 
 var errMoved = errors.New("discovery has moved")
 
-// move turns to another address. A watch that is on goes on there at once, from the version held.
-func (d *discovery) move(addr string) {
+// moveTo turns to another address. A watch that is on goes on there at once, from the version held.
+func (d *discovery) moveTo(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if addr == d.addr {
+	if addr == d.address {
 		return
 	}
-	d.addr = addr
-	if d.cut != nil {
-		d.cut(errMoved)
+	d.address = addr
+	if d.cancelWatch != nil {
+		d.cancelWatch(errMoved)
 	}
-	d.subscribe()
+	d.requestWatch()
 }
 
 // run watches until ctx ends.
 func (d *discovery) run(ctx context.Context) {
-	wait := retryMin
+	wait := minBackoff
 	var lines int
 	var err error
 	for ctx.Err() == nil {
-		if d.asked {
+		if d.polled {
 			select {
-			case <-d.asks:
+			case <-d.watchRequests:
 			case <-ctx.Done():
 				return
 			}
 		}
 		if lines, err = d.watch(ctx); lines > 0 {
-			wait = retryMin
+			wait = minBackoff
 		}
 		pause := wait/2 + rand.N(wait/2) // jitter keeps nodes from calling together
 		d.staleness.watchEnded(pause)
@@ -138,20 +138,20 @@
 		if errors.Is(err, errMoved) {
 			continue
 		}
-		if d.asked {
-			d.tell(ctx, news{failed: true}) // fails only as ctx ends
+		if d.polled {
+			d.deliver(ctx, watchEvent{pollFailed: true}) // fails only as ctx ends
 			continue
 		}
 		select {
 		case <-time.After(pause):
-		case <-d.asks: // it has moved
+		case <-d.watchRequests: // it has moved
 		case <-ctx.Done():
 		}
-		wait = min(2*wait, retryMost)
+		wait = min(2*wait, maxBackoff)
 	}
 }
 
-var errGap = errors.New("gap in the versions")
+var errVersionGap = errors.New("gap in the versions")
 
 // watch follows the changes from the version held, until the connection ends or falls silent. After
 // a line that does not follow the one before, or can't be read, it starts over from the whole list.
@@ -159,21 +159,21 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	d.mu.Lock()
-	d.cut = cancel
+	d.cancelWatch = cancel
 	d.mu.Unlock()
 	defer func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.cut = nil
+		d.cancelWatch = nil
 	}()
 	d.staleness.watchStarted(cancel) // a cut-off machine says nothing: the connection stays open, and only the missing lines tell
-	body, err := d.get(ctx, "?watch=1&from="+strconv.FormatInt(d.seq, 10))
+	body, err := d.get(ctx, "?watch=1&from="+strconv.FormatInt(d.version, 10))
 	if err != nil {
 		return 0, withCause(ctx, err)
 	}
 	defer body.Close()
 	in := bufio.NewScanner(body)
-	in.Buffer(make([]byte, 0, 64<<10), maxLine)
+	in.Buffer(make([]byte, 0, 64<<10), maxListSize)
 	var begun []byte // of a list in many lines
 	for in.Scan() {
 		if len(in.Bytes()) == 0 && begun == nil {
@@ -183,23 +183,23 @@
 		}
 		// An empty line says that all before it is whole.
 		begun = append(begun, in.Bytes()...)
-		if len(in.Bytes()) > 0 && len(begun) <= maxLine && !ended(in.Bytes(), begun) {
+		if len(in.Bytes()) > 0 && len(begun) <= maxListSize && !listEnded(in.Bytes(), begun) {
 			begun = append(begun, '\n')
 			d.staleness.partReceived()
 			continue
 		}
-		n, err := parseRoster(begun)
+		n, err := parseEndpointList(begun)
 		begun = nil
 		lines++
 		d.staleness.lineReceived()
-		if err == nil && !n.Whole && n.Seq < d.seq {
-			err = errGap
+		if err == nil && !n.Snapshot && n.Version < d.version {
+			err = errVersionGap
 		}
 		if err != nil {
 			d.log.Warn("line from discovery is of no use", "err", err)
-			return lines, d.whole(ctx)
+			return lines, d.fetchSnapshot(ctx)
 		}
-		if err := d.take(ctx, n); err != nil {
+		if err := d.accept(ctx, n); err != nil {
 			return lines, err
 		}
 	}
@@ -209,8 +209,8 @@
 	return lines, io.EOF
 }
 
-// ended says that a list is whole, or spoilt, with its last line; it only looks closer where one can end.
-func ended(line, list []byte) bool {
+// listEnded says that a list is whole, or spoilt, with its last line; it only looks closer where one can end.
+func listEnded(line, list []byte) bool {
 	if !bytes.HasSuffix(bytes.TrimRight(line, " \t\r"), []byte("}")) {
 		return false
 	}
@@ -218,43 +218,43 @@
 	return !errors.Is(json.NewDecoder(bytes.NewReader(list)).Decode(&any), io.ErrUnexpectedEOF)
 }
 
-// parseRoster reads a list that came whole. One without hosts would empty the list that the node has.
-func parseRoster(text []byte) (n roster, err error) {
-	if err = json.Unmarshal(text, &n); err == nil && n.Hosts == nil {
+// parseEndpointList reads a list that came whole. One without hosts would empty the list that the node has.
+func parseEndpointList(text []byte) (n endpointList, err error) {
+	if err = json.Unmarshal(text, &n); err == nil && n.Endpoints == nil {
 		err = errors.New("no hosts are named")
 	}
 	return n, err
 }
 
-// whole fetches the whole list; the next watch goes on from there.
-func (d *discovery) whole(ctx context.Context) error {
+// fetchSnapshot fetches the fetchSnapshot list; the next watch goes on from there.
+func (d *discovery) fetchSnapshot(ctx context.Context) error {
 	body, err := d.get(ctx, "")
 	if err != nil {
-		d.seq = 0 // whatever the next watch begins with is taken
+		d.version = 0 // whatever the next watch begins with is taken
 		return withCause(ctx, err)
 	}
 	defer body.Close()
-	text, err := io.ReadAll(io.LimitReader(body, maxLine))
-	n, bad := parseRoster(text)
+	text, err := io.ReadAll(io.LimitReader(body, maxListSize))
+	n, bad := parseEndpointList(text)
 	if err = cmp.Or(err, bad); err != nil {
-		d.seq = 0
+		d.version = 0
 		return fmt.Errorf("whole list: %w", err)
 	}
-	n.Whole = true
-	return d.take(ctx, n)
+	n.Snapshot = true
+	return d.accept(ctx, n)
 }
 
-func (d *discovery) take(ctx context.Context, n roster) error {
-	if err := d.tell(ctx, news{list: n}); err != nil {
+func (d *discovery) accept(ctx context.Context, n endpointList) error {
+	if err := d.deliver(ctx, watchEvent{list: n}); err != nil {
 		return withCause(ctx, err)
 	}
-	d.seq = n.Seq // not before the loop has it: the next watch goes on from here
+	d.version = n.Version // not before the loop has it: the next watch goes on from here
 	return nil
 }
 
 func (d *discovery) get(ctx context.Context, query string) (io.ReadCloser, error) {
 	d.mu.Lock()
-	addr := d.addr
+	addr := d.address
 	d.mu.Unlock()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/endpoints"+query, nil)
 	if err != nil {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -42,11 +42,11 @@
 	})
 }
 
-func watchOn(t *testing.T, addr, mode string, silence time.Duration) (*discovery, <-chan news) {
+func watchOn(t *testing.T, addr, mode string, silence time.Duration) (*discovery, <-chan watchEvent) {
 	cfg := testConfig(t, mode)
 	cfg.Discovery = addr
-	heard := make(chan news)
-	d := newDiscovery(cfg, quiet(), func(ctx context.Context, n news) error {
+	heard := make(chan watchEvent)
+	d := newDiscovery(cfg, quiet(), func(ctx context.Context, n watchEvent) error {
 		select {
 		case heard <- n:
 			return nil
@@ -82,7 +82,7 @@
 	_, heard := watchOn(t, addr, "pushed", time.Minute)
 	wantCall(t, a, "watch 1")
 	a.lines <- `{"seq":43,"whole":false,"hosts":[]}`
-	if n := <-heard; n.list.Seq != 43 || n.failed {
+	if n := <-heard; n.list.Version != 43 || n.pollFailed {
 		t.Fatalf("heard %+v", n)
 	}
 	a.lines <- ""
@@ -102,7 +102,7 @@
 			wantCall(t, a, "watch 1")
 			a.lines <- line
 			wantCall(t, a, "list")
-			if n := <-heard; n.list.Seq != 50 || !n.list.Whole || len(n.list.Hosts) != 1 {
+			if n := <-heard; n.list.Version != 50 || !n.list.Snapshot || len(n.list.Endpoints) != 1 {
 				t.Fatalf("heard %+v", n)
 			}
 			wantCall(t, a, "watch 50")
@@ -152,10 +152,10 @@
 func TestSilentCallIsGivenUp(t *testing.T) {
 	addr := newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	d, heard := watchOn(t, addr, "on_request", 20*time.Millisecond)
-	d.subscribe()
+	d.requestWatch()
 	select {
 	case n := <-heard:
-		if !n.failed {
+		if !n.pollFailed {
 			t.Errorf("heard %+v", n)
 		}
 	case <-time.After(5 * time.Second):
@@ -171,17 +171,17 @@
 			a, addr := newAgent(t, wholeList)
 			b, moved := newAgent(t, wholeList)
 			d, heard := watchOn(t, addr, mode, time.Minute)
-			d.subscribe()
+			d.requestWatch()
 			wantCall(t, a, "watch 1")
 			a.lines <- `{"seq":43,"whole":false,"hosts":[]}`
-			if n := <-heard; n.list.Seq != 43 {
+			if n := <-heard; n.list.Version != 43 {
 				t.Fatalf("heard %+v", n)
 			}
 			a.lines <- `{"seq":44,"whole":false,"hosts":[]}` // and nobody takes it
-			d.move(moved)
+			d.moveTo(moved)
 			wantCall(t, b, "watch 43")
 			b.lines <- `{"seq":44,"whole":false,"hosts":[]}`
-			if n := <-heard; n.list.Seq != 44 || n.failed {
+			if n := <-heard; n.list.Version != 44 || n.pollFailed {
 				t.Fatalf("heard %+v", n)
 			}
 		})
@@ -193,10 +193,10 @@
 	a, addr := newAgent(t, wholeList)
 	d, heard := watchOn(t, addr, "on_request", time.Minute)
 	for range 2 {
-		d.subscribe()
+		d.requestWatch()
 		wantCall(t, a, "watch 1")
 		a.end <- struct{}{}
-		if n := <-heard; !n.failed {
+		if n := <-heard; !n.pollFailed {
 			t.Fatalf("heard %+v", n)
 		}
 	}
@@ -266,7 +266,7 @@
 			cfg.Settings.MaxPollInterval, cfg.Discovery = 10*time.Minute, addr
 			n := start(t, cfg)
 			<-known
-			eventually(t, "the node has it", func() bool { return !n.loop.usable.Load() })
+			eventually(t, "the node has it", func() bool { return !n.loop.hasReadyEndpoint.Load() })
 			if took := told.Sub(drained); took > 6*time.Second {
 				t.Errorf("the change was told after %v", took)
 			}
@@ -288,8 +288,8 @@
 	cfg.Discovery = addr
 	heard := make(chan struct{}, 10)
 	n := start(t, cfg, func(n *Node) {
-		tell := n.disc.tell
-		n.disc.tell = func(ctx context.Context, w news) error {
+		tell := n.discovery.deliver
+		n.discovery.deliver = func(ctx context.Context, w watchEvent) error {
 			err := tell(ctx, w)
 			heard <- struct{}{}
 			return err
@@ -310,7 +310,7 @@
 		t.Helper()
 		a.lines <- line
 		<-heard
-		n.loop.lists <- news{} // is taken only when the one before has been dealt with
+		n.loop.endpointUpdates <- watchEvent{} // is taken only when the one before has been dealt with
 	}
 	entry := func(host, dial, health string) string {
 		return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","health":%q,"born_ms":0}`, host, dial, health)
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -24,9 +24,9 @@
   {"name":"safe","effect":"read_like","key-scope":"all","target-ms":20000,"deadline-ms":60000,"worth":1},
   {"name":"unsafe","effect":"non_idempotent","key-scope":"all","window-ms":5000,"target-ms":20000,"deadline-ms":60000,"worth":3}]}`
 
-func testConfig(t *testing.T, mode string, known ...host) Config {
+func testConfig(t *testing.T, mode string, known ...listedEndpoint) Config {
 	t.Helper()
-	k, err := json.Marshal(roster{Seq: 1, Whole: true, Hosts: known})
+	k, err := json.Marshal(endpointList{Version: 1, Snapshot: true, Endpoints: known})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,8 +41,8 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func inService(id, addr string) host {
-	return host{Host: id, Dial: addr, Site: "z", Health: "in_service"}
+func inService(id, addr string) listedEndpoint {
+	return listedEndpoint{ID: id, Address: addr, Zone: "z", Health: "in_service"}
 }
 
 // eventually waits for what the node does by itself in the background.
@@ -215,7 +215,7 @@
 // startWith runs a node that knows the backends and hears nothing else.
 func startWith(t *testing.T, backends ...*backend) *running {
 	t.Helper()
-	var hosts []host
+	var hosts []listedEndpoint
 	for i, b := range backends {
 		hosts = append(hosts, inService(fmt.Sprintf("s-%d", i), b.addr()))
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -29,33 +29,33 @@
 	return nil
 }
 
-// reserved is how many descriptors are for neither callers nor servers.
-func (c *Config) reserved() int {
-	if c.meshed() {
-		return reserved + membership.Descriptors
+// reservedDescriptors is how many descriptors are for neither callers nor servers.
+func (c *Config) reservedDescriptors() int {
+	if c.hasMembership() {
+		return reservedDescriptors + membership.Descriptors
 	}
-	return reserved
+	return reservedDescriptors
 }
 
-func (c *Config) meshed() bool { return c.Fleet != nil && c.Fleet.Mesh != nil }
+func (c *Config) hasMembership() bool { return c.Fleet != nil && c.Fleet.Mesh != nil }
 
-// startMesh joins the fleet.
-func (n *Node) startMesh() (*membership.Mesh, error) {
+// joinMembership joins the fleet.
+func (n *Node) joinMembership() (*membership.Mesh, error) {
 	f, s := n.cfg.Fleet, n.cfg.Settings
-	return membership.Start(membership.Config{Deliver: n.deliver, Fleet: f.Name, Name: n.cfg.Name, Zone: s.Zone, Region: f.Region, Tier: s.Tier,
-		Version: version(), Digest: digest(s), Listen: f.Mesh.Listen, Seeds: f.Mesh.Seeds, Dial: f.Mesh.Dial, Probe: f.Mesh.Probe, Log: n.log, Changed: n.count})
+	return membership.Start(membership.Config{Deliver: n.deliverOverrides, Fleet: f.Name, Name: n.cfg.Name, Zone: s.Zone, Region: f.Region, Tier: s.Tier,
+		Version: version(), Digest: digest(s), Listen: f.Mesh.Listen, Seeds: f.Mesh.Seeds, Dial: f.Mesh.Dial, Probe: f.Mesh.Probe, Log: n.log, Changed: n.updateReplicaCounts})
 }
 
-// deliver takes what another member's part of the program sends.
-func (n *Node) deliver(from string, body []byte) {
-	if o := n.orders.Load(); o != nil {
+// deliverOverrides takes what another member's part of the program sends.
+func (n *Node) deliverOverrides(from string, body []byte) {
+	if o := n.overrides.Load(); o != nil {
 		o.deliver(from, body)
 	}
 }
 
-// count tells the module how many copies place calls on this tier, by zone. Only a majority knows; the others leave it
+// updateReplicaCounts tells the module how many copies place calls on this tier, by zone. Only a majority knows; the others leave it
 // at the settings' number, which is safe: too few copies counted would be too much taken by each.
-func (n *Node) count(v membership.View) {
+func (n *Node) updateReplicaCounts(v membership.View) {
 	p := policy.ReplicaCounts{}
 	if v.Side >= membership.Majority {
 		p.ByZone = map[string]int{}
@@ -67,12 +67,12 @@
 	}
 	for {
 		select {
-		case n.loop.peers <- p:
+		case n.loop.replicaCounts <- p:
 			return
 		default:
 		}
 		select {
-		case <-n.loop.peers: // an older word
+		case <-n.loop.replicaCounts: // an older word
 		default:
 		}
 	}
@@ -96,19 +96,19 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%+v", s)))
 }
 
-// takePart keeps this node's place in the fleet until ctx ends. While a successor serves the place is the successor's;
+// runMembership keeps this node's place in the fleet until ctx ends. While a successor serves the place is the successor's;
 // if that dies, this process takes it back.
-func (n *Node) takePart(ctx context.Context, m *membership.Mesh) {
+func (n *Node) runMembership(ctx context.Context, m *membership.Mesh) {
 	for {
-		n.mesh.Store(m)
+		n.membership.Store(m)
 		ordering, stop := context.WithCancel(ctx)
 		var o *overridesHost
 		if n.cfg.Fleet.Orders != nil { // a new process of the mesh has a register of its own, which knows nothing yet
 			o = n.newOverrides(m.Process())
-			n.orders.Store(o)
+			n.overrides.Store(o)
 			go o.run(ordering)
 		}
-		passed := n.keepPlace(ctx, m)
+		passed := n.serveUntilSuccession(ctx, m)
 		stop()
 		if o != nil {
 			<-o.ended
@@ -122,43 +122,43 @@
 			return
 		}
 		m.Close() // the successor waits for the address
-		for n.handover.passed.Load() {
+		for n.handover.successorServes.Load() {
 			select {
-			case <-n.handover.moved:
+			case <-n.handover.changed:
 			case <-ctx.Done():
 				return
 			}
 		}
 		var err error
-		if m, err = n.startMesh(); err != nil {
+		if m, err = n.joinMembership(); err != nil {
 			n.log.Error("the place in the mesh could not be taken back", "err", err)
 			return
 		}
 	}
 }
 
-// keepPlace says when the node serves, and returns once ctx ends or a successor serves.
-func (n *Node) keepPlace(ctx context.Context, m *membership.Mesh) (passed bool) {
+// serveUntilSuccession says when the node serves, and returns once ctx ends or a successor serves.
+func (n *Node) serveUntilSuccession(ctx context.Context, m *membership.Mesh) (passed bool) {
 	for told := false; ; {
-		if !told && n.life.current() == phaseServing {
+		if !told && n.lifecycle.current() == phaseServing {
 			m.Serving()
 			told = true
 		}
-		if n.handover.passed.Load() {
+		if n.handover.successorServes.Load() {
 			return true
 		}
 		select {
-		case <-n.served:
-		case <-n.handover.moved:
+		case <-n.membershipPhaseChanges:
+		case <-n.handover.changed:
 		case <-ctx.Done():
-			return n.handover.passed.Load()
+			return n.handover.successorServes.Load()
 		}
 	}
 }
 
-// members is what the door shows of the fleet.
-func (n *Node) members() ([]byte, bool) {
-	m := n.mesh.Load()
+// membersPage is what the door shows of the fleet.
+func (n *Node) membersPage() ([]byte, bool) {
+	m := n.membership.Load()
 	if m == nil {
 		return nil, false
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -23,7 +23,7 @@
 //	old to new: one byte, once it knows
 //
 // The connection stays open while both live: its end tells either that the other is gone, however it went.
-const handTime = time.Second // for the old process to hand over; then the new one listens by itself
+const handoverTimeout = time.Second // for the old process to hand over; then the new one listens by itself
 
 // handoverPath is where processes on one address meet; "": nowhere.
 func handoverPath(tmp, listen string) string {
@@ -35,18 +35,18 @@
 
 // predecessor is the process that served before, at the other end of a hand-over.
 type predecessor struct {
-	conn  *net.UnixConn
-	ln    net.Listener
-	phase phase
+	conn     *net.UnixConn
+	listener net.Listener
+	phase    phase
 }
 
-// succeed asks for the listener of the process that serves already; nil: there is none. A file that a killed
+// connectPredecessor asks for the listener of the process that serves already; nil: there is none. A file that a killed
 // process left refuses connections.
-func succeed(path string) (*predecessor, error) {
+func connectPredecessor(path string) (*predecessor, error) {
 	if path == "" {
 		return nil, nil
 	}
-	c, err := net.DialTimeout("unix", path, handTime)
+	c, err := net.DialTimeout("unix", path, handoverTimeout)
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil
 	}
@@ -62,7 +62,7 @@
 }
 
 func (p *predecessor) receive() error {
-	p.conn.SetDeadline(time.Now().Add(handTime))
+	p.conn.SetDeadline(time.Now().Add(handoverTimeout))
 	defer p.conn.SetDeadline(time.Time{})
 	state, rights := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
 	n, rn, _, _, err := p.conn.ReadMsgUnix(state, rights)
@@ -86,16 +86,16 @@
 	}
 	f := os.NewFile(uintptr(fds[0]), "listener") // there is room for one
 	defer f.Close()
-	p.ln, err = net.FileListener(f)
+	p.listener, err = net.FileListener(f)
 	return err
 }
 
-// serves tells the predecessor that callers are served here too. What it says to the front from then on counts on
+// announceServing tells the predecessor that callers are served here too. What it says to the front from then on counts on
 // that, so nobody may be told of it before the predecessor knows.
-func (p *predecessor) serves() { p.conn.Write([]byte{1}) } // fails only if it is gone
+func (p *predecessor) announceServing() { p.conn.Write([]byte{1}) } // fails only if it is gone
 
-// follow returns when the predecessor has ended or the connection was closed here. It says when the predecessor knows.
-func (p *predecessor) follow(knows func()) {
+// awaitEnd returns when the predecessor has ended or the connection was closed here. It says when the predecessor knows.
+func (p *predecessor) awaitEnd(knows func()) {
 	for b := make([]byte, 1); ; knows() {
 		if _, err := p.conn.Read(b); err != nil {
 			return
@@ -103,20 +103,20 @@
 	}
 }
 
-// handover gives the listener to a successor.
-type handover struct {
-	path   string
-	log    *slog.Logger
-	ln     syscall.Conn // the listener
-	phase  func() phase
-	share  func(int)     // so many more processes share the limits
-	passed atomic.Bool   // a successor serves
-	moved  chan struct{} // holds a token after passed has changed
+// handoverServer gives the listener to a successor.
+type handoverServer struct {
+	path            string
+	log             *slog.Logger
+	listener        syscall.Conn // the listener
+	phase           func() phase
+	changeProcesses func(int)     // so many more processes share the limits
+	successorServes atomic.Bool   // a successor serves
+	changed         chan struct{} // holds a token after passed has changed
 }
 
 // serve waits for successors, one after another, until ctx ends. A successor binds the place for itself, so what it
 // left there when it died is bound anew.
-func (h *handover) serve(ctx context.Context) {
+func (h *handoverServer) serve(ctx context.Context) {
 	said := ""
 	for ctx.Err() == nil {
 		ln, err := h.bind()
@@ -126,7 +126,7 @@
 			}
 			said = err.Error()
 			select {
-			case <-time.After(handTime):
+			case <-time.After(handoverTimeout):
 			case <-ctx.Done():
 			}
 			continue
@@ -135,14 +135,14 @@
 		stop := context.AfterFunc(ctx, func() { ln.Close() })
 		c, err := ln.Accept()
 		if err == nil {
-			h.pass(ctx, c.(*net.UnixConn))
+			h.handOver(ctx, c.(*net.UnixConn))
 		} else {
 			select { // without descriptors it fails again at once
-			case <-time.After(handTime):
+			case <-time.After(handoverTimeout):
 			case <-ctx.Done():
 			}
 		}
-		if ctx.Err() != nil && !h.passed.Load() { // else the file is the successor's
+		if ctx.Err() != nil && !h.successorServes.Load() { // else the file is the successor's
 			os.Remove(h.path)
 		}
 		stop()
@@ -150,18 +150,18 @@
 	}
 }
 
-// take notes whether a successor serves, and lets one know that waits for it.
-func (h *handover) take(serves bool) {
-	h.passed.Store(serves)
+// setSuccessorServes notes whether a successor serves, and lets one know that waits for it.
+func (h *handoverServer) setSuccessorServes(serves bool) {
+	h.successorServes.Store(serves)
 	select {
-	case h.moved <- struct{}{}:
+	case h.changed <- struct{}{}:
 	default:
 	}
 }
 
 // bind binds beside the path and moves the file there in one step: whoever is bound there before loses nothing but
 // the name.
-func (h *handover) bind() (*net.UnixListener, error) {
+func (h *handoverServer) bind() (*net.UnixListener, error) {
 	own := fmt.Sprintf("%s.%d", h.path, os.Getpid())
 	os.Remove(own) // left by a killed process that had this number
 	ln, err := net.Listen("unix", own)
@@ -178,11 +178,11 @@
 	return u, nil
 }
 
-// pass hands the listener to one successor and stays until that ends.
-func (h *handover) pass(ctx context.Context, c *net.UnixConn) {
+// handOver hands the listener to one successor and stays until that ends.
+func (h *handoverServer) handOver(ctx context.Context, c *net.UnixConn) {
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	raw, err := h.ln.SyscallConn()
+	raw, err := h.listener.SyscallConn()
 	if err == nil {
 		// Not through File and its Fd: that would make the socket block, for both processes.
 		cerr := raw.Control(func(fd uintptr) {
@@ -195,28 +195,28 @@
 		return
 	}
 	h.log.Info("a successor has the listener")
-	h.share(+1)
+	h.changeProcesses(+1)
 	for b := make([]byte, 1); ; c.Write(b) {
 		if _, err := c.Read(b); err != nil {
 			break
 		}
-		h.take(true)
+		h.setSuccessorServes(true)
 		h.log.Info("the successor serves")
 	}
 	if ctx.Err() == nil { // it ended before this process did
-		h.take(false)
-		h.share(-1)
+		h.setSuccessorServes(false)
+		h.changeProcesses(-1)
 		h.log.Warn("the successor is gone")
 	}
 }
 
-const soReusePort = 0xf // SO_REUSEPORT on Linux; package syscall lacks it
+const sockoptReusePort = 0xf // SO_REUSEPORT on Linux; package syscall lacks it
 
 // listenShared listens where a process that could not hand over may listen too.
 func listenShared(addr string) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		// Where the system has no such option, the address is just not shared.
-		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1) })
+		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, sockoptReusePort, 1) })
 	}}
 	return lc.Listen(context.Background(), "tcp", addr)
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -58,7 +58,7 @@
 	cfg := testConfig(t, "pushed", inService("s", b.addr()))
 	cfg.Discovery = silentDiscovery(t)
 	cfg.Listen = freeAddr(t)
-	cfg.handover = handoverPath(t.TempDir(), cfg.Listen)
+	cfg.handoverSocket = handoverPath(t.TempDir(), cfg.Listen)
 	return cfg
 }
 
@@ -98,13 +98,13 @@
 		}()
 	}
 	served := func(r *running) int {
-		c := r.loop.stats.snapshot()
+		c := r.loop.metrics.snapshot()
 		return c.succeeded.sum()
 	}
 	eventually(t, "the old one serves", func() bool { return served(old) > 20 })
 	young := process(t, cfg)
-	eventually(t, "the old one knows", old.handover.passed.Load)
-	if in := cfg.inboundPlaces(cfg.Sockets / 2); old.inbound.most != in || young.inbound.most != in {
+	eventually(t, "the old one knows", old.handover.successorServes.Load)
+	if in := cfg.clientConnectionLimit(cfg.Sockets / 2); old.inbound.most != in || young.inbound.most != in {
 		t.Errorf("%d and %d places, want %d each", old.inbound.most, young.inbound.most, in)
 	}
 	old.stop()
@@ -116,7 +116,7 @@
 	eventually(t, "it has all places", func() bool {
 		young.inbound.mu.Lock()
 		defer young.inbound.mu.Unlock()
-		return young.inbound.most == cfg.inboundPlaces(cfg.Sockets)
+		return young.inbound.most == cfg.clientConnectionLimit(cfg.Sockets)
 	})
 	third := process(t, cfg) // and so on
 	young.stop()
@@ -134,19 +134,19 @@
 	var before *predecessor
 	eventually(t, "the file is there", func() bool {
 		var err error
-		before, err = succeed(cfg.handover)
+		before, err = connectPredecessor(cfg.handoverSocket)
 		return err == nil && before != nil
 	})
-	before.serves()
-	eventually(t, "it took over", old.handover.passed.Load)
-	before.ln.Close()
+	before.announceServing()
+	eventually(t, "it took over", old.handover.successorServes.Load)
+	before.listener.Close()
 	before.conn.Close()
-	eventually(t, "its end is noticed", func() bool { return !old.handover.passed.Load() })
+	eventually(t, "its end is noticed", func() bool { return !old.handover.successorServes.Load() })
 	if status, _, _ := do(t, newRequest(t, old.url, "unsafe", "1", "x")); status != http.StatusOK {
 		t.Errorf("answered %d", status)
 	}
 	young := process(t, cfg)
-	eventually(t, "the next one took over", old.handover.passed.Load)
+	eventually(t, "the next one took over", old.handover.successorServes.Load)
 	old.stop()
 	<-old.done
 	http.DefaultClient.CloseIdleConnections() // that of the old one has just been closed
@@ -163,7 +163,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := deployment(t, newBackend(t, ok))
-			ln, err := net.Listen("unix", cfg.handover)
+			ln, err := net.Listen("unix", cfg.handoverSocket)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -184,7 +184,7 @@
 // Where processes cannot meet, a node serves all the same.
 func TestNoMeetingPlace(t *testing.T) {
 	cfg := deployment(t, newBackend(t, ok))
-	cfg.handover = filepath.Join(t.TempDir(), "nowhere", "x.sock")
+	cfg.handoverSocket = filepath.Join(t.TempDir(), "nowhere", "x.sock")
 	n := process(t, cfg)
 	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
 		t.Errorf("answered %d", status)
@@ -199,7 +199,7 @@
 		t.Fatalf("not drained: %d", status)
 	}
 	young := process(t, cfg)
-	eventually(t, "the new one took over", old.handover.passed.Load)
+	eventually(t, "the new one took over", old.handover.successorServes.Load)
 	old.stop()
 	<-old.done
 	if status := young.ready(t); status != http.StatusServiceUnavailable {
--- a/internal/node/leavers_test.go
+++ b/internal/node/leavers_test.go
@@ -68,7 +68,7 @@
 // idle says that no request is left, waiting or at a server.
 func (n *running) idle() bool {
 	var calls int
-	n.loop.ask(func() { calls = len(n.loop.calls) })
+	n.loop.runTask(func() { calls = len(n.loop.calls) })
 	return calls == 0
 }
 
@@ -116,7 +116,7 @@
 // waits says that the loop has a request.
 func (n *running) waits(id string) bool {
 	var there bool
-	n.loop.ask(func() { there = n.loop.calls[id] != nil })
+	n.loop.runTask(func() { there = n.loop.calls[id] != nil })
 	return there
 }
 
@@ -141,7 +141,7 @@
 			eventually(t, "it is out", func() bool { return b.got("left") == 1 })
 			l.leave(t, c)
 			eventually(t, "it has left", c.node.gone)
-			n.loop.lists <- news{list: roster{Seq: 2, Hosts: []host{inService("s-1", other.addr())}}}
+			n.loop.endpointUpdates <- watchEvent{list: endpointList{Version: 2, Endpoints: []listedEndpoint{inService("s-1", other.addr())}}}
 			release()
 			eventually(t, "all is over", n.idle)
 			if got := other.requests(); got != 0 {
@@ -188,7 +188,7 @@
 			b := newBackend(t, ok)
 			n, ln := gatedNode(t, b)
 			busy, asleep := make(chan struct{}), make(chan struct{})
-			go func() { n.loop.asks <- func() { close(asleep); <-busy } }()
+			go func() { n.loop.tasks <- func() { close(asleep); <-busy } }()
 			<-asleep
 			c := ln.dial(t)
 			c.send(t, l.request)
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -11,7 +11,7 @@
 const (
 	phaseStarting phase = iota // discovery has not spoken yet
 	phaseServing
-	phaseDrained // out of service by the operators' wish: its callers are sent away, and it can come back
+	phaseDrained      // out of service by the operators' wish: its callers are sent away, and it can come back
 	phaseShuttingDown // told to stop; there is no way back
 )
 
@@ -21,26 +21,26 @@
 type lifecycleEvent int
 
 const (
-	eventListReceived  lifecycleEvent = iota // discovery has spoken, or had its time
-	eventDrain                // operators take it out of service
-	eventResume               // operators take it back
-	eventShutdown                // it is to stop
+	eventListReceived lifecycleEvent = iota // discovery has spoken, or had its time
+	eventDrain                              // operators take it out of service
+	eventResume                             // operators take it back
+	eventShutdown                           // it is to stop
 )
 
 // phaseTransitions is every move there is. A signal that a phase does not list is refused.
 var phaseTransitions = [...]map[lifecycleEvent]phase{
-	phaseStarting: {eventListReceived: phaseServing, eventDrain: phaseDrained, eventResume: phaseStarting, eventShutdown: phaseShuttingDown},
-	phaseServing:  {eventListReceived: phaseServing, eventDrain: phaseDrained, eventResume: phaseServing, eventShutdown: phaseShuttingDown},
-	phaseDrained:  {eventListReceived: phaseDrained, eventDrain: phaseDrained, eventResume: phaseServing, eventShutdown: phaseShuttingDown},
-	phaseShuttingDown:  {eventListReceived: phaseShuttingDown, eventDrain: phaseShuttingDown, eventShutdown: phaseShuttingDown},
+	phaseStarting:     {eventListReceived: phaseServing, eventDrain: phaseDrained, eventResume: phaseStarting, eventShutdown: phaseShuttingDown},
+	phaseServing:      {eventListReceived: phaseServing, eventDrain: phaseDrained, eventResume: phaseServing, eventShutdown: phaseShuttingDown},
+	phaseDrained:      {eventListReceived: phaseDrained, eventDrain: phaseDrained, eventResume: phaseServing, eventShutdown: phaseShuttingDown},
+	phaseShuttingDown: {eventListReceived: phaseShuttingDown, eventDrain: phaseShuttingDown, eventShutdown: phaseShuttingDown},
 }
 
 // lifecycle is the one state machine of a node.
 type lifecycle struct {
 	onTransition func(phase, phase) // is told of every change, in order; must not block
 
-	mu    sync.Mutex
-	phase phase
+	mu           sync.Mutex
+	phase        phase
 	drainedSince time.Time // of the phase
 	listReceived bool
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -20,56 +20,56 @@
 	"golang.org/x/time/rate"
 )
 
-// sender carries attempts to servers. No method may block.
-type sender interface {
+// attemptSender carries attempts to servers. No method may block.
+type attemptSender interface {
 	start(*attempt)
 	retire(*target)
 }
 
-// loop feeds the Balancer from one goroutine and carries out its actions.
-type loop struct {
-	clock     clock
-	log       *slog.Logger
-	bal       *policy.Balancer
-	sender    sender
-	subscribe func()    // asks discovery for a watch; must not block
-	staleness *stalenessMonitor // of discovery; nil: there is none
+// eventLoop feeds the Balancer from one goroutine and carries out its actions.
+type eventLoop struct {
+	clock          clock
+	log            *slog.Logger
+	balancer       *policy.Balancer
+	sender         attemptSender
+	watchEndpoints func()            // asks discovery for a watch; must not block
+	staleness      *stalenessMonitor // of discovery; nil: there is none
 
-	lists    chan news
-	arrivals chan *call
-	gone     chan *call
-	results  chan result
-	sents    chan sent
-	begins   chan begun
-	peers    chan policy.ReplicaCounts     // holds the newest word of the mesh
-	ordered  chan map[string]time.Duration // holds the zones that overrides send away, with their ends
-	asks     chan func()                   // run here; must not block
-	stop     chan struct{}
+	endpointUpdates  chan watchEvent
+	requests         chan *call
+	disconnects      chan *call
+	attemptResults   chan result
+	requestsSent     chan sent
+	responsesStarted chan begun
+	replicaCounts    chan policy.ReplicaCounts     // holds the newest word of the mesh
+	overrideUpdates  chan map[string]time.Duration // holds the zones that overrides send away, with their ends
+	tasks            chan func()                   // run here; must not block
+	stop             chan struct{}
 
-	calls     map[string]*call
-	targets   map[string]*target
-	wakes     wakeHeap
-	stats     *metrics
-	decisions *decisions
-	out       int // attempts without an ending
-	turns     int // of zones, as of the last look
-	zones     map[string]policy.ZoneState
-	lines     *rate.Limiter            // of zones in the log
-	quiet     int                      // of these that were left out
-	usable    atomic.Bool              // some listed server is in service
-	byHand    map[string]bool          // zones ordered away at this node's door
-	until     map[string]time.Duration // zones that overrides send away, and when each ends
+	calls               map[string]*call
+	targets             map[string]*target
+	timers              timerHeap
+	metrics             *metrics
+	decisions           *decisions
+	attemptsOut         int // attempts without an ending
+	zoneTransitions     int // of zones, as of the last look
+	loggedZones         map[string]policy.ZoneState
+	zoneLogLimit        *rate.Limiter            // of zones in the log
+	suppressedZoneLines int                      // of these that were left out
+	hasReadyEndpoint    atomic.Bool              // some listed server is in service
+	operatorEvacuations map[string]bool          // zones ordered away at this node's door
+	overrideExpiries    map[string]time.Duration // zones that overrides send away, and when each ends
 }
 
-func newLoop(ck clock, log *slog.Logger, bal *policy.Balancer, st *metrics) *loop {
-	return &loop{clock: ck, log: log, bal: bal, stats: st, decisions: newDecisions(log),
-		lists: make(chan news), arrivals: make(chan *call), gone: make(chan *call),
-		results: make(chan result), sents: make(chan sent), begins: make(chan begun), peers: make(chan policy.ReplicaCounts, 1), ordered: make(chan map[string]time.Duration, 1), byHand: map[string]bool{}, asks: make(chan func()), stop: make(chan struct{}),
-		zones: map[string]policy.ZoneState{}, lines: rate.NewLimiter(zoneLines, 2*zoneLines), calls: map[string]*call{}, targets: map[string]*target{}}
+func newEventLoop(ck clock, log *slog.Logger, bal *policy.Balancer, st *metrics) *eventLoop {
+	return &eventLoop{clock: ck, log: log, balancer: bal, metrics: st, decisions: newDecisions(log),
+		endpointUpdates: make(chan watchEvent), requests: make(chan *call), disconnects: make(chan *call),
+		attemptResults: make(chan result), requestsSent: make(chan sent), responsesStarted: make(chan begun), replicaCounts: make(chan policy.ReplicaCounts, 1), overrideUpdates: make(chan map[string]time.Duration, 1), operatorEvacuations: map[string]bool{}, tasks: make(chan func()), stop: make(chan struct{}),
+		loggedZones: map[string]policy.ZoneState{}, zoneLogLimit: rate.NewLimiter(zoneLinesPerSecond, 2*zoneLinesPerSecond), calls: map[string]*call{}, targets: map[string]*target{}}
 }
 
 // run handles events until stop is closed. Senders on the channels may wait; the loop never does.
-func (l *loop) run() {
+func (l *eventLoop) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	report := time.NewTicker(reportInterval)
@@ -77,60 +77,60 @@
 	for {
 		// News of the servers goes ahead of waiting traffic: the grace of a drain is running.
 		select {
-		case n := <-l.lists:
-			l.takeNews(n)
+		case n := <-l.endpointUpdates:
+			l.handleWatchEvent(n)
 			continue
 		default:
 		}
-		for len(l.wakes) > 0 && l.wakes[0].At <= l.clock.now() {
-			l.catchUp()
-			w := heap.Pop(&l.wakes).(policy.SetTimer)
+		for len(l.timers) > 0 && l.timers[0].At <= l.clock.now() {
+			l.awaitPendingUpdates()
+			w := heap.Pop(&l.timers).(policy.SetTimer)
 			l.handle(policy.TimerFired{Token: w.Token})
 		}
 		wait := time.Hour
-		if len(l.wakes) > 0 {
-			wait = l.wakes[0].At - l.clock.now()
+		if len(l.timers) > 0 {
+			wait = l.timers[0].At - l.clock.now()
 		}
 		timer.Reset(wait)
 		select {
-		case p := <-l.peers:
+		case p := <-l.replicaCounts:
 			l.handle(p)
-		case o := <-l.ordered:
-			l.takeOrders(o)
-		case n := <-l.lists:
-			l.takeNews(n)
-		case c := <-l.arrivals:
-			l.catchUp()
-			l.takeCall(c)
-		case c := <-l.gone:
-			l.catchUp()
-			l.leave(c)
+		case o := <-l.overrideUpdates:
+			l.handleOverrides(o)
+		case n := <-l.endpointUpdates:
+			l.handleWatchEvent(n)
+		case c := <-l.requests:
+			l.awaitPendingUpdates()
+			l.handleRequest(c)
+		case c := <-l.disconnects:
+			l.awaitPendingUpdates()
+			l.disconnect(c)
 			l.forget(c)
-		case r := <-l.results:
-			l.catchUp()
-			l.takeResult(r)
-		case s := <-l.sents:
-			l.takeSent(s)
-		case b := <-l.begins:
-			l.takeBegun(b)
-		case f := <-l.asks:
+		case r := <-l.attemptResults:
+			l.awaitPendingUpdates()
+			l.handleAttemptResult(r)
+		case s := <-l.requestsSent:
+			l.handleRequestSent(s)
+		case b := <-l.responsesStarted:
+			l.handleResponseStarted(b)
+		case f := <-l.tasks:
 			f()
 		case <-timer.C:
 		case <-report.C:
-			l.stats.logReport(l.log, l.out)
+			l.metrics.logReport(l.log, l.attemptsOut)
 		case <-l.stop:
-			l.stats.logReport(l.log, l.out)
+			l.metrics.logReport(l.log, l.attemptsOut)
 			return
 		}
 	}
 }
 
-// catchUp takes news before anything else once the process has slept: some of it may be overdue.
-func (l *loop) catchUp() {
+// awaitPendingUpdates takes news before anything else once the process has slept: some of it may be overdue.
+func (l *eventLoop) awaitPendingUpdates() {
 	for l.staleness.holdSends() {
 		select {
-		case n := <-l.lists:
-			l.takeNews(n)
+		case n := <-l.endpointUpdates:
+			l.handleWatchEvent(n)
 		case <-time.After(resumeQuietPeriod / 10):
 		case <-l.stop:
 			return
@@ -139,33 +139,33 @@
 }
 
 // handle gives one event to the module and carries out what it answers.
-func (l *loop) handle(e policy.Event) {
+func (l *eventLoop) handle(e policy.Event) {
 	now := l.clock.now()
-	l.endOrders(now)
-	l.carry(now, e)
+	l.expireOverrides(now)
+	l.apply(now, e)
 }
 
-func (l *loop) carry(now time.Duration, e policy.Event) {
-	for _, a := range l.bal.Handle(now, e) {
+func (l *eventLoop) apply(now time.Duration, e policy.Event) {
+	for _, a := range l.balancer.Handle(now, e) {
 		switch a := a.(type) {
 		case policy.SendAttempt:
-			l.send(now, a)
+			l.sendAttempt(now, a)
 		case policy.Reject:
-			l.turnAway(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter}, a.Reason)
+			l.reject(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter}, a.Reason)
 		case policy.Fail:
-			l.turnAway(a.ID, answer{status: http.StatusBadGateway}, a.Reason)
+			l.reject(a.ID, answer{status: http.StatusBadGateway}, a.Reason)
 		case policy.SetTimer:
-			heap.Push(&l.wakes, a)
+			heap.Push(&l.timers, a)
 		case policy.WatchEndpoints:
-			l.subscribe()
+			l.watchEndpoints()
 		}
 	}
-	if l.bal.ZoneTransitions() != l.turns {
+	if l.balancer.ZoneTransitions() != l.zoneTransitions {
 		l.logZones()
 	}
 }
 
-func (l *loop) takeCall(c *call) {
+func (l *eventLoop) handleRequest(c *call) {
 	// An id still in use would be taken by the module for the request that it has, and never answered. Where only
 	// attempts hold it whose client has gone, that client is here again: what may be repeated is refused, so that it
 	// comes once more; of the rest it must not think that nothing has run.
@@ -174,58 +174,58 @@
 		if held.closed.Load() && c.method == http.MethodGet {
 			status = http.StatusServiceUnavailable
 		}
-		l.stats.countInvalidRequest("X-Call-Id is in use")
+		l.metrics.countInvalidRequest("X-Call-Id is in use")
 		c.held.shrink(0)
 		c.reply <- answer{status: status}
 		return
 	}
 	l.calls[c.req.ID] = c
 	if c.rest == nil {
-		l.count(c)
+		l.countRequest(c)
 	}
 	l.handle(c.req)
 }
 
-// count counts a call as taken: when its last byte is there, or when it has its answer before that.
-func (l *loop) count(c *call) {
+// countRequest counts a call as taken: when its last byte is there, or when it has its answer before that.
+func (l *eventLoop) countRequest(c *call) {
 	if !c.counted {
 		c.counted = true
-		l.stats.update(func(c *counters) { c.requests++ })
+		l.metrics.update(func(c *counters) { c.requests++ })
 	}
 }
 
-// leave ends a call whose client is gone, if it has not ended yet.
-func (l *loop) leave(c *call) bool {
+// disconnect ends a call whose client is gone, if it has not ended yet.
+func (l *eventLoop) disconnect(c *call) bool {
 	if c.closed.Swap(true) {
 		return false
 	}
 	c.leftAt.set(l.clock.now())
 	if c.counted {
-		l.stats.update(func(c *counters) { c.clientDisconnects++ })
+		l.metrics.update(func(c *counters) { c.clientDisconnects++ })
 	}
 	l.handle(policy.ClientDisconnected{ID: c.req.ID})
 	return true
 }
 
-// giveUp gives every call that is open its final answer now.
-func (l *loop) giveUp() {
+// failOpenCalls gives every call that is open its final answer now.
+func (l *eventLoop) failOpenCalls() {
 	for _, id := range slices.Sorted(maps.Keys(l.calls)) {
 		l.handle(policy.ShutdownDeadline{ID: id})
 	}
 }
 
-// takeSent starts the time of a request that came piece by piece.
-func (l *loop) takeSent(s sent) {
+// handleRequestSent starts the time of a request that came piece by piece.
+func (l *eventLoop) handleRequestSent(s sent) {
 	c := s.att.call
 	c.deadline = s.at + c.budget
 	if !c.closed.Load() {
-		l.count(c)
+		l.countRequest(c)
 	}
 	l.handle(policy.RequestSent{ID: c.req.ID, Attempt: s.att.n, Deadline: c.deadline})
 }
 
-// takeBegun gives a long answer to the caller as it comes. It is counted when it has ended.
-func (l *loop) takeBegun(b begun) {
+// handleResponseStarted gives a long answer to the caller as it comes. It is counted when it has ended.
+func (l *eventLoop) handleResponseStarted(b begun) {
 	c := b.att.call
 	if c.closed.Swap(true) {
 		b.answer.drop()
@@ -235,7 +235,7 @@
 	c.reply <- b.answer
 }
 
-func (l *loop) send(now time.Duration, a policy.SendAttempt) {
+func (l *eventLoop) sendAttempt(now time.Duration, a policy.SendAttempt) {
 	c := l.calls[a.ID]
 	if c == nil {
 		l.log.Error("send for an unknown request", "id", a.ID)
@@ -249,54 +249,54 @@
 	}
 	c.attempts++
 	c.out++
-	l.out++
+	l.attemptsOut++
 	l.sender.start(att)
 }
 
-// turnAway gives the one final answer of a request that the module refuses or fails; later ones go nowhere.
-func (l *loop) turnAway(id string, a answer, why guard.Verdict) {
+// reject gives the one final answer of a request that the module refuses or fails; later ones go nowhere.
+func (l *eventLoop) reject(id string, a answer, why guard.Verdict) {
 	c := l.calls[id]
 	if c == nil || c.closed.Swap(true) {
 		return
 	}
 	l.decisions.requestRejected(id, a.status, c.attempts, why)
 	c.reply <- a
-	l.count(c)
-	l.stats.countAnswer(c.req.Class, a.status, c.attempts)
+	l.countRequest(c)
+	l.metrics.countAnswer(c.req.Class, a.status, c.attempts)
 	l.forget(c)
 }
 
 // forget drops a call that is closed and has no attempt out.
-func (l *loop) forget(c *call) {
+func (l *eventLoop) forget(c *call) {
 	if c.closed.Load() && c.out == 0 && l.calls[c.req.ID] == c {
 		delete(l.calls, c.req.ID)
 		c.held.shrink(0)
 	}
 }
 
-func (l *loop) takeResult(r result) {
+func (l *eventLoop) handleAttemptResult(r result) {
 	c := r.att.call
 	c.out--
-	l.out--
-	l.stats.countAttemptResult(r.att.target.id, r.ending, l.clock.now()-r.att.started, r.err)
-	if r.why == guard.ClientLeft && l.leave(c) {
+	l.attemptsOut--
+	l.metrics.countAttemptResult(r.att.target.id, r.ending, l.clock.now()-r.att.started, r.err)
+	if r.why == guard.ClientLeft && l.disconnect(c) {
 		c.reply <- cut
 	}
 	var spent bool
 	if c.rest != nil && !c.closed.Load() {
 		spent = c.rest.touched.Load()
 		if why := c.rest.failed(); why != nil { // no server is to blame, and no other would get more of it
-			l.leave(c)
+			l.disconnect(c)
 			c.reply <- answer{status: http.StatusRequestTimeout}
 		}
 	}
 	switch {
 	case r.passed:
-		l.count(c)
-		l.stats.countAnswer(c.req.Class, r.answer.status, c.attempts)
+		l.countRequest(c)
+		l.metrics.countAnswer(c.req.Class, r.answer.status, c.attempts)
 	case r.ending == policy.Success && !c.closed.Swap(true):
-		l.count(c)
-		l.stats.countAnswer(c.req.Class, http.StatusOK, c.attempts)
+		l.countRequest(c)
+		l.metrics.countAnswer(c.req.Class, http.StatusOK, c.attempts)
 		c.reply <- r.answer
 	default:
 		r.answer.drop()
@@ -306,42 +306,42 @@
 	l.forget(c)
 }
 
-// takeNews updates the servers' addresses, stops what must get nothing new, then tells the module.
-func (l *loop) takeNews(n news) {
-	if n.failed {
+// handleWatchEvent updates the servers' addresses, stops what must get nothing new, then tells the module.
+func (l *eventLoop) handleWatchEvent(n watchEvent) {
+	if n.pollFailed {
 		l.handle(policy.DiscoveryFailed{})
 		return
 	}
-	e := policy.EndpointUpdate{Snapshot: n.list.Whole, Cached: n.cached}
+	e := policy.EndpointUpdate{Snapshot: n.list.Snapshot, Cached: n.cached}
 	listed := map[string]bool{}
-	for _, h := range n.list.Hosts {
-		s := h.server()
+	for _, h := range n.list.Endpoints {
+		s := h.endpoint()
 		e.Endpoints = append(e.Endpoints, s)
-		listed[h.Host] = true
-		old := l.targets[h.Host]
+		listed[h.ID] = true
+		old := l.targets[h.ID]
 		if s.State != policy.Ready {
-			l.drop(h.Host)
+			l.removeTarget(h.ID)
 			continue
 		}
 		// A server that moved or started anew shares no connection with the one before.
-		if old == nil || old.addr != h.Dial || old.boot != s.StartedAt {
-			l.drop(h.Host)
-			l.targets[h.Host] = &target{id: h.Host, addr: h.Dial, boot: s.StartedAt}
+		if old == nil || old.addr != h.Address || old.boot != s.StartedAt {
+			l.removeTarget(h.ID)
+			l.targets[h.ID] = &target{id: h.ID, addr: h.Address, boot: s.StartedAt}
 		}
 	}
-	if n.list.Whole {
+	if n.list.Snapshot {
 		for id := range l.targets {
 			if !listed[id] {
-				l.drop(id)
+				l.removeTarget(id)
 			}
 		}
 	}
 	l.handle(e)
-	l.usable.Store(len(l.targets) > 0)
+	l.hasReadyEndpoint.Store(len(l.targets) > 0)
 }
 
-// drop stops all sends to a server, those that wait for a connection among them.
-func (l *loop) drop(id string) {
+// removeTarget stops all sends to a server, those that wait for a connection among them.
+func (l *eventLoop) removeTarget(id string) {
 	if t := l.targets[id]; t != nil {
 		t.stopped.Store(true)
 		t.removedAt.set(l.clock.now())
--- a/internal/node/stats.go
+++ b/internal/node/metrics.go
@@ -16,18 +16,18 @@
 
 // counters are of what a node did since it started. They never fall, so a log line is the difference of two.
 type counters struct {
-	acceptedConnections                int // connections from callers
-	evictedConnections                 int // of these, closed without a request in work to make room
-	incompleteHeads                  int // of these, closed by the node after half a head
-	invalidRequests                  int // turned down before the module saw it
-	requestsAfterClose                 int // requests read off a connection that had made room: their clients send them again
-	requests, clientDisconnects             int // requests, and those whose clients left
+	acceptedConnections         int // connections from callers
+	evictedConnections          int // of these, closed without a request in work to make room
+	incompleteHeads             int // of these, closed by the node after half a head
+	invalidRequests             int // turned down before the module saw it
+	requestsAfterClose          int // requests read off a connection that had made room: their clients send them again
+	requests, clientDisconnects int // requests, and those whose clients left
 	succeeded, rejected, failed countByName
-	answeredWithoutAttempt                  int // refused or failed without an attempt
-	staleConnections                   int // connections to servers found ended, or with bytes nobody asked for, when next needed
-	attemptsWritten                 int // attempts that went whole to a server
-	attemptResults                 [policy.NotSent + 1]int
-	attemptTime                  time.Duration // over all attempts that ended
+	answeredWithoutAttempt      int // refused or failed without an attempt
+	staleConnections            int // connections to servers found ended, or with bytes nobody asked for, when next needed
+	attemptsWritten             int // attempts that went whole to a server
+	attemptResults              [policy.NotSent + 1]int
+	attemptTime                 time.Duration // over all attempts that ended
 }
 
 // countByName counts by the name of a class or a server.
@@ -47,11 +47,11 @@
 
 // metrics is the one source of the log's counts and of the figures at the door.
 type metrics struct {
-	mu     sync.Mutex
-	current    counters
-	lastReported   counters  // as they were at the last report
-	lastAttemptError  string  // why the last attempt that lacks an answer does
-	lastInvalidReason string  // of the last one turned down; it stands for the others
+	mu                sync.Mutex
+	current           counters
+	lastReported      counters    // as they were at the last report
+	lastAttemptError  string      // why the last attempt that lacks an answer does
+	lastInvalidReason string      // of the last one turned down; it stands for the others
 	failedAttempts    countByName // attempts without an answer since the last report, by server
 }
 
@@ -160,13 +160,13 @@
 
 // countersPage are the counts in the form that operators read.
 type countersPage struct {
-	Succeeded  countByName `json:"success"`
-	Rejected     countByName `json:"busy"`
-	Failed  countByName `json:"failure"`
-	AttemptsWritten  int     `json:"backend_calls"`
-	InFlight int     `json:"inflight"`
-	EndpointsListed   int     `json:"hosts_listed"`
-	EndpointsAvoided     int     `json:"hosts_down"`
+	Succeeded        countByName `json:"success"`
+	Rejected         countByName `json:"busy"`
+	Failed           countByName `json:"failure"`
+	AttemptsWritten  int         `json:"backend_calls"`
+	InFlight         int         `json:"inflight"`
+	EndpointsListed  int         `json:"hosts_listed"`
+	EndpointsAvoided int         `json:"hosts_down"`
 }
 
 func (s *metrics) page(listed, down int) countersPage {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	reserved    = 24 + doorPlaces        // descriptors for the listeners, discovery, logs, the runtime and the door
-	anyLimit    = 1024                   // sockets where no limit is set
-	frontNotice = 450 * time.Millisecond // the front still deals us connections so long after SIGTERM
-	lastCalls   = 150 * time.Millisecond // then answers end their connections for so long
-	tendEvery   = 20 * time.Millisecond  // how often a look is taken at what callers sent away hold
-	leastPlaces = 4                      // connections on either side, however many processes share the limit
-	lastAnswers = 100 * time.Millisecond // before the kill that follows SIGTERM all answers are to be under way
-	killAfter   = 700 * time.Millisecond // and the longest deadline, or killMost where that is longer
-	killMost    = 3 * time.Second
-	firstList   = time.Second // how long to wait for fresh news before the known list must do
+	reservedDescriptors    = 24 + adminMaxConnections // descriptors for the listeners, discovery, logs, the runtime and the door
+	defaultDescriptorLimit = 1024                     // sockets where no limit is set
+	frontNoticeDelay       = 450 * time.Millisecond   // the front still deals us connections so long after SIGTERM
+	closingAnswersTime     = 150 * time.Millisecond   // then answers end their connections for so long
+	idleCloseInterval      = 20 * time.Millisecond    // how often a look is taken at what callers sent away hold
+	minConnections         = 4                        // connections on either side, however many processes share the limit
+	finalAnswersMargin     = 100 * time.Millisecond   // before the kill that follows SIGTERM all answers are to be under way
+	killGrace              = 700 * time.Millisecond   // and the longest deadline, or killMost where that is longer
+	maxDeadlineBeforeKill  = 3 * time.Second
+	firstListTimeout       = time.Second // how long to wait for fresh news before the known list must do
 )
 
 // Node is one balancer on real sockets.
 type Node struct {
-	cfg     Config
-	log     *slog.Logger
-	loop    *loop
-	pool    *pool
-	disc    *discovery
-	life    *lifecycle
-	moves   chan struct{} // the phase has changed
-	buffers buffers
-	inbound *limitedListener // clients' connections; nil until it listens
+	cfg          Config
+	log          *slog.Logger
+	loop         *eventLoop
+	pool         *pool
+	discovery    *discovery
+	lifecycle    *lifecycle
+	phaseChanges chan struct{} // the phase has changed
+	buffers      buffers
+	inbound      *limitedListener // clients' connections; nil until it listens
 
-	mesh   atomic.Pointer[membership.Mesh] // nil: no fleet configuration asks for one
-	orders atomic.Pointer[overridesHost]   // of the mesh; nil: no fleet configuration asks for any
-	served chan struct{}                   // holds a token after the phase has changed; for the mesh
+	membership             atomic.Pointer[membership.Mesh] // nil: no fleet configuration asks for one
+	overrides              atomic.Pointer[overridesHost]   // of the mesh; nil: no fleet configuration asks for any
+	membershipPhaseChanges chan struct{}                   // holds a token after the phase has changed; for the mesh
 
-	open     atomic.Bool // callers are served here, and the process before knows
-	handover *handover   // nil until it listens
-	sharing  sync.Mutex
-	others   int // processes that share the limits
+	accepting      atomic.Bool     // callers are served here, and the process before knows
+	handover       *handoverServer // nil until it listens
+	sharingMutex   sync.Mutex
+	otherProcesses int // processes that share the limits
 }
 
 // New wires a node. It opens nothing yet.
@@ -59,62 +59,64 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if cfg.Sockets == 0 {
-		cfg.Sockets = anyLimit
+		cfg.Sockets = defaultDescriptorLimit
 	}
 	n := &Node{cfg: cfg, log: logger}
 	ck := newClock()
-	n.loop = newLoop(ck, logger, bal, newMetrics(cfg.Settings.Classes))
-	n.moves, n.served = make(chan struct{}, 1), make(chan struct{}, 1)
-	n.life = &lifecycle{onTransition: func(from, to phase) {
+	n.loop = newEventLoop(ck, logger, bal, newMetrics(cfg.Settings.Classes))
+	n.phaseChanges, n.membershipPhaseChanges = make(chan struct{}, 1), make(chan struct{}, 1)
+	n.lifecycle = &lifecycle{onTransition: func(from, to phase) {
 		logger.Info("phase", "from", from.String(), "to", to.String())
-		for _, c := range []chan struct{}{n.moves, n.served} {
+		for _, c := range []chan struct{}{n.phaseChanges, n.membershipPhaseChanges} {
 			select {
 			case c <- struct{}{}:
 			default:
 			}
 		}
 	}}
-	in := n.cfg.inboundPlaces(cfg.Sockets)
+	in := n.cfg.clientConnectionLimit(cfg.Sockets)
 	n.buffers = newBuffers(cfg.MemoryMB, in)
-	n.pool = newPool(cfg, cfg.Sockets-cfg.reserved()-in, n.loop, n.buffers)
+	n.pool = newPool(cfg, cfg.Sockets-cfg.reservedDescriptors()-in, n.loop, n.buffers)
 	n.loop.sender = n.pool
-	n.disc = newDiscovery(cfg, logger, func(ctx context.Context, w news) error {
+	n.discovery = newDiscovery(cfg, logger, func(ctx context.Context, w watchEvent) error {
 		select {
-		case n.loop.lists <- w:
-			n.life.transition(eventListReceived)
+		case n.loop.endpointUpdates <- w:
+			n.lifecycle.transition(eventListReceived)
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	})
-	n.loop.subscribe, n.loop.staleness, n.pool.staleness = n.disc.subscribe, n.disc.staleness, n.disc.staleness
+	n.loop.watchEndpoints, n.loop.staleness, n.pool.staleness = n.discovery.requestWatch, n.discovery.staleness, n.discovery.staleness
 	return n, nil
 }
 
-// inboundPlaces is how many connections callers may hold at once.
-func (c *Config) inboundPlaces(sockets int) int { return (sockets - c.reserved()) * 5 / 8 }
+// clientConnectionLimit is how many connections callers may hold at once.
+func (c *Config) clientConnectionLimit(sockets int) int {
+	return (sockets - c.reservedDescriptors()) * 5 / 8
+}
 
 // Run serves until ctx ends, then drains: it takes what still comes while the front notices, answers
 // what it holds and returns nil.
 func (n *Node) Run(ctx context.Context) error {
-	door, err := Patiently(ctx, func() (net.Listener, error) { return listenDoor(n.cfg.Control) })
+	door, err := Patiently(ctx, func() (net.Listener, error) { return listenAdmin(n.cfg.Control) })
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
-	if n.cfg.meshed() {
-		m, err := Patiently(ctx, n.startMesh)
+	if n.cfg.hasMembership() {
+		m, err := Patiently(ctx, n.joinMembership)
 		if err != nil {
 			return fmt.Errorf("%w (mesh.listen of the fleet configuration)", err)
 		}
-		n.mesh.Store(m)
+		n.membership.Store(m)
 		defer m.Close()
 	}
-	before, err := Patiently(ctx, func() (*predecessor, error) { return succeed(n.cfg.handover) })
+	before, err := Patiently(ctx, func() (*predecessor, error) { return connectPredecessor(n.cfg.handoverSocket) })
 	if err != nil {
 		n.log.Warn("nothing was handed over", "err", err)
 	}
 	if before != nil {
-		return n.serve(ctx, before.ln, door, before)
+		return n.serve(ctx, before.listener, door, before)
 	}
 	ln, err := Patiently(ctx, func() (net.Listener, error) { return listenShared(n.cfg.Listen) })
 	if err != nil {
@@ -126,7 +128,7 @@
 // Reconfigure takes over what may change while a node runs: the address of discovery.
 func (n *Node) Reconfigure(cfg Config) {
 	n.log.Info("reconfigured", "discovery", cfg.Discovery)
-	n.disc.move(cfg.Discovery)
+	n.discovery.moveTo(cfg.Discovery)
 }
 
 // serve runs on its listeners until ctx ends; doorAt and before may be nil.
@@ -140,18 +142,18 @@
 		}()
 	}
 	own(n.loop.run)
-	n.loop.lists <- news{list: n.cfg.Known.whole(), cached: true}
+	n.loop.endpointUpdates <- watchEvent{list: n.cfg.KnownEndpoints.asSnapshot(), cached: true}
 	watching, stopWatching := context.WithCancel(context.Background())
 	suspension := newSuspensionDetector()
 	own(func() { suspension.run(watching) })
-	own(func() { n.disc.run(watching) })
-	grace := time.AfterFunc(firstList, func() { n.life.transition(eventListReceived) })
+	own(func() { n.discovery.run(watching) })
+	grace := time.AfterFunc(firstListTimeout, func() { n.lifecycle.transition(eventListReceived) })
 	defer grace.Stop()
 
-	n.inbound = newLimitedListener(ln, n.cfg.inboundPlaces(n.cfg.Sockets), n.loop.stats, n.loop.decisions)
+	n.inbound = newLimitedListener(ln, n.cfg.clientConnectionLimit(n.cfg.Sockets), n.loop.metrics, n.loop.decisions)
 	server := &http.Server{
-		Handler: &callers{clock: n.loop.clock, arrivals: n.loop.arrivals,
-			gone: n.loop.gone, stopped: n.loop.stop, stats: n.loop.stats, decisions: n.loop.decisions, buffers: n.buffers,
+		Handler: &callers{clock: n.loop.clock, arrivals: n.loop.requests,
+			gone: n.loop.disconnects, stopped: n.loop.stop, stats: n.loop.metrics, decisions: n.loop.decisions, buffers: n.buffers,
 			suspension: suspension, methods: methods(n.cfg.Settings.Classes), ready: n.ready, closing: n.closing},
 		ReadHeaderTimeout: headTime,
 		IdleTimeout:       idleTime,
@@ -162,25 +164,25 @@
 		MaxHeaderBytes: maxHead,
 		ErrorLog:       slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
 	}
-	n.handover = &handover{path: n.cfg.handover, log: n.log, ln: ln.(syscall.Conn), phase: n.life.current, share: n.share, moved: make(chan struct{}, 1)}
+	n.handover = &handoverServer{path: n.cfg.handoverSocket, log: n.log, listener: ln.(syscall.Conn), phase: n.lifecycle.current, changeProcesses: n.changeProcesses, changed: make(chan struct{}, 1)}
 	begun := make(chan struct{})                             // callers are accepted here
 	known, alone := make(chan struct{}), make(chan struct{}) // to the process before; there is none any more
 	if before == nil {
 		close(begun)
 	} else {
-		n.share(+1)
+		n.changeProcesses(+1)
 		if before.phase == phaseDrained {
-			n.life.transition(eventDrain)
+			n.lifecycle.transition(eventDrain)
 		}
 		defer before.conn.Close()
 		go func() { // ends with the connection
-			before.follow(sync.OnceFunc(func() { close(known) }))
+			before.awaitEnd(sync.OnceFunc(func() { close(known) }))
 			close(alone)
-			n.share(-1)
+			n.changeProcesses(-1)
 		}()
 		own(func() {
 			defer close(begun)
-			n.await(ctx, alone)
+			n.awaitReadiness(ctx, alone)
 		})
 	}
 	accepting := make(chan error, 1)
@@ -192,32 +194,32 @@
 	own(func() {
 		<-begun
 		if before != nil {
-			before.serves()
+			before.announceServing()
 			select {
 			case <-known:
 			case <-alone:
-			case <-time.After(handTime):
+			case <-time.After(handoverTimeout):
 				n.log.Warn("the process before does not answer")
 			case <-meeting.Done():
 			}
 		}
-		n.open.Store(true)
+		n.accepting.Store(true)
 		if n.handover.path != "" {
 			n.handover.serve(meeting)
 		}
 	})
-	own(func() { n.tend(meeting) })
+	own(func() { n.closeIdleWhileDrained(meeting) })
 	part, stopPart := context.WithCancel(ctx)
 	defer stopPart()
-	if m := n.mesh.Load(); m != nil {
-		own(func() { n.takePart(part, m) })
+	if m := n.membership.Load(); m != nil {
+		own(func() { n.runMembership(part, m) })
 	}
 	var operators *http.Server
 	if doorAt != nil {
-		operators = newDoor(&door{members: n.members, orders: &n.orders, life: n.life, loop: n.loop,
-			usable: func() bool { return n.open.Load() && n.loop.usable.Load() }}, n.log)
+		operators = newAdminServer(&adminEndpoint{membersPage: n.membersPage, overrides: &n.overrides, lifecycle: n.lifecycle, loop: n.loop,
+			canServe: func() bool { return n.accepting.Load() && n.loop.hasReadyEndpoint.Load() }}, n.log)
 		own(func() {
-			endpoint := newLimitedListener(doorAt, doorPlaces, newMetrics(nil), n.loop.decisions)
+			endpoint := newLimitedListener(doorAt, adminMaxConnections, newMetrics(nil), n.loop.decisions)
 			if err := operators.Serve(endpoint); !errors.Is(err, http.ErrServerClosed) {
 				n.log.Error("the operators' endpoint has ended; clients are served as ever", "err", err)
 			}
@@ -231,7 +233,7 @@
 	case err = <-accepting:
 		err = fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
-		n.drain(accepting)
+		n.shutDown(accepting)
 	}
 	stopPart()
 	stopMeeting()
@@ -251,12 +253,12 @@
 // ready says that callers may come: the node knows a server in service, from discovery itself if that answers.
 // To callers two processes are one node: while this one leaves, its successor has them.
 func (n *Node) ready() bool {
-	phase := n.life.current()
+	phase := n.lifecycle.current()
 	why := guard.TakeClients{
 		Serving:         phase == phaseServing,
 		Leaving:         phase == phaseShuttingDown,
-		SuccessorServes: n.handover.passed.Load(),
-		ServerKnown:     n.loop.usable.Load(),
+		SuccessorServes: n.handover.successorServes.Load(),
+		ServerKnown:     n.loop.hasReadyEndpoint.Load(),
 	}.Verdict()
 	if why != guard.Allowed {
 		n.loop.decisions.readinessRefused.add(why)
@@ -266,14 +268,14 @@
 
 // closing says that every answer ends its connection.
 func (n *Node) closing() bool {
-	return n.life.drainedFor() >= frontNotice || n.life.current() == phaseShuttingDown && n.handover.passed.Load()
+	return n.lifecycle.drainedFor() >= frontNoticeDelay || n.lifecycle.current() == phaseShuttingDown && n.handover.successorServes.Load()
 }
 
-// await returns when this process can serve, or has to because the one before is gone.
-func (n *Node) await(ctx context.Context, alone <-chan struct{}) {
+// awaitReadiness returns when this process can serve, or has to because the one before is gone.
+func (n *Node) awaitReadiness(ctx context.Context, alone <-chan struct{}) {
 	look := time.NewTicker(5 * time.Millisecond)
 	defer look.Stop()
-	for !(n.life.canServe() && n.loop.usable.Load()) {
+	for !(n.lifecycle.canServe() && n.loop.hasReadyEndpoint.Load()) {
 		select {
 		case <-look.C:
 		case <-alone:
@@ -284,39 +286,39 @@
 	}
 }
 
-// share changes how many more processes the limits are for.
-func (n *Node) share(more int) {
-	n.sharing.Lock()
-	defer n.sharing.Unlock()
-	was := 1 + n.others
-	n.others += more
-	n.buffers.requests.share(was, 1+n.others)
-	n.buffers.answers.share(was, 1+n.others)
-	sockets := n.cfg.Sockets / (1 + n.others)
-	in := max(leastPlaces, n.cfg.inboundPlaces(sockets))
+// changeProcesses changes how many more processes the limits are for.
+func (n *Node) changeProcesses(more int) {
+	n.sharingMutex.Lock()
+	defer n.sharingMutex.Unlock()
+	was := 1 + n.otherProcesses
+	n.otherProcesses += more
+	n.buffers.requests.share(was, 1+n.otherProcesses)
+	n.buffers.answers.share(was, 1+n.otherProcesses)
+	sockets := n.cfg.Sockets / (1 + n.otherProcesses)
+	in := max(minConnections, n.cfg.clientConnectionLimit(sockets))
 	n.inbound.resize(in)
-	n.pool.resize(max(leastPlaces, sockets-n.cfg.reserved()-in))
-	if n.cfg.Shared != nil {
-		n.cfg.Shared(1 + n.others)
+	n.pool.resize(max(minConnections, sockets-n.cfg.reservedDescriptors()-in))
+	if n.cfg.ProcessesChanged != nil {
+		n.cfg.ProcessesChanged(1 + n.otherProcesses)
 	}
 }
 
-// tend closes callers' connections without a request while they are sent away. An old one has had the time to
+// closeIdleWhileDrained closes callers' connections without a request while they are sent away. An old one has had the time to
 // get its last answer; a young one may have a request on its way.
-func (n *Node) tend(ctx context.Context) {
-	look := time.NewTicker(tendEvery)
+func (n *Node) closeIdleWhileDrained(ctx context.Context) {
+	look := time.NewTicker(idleCloseInterval)
 	defer look.Stop()
 	for {
-		if n.life.drainedFor() == 0 {
+		if n.lifecycle.drainedFor() == 0 {
 			look.Stop()
 		} else {
-			look.Reset(tendEvery)
+			look.Reset(idleCloseInterval)
 		}
 		select {
-		case <-n.moves:
+		case <-n.phaseChanges:
 		case <-look.C:
-			if n.life.drainedFor() >= frontNotice+lastCalls {
-				n.inbound.closeWaiting(lastCalls)
+			if n.lifecycle.drainedFor() >= frontNoticeDelay+closingAnswersTime {
+				n.inbound.closeWaiting(closingAnswersTime)
 			}
 		case <-ctx.Done():
 			return
@@ -324,18 +326,18 @@
 	}
 }
 
-// drain stops serving without losing a request. A listener closed at once would reset the connections that the
+// shutDown stops serving without losing a request. A listener closed at once would reset the connections that the
 // front still deals out, and idle ones closed at once would cross requests. Server.Shutdown will not do: it ends a
 // connection without an answer when its request is read after the call.
-func (n *Node) drain(accepting <-chan error) {
-	n.life.transition(eventShutdown)
+func (n *Node) shutDown(accepting <-chan error) {
+	n.lifecycle.transition(eventShutdown)
 	began, longest := time.Now(), longestDeadline(n.cfg.Settings)
-	last := began.Add(min(longest, killMost) + killAfter - lastAnswers)
-	end := began.Add(frontNotice + lastCalls + longest + 20*time.Millisecond)
-	if n.handover.passed.Load() {
+	last := began.Add(min(longest, maxDeadlineBeforeKill) + killGrace - finalAnswersMargin)
+	end := began.Add(frontNoticeDelay + closingAnswersTime + longest + 20*time.Millisecond)
+	if n.handover.successorServes.Load() {
 		n.inbound.Close() // the successor has the queue
 	}
-	time.Sleep(frontNotice + lastCalls)
+	time.Sleep(frontNoticeDelay + closingAnswersTime)
 	n.inbound.Close()
 	<-accepting
 	for left := n.inbound.open(); left > 0; left = n.inbound.open() {
@@ -344,14 +346,14 @@
 			n.log.Warn("connections left open", "n", left) // none of them is owed an answer any more
 			return
 		case now.After(last): // also what comes in whole only now; long answers that have begun may still end
-			n.loop.ask(n.loop.giveUp)
+			n.loop.runTask(n.loop.failOpenCalls)
 		}
-		time.Sleep(tendEvery / 4)
+		time.Sleep(idleCloseInterval / 4)
 	}
 }
 
-// whole marks the list that a node starts with as complete.
-func (l roster) whole() roster {
-	l.Whole = true
+// asSnapshot marks the list that a node starts with as complete.
+func (l endpointList) asSnapshot() endpointList {
+	l.Snapshot = true
 	return l
 }
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -15,61 +15,61 @@
 )
 
 const (
-	orderTick  = 100 * time.Millisecond
-	orderWait  = 800 * time.Millisecond // for the leader's word; the door answers within a second
-	orderMails = 256
-	mostOrder  = 4 << 10    // bytes of a call's body
-	evacuate   = "evacuate" // the kind that there is: Scope names a zone that gets nothing
+	overridesTick        = 100 * time.Millisecond
+	leaderReplyTimeout   = 800 * time.Millisecond // for the leader's word; the door answers within a second
+	overridesQueueLength = 256
+	maxOverrideBody      = 4 << 10    // bytes of a call's body
+	kindEvacuate         = "evacuate" // the kind that there is: Scope names a zone that gets nothing
 )
 
 // overrides is the host of the register: it brings messages to it and from it, asks the leader on behalf of the door, and
 // keeps the loop told of what is in force. Its goroutine alone uses the register. Off unless the fleet configuration has
 // [orders].
 type overridesHost struct {
-	loop  *loop
-	self  string
-	reg   *overrides.Register
-	mesh  *atomic.Pointer[membership.Mesh]
-	mail  chan envelope
-	asks  chan func(now time.Duration)
-	ended chan struct{}
-	n     uint64
-	calls map[uint64]chan answered // asked of a leader
-	view  membership.View
+	loop         *eventLoop
+	self         string
+	register     *overrides.Register
+	membership   *atomic.Pointer[membership.Mesh]
+	messages     chan envelope
+	tasks        chan func(now time.Duration)
+	ended        chan struct{}
+	lastCall     uint64
+	pendingCalls map[uint64]chan overrideAnswer // asked of a leader
+	view         membership.View
 }
 
 // envelope is what hosts say to each other: a register's message, a call for the leader, or its reply.
 type envelope struct {
 	from     string
 	Register *overrides.Message `json:"r,omitempty"`
-	Call     *orderCall         `json:"c,omitempty"`
-	Reply    *orderReply        `json:"a,omitempty"`
+	Call     *overrideCall      `json:"c,omitempty"`
+	Reply    *overrideReply     `json:"a,omitempty"`
 }
 
-// orderCall is what an operator asks at a door.
-type orderCall struct {
-	N        uint64             `json:"n"`
+// overrideCall is what an operator asks at a door.
+type overrideCall struct {
+	Number   uint64             `json:"n"`
 	ID       string             `json:"id"`
 	Revoke   bool               `json:"x,omitempty"`
-	Is       overrides.Override `json:"is"`
-	For      time.Duration      `json:"for"`
+	Override overrides.Override `json:"is"`
+	Duration time.Duration      `json:"for"`
 	Replaces *overrides.Mark    `json:"replaces,omitempty"`
 }
 
-type orderReply struct {
-	N uint64 `json:"n"`
-	answered
+type overrideReply struct {
+	Number uint64 `json:"n"`
+	overrideAnswer
 }
 
-// answered is an answer at the door.
-type answered struct {
+// overrideAnswer is an answer at the door.
+type overrideAnswer struct {
 	Status int             `json:"s"`
 	Body   json.RawMessage `json:"b"`
 }
 
 func (n *Node) newOverrides(process uint64) *overridesHost {
-	return &overridesHost{loop: n.loop, self: n.cfg.Name, reg: overrides.New(n.cfg.Name, process), mesh: &n.mesh, mail: make(chan envelope, orderMails),
-		asks: make(chan func(time.Duration)), ended: make(chan struct{}), calls: map[uint64]chan answered{}}
+	return &overridesHost{loop: n.loop, self: n.cfg.Name, register: overrides.New(n.cfg.Name, process), membership: &n.membership, messages: make(chan envelope, overridesQueueLength),
+		tasks: make(chan func(time.Duration)), ended: make(chan struct{}), pendingCalls: map[uint64]chan overrideAnswer{}}
 }
 
 // deliver takes a body from the mesh; one that finds no room is lost, and asked for again.
@@ -79,7 +79,7 @@
 		return
 	}
 	select {
-	case o.mail <- e:
+	case o.messages <- e:
 	default:
 	}
 }
@@ -87,82 +87,82 @@
 // run owns the register until ctx ends. Without it what is in force still ends in the loop.
 func (o *overridesHost) run(ctx context.Context) {
 	defer close(o.ended)
-	tick := time.NewTicker(orderTick)
+	tick := time.NewTicker(overridesTick)
 	defer tick.Stop()
 	for {
 		now := o.loop.clock.now
 		select {
-		case e := <-o.mail:
-			o.look(now())
-			o.hear(now(), e)
-		case f := <-o.asks:
-			o.look(now())
+		case e := <-o.messages:
+			o.updateLeader(now())
+			o.handleEnvelope(now(), e)
+		case f := <-o.tasks:
+			o.updateLeader(now())
 			f(now())
 		case <-tick.C:
-			o.look(now())
+			o.updateLeader(now())
 		case <-ctx.Done():
 			return
 		}
-		o.show(now())
+		o.publish(now())
 	}
 }
 
-// look takes over whom the mesh has for the leader: each time, since a process that slept knows of none.
-func (o *overridesHost) look(now time.Duration) {
-	if m := o.mesh.Load(); m != nil {
+// updateLeader takes over whom the mesh has for the leader: each time, since a process that slept knows of none.
+func (o *overridesHost) updateLeader(now time.Duration) {
+	if m := o.membership.Load(); m != nil {
 		o.view = m.View()
-		o.say(o.reg.View(now, o.view.Leader, o.view.Names))
+		o.sendMessages(o.register.View(now, o.view.Leader, o.view.Names))
 	}
 }
 
-func (o *overridesHost) say(out []overrides.Out) {
+func (o *overridesHost) sendMessages(out []overrides.Out) {
 	for _, m := range out {
-		o.tell(m.To, envelope{Register: &m.Message})
+		o.send(m.To, envelope{Register: &m.Message})
 	}
 }
 
-func (o *overridesHost) tell(to string, e envelope) {
+func (o *overridesHost) send(to string, e envelope) {
 	text, err := json.Marshal(e)
 	if err != nil {
 		panic(err) // plain values
 	}
-	if m := o.mesh.Load(); m != nil {
+	if m := o.membership.Load(); m != nil {
 		m.Tell(to, text)
 	}
 }
 
-func (o *overridesHost) hear(now time.Duration, e envelope) {
+func (o *overridesHost) handleEnvelope(now time.Duration, e envelope) {
 	switch {
 	case e.Register != nil:
 		e.Register.From = e.from
-		o.say(o.reg.Hear(now, *e.Register))
+		o.sendMessages(o.register.Hear(now, *e.Register))
 	case e.Call != nil:
-		o.tell(e.from, envelope{Reply: &orderReply{e.Call.N, o.decide(now, *e.Call)}})
+		o.send(e.from, envelope{Reply: &overrideReply{e.Call.Number, o.decideAsLeader(now, *e.Call)}})
 	case e.Reply != nil:
-		if c := o.calls[e.Reply.N]; c != nil && e.from == o.view.Leader {
-			delete(o.calls, e.Reply.N)
-			c <- e.Reply.answered
+		if c := o.pendingCalls[e.Reply.Number]; c != nil && e.from == o.view.Leader {
+			delete(o.pendingCalls, e.Reply.Number)
+			c <- e.Reply.overrideAnswer
 		}
 	}
 }
 
-// decide answers a call as the leader.
-func (o *overridesHost) decide(now time.Duration, c orderCall) answered {
+// decideAsLeader answers a call as the leader.
+func (o *overridesHost) decideAsLeader(now time.Duration, c overrideCall) overrideAnswer {
 	if c.Revoke {
-		mark, out, err := o.reg.Revoke(now, c.ID)
-		o.say(out)
-		return answerOf(err, map[string]any{"id": c.ID, "revoked": mark})
+		mark, out, err := o.register.Revoke(now, c.ID)
+		o.sendMessages(out)
+		return newOverrideAnswer(err, map[string]any{"id": c.ID, "revoked": mark})
 	}
-	if c.Is.Kind != evacuate {
-		return answerOf(fmt.Errorf("kind %q is none of: %s", c.Is.Kind, evacuate), nil)
+	if c.Override.Kind != kindEvacuate {
+		return newOverrideAnswer(fmt.Errorf("kind %q is none of: %s", c.Override.Kind, kindEvacuate), nil)
 	}
-	f, out, err := o.reg.Put(now, c.ID, c.Is, c.For, c.Replaces)
-	o.say(out)
-	return answerOf(err, f)
+	f, out, err := o.register.Put(now, c.ID, c.Override, c.Duration, c.Replaces)
+	o.sendMessages(out)
+	return newOverrideAnswer(err, f)
 }
 
-// answerOf words an answer; the body says what is wrong.
-func answerOf(err error, body any) answered {
+// newOverrideAnswer words an answer; the body says what is wrong.
+func newOverrideAnswer(err error, body any) overrideAnswer {
 	status := http.StatusOK
 	switch {
 	case err == nil:
@@ -179,28 +179,28 @@
 		body = map[string]string{"error": err.Error()}
 	}
 	text, _ := json.Marshal(body) // plain values
-	return answered{status, text}
+	return overrideAnswer{status, text}
 }
 
-// show gives the loop what is in force; only the newest word counts.
-func (o *overridesHost) show(now time.Duration) {
+// publish gives the loop what is in force; only the newest word counts.
+func (o *overridesHost) publish(now time.Duration) {
 	until := map[string]time.Duration{}
-	for _, f := range o.reg.InForce(now) {
-		if f.Is.Kind == evacuate {
+	for _, f := range o.register.InForce(now) {
+		if f.Is.Kind == kindEvacuate {
 			until[f.Is.Scope] = max(until[f.Is.Scope], now+f.Left)
 		}
 	}
 	select {
-	case <-o.loop.ordered: // an older word
+	case <-o.loop.overrideUpdates: // an older word
 	default:
 	}
-	o.loop.ordered <- until // has room: only this goroutine sends
+	o.loop.overrideUpdates <- until // has room: only this goroutine sends
 }
 
-// ask runs f in the host's goroutine; false: it has ended.
-func (o *overridesHost) ask(f func(now time.Duration)) bool {
+// runTask runs f in the host's goroutine; false: it has ended.
+func (o *overridesHost) runTask(f func(now time.Duration)) bool {
 	select {
-	case o.asks <- f:
+	case o.tasks <- f:
 		return true
 	case <-o.ended:
 		return false
@@ -210,28 +210,28 @@
 // ServeHTTP answers /control/overrides and /control/overrides/ID.
 func (o *overridesHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := strings.Trim(strings.TrimPrefix(r.URL.Path, "/control/overrides"), "/")
-	got := make(chan answered, 1)
+	got := make(chan overrideAnswer, 1)
 	var do func(now time.Duration)
 	switch {
 	case r.Method == http.MethodGet && id == "":
-		do = func(now time.Duration) { got <- answerOf(nil, o.figures(now)) }
+		do = func(now time.Duration) { got <- newOverrideAnswer(nil, o.page(now)) }
 	case (r.Method == http.MethodPut || r.Method == http.MethodDelete) && id != "":
-		c, here, err := readCall(r, id)
+		c, here, err := readOverrideCall(r, id)
 		if err != nil {
-			got <- answerOf(err, nil)
+			got <- newOverrideAnswer(err, nil)
 			do = func(time.Duration) {}
 			break
 		}
-		do = func(now time.Duration) { o.call(now, c, here, got) }
+		do = func(now time.Duration) { o.handleCall(now, c, here, got) }
 	default:
 		w.WriteHeader(http.StatusMethodNotAllowed)
 		return
 	}
-	a := answered{http.StatusServiceUnavailable, json.RawMessage(`{"error":"the leader does not answer; ask again, the id makes it safe"}`)}
-	if o.ask(do) {
+	a := overrideAnswer{http.StatusServiceUnavailable, json.RawMessage(`{"error":"the leader does not answer; ask again, the id makes it safe"}`)}
+	if o.runTask(do) {
 		select {
 		case a = <-got:
-		case <-time.After(orderWait):
+		case <-time.After(leaderReplyTimeout):
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -239,9 +239,9 @@
 	w.Write(append(a.Body, '\n')) // fails only as the caller leaves
 }
 
-// readCall reads what an operator asks; for is a length of time such as 10m.
-func readCall(r *http.Request, id string) (c orderCall, here bool, err error) {
-	c = orderCall{ID: id, Revoke: r.Method == http.MethodDelete}
+// readOverrideCall reads what an operator asks; for is a length of time such as 10m.
+func readOverrideCall(r *http.Request, id string) (c overrideCall, here bool, err error) {
+	c = overrideCall{ID: id, Revoke: r.Method == http.MethodDelete}
 	if c.Revoke {
 		return c, false, nil
 	}
@@ -250,38 +250,38 @@
 		For      string          `json:"for"`
 		Replaces *overrides.Mark `json:"replaces"`
 	}
-	d := json.NewDecoder(http.MaxBytesReader(nil, r.Body, mostOrder))
+	d := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxOverrideBody))
 	d.DisallowUnknownFields()
 	if err = d.Decode(&body); err != nil {
 		return c, false, fmt.Errorf("body: %w", err)
 	}
-	c.Is, c.Replaces = body.Override, body.Replaces
-	if c.For, err = time.ParseDuration(body.For); err != nil {
+	c.Override, c.Replaces = body.Override, body.Replaces
+	if c.Duration, err = time.ParseDuration(body.For); err != nil {
 		return c, false, fmt.Errorf("for: %w", err)
 	}
 	return c, r.URL.Query().Get("here") == "yes", nil
 }
 
-// call decides here, as the leader or for this process alone, or asks the leader.
-func (o *overridesHost) call(now time.Duration, c orderCall, here bool, got chan answered) {
+// handleCall decides here, as the leader or for this process alone, or asks the leader.
+func (o *overridesHost) handleCall(now time.Duration, c overrideCall, here bool, got chan overrideAnswer) {
 	switch {
 	case here:
-		got <- answerOf(o.reg.PutHere(now, c.ID, c.Is, c.For), map[string]any{"id": c.ID, "here": true})
+		got <- newOverrideAnswer(o.register.PutHere(now, c.ID, c.Override, c.Duration), map[string]any{"id": c.ID, "here": true})
 	case o.view.Leader == o.self:
-		got <- o.decide(now, c)
+		got <- o.decideAsLeader(now, c)
 	case o.view.Leader == "":
-		got <- answerOf(overrides.ErrMinority, nil)
+		got <- newOverrideAnswer(overrides.ErrMinority, nil)
 	default:
-		o.n++
-		c.N = o.n
-		o.calls[c.N] = got
-		delete(o.calls, c.N-orderMails) // nobody waits for one so old
-		o.tell(o.view.Leader, envelope{Call: &c})
+		o.lastCall++
+		c.Number = o.lastCall
+		o.pendingCalls[c.Number] = got
+		delete(o.pendingCalls, c.Number-overridesQueueLength) // nobody waits for one so old
+		o.send(o.view.Leader, envelope{Call: &c})
 	}
 }
 
-// figures is what the door shows.
-func (o *overridesHost) figures(now time.Duration) any {
-	return map[string]any{"leader": o.view.Leader, "mark": o.reg.Mark(), "confirmed_ns_ago": o.reg.Confirmed(now), "lacking": o.reg.Lacking(o.reg.Mark()),
-		"in_force": append([]overrides.Fact{}, o.reg.InForce(now)...)}
+// page is what the door shows.
+func (o *overridesHost) page(now time.Duration) any {
+	return map[string]any{"leader": o.view.Leader, "mark": o.register.Mark(), "confirmed_ns_ago": o.register.Confirmed(now), "lacking": o.register.Lacking(o.register.Mark()),
+		"in_force": append([]overrides.Fact{}, o.register.InForce(now)...)}
 }
--- a/internal/node/overrides_test.go
+++ b/internal/node/overrides_test.go
@@ -10,18 +10,18 @@
 func TestOverrideEndsWithoutItsHost(t *testing.T) {
 	x, y := newBackend(t, ok), newBackend(t, ok)
 	a, b := inService("s-1", x.addr()), inService("s-2", y.addr())
-	a.Site, b.Site = "x", "y"
+	a.Zone, b.Zone = "x", "y"
 	n := start(t, testConfig(t, "pushed", a, b))
 	ordered := func() (is bool) {
-		n.loop.ask(func() {
-			for _, z := range n.loop.bal.Zones() {
+		n.loop.runTask(func() {
+			for _, z := range n.loop.balancer.Zones() {
 				is = is || z.Name == "x" && z.EvacuatedByOperator
 			}
 		})
 		return is
 	}
 	end := n.loop.clock.now() + 300*time.Millisecond
-	n.loop.ordered <- map[string]time.Duration{"x": end}
+	n.loop.overrideUpdates <- map[string]time.Duration{"x": end}
 	until(t, "the zone is ordered away", ordered)
 	until(t, "the override is over", func() bool { return n.loop.clock.now() >= end })
 	if status, _, _ := do(t, newRequest(t, n.url, "keyed", "1", "x")); status != http.StatusOK || ordered() {
@@ -33,17 +33,17 @@
 func TestOrderByHandOutlivesAnOverride(t *testing.T) {
 	b := newBackend(t, ok)
 	n := start(t, testConfig(t, "pushed", inService("s-1", b.addr())))
-	n.loop.ask(func() {
+	n.loop.runTask(func() {
 		l, now := n.loop, n.loop.clock.now()
-		l.takeOrders(map[string]time.Duration{"z": now + time.Hour})
-		l.orderZone("z", true, true)
-		l.takeOrders(nil)
-		if !l.bal.Zones()[0].EvacuatedByOperator {
+		l.handleOverrides(map[string]time.Duration{"z": now + time.Hour})
+		l.evacuateByOperator("z", true, true)
+		l.handleOverrides(nil)
+		if !l.balancer.Zones()[0].EvacuatedByOperator {
 			t.Error("the end of the override ended the door's order")
 		}
-		l.takeOrders(map[string]time.Duration{"z": now + time.Hour})
-		l.orderZone("z", false, false)
-		if !l.bal.Zones()[0].EvacuatedByOperator {
+		l.handleOverrides(map[string]time.Duration{"z": now + time.Hour})
+		l.evacuateByOperator("z", false, false)
+		if !l.balancer.Zones()[0].EvacuatedByOperator {
 			t.Error("the end of the door's order ended the override")
 		}
 	})
--- a/internal/node/repeat_window_test.go
+++ b/internal/node/repeat_window_test.go
@@ -18,7 +18,7 @@
 func TestRepeatBehindASlowDialIsNotSentAfterItsWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	fails := func(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "500 Internal Server Error", "") }
-	var hosts []host
+	var hosts []listedEndpoint
 	var backends []*backend
 	for i := range 2 {
 		b := newBackend(t, fails)
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -144,11 +144,11 @@
 func TestBootIsClockTime(t *testing.T) {
 	ck := newClock()
 	born := ck.start.Add(-5 * time.Second)
-	s := host{Host: "s", Health: "in_service", Born: float64(born.UnixMicro()) / 1000}.server()
+	s := listedEndpoint{ID: "s", Health: "in_service", StartedAtMillis: float64(born.UnixMicro()) / 1000}.endpoint()
 	if age := ck.now() - s.StartedAt; age < 4999*time.Millisecond || age > time.Minute {
 		t.Errorf("a server born 5 s ago is %v old", age)
 	}
-	if s := (host{Health: "terminating"}).server(); s.StartedAt != 0 || s.State != policy.Draining {
+	if s := (listedEndpoint{Health: "terminating"}).endpoint(); s.StartedAt != 0 || s.State != policy.Draining {
 		t.Errorf("got %+v", s)
 	}
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -57,10 +57,10 @@
 	wg   sync.WaitGroup
 }
 
-func newPool(cfg Config, most int, l *loop, b buffers) *pool {
+func newPool(cfg Config, most int, l *eventLoop, b buffers) *pool {
 	return &pool{clock: l.clock, dialer: net.Dialer{Timeout: cfg.connectTimeout, KeepAlive: -1},
-		idleFor: cfg.connIdle / 2, stall: cfg.connIdle, most: most, buffers: b,
-		results: l.results, sents: l.sents, begins: l.begins, stats: l.stats,
+		idleFor: cfg.connectionIdleTimeout / 2, stall: cfg.connectionIdleTimeout, most: most, buffers: b,
+		results: l.attemptResults, sents: l.requestsSent, begins: l.responsesStarted, stats: l.metrics,
 		decisions: l.decisions, removalGrace: cfg.removalGrace,
 		open: map[*conn]bool{}, idle: list.New()}
 }
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -16,7 +16,7 @@
 
 func testPool(t *testing.T) *pool {
 	cfg := testConfig(t, "pushed")
-	p := newPool(cfg, 8, newLoop(newClock(), quiet(), nil, newMetrics(nil)), newBuffers(cfg.MemoryMB, 8))
+	p := newPool(cfg, 8, newEventLoop(newClock(), quiet(), nil, newMetrics(nil)), newBuffers(cfg.MemoryMB, 8))
 	t.Cleanup(p.shut)
 	return p
 }
--- a/internal/node/sites_test.go
+++ b/internal/node/sites_test.go
@@ -124,7 +124,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				known, err := json.Marshal(roster{Seq: 1, Whole: true, Hosts: []host{inService("s-0", b.addr())}})
+				known, err := json.Marshal(endpointList{Version: 1, Snapshot: true, Endpoints: []listedEndpoint{inService("s-0", b.addr())}})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -151,7 +151,7 @@
 						t.Errorf("%s got %d", c.Name, status)
 					}
 					breaks.Store(c.Name)
-					n.loop.lists <- news{list: roster{Seq: 2, Whole: true, Hosts: []host{inService("s-0", b.addr()), inService("s-1", other.addr())}}}
+					n.loop.endpointUpdates <- watchEvent{list: endpointList{Version: 2, Snapshot: true, Endpoints: []listedEndpoint{inService("s-0", b.addr()), inService("s-1", other.addr())}}}
 					for k, before := 2, other.requests(); breaks.Load() == c.Name && k < 100; k++ {
 						status := ask(fmt.Sprint("-", k))
 						if breaks.Load() == c.Name {
--- a/internal/node/watchdog.go
+++ b/internal/node/staleness.go
@@ -14,17 +14,17 @@
 	watchSilenceTimeout = 3 * time.Second
 	// A first line comes at once, after a turn of 1 s and a connection that is 1 s late at most. One that fails must
 	// leave time for another: where lists are pushed the grace of a drain is running already.
-	firstLineTimeout = 2300 * time.Millisecond
-	incompleteListTimeout  = 500 * time.Millisecond // a list that has begun is whole so soon, or it was cut short
+	firstLineTimeout      = 2300 * time.Millisecond
+	incompleteListTimeout = 500 * time.Millisecond // a list that has begun is whole so soon, or it was cut short
 	// A watchdog that comes so much late has slept with the whole process. The grace of a drain has 50 ms of slack.
 	suspensionThreshold = 100 * time.Millisecond
-	resumeQuietPeriod    = 50 * time.Millisecond // after a sleep, without a further line: all that waited has been read
-	maxSendHold  = 300 * time.Millisecond
+	resumeQuietPeriod   = 50 * time.Millisecond // after a sleep, without a further line: all that waited has been read
+	maxSendHold         = 300 * time.Millisecond
 )
 
 var (
-	errSilent = errors.New("silent for too long")
-	errIncompleteList   = errors.New("a list was cut short")
+	errSilent         = errors.New("silent for too long")
+	errIncompleteList = errors.New("a list was cut short")
 )
 
 // stalenessMonitor holds discovery to its clock. A watch that falls silent, is mute from the start or leaves a list unfinished
@@ -32,19 +32,19 @@
 // may be overdue then, and until it has been read the node is behind.
 type stalenessMonitor struct {
 	silenceTimeout time.Duration
-	pushed  bool // the agent's word counts also while no watch is open
-	start   time.Time
-	signDeadline     atomic.Int64 // after began: when the watchdog has surely bitten, unless it slept; 0: nothing is owed
+	pushed         bool // the agent's word counts also while no watch is open
+	start          time.Time
+	signDeadline   atomic.Int64 // after began: when the watchdog has surely bitten, unless it slept; 0: nothing is owed
 
-	mu    sync.Mutex
-	timer *time.Timer // nil: nothing is open
-	watchNumber int         // so many were opened
-	cancelWatch   func(error)
+	mu              sync.Mutex
+	timer           *time.Timer // nil: nothing is open
+	watchNumber     int         // so many were opened
+	cancelWatch     func(error)
 	listIncomplete  bool
-	suspended  bool      // it has slept
+	suspended       bool      // it has slept
 	readSinceResume bool      // and something was read since
-	heldDeadline int64     // the due that hold was last asked of while behind,
-	heldSince time.Time // and when it first was
+	heldDeadline    int64     // the due that hold was last asked of while behind,
+	heldSince       time.Time // and when it first was
 }
 
 func newStalenessMonitor(silence time.Duration, pushed bool) *stalenessMonitor {
@@ -94,7 +94,9 @@
 func (w *stalenessMonitor) lineReceived() { w.signReceived(false, w.silenceTimeout) }
 
 // partReceived hears the beginning of a list in many lines.
-func (w *stalenessMonitor) partReceived() { w.signReceived(true, min(incompleteListTimeout, w.silenceTimeout)) }
+func (w *stalenessMonitor) partReceived() {
+	w.signReceived(true, min(incompleteListTimeout, w.silenceTimeout))
+}
 
 func (w *stalenessMonitor) signReceived(torn bool, patience time.Duration) {
 	w.mu.Lock()
--- a/internal/node/watchdog_test.go
+++ b/internal/node/staleness_test.go
@@ -19,7 +19,7 @@
 			`     "health": "terminating"}`, "  ]", "}", ""} {
 			a.lines <- l
 		}
-		if n := <-heard; n.list.Seq != int64(60+seq) || len(n.list.Hosts) != 1 {
+		if n := <-heard; n.list.Version != int64(60+seq) || len(n.list.Endpoints) != 1 {
 			t.Fatalf("heard %+v", n)
 		}
 	}
@@ -108,11 +108,11 @@
 	n := start(t, cfg)
 	a.lines <- ""
 	until(t, "the line is heard", func() bool {
-		n.disc.staleness.mu.Lock()
-		defer n.disc.staleness.mu.Unlock()
-		return n.disc.staleness.readSinceResume
+		n.discovery.staleness.mu.Lock()
+		defer n.discovery.staleness.mu.Unlock()
+		return n.discovery.staleness.readSinceResume
 	})
-	n.disc.staleness.oversleep(time.Minute)
+	n.discovery.staleness.oversleep(time.Minute)
 	time.AfterFunc(resumeQuietPeriod/5, func() {
 		a.lines <- `{"seq":2,"hosts":[{"host":"s-2","dial":"` + second.addr() + `","site":"z","health":"terminating"}]}`
 	})
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	heartbeatInterval   = 50 * time.Millisecond // between two signs of life that the process gives itself
-	backlogReadTime = 50 * time.Millisecond // after a stop, what waited in the system has been read
+	heartbeatInterval = 50 * time.Millisecond // between two signs of life that the process gives itself
+	backlogReadTime   = 50 * time.Millisecond // after a stop, what waited in the system has been read
 )
 
 // suspensionDetector notices that the process was stopped, or got no processor, for longer than a promise allows for. A request
 // that comes in just after has lain in the system for up to that time, and its client counts from when it sent it.
 type suspensionDetector struct {
-	start   time.Time
-	lastHeartbeat    atomic.Int64 // the last sign of life, after began
+	start         time.Time
+	lastHeartbeat atomic.Int64 // the last sign of life, after began
 	lastPause     atomic.Int64 // how long the last stop was
-	resumedAt atomic.Int64 // when it ended, after began; 0: there was none
+	resumedAt     atomic.Int64 // when it ended, after began; 0: there was none
 }
 
 func newSuspensionDetector() *suspensionDetector { return &suspensionDetector{start: time.Now()} }
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -10,7 +10,7 @@
 func TestZonesAtTheDoor(t *testing.T) {
 	here, there := newBackend(t, ok), newBackend(t, ok)
 	a, b := inService("s-0", here.addr()), inService("s-1", there.addr())
-	b.Site = "hall/y"
+	b.Zone = "hall/y"
 	cfg := testConfig(t, "pushed", a, b)
 	cfg.Discovery = silentDiscovery(t)
 	n := start(t, cfg)
@@ -45,11 +45,11 @@
 		t.Errorf("%d of 60 went to the zone that is ordered away", got)
 	}
 	status, body := n.ask(t, "GET", "/control/zones")
-	var page struct{ Zones []zoneFigures }
+	var page struct{ Zones []zonePage }
 	if err := json.Unmarshal([]byte(body), &page); err != nil || status != 200 || len(page.Zones) != 2 {
 		t.Fatalf("%d %s: %v", status, body, err)
 	}
-	if y, z := page.Zones[0], page.Zones[1]; y.Name != "hall/y" || !y.Ordered || y.Share != 0 || y.State != "evacuated" || z.State != "serving" || z.Share != 1 || z.Servers != 1 {
+	if y, z := page.Zones[0], page.Zones[1]; y.Name != "hall/y" || !y.EvacuatedByOperator || y.Share != 0 || y.State != "evacuated" || z.State != "serving" || z.Share != 1 || z.Endpoints != 1 {
 		t.Errorf("the page says %s", body)
 	}
 	if status, _ := n.ask(t, "GET", "/control/zones/z/restore"); status != 405 {
