--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -61,7 +61,7 @@
 // answered takes a round trip with a process; one that was buried without the detector's word is back.
 func (m *Mesh) answered(p *process) {
 	now := m.now()
-	if m.evidence.buried[p.member] && p.state == Gone {
+	if m.evidence.buried[p.member] && p.state == Dead {
 		p.state, p.since, m.dirty = Alive, now, true
 	}
 	delete(m.evidence.buried, p.member)
@@ -130,7 +130,7 @@
 
 // condemn takes a process for gone.
 func (m *Mesh) condemn(p *process) {
-	p.state, p.since, m.dirty = Gone, m.now(), true
+	p.state, p.since, m.dirty = Dead, m.now(), true
 	m.evidence.forget(p.member)
 }
 
@@ -194,7 +194,7 @@
 
 // ask1 asks a member whether it is there, and a few others whether they have an answer of it.
 func (m *Mesh) ask1(member string) {
-	q := message{From: m.cfg.Name, Process: m.process, Kind: ask, About: member}
+	q := message{From: m.cfg.Name, Process: m.process, Kind: kindProbe, Subject: member}
 	m.sendTo(m.processes[member], q)
 	n := 0
 	for other, p := range m.processes { // map order is random enough
@@ -212,39 +212,39 @@
 func (m *Mesh) attend(msg message) bool {
 	now := m.now()
 	switch msg.Kind {
-	case ask:
-		answer := message{From: m.cfg.Name, Process: m.process, Kind: here, About: msg.About, For: msg.Process}
-		if msg.About != m.member() {
-			at, ok := m.evidence.answered[msg.About]
+	case kindProbe:
+		answer := message{From: m.cfg.Name, Process: m.process, Kind: kindProbeReply, Subject: msg.Subject, TargetProcess: msg.Process}
+		if msg.Subject != m.member() {
+			at, ok := m.evidence.answered[msg.Subject]
 			if !ok || now-at > fresh/2 {
-				if p := m.processes[msg.About]; p != nil && p.lives() && len(m.evidence.asked) < askMost && m.others() <= smallFleet {
-					m.evidence.inquire(msg.About, now) // so that this process knows as soon as the other does
+				if p := m.processes[msg.Subject]; p != nil && p.lives() && len(m.evidence.asked) < askMost && m.others() <= smallFleet {
+					m.evidence.inquire(msg.Subject, now) // so that this process knows as soon as the other does
 				}
 				return true
 			}
-			answer.Kind = vouch
+			answer.Kind = kindIndirectAck
 		}
 		for _, p := range m.named[msg.From] {
 			if p.number() == msg.Process {
 				m.sendTo(p, answer)
 			}
 		}
-	case here:
-		if p := m.processes[msg.About]; p != nil && msg.For == m.process && p.number() == msg.Process {
+	case kindProbeReply:
+		if p := m.processes[msg.Subject]; p != nil && msg.TargetProcess == m.process && p.number() == msg.Process {
 			m.answered(p)
 		}
-	case vouch:
-		if m.processes[msg.About] != nil && msg.For == m.process {
-			m.evidence.vouched[msg.About] = now
+	case kindIndirectAck:
+		if m.processes[msg.Subject] != nil && msg.TargetProcess == m.process {
+			m.evidence.vouched[msg.Subject] = now
 			for _, p := range m.named[msg.From] {
 				if p.number() == msg.Process {
 					m.answered(p)
 				}
 			}
 		}
-	case carry:
-		if m.cfg.Deliver != nil {
-			m.cfg.Deliver(msg.From, msg.Body)
+	case kindUserMessage:
+		if m.cfg.OnMessage != nil {
+			m.cfg.OnMessage(msg.From, msg.Body)
 		}
 	default:
 		return false
@@ -252,13 +252,13 @@
 	return true
 }
 
-// Tell sends a body, in JSON, to a member; it may be lost.
-func (m *Mesh) Tell(to string, body []byte) {
-	m.ask(func() { m.send(to, message{From: m.cfg.Name, Process: m.process, Kind: carry, Body: body}) })
+// Send sends a body, in JSON, to a member; it may be lost.
+func (m *Mesh) Send(to string, body []byte) {
+	m.ask(func() { m.send(to, message{From: m.cfg.Name, Process: m.process, Kind: kindUserMessage, Body: body}) })
 }
 
-// Process is this process's number, which no other has.
-func (m *Mesh) Process() uint64 { return m.process }
+// ProcessID is this process's number, which no other has.
+func (m *Mesh) ProcessID() uint64 { return m.process }
 
 // number is the process's number, as its frames have it.
 func (p *process) number() uint64 {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -23,7 +23,7 @@
 // attemptSender carries attempts to servers. No method may block.
 type attemptSender interface {
 	start(*attempt)
-	retire(*target)
+	retire(*endpoint)
 }
 
 // eventLoop feeds the Balancer from one goroutine and carries out its actions.
@@ -36,18 +36,18 @@
 	staleness      *stalenessMonitor // of discovery; nil: there is none
 
 	endpointUpdates  chan watchEvent
-	requests         chan *call
-	disconnects      chan *call
-	attemptResults   chan result
-	requestsSent     chan sent
-	responsesStarted chan begun
+	requests         chan *clientRequest
+	disconnects      chan *clientRequest
+	attemptResults   chan attemptOutcome
+	requestsSent     chan requestWritten
+	responsesStarted chan responseStarted
 	replicaCounts    chan policy.ReplicaCounts     // holds the newest word of the mesh
 	overrideUpdates  chan map[string]time.Duration // holds the zones that overrides send away, with their ends
 	tasks            chan func()                   // run here; must not block
 	stop             chan struct{}
 
-	calls               map[string]*call
-	targets             map[string]*target
+	calls               map[string]*clientRequest
+	targets             map[string]*endpoint
 	timers              timerHeap
 	metrics             *metrics
 	decisions           *decisions
@@ -63,9 +63,9 @@
 
 func newEventLoop(ck clock, log *slog.Logger, bal *policy.Balancer, st *metrics) *eventLoop {
 	return &eventLoop{clock: ck, log: log, balancer: bal, metrics: st, decisions: newDecisions(log),
-		endpointUpdates: make(chan watchEvent), requests: make(chan *call), disconnects: make(chan *call),
-		attemptResults: make(chan result), requestsSent: make(chan sent), responsesStarted: make(chan begun), replicaCounts: make(chan policy.ReplicaCounts, 1), overrideUpdates: make(chan map[string]time.Duration, 1), operatorEvacuations: map[string]bool{}, tasks: make(chan func()), stop: make(chan struct{}),
-		loggedZones: map[string]policy.ZoneState{}, zoneLogLimit: rate.NewLimiter(zoneLinesPerSecond, 2*zoneLinesPerSecond), calls: map[string]*call{}, targets: map[string]*target{}}
+		endpointUpdates: make(chan watchEvent), requests: make(chan *clientRequest), disconnects: make(chan *clientRequest),
+		attemptResults: make(chan attemptOutcome), requestsSent: make(chan requestWritten), responsesStarted: make(chan responseStarted), replicaCounts: make(chan policy.ReplicaCounts, 1), overrideUpdates: make(chan map[string]time.Duration, 1), operatorEvacuations: map[string]bool{}, tasks: make(chan func()), stop: make(chan struct{}),
+		loggedZones: map[string]policy.ZoneState{}, zoneLogLimit: rate.NewLimiter(zoneLinesPerSecond, 2*zoneLinesPerSecond), calls: map[string]*clientRequest{}, targets: map[string]*endpoint{}}
 }
 
 // run handles events until stop is closed. Senders on the channels may wait; the loop never does.
@@ -151,9 +151,9 @@
 		case policy.SendAttempt:
 			l.sendAttempt(now, a)
 		case policy.Reject:
-			l.reject(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter}, a.Reason)
+			l.reject(a.ID, response{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter}, a.Reason)
 		case policy.Fail:
-			l.reject(a.ID, answer{status: http.StatusBadGateway}, a.Reason)
+			l.reject(a.ID, response{status: http.StatusBadGateway}, a.Reason)
 		case policy.SetTimer:
 			heap.Push(&l.timers, a)
 		case policy.WatchEndpoints:
@@ -165,29 +165,29 @@
 	}
 }
 
-func (l *eventLoop) handleRequest(c *call) {
+func (l *eventLoop) handleRequest(c *clientRequest) {
 	// An id still in use would be taken by the module for the request that it has, and never answered. Where only
 	// attempts hold it whose client has gone, that client is here again: what may be repeated is refused, so that it
 	// comes once more; of the rest it must not think that nothing has run.
-	if held := l.calls[c.req.ID]; held != nil {
+	if held := l.calls[c.meta.ID]; held != nil {
 		status := http.StatusConflict
-		if held.closed.Load() && c.method == http.MethodGet {
+		if held.finished.Load() && c.method == http.MethodGet {
 			status = http.StatusServiceUnavailable
 		}
 		l.metrics.countInvalidRequest("X-Call-Id is in use")
-		c.held.shrink(0)
-		c.reply <- answer{status: status}
+		c.bodyMemory.shrink(0)
+		c.responses <- response{status: status}
 		return
 	}
-	l.calls[c.req.ID] = c
-	if c.rest == nil {
+	l.calls[c.meta.ID] = c
+	if c.bodyStream == nil {
 		l.countRequest(c)
 	}
-	l.handle(c.req)
+	l.handle(c.meta)
 }
 
 // countRequest counts a call as taken: when its last byte is there, or when it has its answer before that.
-func (l *eventLoop) countRequest(c *call) {
+func (l *eventLoop) countRequest(c *clientRequest) {
 	if !c.counted {
 		c.counted = true
 		l.metrics.update(func(c *counters) { c.requests++ })
@@ -195,15 +195,15 @@
 }
 
 // disconnect ends a call whose client is gone, if it has not ended yet.
-func (l *eventLoop) disconnect(c *call) bool {
-	if c.closed.Swap(true) {
+func (l *eventLoop) disconnect(c *clientRequest) bool {
+	if c.finished.Swap(true) {
 		return false
 	}
-	c.leftAt.set(l.clock.now())
+	c.disconnectedAt.set(l.clock.now())
 	if c.counted {
 		l.metrics.update(func(c *counters) { c.clientDisconnects++ })
 	}
-	l.handle(policy.ClientDisconnected{ID: c.req.ID})
+	l.handle(policy.ClientDisconnected{ID: c.meta.ID})
 	return true
 }
 
@@ -215,24 +215,24 @@
 }
 
 // handleRequestSent starts the time of a request that came piece by piece.
-func (l *eventLoop) handleRequestSent(s sent) {
-	c := s.att.call
-	c.deadline = s.at + c.budget
-	if !c.closed.Load() {
+func (l *eventLoop) handleRequestSent(s requestWritten) {
+	c := s.attempt.request
+	c.deadline = s.writtenAt + c.budget
+	if !c.finished.Load() {
 		l.countRequest(c)
 	}
-	l.handle(policy.RequestSent{ID: c.req.ID, Attempt: s.att.n, Deadline: c.deadline})
+	l.handle(policy.RequestSent{ID: c.meta.ID, Attempt: s.attempt.number, Deadline: c.deadline})
 }
 
 // handleResponseStarted gives a long answer to the caller as it comes. It is counted when it has ended.
-func (l *eventLoop) handleResponseStarted(b begun) {
-	c := b.att.call
-	if c.closed.Swap(true) {
-		b.answer.drop()
+func (l *eventLoop) handleResponseStarted(b responseStarted) {
+	c := b.attempt.request
+	if c.finished.Swap(true) {
+		b.response.discard()
 		return
 	}
-	l.handle(policy.ResponseStarted{ID: c.req.ID, Attempt: b.att.n})
-	c.reply <- b.answer
+	l.handle(policy.ResponseStarted{ID: c.meta.ID, Attempt: b.attempt.number})
+	c.responses <- b.response
 }
 
 func (l *eventLoop) sendAttempt(now time.Duration, a policy.SendAttempt) {
@@ -241,68 +241,68 @@
 		l.log.Error("send for an unknown request", "id", a.ID)
 		return
 	}
-	att := &attempt{call: c, n: c.attempts, target: l.targets[a.Endpoint],
-		wait: a.Timeout, deadline: min(now+a.Timeout, c.deadline), repeatBefore: a.RetryBefore}
-	if att.target == nil { // no such server any more: the attempt ends unsent
-		att.target = &target{id: a.Endpoint}
-		att.target.stopped.Store(true)
+	att := &attempt{request: c, number: c.attemptCount, endpoint: l.targets[a.Endpoint],
+		timeout: a.Timeout, deadline: min(now+a.Timeout, c.deadline), retryBefore: a.RetryBefore}
+	if att.endpoint == nil { // no such server any more: the attempt ends unsent
+		att.endpoint = &endpoint{id: a.Endpoint}
+		att.endpoint.unavailable.Store(true)
 	}
-	c.attempts++
-	c.out++
+	c.attemptCount++
+	c.inFlight++
 	l.attemptsOut++
 	l.sender.start(att)
 }
 
 // reject gives the one final answer of a request that the module refuses or fails; later ones go nowhere.
-func (l *eventLoop) reject(id string, a answer, why guard.Verdict) {
+func (l *eventLoop) reject(id string, a response, why guard.Verdict) {
 	c := l.calls[id]
-	if c == nil || c.closed.Swap(true) {
+	if c == nil || c.finished.Swap(true) {
 		return
 	}
-	l.decisions.requestRejected(id, a.status, c.attempts, why)
-	c.reply <- a
+	l.decisions.requestRejected(id, a.status, c.attemptCount, why)
+	c.responses <- a
 	l.countRequest(c)
-	l.metrics.countAnswer(c.req.Class, a.status, c.attempts)
+	l.metrics.countAnswer(c.meta.Class, a.status, c.attemptCount)
 	l.forget(c)
 }
 
 // forget drops a call that is closed and has no attempt out.
-func (l *eventLoop) forget(c *call) {
-	if c.closed.Load() && c.out == 0 && l.calls[c.req.ID] == c {
-		delete(l.calls, c.req.ID)
-		c.held.shrink(0)
+func (l *eventLoop) forget(c *clientRequest) {
+	if c.finished.Load() && c.inFlight == 0 && l.calls[c.meta.ID] == c {
+		delete(l.calls, c.meta.ID)
+		c.bodyMemory.shrink(0)
 	}
 }
 
-func (l *eventLoop) handleAttemptResult(r result) {
-	c := r.att.call
-	c.out--
+func (l *eventLoop) handleAttemptResult(r attemptOutcome) {
+	c := r.attempt.request
+	c.inFlight--
 	l.attemptsOut--
-	l.metrics.countAttemptResult(r.att.target.id, r.ending, l.clock.now()-r.att.started, r.err)
-	if r.why == guard.ClientLeft && l.disconnect(c) {
-		c.reply <- cut
+	l.metrics.countAttemptResult(r.attempt.endpoint.id, r.result, l.clock.now()-r.attempt.startedAt, r.err)
+	if r.notSentReason == guard.ClientLeft && l.disconnect(c) {
+		c.responses <- abortResponse
 	}
 	var spent bool
-	if c.rest != nil && !c.closed.Load() {
-		spent = c.rest.touched.Load()
-		if why := c.rest.failed(); why != nil { // no server is to blame, and no other would get more of it
+	if c.bodyStream != nil && !c.finished.Load() {
+		spent = c.bodyStream.touched.Load()
+		if why := c.bodyStream.failed(); why != nil { // no server is to blame, and no other would get more of it
 			l.disconnect(c)
-			c.reply <- answer{status: http.StatusRequestTimeout}
+			c.responses <- response{status: http.StatusRequestTimeout}
 		}
 	}
 	switch {
-	case r.passed:
+	case r.streamed:
 		l.countRequest(c)
-		l.metrics.countAnswer(c.req.Class, r.answer.status, c.attempts)
-	case r.ending == policy.Success && !c.closed.Swap(true):
+		l.metrics.countAnswer(c.meta.Class, r.response.status, c.attemptCount)
+	case r.result == policy.Success && !c.finished.Swap(true):
 		l.countRequest(c)
-		l.metrics.countAnswer(c.req.Class, http.StatusOK, c.attempts)
-		c.reply <- r.answer
+		l.metrics.countAnswer(c.meta.Class, http.StatusOK, c.attemptCount)
+		c.responses <- r.response
 	default:
-		r.answer.drop()
+		r.response.discard()
 	}
-	l.handle(policy.AttemptEnded{ID: c.req.ID, Attempt: r.att.n, Endpoint: r.att.target.id, Result: r.ending,
-		Latency: l.clock.now() - r.att.started, Answered: c.closed.Load(), BodyConsumed: spent, Load: r.load})
+	l.handle(policy.AttemptEnded{ID: c.meta.ID, Attempt: r.attempt.number, Endpoint: r.attempt.endpoint.id, Result: r.result,
+		Latency: l.clock.now() - r.attempt.startedAt, Answered: c.finished.Load(), BodyConsumed: spent, Load: r.load})
 	l.forget(c)
 }
 
@@ -324,9 +324,9 @@
 			continue
 		}
 		// A server that moved or started anew shares no connection with the one before.
-		if old == nil || old.addr != h.Address || old.boot != s.StartedAt {
+		if old == nil || old.addr != h.Address || old.startedAt != s.StartedAt {
 			l.removeTarget(h.ID)
-			l.targets[h.ID] = &target{id: h.ID, addr: h.Address, boot: s.StartedAt}
+			l.targets[h.ID] = &endpoint{id: h.ID, addr: h.Address, startedAt: s.StartedAt}
 		}
 	}
 	if n.list.Snapshot {
@@ -343,7 +343,7 @@
 // removeTarget stops all sends to a server, those that wait for a connection among them.
 func (l *eventLoop) removeTarget(id string) {
 	if t := l.targets[id]; t != nil {
-		t.stopped.Store(true)
+		t.unavailable.Store(true)
 		t.removedAt.set(l.clock.now())
 		l.sender.retire(t)
 		delete(l.targets, id)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -243,7 +243,7 @@
 		operators.Close()
 	}
 	stopWatching()
-	n.pool.shut()
+	n.pool.shutdown()
 	close(n.loop.stop)
 	owned.Wait()
 	n.log.Info("stopped")
@@ -292,12 +292,12 @@
 	defer n.sharingMutex.Unlock()
 	was := 1 + n.otherProcesses
 	n.otherProcesses += more
-	n.buffers.requests.share(was, 1+n.otherProcesses)
-	n.buffers.answers.share(was, 1+n.otherProcesses)
+	n.buffers.requests.rescale(was, 1+n.otherProcesses)
+	n.buffers.responses.rescale(was, 1+n.otherProcesses)
 	sockets := n.cfg.Sockets / (1 + n.otherProcesses)
 	in := max(minConnections, n.cfg.clientConnectionLimit(sockets))
 	n.inbound.resize(in)
-	n.pool.resize(max(minConnections, sockets-n.cfg.reservedDescriptors()-in))
+	n.pool.setLimit(max(minConnections, sockets-n.cfg.reservedDescriptors()-in))
 	if n.cfg.ProcessesChanged != nil {
 		n.cfg.ProcessesChanged(1 + n.otherProcesses)
 	}
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -53,7 +53,7 @@
 	Revoke   bool               `json:"x,omitempty"`
 	Override overrides.Override `json:"is"`
 	Duration time.Duration      `json:"for"`
-	Replaces *overrides.Mark    `json:"replaces,omitempty"`
+	Replaces *overrides.Version `json:"replaces,omitempty"`
 }
 
 type overrideReply struct {
@@ -111,11 +111,11 @@
 func (o *overridesHost) updateLeader(now time.Duration) {
 	if m := o.membership.Load(); m != nil {
 		o.view = m.View()
-		o.sendMessages(o.register.View(now, o.view.Leader, o.view.Names))
+		o.sendMessages(o.register.UpdateMembership(now, o.view.Leader, o.view.MemberList))
 	}
 }
 
-func (o *overridesHost) sendMessages(out []overrides.Out) {
+func (o *overridesHost) sendMessages(out []overrides.OutboundMessage) {
 	for _, m := range out {
 		o.send(m.To, envelope{Register: &m.Message})
 	}
@@ -127,7 +127,7 @@
 		panic(err) // plain values
 	}
 	if m := o.membership.Load(); m != nil {
-		m.Tell(to, text)
+		m.Send(to, text)
 	}
 }
 
@@ -135,7 +135,7 @@
 	switch {
 	case e.Register != nil:
 		e.Register.From = e.from
-		o.sendMessages(o.register.Hear(now, *e.Register))
+		o.sendMessages(o.register.Handle(now, *e.Register))
 	case e.Call != nil:
 		o.send(e.from, envelope{Reply: &overrideReply{e.Call.Number, o.decideAsLeader(now, *e.Call)}})
 	case e.Reply != nil:
@@ -166,11 +166,11 @@
 	status := http.StatusOK
 	switch {
 	case err == nil:
-	case errors.Is(err, overrides.ErrMinority), errors.Is(err, overrides.ErrNotYet):
+	case errors.Is(err, overrides.ErrNoQuorum), errors.Is(err, overrides.ErrLeaderNotReady):
 		status = http.StatusServiceUnavailable
-	case errors.Is(err, overrides.ErrLive), errors.Is(err, overrides.ErrFull):
+	case errors.Is(err, overrides.ErrIDInUse), errors.Is(err, overrides.ErrRegisterFull):
 		status = http.StatusConflict
-	case errors.Is(err, overrides.ErrUnknown):
+	case errors.Is(err, overrides.ErrNotFound):
 		status = http.StatusNotFound
 	default:
 		status = http.StatusBadRequest
@@ -186,8 +186,8 @@
 func (o *overridesHost) publish(now time.Duration) {
 	until := map[string]time.Duration{}
 	for _, f := range o.register.InForce(now) {
-		if f.Is.Kind == kindEvacuate {
-			until[f.Is.Scope] = max(until[f.Is.Scope], now+f.Left)
+		if f.Override.Kind == kindEvacuate {
+			until[f.Override.Scope] = max(until[f.Override.Scope], now+f.Remaining)
 		}
 	}
 	select {
@@ -247,8 +247,8 @@
 	}
 	var body struct {
 		overrides.Override
-		For      string          `json:"for"`
-		Replaces *overrides.Mark `json:"replaces"`
+		For      string             `json:"for"`
+		Replaces *overrides.Version `json:"replaces"`
 	}
 	d := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxOverrideBody))
 	d.DisallowUnknownFields()
@@ -266,11 +266,11 @@
 func (o *overridesHost) handleCall(now time.Duration, c overrideCall, here bool, got chan overrideAnswer) {
 	switch {
 	case here:
-		got <- newOverrideAnswer(o.register.PutHere(now, c.ID, c.Override, c.Duration), map[string]any{"id": c.ID, "here": true})
+		got <- newOverrideAnswer(o.register.PutLocal(now, c.ID, c.Override, c.Duration), map[string]any{"id": c.ID, "here": true})
 	case o.view.Leader == o.self:
 		got <- o.decideAsLeader(now, c)
 	case o.view.Leader == "":
-		got <- newOverrideAnswer(overrides.ErrMinority, nil)
+		got <- newOverrideAnswer(overrides.ErrNoQuorum, nil)
 	default:
 		o.lastCall++
 		c.Number = o.lastCall
@@ -282,6 +282,6 @@
 
 // page is what the door shows.
 func (o *overridesHost) page(now time.Duration) any {
-	return map[string]any{"leader": o.view.Leader, "mark": o.register.Mark(), "confirmed_ns_ago": o.register.Confirmed(now), "lacking": o.register.Lacking(o.register.Mark()),
-		"in_force": append([]overrides.Fact{}, o.register.InForce(now)...)}
+	return map[string]any{"leader": o.view.Leader, "mark": o.register.Version(), "confirmed_ns_ago": o.register.StateAge(now), "lacking": o.register.UnacknowledgedMembers(o.register.Version()),
+		"in_force": append([]overrides.Entry{}, o.register.InForce(now)...)}
 }
