--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -11,66 +11,56 @@
 )
 
 const (
-	adminMaxConnections = 16              // descriptors of the door's own, part of reserved
-	adminCallTimeout    = 2 * time.Second // for a whole call; a peer that takes longer gets a close
+	adminMaxConnections = 16 // descriptors of the admin endpoint's own, part of reservedDescriptors
+	adminCallTimeout    = 2 * time.Second
+	adminMaxHeaderBytes = 4 << 10
 )
 
-// adminEndpoint answers the operators. It shares nothing with the callers' side that could make it wait: neither
-// listener nor places, and a call reads only what is at hand.
+// adminEndpoint answers operators. It shares nothing with the clients' side that could make it wait: it has a listener
+// and a connection limit of its own, and a call reads only what is at hand.
 type adminEndpoint struct {
 	lifecycle   *lifecycle
-	membersPage func() ([]byte, bool) // JSON; false: there is no mesh
+	membersPage func() ([]byte, bool) // JSON; false: there is no membership
 	overrides   *atomic.Pointer[overridesHost]
-	canServe    func() bool // callers are served here, and some server is known to be in service
+	canServe    func() bool // clients are served here, and some endpoint is known to be in service
 	loop        *eventLoop
 }
 
-// newAdminServer serves one call a connection. When all places are taken, the oldest connection makes room whatever it
-// has sent: calls are answered as they come, so one that is still there after so many others is mute.
-func newAdminServer(d *adminEndpoint, log *slog.Logger) *http.Server {
+// newAdminServer serves one call a connection. When the connection limit is reached, the oldest connection is closed
+// whatever it has sent: calls are answered as they come, so it has sent no complete one.
+func newAdminServer(endpoint *adminEndpoint, log *slog.Logger) *http.Server {
 	server := &http.Server{
-		Handler:        d,
+		Handler:        endpoint,
 		ReadTimeout:    adminCallTimeout,
 		WriteTimeout:   adminCallTimeout,
-		MaxHeaderBytes: 4 << 10,
+		MaxHeaderBytes: adminMaxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	server.SetKeepAlivesEnabled(false)
 	return server
 }
 
-// listenAdmin opens the door where the configuration says; nil: nowhere.
-func listenAdmin(addr string) (net.Listener, error) {
-	if addr == "" {
+// listenAdmin opens the listener of the admin endpoint; nil if the configuration names no address.
+func listenAdmin(address string) (net.Listener, error) {
+	if address == "" {
 		return nil, nil
 	}
-	return net.Listen("tcp", addr)
+	return net.Listen("tcp", address)
 }
 
-func (d *adminEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if o := d.overrides.Load(); o != nil && (r.URL.Path == "/control/overrides" || strings.HasPrefix(r.URL.Path, "/control/overrides/")) {
-		o.ServeHTTP(w, r)
+// adminCall is a method that a path of the admin endpoint allows, and its handler.
+type adminCall struct {
+	method string
+	serve  http.HandlerFunc
+}
+
+// ServeHTTP answers a call under /control/.
+func (a *adminEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if host := a.overrides.Load(); host != nil && isOverridesPath(r.URL.Path) {
+		host.ServeHTTP(w, r)
 		return
 	}
-	calls := map[string]struct {
-		method string
-		answer func(http.ResponseWriter)
-	}{
-		"/control/counters":       {http.MethodGet, d.serveCounters},
-		"/control/decisions":      {http.MethodGet, d.serveDecisions},
-		"/control/members":        {http.MethodGet, d.serveMembers},
-		"/control/zones":          {http.MethodGet, d.serveZones},
-		"/control/ready":          {http.MethodGet, answerWhether(func() bool { return d.lifecycle.canServe() && d.canServe() })},
-		"/control/out-of-service": {http.MethodPut, answerWhether(func() bool { return d.lifecycle.transition(eventDrain) })},
-		"/control/in-service":     {http.MethodPut, answerWhether(func() bool { return d.lifecycle.transition(eventResume) })},
-	}
-	call, ok := calls[r.URL.Path]
-	if name, order, is := parseZonePath(r.URL.Path); is {
-		call.method, ok = http.MethodPut, true
-		call.answer = func(w http.ResponseWriter) {
-			d.serveZoneEvacuation(w, name, order, r.URL.Query().Get("force") == "yes")
-		}
-	}
+	call, ok := a.route(r.URL.Path)
 	switch {
 	case !ok:
 		w.WriteHeader(http.StatusNotFound)
@@ -78,43 +68,150 @@
 		w.Header().Set("Allow", call.method)
 		w.WriteHeader(http.StatusMethodNotAllowed)
 	default:
-		call.answer(w)
+		call.serve(w, r)
 	}
 }
 
-// serveCounters answers with the figures as they are now, so that they are never old.
-func (d *adminEndpoint) serveCounters(w http.ResponseWriter) {
-	var f countersPage
-	if !d.loop.runTask(func() { f = d.loop.metrics.page(d.loop.balancer.EndpointCounts(d.loop.clock.now())) }) {
+// route finds the call of a path.
+func (a *adminEndpoint) route(path string) (adminCall, bool) {
+	switch path {
+	case "/control/counters":
+		return adminCall{http.MethodGet, a.serveCounters}, true
+	case "/control/decisions":
+		return adminCall{http.MethodGet, a.serveDecisions}, true
+	case "/control/members":
+		return adminCall{http.MethodGet, a.serveMembers}, true
+	case "/control/zones":
+		return adminCall{http.MethodGet, a.serveZones}, true
+	case "/control/ready":
+		return adminCall{http.MethodGet, a.serveReady}, true
+	case "/control/out-of-service":
+		return adminCall{http.MethodPut, a.serveTransition(eventDrain)}, true
+	case "/control/in-service":
+		return adminCall{http.MethodPut, a.serveTransition(eventResume)}, true
+	}
+	if zone, action, ok := parseZonePath(path); ok {
+		return adminCall{http.MethodPut, a.serveEvacuation(zone, action)}, true
+	}
+	return adminCall{}, false
+}
+
+// serveReady answers whether this process can serve, whether or not it is in service.
+func (a *adminEndpoint) serveReady(w http.ResponseWriter, _ *http.Request) {
+	if !a.lifecycle.canServe() || !a.canServe() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
+
+// serveTransition makes a handler that passes an event to the lifecycle, and answers whether its phase allows it.
+func (a *adminEndpoint) serveTransition(event lifecycleEvent) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) {
+		if !a.lifecycle.transition(event) {
+			w.WriteHeader(http.StatusServiceUnavailable)
+		}
+	}
+}
+
+// serveCounters answers with the counters as they are now.
+func (a *adminEndpoint) serveCounters(w http.ResponseWriter, _ *http.Request) {
+	var page countersPage
+	ok := a.loop.runTask(func() {
+		listed, avoided := a.loop.balancer.EndpointCounts(a.loop.clock.now())
+		page = a.loop.metrics.page(listed, avoided)
+	})
+	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(f) // fails only as the caller leaves
+	writeJSON(w, page)
 }
 
-// serveDecisions answers with what the guard decided since the start, by reason.
-func (d *adminEndpoint) serveDecisions(w http.ResponseWriter) {
-	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(d.loop.decisions.page()) // fails only as the operator leaves
+// serveDecisions answers with what was decided since the start, by reason.
+func (a *adminEndpoint) serveDecisions(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, a.loop.decisions.page())
 }
 
-// serveMembers answers with the members as this node sees them; 404 without a mesh.
-func (d *adminEndpoint) serveMembers(w http.ResponseWriter) {
-	text, ok := d.membersPage()
+// serveMembers answers with the members as this node sees them; 404 without a membership.
+func (a *adminEndpoint) serveMembers(w http.ResponseWriter, _ *http.Request) {
+	page, ok := a.membersPage()
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(text) // fails only as the caller leaves
+	_, _ = w.Write(page) // fails only if the operator disconnects
 }
 
-// answerWhether answers answerWhether or no.
-func answerWhether(is func() bool) func(http.ResponseWriter) {
-	return func(w http.ResponseWriter) {
-		if !is() {
-			w.WriteHeader(http.StatusServiceUnavailable)
+func writeJSON(w http.ResponseWriter, page any) {
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(page) // fails only if the operator disconnects
+}
+
+// zonePage is the JSON of a zone that operators read.
+type zonePage struct {
+	Name                string        `json:"name"`
+	State               string        `json:"state"`
+	EvacuatedByOperator bool          `json:"ordered"`
+	Share               float64       `json:"share"`   // part of its draws that it gets
+	InState             time.Duration `json:"age_ns"`  // since the last transition
+	Endpoints           int           `json:"servers"` // in service
+	Unresponsive        int           `json:"silent"`  // of these, several attempts in a row without a response
+	InFlight            int           `json:"out"`
+}
+
+// zonesPage is the JSON of all zones.
+type zonesPage struct {
+	Zones []zonePage `json:"zones"`
+}
+
+// serveZones answers with what the node knows of each zone.
+func (a *adminEndpoint) serveZones(w http.ResponseWriter, _ *http.Request) {
+	page := zonesPage{Zones: []zonePage{}}
+	ok := a.loop.runTask(func() {
+		now := a.loop.clock.now()
+		for _, zone := range a.loop.balancer.Zones() {
+			page.Zones = append(page.Zones, zonePage{
+				Name:                zone.Name,
+				State:               zone.State.String(),
+				EvacuatedByOperator: zone.EvacuatedByOperator,
+				Share:               zone.Share,
+				InState:             now - zone.Since,
+				Endpoints:           zone.Endpoints,
+				Unresponsive:        zone.Unresponsive,
+				InFlight:            zone.InFlight,
+			})
 		}
+	})
+	if !ok {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	writeJSON(w, page)
+}
+
+// The actions on a zone, as the last part of its path.
+const (
+	zoneEvacuate = "evacuate"
+	zoneRestore  = "restore"
+)
+
+// parseZonePath splits /control/zones/NAME/evacuate and /control/zones/NAME/restore. A name may contain slashes.
+func parseZonePath(path string) (name, action string, ok bool) {
+	rest, ok := strings.CutPrefix(path, "/control/zones/")
+	at := strings.LastIndexByte(rest, '/')
+	if !ok || at <= 0 {
+		return "", "", false
+	}
+	name, action = rest[:at], rest[at+1:]
+	return name, action, action == zoneEvacuate || action == zoneRestore
+}
+
+// serveEvacuation makes a handler that starts or ends the evacuation of a zone.
+func (a *adminEndpoint) serveEvacuation(zone, action string) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		force := r.URL.Query().Get("force") == "yes"
+		status := http.StatusServiceUnavailable // unless the loop still runs
+		a.loop.runTask(func() { status = a.loop.evacuateByOperator(zone, action == zoneEvacuate, force) })
+		w.WriteHeader(status)
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -15,28 +15,31 @@
 	"keelusher/policy"
 )
 
-// Config is what the platform tells a node at its start.
+// Config is what the platform configures a node with at its start.
 type Config struct {
 	Name             string
 	Listen           string
-	Control          string // where operators call; "": nowhere
+	Control          string // the address of the admin endpoint; "": there is none
 	Discovery        string
 	Seed             uint64
 	Cores            float64
 	MemoryMB         int
-	Sockets          int
-	KnownEndpoints   endpointList // the servers as this node last had them
+	Sockets          int          // descriptors; 0: no limit is set
+	KnownEndpoints   endpointList // as this node last had them
 	Settings         policy.Settings
 	Fleet            *fleet.Config       // nil: the node knows of no others
-	ProcessesChanged func(processes int) // told when so many processes share the limits; may be nil
+	ProcessesChanged func(processes int) // called when so many processes share the limits; may be nil
 
-	fleetPath             string        // as the configuration names it
-	handoverSocket        string        // where a process that takes over this address finds this one; "": nowhere
-	connectTimeout        time.Duration // a connection not up by then is given up
-	connectionIdleTimeout time.Duration // a server closes a connection idle for this long
-	removalGrace          time.Duration // a server may get something new so long after the news that it drains or is gone
+	fleetPath             string        // as the configuration file names it
+	handoverSocket        string        // where successors of this process connect; "": there is none
+	connectTimeout        time.Duration // for a connection to a server
+	connectionIdleTimeout time.Duration // a server closes a connection that is idle for this long
+	removalGrace          time.Duration // so long after the update a draining or removed endpoint may get new requests
 }
 
+// defaultRemovalGrace is the platform's, for settings that name none.
+const defaultRemovalGrace = 3 * time.Second
+
 // LoadConfig reads the configuration file. The error says in one line what is wrong with it.
 func LoadConfig(path string) (Config, error) {
 	if path == "" {
@@ -60,75 +63,121 @@
 	return c, nil
 }
 
+// configFile is the JSON of the configuration file.
+type configFile struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Control   string          `json:"control"`
+	Discovery string          `json:"discovery"`
+	Fleet     string          `json:"fleet"`
+	Seed      string          `json:"seed"`
+	Limits    limitsFile      `json:"limits"`
+	Known     endpointList    `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
+}
+
+type limitsFile struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
 func parseConfig(text []byte) (Config, error) {
-	var raw struct {
-		Name      string `json:"name"`
-		Listen    string `json:"listen"`
-		Control   string `json:"control"`
-		Discovery string `json:"discovery"`
-		Fleet     string `json:"fleet"`
-		Seed      string `json:"seed"`
-		Limits    struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB int     `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-		Known    endpointList    `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-	}
-	if err := json.Unmarshal(text, &raw); err != nil {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return Config{}, err
 	}
-	c := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, KnownEndpoints: raw.Known, fleetPath: raw.Fleet,
-		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets}
-	c.Control = cmp.Or(raw.Control, os.Getenv("ROUTER_CONTROL"))
-	for _, a := range []struct{ name, addr string }{{"listen", c.Listen}, {"control", c.Control}, {"discovery", c.Discovery}} {
-		if a.name == "control" && a.addr == "" {
-			continue
-		}
-		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return Config{}, fmt.Errorf("%s: %w", a.name, err)
-		}
+	c := Config{
+		Name:           file.Name,
+		Listen:         file.Listen,
+		Control:        cmp.Or(file.Control, os.Getenv("ROUTER_CONTROL")),
+		Discovery:      file.Discovery,
+		Cores:          file.Limits.Cores,
+		MemoryMB:       file.Limits.MemoryMB,
+		Sockets:        file.Limits.Sockets,
+		KnownEndpoints: file.Known,
+		fleetPath:      file.Fleet,
+	}
+	if err := c.checkAddresses(); err != nil {
+		return Config{}, err
 	}
 	var err error
-	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
+	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return Config{}, fmt.Errorf("seed: %w", err)
 	}
-	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < 2*reservedDescriptors {
-		return Config{}, errors.New("limits: out of range")
+	if err := c.checkLimits(); err != nil {
+		return Config{}, err
 	}
-	if len(raw.Settings) == 0 {
+	if len(file.Settings) == 0 {
 		return Config{}, errors.New("settings are missing")
 	}
-	if c.Settings, err = simulator.ParseSettings(raw.Settings); err != nil {
+	if c.Settings, err = simulator.ParseSettings(file.Settings); err != nil {
+		return Config{}, err
+	}
+	if err := c.parseConnectionSettings(file.Settings); err != nil {
 		return Config{}, err
 	}
-	// The module has no use for the settings of connections; they are the node's.
-	var conns struct {
-		Limits struct {
-			ConnectTimeout float64 `json:"connect-timeout-ms"`
-			ConnIdle       float64 `json:"conn-idle-ms"`
-		} `json:"limits"`
-		Rules struct {
-			StopSending *float64 `json:"stop-sending-within-ms"`
-		} `json:"rules"`
-	}
-	if err := json.Unmarshal(raw.Settings, &conns); err != nil {
-		return Config{}, fmt.Errorf("settings: %w", err)
-	}
-	c.connectTimeout = millis(conns.Limits.ConnectTimeout)
-	c.connectionIdleTimeout = millis(conns.Limits.ConnIdle)
+	return c, nil
+}
+
+func (c *Config) checkAddresses() error {
+	addresses := []struct {
+		key, address string
+		optional     bool
+	}{
+		{key: "listen", address: c.Listen},
+		{key: "control", address: c.Control, optional: true},
+		{key: "discovery", address: c.Discovery},
+	}
+	for _, a := range addresses {
+		if a.optional && a.address == "" {
+			continue
+		}
+		if _, _, err := net.SplitHostPort(a.address); err != nil {
+			return fmt.Errorf("%s: %w", a.key, err)
+		}
+	}
+	return nil
+}
+
+func (c *Config) checkLimits() error {
+	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 {
+		return errLimits
+	}
+	if c.Sockets > 0 && c.Sockets < 2*reservedDescriptors {
+		return errLimits
+	}
+	return nil
+}
+
+var errLimits = errors.New("limits: out of range")
+
+// connectionSettings are the settings of connections, which the policy has no use for.
+type connectionSettings struct {
+	Limits struct {
+		ConnectTimeout float64 `json:"connect-timeout-ms"`
+		IdleTimeout    float64 `json:"conn-idle-ms"`
+	} `json:"limits"`
+	Rules struct {
+		StopSending *float64 `json:"stop-sending-within-ms"`
+	} `json:"rules"`
+}
+
+func (c *Config) parseConnectionSettings(text []byte) error {
+	var settings connectionSettings
+	if err := json.Unmarshal(text, &settings); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	c.connectTimeout = millis(settings.Limits.ConnectTimeout)
+	c.connectionIdleTimeout = millis(settings.Limits.IdleTimeout)
 	c.removalGrace = defaultRemovalGrace
-	if grace := conns.Rules.StopSending; grace != nil {
+	if grace := settings.Rules.StopSending; grace != nil {
 		c.removalGrace = millis(*grace)
 	}
 	if c.connectTimeout <= 0 || c.connectionIdleTimeout <= 0 {
-		return Config{}, errors.New("settings: limits.connect-timeout-ms and limits.conn-idle-ms must be above 0")
+		return errors.New("settings: limits.connect-timeout-ms and limits.conn-idle-ms must be above 0")
 	}
-	return c, nil
+	return nil
 }
 
-// defaultRemovalGrace is the platform's, for settings that name none.
-const defaultRemovalGrace = 3 * time.Second
-
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -261,7 +261,7 @@
 			first.Close()
 			eventually(t, "the loop knows that it left", func() bool {
 				var left bool
-				n.loop.runTask(func() { left = n.loop.calls["1"].finished.Load() })
+				n.loop.runTask(func() { left = n.loop.openRequests["1"].finished.Load() })
 				return left
 			})
 			again := ln.dial(t)
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -1,4 +1,4 @@
-// What the guard decided, counted by its verdicts, with the log lines that go with it.
+// The decision log: what was decided against a request, an attempt or a connection, counted and logged by reason.
 
 package node
 
@@ -6,7 +6,6 @@
 	"context"
 	"log/slog"
 	"sync/atomic"
-	"time"
 
 	"keelusher/policy/guard"
 
@@ -14,54 +13,59 @@
 )
 
 const (
-	decisionLinesPerSecond  = 2  // log lines about decisions, a second: samples, for the counts are whole
-	violationLinesPerSecond = 10 // the same about violations, each of which is a fault
+	decisionLinesPerSecond  = 2 // a sample: the counters are complete
+	violationLinesPerSecond = 10
 	logLineBurst            = 20
 )
 
-// verdictCounters counts by verdict.
+// verdictCounters count by verdict of the guard.
 type verdictCounters [guard.NumberOfVerdicts]atomic.Int64
 
-func (c *verdictCounters) add(v guard.Verdict) { c[v].Add(1) }
+func (c *verdictCounters) add(verdict guard.Verdict) { c[verdict].Add(1) }
 
-// nonZero are the counts above zero, by the verdicts' names.
+// nonZero returns the counters above zero, by the verdicts' names.
 func (c *verdictCounters) nonZero() map[string]int64 {
-	out := map[string]int64{}
-	for v := range c {
-		if n := c[v].Load(); n > 0 {
-			out[guard.Verdict(v).String()] = n
+	counts := map[string]int64{}
+	for verdict := range c {
+		if n := c[verdict].Load(); n > 0 {
+			counts[guard.Verdict(verdict).String()] = n
 		}
 	}
-	return out
+	return counts
 }
 
-// closeCause is why the node ended a client's connection that had no request in work.
+// closeCause is why the node closed a client connection that had no request in progress.
 type closeCause int
 
 const (
-	closeIdle     closeCause = iota // it had no request for as long as it may rest
-	closeSlowHead                   // its request's head did not come in time
-	closeEvicted                    // all places are taken, and it has gone without a request for longest
-	closeShutdown                   // the process sends its clients away
+	closeIdle     closeCause = iota // no request within the idle timeout
+	closeSlowHead                   // the head of a request was not complete in time
+	closeEvicted                    // the connection limit is reached, and this one has been without a request for longest
+	closeShutdown                   // the node is draining or shutting down
 	numberOfCloseCauses
 )
 
-var closeCauseNames = [numberOfCloseCauses]string{closeIdle: "rested", closeSlowHead: "slow_head", closeEvicted: "makes_room",
-	closeShutdown: "leaving"}
+var closeCauseNames = [numberOfCloseCauses]string{
+	closeIdle:     "rested",
+	closeSlowHead: "slow_head",
+	closeEvicted:  "makes_room",
+	closeShutdown: "leaving",
+}
 
-// decisions is the one place where decisions are counted and logged. Its counts run from the start of the process.
+// decisions is the one place where decisions are counted and logged. The counters run from the start of the process.
+// It is safe for concurrent use.
 type decisions struct {
 	log            *slog.Logger
 	decisionLimit  *rate.Limiter
-	violationLimit *rate.Limiter // of violations: nothing else may crowd them out
+	violationLimit *rate.Limiter // of its own, so that no other lines displace a violation
 
-	attemptsNotSent   verdictCounters // attempts, by why they were not sent
-	requestsRejected  verdictCounters // requests refused or failed by the module, by why
-	readinessRefused  verdictCounters // answers to the front that clients may not come
-	violations        verdictCounters // promises that were broken, by which; each is a fault of the node's
+	attemptsNotSent   verdictCounters
+	requestsRejected  verdictCounters // or failed by the policy
+	readinessRefused  verdictCounters // negative answers to /ready
+	violations        verdictCounters // each one is a fault of this node
 	closedConnections [numberOfCloseCauses]atomic.Int64
 	failedAccepts     atomic.Int64
-	suppressedLines   atomic.Int64 // log lines left out
+	suppressedLines   atomic.Int64 // log lines over the limits
 }
 
 func newDecisions(log *slog.Logger) *decisions {
@@ -72,51 +76,54 @@
 	}
 }
 
-// logLimited logs a decision, if not too many were in this second.
-func (d *decisions) logLimited(bound *rate.Limiter, level slog.Level, message string, args ...any) {
-	if !bound.Allow() {
+// logLimited logs a line unless the limit is reached.
+func (d *decisions) logLimited(limit *rate.Limiter, level slog.Level, message string, args ...any) {
+	if !limit.Allow() {
 		d.suppressedLines.Add(1)
 		return
 	}
 	d.log.Log(context.Background(), level, message, args...)
 }
 
-// attemptNotSent is told of each attempt that the guard held back.
+// attemptNotSent counts an attempt that the guard prevented.
 func (d *decisions) attemptNotSent(att *attempt, why guard.Verdict) {
 	d.attemptsNotSent.add(why)
-	d.logLimited(d.decisionLimit, slog.LevelInfo, "attempt not sent", "id", att.request.meta.ID, "attempt", att.number, "server", att.endpoint.id, "reason", why.String())
+	d.logLimited(d.decisionLimit, slog.LevelInfo, "attempt not sent",
+		"id", att.request.meta.ID, "attempt", att.number, "server", att.endpoint.id, "reason", why.String())
 }
 
-// requestRejected is told of each request that the module refuses or fails.
+// requestRejected counts a request that the policy rejected or failed.
 func (d *decisions) requestRejected(id string, status, attempts int, why guard.Verdict) {
 	d.requestsRejected.add(why)
-	d.logLimited(d.decisionLimit, slog.LevelInfo, "request turned away", "id", id, "status", status, "attempts", attempts, "reason", why.String())
+	d.logLimited(d.decisionLimit, slog.LevelInfo, "request turned away",
+		"id", id, "status", status, "attempts", attempts, "reason", why.String())
 }
 
-// attemptWritten takes the second look at an attempt whose last byte was just written.
+// attemptWritten checks an attempt again after its last byte was written.
 func (d *decisions) attemptWritten(att *attempt, sent guard.Sent) {
-	if v := sent.Violation(); v != guard.Allowed {
-		d.violation(v, "id", att.request.meta.ID, "attempt", att.number, "server", att.endpoint.id, "told", sent.Told,
-			"left", sent.ClientDeadline-sent.Now)
+	if verdict := sent.Violation(); verdict != guard.Allowed {
+		d.violation(verdict, "id", att.request.meta.ID, "attempt", att.number, "server", att.endpoint.id,
+			"told", sent.Told, "left", sent.ClientDeadline-sent.Now)
 	}
 }
 
-// violation counts a broken promise.
-func (d *decisions) violation(v guard.Verdict, args ...any) {
-	d.violations.add(v)
-	d.logLimited(d.violationLimit, slog.LevelWarn, "violation", append([]any{"reason", v.String()}, args...)...)
+// violation counts a guarantee that the node did not keep.
+func (d *decisions) violation(verdict guard.Verdict, args ...any) {
+	d.violations.add(verdict)
+	args = append([]any{"reason", verdict.String()}, args...)
+	d.logLimited(d.violationLimit, slog.LevelWarn, "violation", args...)
 }
 
-// acceptFailed is told of each accept that failed, for clients or operators.
+// acceptFailed counts an accept that failed, of a client's or an operator's connection.
 func (d *decisions) acceptFailed(err error) {
 	d.failedAccepts.Add(1)
 	d.logLimited(d.decisionLimit, slog.LevelWarn, "accept failed", "err", err)
 }
 
-// connectionClosed counts a client's connection that the node ended.
+// connectionClosed counts a client connection that the node closed.
 func (d *decisions) connectionClosed(cause closeCause) { d.closedConnections[cause].Add(1) }
 
-// decisionsPage is what operators read of the decisions.
+// decisionsPage is the JSON of the decisions that operators read.
 type decisionsPage struct {
 	AttemptsNotSent   map[string]int64 `json:"attempts_not_sent"`
 	RequestsRejected  map[string]int64 `json:"requests_turned_away"`
@@ -128,7 +135,7 @@
 }
 
 func (d *decisions) page() decisionsPage {
-	f := decisionsPage{
+	page := decisionsPage{
 		AttemptsNotSent:   d.attemptsNotSent.nonZero(),
 		RequestsRejected:  d.requestsRejected.nonZero(),
 		ReadinessRefused:  d.readinessRefused.nonZero(),
@@ -139,15 +146,8 @@
 	}
 	for cause, name := range closeCauseNames {
 		if n := d.closedConnections[cause].Load(); n > 0 {
-			f.ClosedConnections[name] = n
+			page.ClosedConnections[name] = n
 		}
 	}
-	return f
+	return page
 }
-
-// atomicTime is a clock time that is set once; zero: not yet.
-type atomicTime struct{ value atomic.Int64 }
-
-func (t *atomicTime) set(at time.Duration) { t.value.CompareAndSwap(0, int64(at)) }
-
-func (t *atomicTime) get() time.Duration { return time.Duration(t.value.Load()) }
--- /dev/null
+++ b/internal/node/endpoint_events.go
@@ -0,0 +1,56 @@
+// What the event loop does with updates of the endpoint list.
+
+package node
+
+import "keelusher/policy"
+
+// handleWatchEvent updates the endpoints, stops sends to those that are no longer in service, then notifies the policy.
+func (l *eventLoop) handleWatchEvent(event watchEvent) {
+	if event.pollFailed {
+		l.handle(policy.DiscoveryFailed{})
+		return
+	}
+	update := policy.EndpointUpdate{Snapshot: event.list.Snapshot, Cached: event.cached}
+	listed := map[string]bool{}
+	for _, entry := range event.list.Endpoints {
+		update.Endpoints = append(update.Endpoints, l.updateEndpoint(entry))
+		listed[entry.ID] = true
+	}
+	if event.list.Snapshot {
+		for id := range l.endpoints {
+			if !listed[id] {
+				l.removeEndpoint(id)
+			}
+		}
+	}
+	l.handle(update)
+	l.hasReadyEndpoint.Store(len(l.endpoints) > 0)
+}
+
+// updateEndpoint takes over one entry of a list. An endpoint with another address or start time is another server, and
+// shares no connection with the one before.
+func (l *eventLoop) updateEndpoint(entry listedEndpoint) policy.Endpoint {
+	listed := entry.endpoint()
+	if listed.State != policy.Ready {
+		l.removeEndpoint(entry.ID)
+		return listed
+	}
+	known := l.endpoints[entry.ID]
+	if known == nil || known.addr != entry.Address || known.startedAt != listed.StartedAt {
+		l.removeEndpoint(entry.ID)
+		l.endpoints[entry.ID] = &endpoint{id: entry.ID, addr: entry.Address, startedAt: listed.StartedAt}
+	}
+	return listed
+}
+
+// removeEndpoint stops all sends to an endpoint, those that wait for a connection among them.
+func (l *eventLoop) removeEndpoint(id string) {
+	removed := l.endpoints[id]
+	if removed == nil {
+		return
+	}
+	removed.unavailable.Store(true)
+	removed.removedAt.set(l.clock.now())
+	l.sender.retire(removed)
+	delete(l.endpoints, id)
+}
--- /dev/null
+++ b/internal/node/event_loop.go
@@ -0,0 +1,227 @@
+// Package node is the real node around the policy: it takes clients' requests over HTTP, carries out the policy's
+// actions on sockets and notifies it of what happened.
+//
+// The event loop (event_loop.go) owns the Balancer and decides every final response. Around it run the HTTP server of
+// the clients, the attempts with their connections to servers, the watch of the endpoint list, the admin endpoint and
+// the membership of the fleet; each of them sends messages to the loop.
+package node
+
+import (
+	"container/heap"
+	"log/slog"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"keelusher/policy"
+
+	"golang.org/x/time/rate"
+)
+
+const (
+	// updatePollInterval is between two looks at whether overdue endpoint updates have been read.
+	updatePollInterval = resumeQuietPeriod / 10
+	// noTimer is how long the loop waits for messages while the policy has set no timer.
+	noTimer = time.Hour
+)
+
+// attemptSender carries attempts to servers. No method may block.
+type attemptSender interface {
+	start(*attempt)
+	retire(*endpoint)
+}
+
+// eventLoop passes events to the Balancer from one goroutine, and carries out the actions that it returns. Other
+// goroutines reach it through its channels alone.
+type eventLoop struct {
+	clock          clock
+	log            *slog.Logger
+	balancer       *policy.Balancer
+	sender         attemptSender
+	watchEndpoints func()            // requests a watch of the endpoint list; must not block
+	staleness      *stalenessMonitor // of the endpoint list; nil: there is none
+	metrics        *metrics
+	decisions      *decisions
+
+	// Messages to the loop, which alone receives them. Senders may have to wait, the loop never does.
+	endpointUpdates  chan watchEvent           // from discovery
+	requests         chan *clientRequest       // from the handlers of clients' requests
+	disconnects      chan *clientRequest       // from the same, if the client disconnects before the response
+	attemptResults   chan attemptOutcome       // from attempts that ended
+	requestsSent     chan requestWritten       // from attempts that stream a body, once it is written
+	responsesStarted chan responseStarted      // from attempts that stream a response
+	replicaCounts    chan policy.ReplicaCounts // from the membership; holds the newest alone
+	overrideUpdates  chan zoneExpiries         // from the host of overrides; holds the newest alone
+	tasks            chan func()               // run in the loop's goroutine; must not block
+	stop             chan struct{}             // closed to end the loop
+
+	// State that only the loop's goroutine uses.
+	openRequests        map[string]*clientRequest // by ID: not answered, or with an attempt in flight
+	endpoints           map[string]*endpoint      // by ID: those in service
+	timers              timerHeap
+	attemptsOut         int                         // attempts in flight
+	zoneTransitions     int                         // as of the last log line about zones
+	loggedZones         map[string]policy.ZoneState // as last seen by logZones
+	zoneLogLimit        *rate.Limiter
+	suppressedZoneLines int
+	operatorEvacuations map[string]bool // by zone: set at this node's admin endpoint
+	overrideExpiries    zoneExpiries    // zones that overrides evacuate
+
+	hasReadyEndpoint atomic.Bool // read by other goroutines
+}
+
+func newEventLoop(ck clock, log *slog.Logger, balancer *policy.Balancer, m *metrics) *eventLoop {
+	return &eventLoop{
+		clock:               ck,
+		log:                 log,
+		balancer:            balancer,
+		metrics:             m,
+		decisions:           newDecisions(log),
+		endpointUpdates:     make(chan watchEvent),
+		requests:            make(chan *clientRequest),
+		disconnects:         make(chan *clientRequest),
+		attemptResults:      make(chan attemptOutcome),
+		requestsSent:        make(chan requestWritten),
+		responsesStarted:    make(chan responseStarted),
+		replicaCounts:       make(chan policy.ReplicaCounts, 1),
+		overrideUpdates:     make(chan zoneExpiries, 1),
+		tasks:               make(chan func()),
+		stop:                make(chan struct{}),
+		openRequests:        map[string]*clientRequest{},
+		endpoints:           map[string]*endpoint{},
+		loggedZones:         map[string]policy.ZoneState{},
+		zoneLogLimit:        rate.NewLimiter(zoneLinesPerSecond, 2*zoneLinesPerSecond),
+		operatorEvacuations: map[string]bool{},
+	}
+}
+
+// run handles messages until stop is closed.
+func (l *eventLoop) run() {
+	timer := time.NewTimer(noTimer)
+	defer timer.Stop()
+	report := time.NewTicker(reportInterval)
+	defer report.Stop()
+	for {
+		if l.handlePendingUpdate() {
+			continue
+		}
+		l.fireTimers()
+		timer.Reset(l.untilNextTimer())
+		select {
+		case counts := <-l.replicaCounts:
+			l.handle(counts)
+		case expiries := <-l.overrideUpdates:
+			l.handleOverrides(expiries)
+		case event := <-l.endpointUpdates:
+			l.handleWatchEvent(event)
+		case request := <-l.requests:
+			l.handleRequest(request)
+		case request := <-l.disconnects:
+			l.handleDisconnect(request)
+		case outcome := <-l.attemptResults:
+			l.handleAttemptResult(outcome)
+		case written := <-l.requestsSent:
+			l.handleRequestSent(written)
+		case started := <-l.responsesStarted:
+			l.handleResponseStarted(started)
+		case task := <-l.tasks:
+			task()
+		case <-timer.C:
+		case <-report.C:
+			l.metrics.logReport(l.log, l.attemptsOut)
+		case <-l.stop:
+			l.metrics.logReport(l.log, l.attemptsOut)
+			return
+		}
+	}
+}
+
+// handlePendingUpdate handles an endpoint update that is waiting, if there is one. Updates come before requests: the
+// grace of a draining server is running.
+func (l *eventLoop) handlePendingUpdate() bool {
+	select {
+	case event := <-l.endpointUpdates:
+		l.handleWatchEvent(event)
+		return true
+	default:
+		return false
+	}
+}
+
+// awaitOverdueUpdates handles endpoint updates before anything else after a suspension: some may be overdue.
+func (l *eventLoop) awaitOverdueUpdates() {
+	for l.staleness.holdSends() {
+		select {
+		case event := <-l.endpointUpdates:
+			l.handleWatchEvent(event)
+		case <-time.After(updatePollInterval):
+		case <-l.stop:
+			return
+		}
+	}
+}
+
+// fireTimers notifies the policy of the timers that are due.
+func (l *eventLoop) fireTimers() {
+	for len(l.timers) > 0 && l.timers[0].At <= l.clock.now() {
+		l.awaitOverdueUpdates()
+		timer := heap.Pop(&l.timers).(policy.SetTimer)
+		l.handle(policy.TimerFired{Token: timer.Token})
+	}
+}
+
+func (l *eventLoop) untilNextTimer() time.Duration {
+	if len(l.timers) == 0 {
+		return noTimer
+	}
+	return l.timers[0].At - l.clock.now()
+}
+
+// runTask runs f in the loop's goroutine and waits for it. It returns false if the loop has ended.
+func (l *eventLoop) runTask(f func()) bool {
+	done := make(chan struct{})
+	task := func() {
+		f()
+		close(done)
+	}
+	select {
+	case l.tasks <- task:
+		<-done
+		return true
+	case <-l.stop:
+		return false
+	}
+}
+
+// handle passes one event to the policy and carries out the actions that it returns.
+func (l *eventLoop) handle(event policy.Event) {
+	now := l.clock.now()
+	l.expireOverrides(now)
+	l.apply(now, event)
+}
+
+// apply is handle without a look at overrides that have expired.
+func (l *eventLoop) apply(now time.Duration, event policy.Event) {
+	for _, action := range l.balancer.Handle(now, event) {
+		l.carryOut(now, action)
+	}
+	if l.balancer.ZoneTransitions() != l.zoneTransitions {
+		l.logZones()
+	}
+}
+
+func (l *eventLoop) carryOut(now time.Duration, action policy.Action) {
+	switch action := action.(type) {
+	case policy.SendAttempt:
+		l.sendAttempt(now, action)
+	case policy.Reject:
+		final := response{status: http.StatusServiceUnavailable, retryAfter: action.RetryAfter}
+		l.reject(action.ID, final, action.Reason)
+	case policy.Fail:
+		l.reject(action.ID, response{status: http.StatusBadGateway}, action.Reason)
+	case policy.SetTimer:
+		heap.Push(&l.timers, action)
+	case policy.WatchEndpoints:
+		l.watchEndpoints()
+	}
+}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -1,3 +1,5 @@
+// The node as a member of its fleet.
+
 package node
 
 import (
@@ -11,144 +13,152 @@
 	"keelusher/policy"
 )
 
-// loadFleet reads the fleet configuration at a path; none is named: nil.
+// revisionLength is how many characters of the revision members compare.
+const revisionLength = 12
+
+// loadFleet reads the fleet configuration at a path; "": there is none.
 func (c *Config) loadFleet(path string) error {
 	if path == "" {
 		return nil
 	}
-	f, err := fleet.Load(path)
+	loaded, err := fleet.Load(path)
 	if err != nil {
 		return err
 	}
-	if f.Region == "" {
-		f.Region = c.Settings.Zone
+	if loaded.Region == "" {
+		loaded.Region = c.Settings.Zone
 	}
-	c.Fleet = f
+	c.Fleet = loaded
 	return nil
 }
 
-// reservedDescriptors is how many descriptors are for neither callers nor servers.
-func (c *Config) reservedDescriptors() int {
-	if c.hasMembership() {
-		return reservedDescriptors + membership.MaxDescriptors
-	}
-	return reservedDescriptors
-}
-
 func (c *Config) hasMembership() bool { return c.Fleet != nil && c.Fleet.Mesh != nil }
 
 // joinMembership joins the fleet.
 func (n *Node) joinMembership() (*membership.Mesh, error) {
-	f, s := n.cfg.Fleet, n.cfg.Settings
+	config, settings := n.cfg.Fleet, n.cfg.Settings
 	return membership.Start(membership.Config{
 		OnMessage:    n.deliverOverrides,
-		Fleet:        f.Name,
+		Fleet:        config.Name,
 		Name:         n.cfg.Name,
-		Zone:         s.Zone,
-		Region:       f.Region,
-		Tier:         s.Tier,
+		Zone:         settings.Zone,
+		Region:       config.Region,
+		Tier:         settings.Tier,
 		Version:      version(),
-		Digest:       settingsDigest(s),
-		Listen:       f.Mesh.Listen,
-		Seeds:        f.Mesh.Seeds,
-		Dial:         f.Mesh.DialAddresses,
-		Probe:        f.Mesh.ProbeInterval,
+		Digest:       settingsDigest(settings),
+		Listen:       config.Mesh.Listen,
+		Seeds:        config.Mesh.Seeds,
+		Dial:         config.Mesh.DialAddresses,
+		Probe:        config.Mesh.ProbeInterval,
 		Log:          n.log,
 		OnViewChange: n.updateReplicaCounts,
 	})
 }
 
-// deliverOverrides takes what another member's part of the program sends.
+// deliverOverrides passes a user message of another member to the host of overrides.
 func (n *Node) deliverOverrides(from string, body []byte) {
-	if o := n.overrides.Load(); o != nil {
-		o.deliver(from, body)
+	if host := n.overrides.Load(); host != nil {
+		host.deliver(from, body)
 	}
 }
 
-// updateReplicaCounts tells the module how many copies place calls on this tier, by zone. Only a majority knows; the others leave it
-// at the settings' number, which is safe: too few copies counted would be too much taken by each.
-func (n *Node) updateReplicaCounts(v membership.View) {
-	p := policy.ReplicaCounts{}
-	if v.Side >= membership.Majority {
-		p.ByZone = map[string]int{}
-		for _, m := range v.Members {
-			if m.Tier == n.cfg.Settings.Tier && (m.State == membership.Alive || m.State == membership.Suspect) && !m.Suppressed || m.Name == n.cfg.Name {
-				p.ByZone[m.Zone]++
+// updateReplicaCounts notifies the policy how many replicas send to this tier, by zone. Only a majority knows; the
+// others leave it at the settings' number, which is safe: counting too few replicas would let each send too much.
+func (n *Node) updateReplicaCounts(view membership.View) {
+	counts := policy.ReplicaCounts{}
+	if view.Side >= membership.Majority {
+		counts.ByZone = map[string]int{}
+		for _, member := range view.Members {
+			if n.isReplica(member) {
+				counts.ByZone[member.Zone]++
 			}
 		}
 	}
 	for {
 		select {
-		case n.loop.replicaCounts <- p:
+		case n.loop.replicaCounts <- counts:
 			return
 		default:
 		}
 		select {
-		case <-n.loop.replicaCounts: // an older word
+		case <-n.loop.replicaCounts: // outdated
 		default:
 		}
 	}
 }
 
+// isReplica reports whether a member is a replica of this node, or this node itself.
+func (n *Node) isReplica(member membership.Member) bool {
+	if member.Name == n.cfg.Name {
+		return true
+	}
+	alive := member.State == membership.Alive || member.State == membership.Suspect
+	return member.Tier == n.cfg.Settings.Tier && alive && !member.Suppressed
+}
+
 // version is the revision that the program was built from, as far as it is known.
 func version() string {
-	if info, ok := debug.ReadBuildInfo(); ok {
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				return s.Value[:min(12, len(s.Value))]
-			}
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return ""
+	}
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			return setting.Value[:min(revisionLength, len(setting.Value))]
 		}
 	}
 	return ""
 }
 
-// runMembership keeps this node's place in the fleet until ctx ends. While a successor serves the place is the successor's;
-// if that dies, this process takes it back.
-func (n *Node) runMembership(ctx context.Context, m *membership.Mesh) {
+// runMembership keeps this node a member of the fleet until ctx ends. While a successor serves, the successor is the
+// member; if it exits before this process, this process joins again.
+func (n *Node) runMembership(ctx context.Context, joined *membership.Mesh) {
 	for {
-		n.membership.Store(m)
-		ordering, stop := context.WithCancel(ctx)
-		var o *overridesHost
-		if n.cfg.Fleet.Overrides != nil { // a new process of the mesh has a register of its own, which knows nothing yet
-			o = n.newOverrides(m.ProcessID())
-			n.overrides.Store(o)
-			go o.run(ordering)
-		}
-		passed := n.serveUntilSuccession(ctx, m)
-		stop()
-		if o != nil {
-			<-o.ended
-		}
+		n.membership.Store(joined)
+		successorServes := n.runMember(ctx, joined)
 		if ctx.Err() != nil {
-			if passed {
-				m.Close()
+			if successorServes {
+				joined.Close()
 			} else {
-				m.Leave()
+				joined.Leave()
 			}
 			return
 		}
-		m.Close() // the successor waits for the address
-		for n.handover.successorServes.Load() {
-			select {
-			case <-n.handover.changed:
-			case <-ctx.Done():
-				return
-			}
+		joined.Close() // the successor waits for the address
+		if !n.awaitSuccessorExit(ctx) {
+			return
 		}
 		var err error
-		if m, err = n.joinMembership(); err != nil {
-			n.log.Error("the place in the mesh could not be taken back", "err", err)
+		if joined, err = n.joinMembership(); err != nil {
+			n.log.Error("membership could not be resumed", "err", err)
 			return
 		}
 	}
 }
 
-// serveUntilSuccession says when the node serves, and returns once ctx ends or a successor serves.
-func (n *Node) serveUntilSuccession(ctx context.Context, m *membership.Mesh) (passed bool) {
-	for told := false; ; {
-		if !told && n.lifecycle.current() == phaseServing {
-			m.AnnounceServing()
-			told = true
+// runMember runs the host of overrides, if there is one, and announces when the node serves. It returns once ctx ends or
+// a successor serves, and reports whether one does. Each process of the membership has a register of its own, which is
+// empty at first.
+func (n *Node) runMember(ctx context.Context, joined *membership.Mesh) (successorServes bool) {
+	if n.cfg.Fleet.Overrides == nil {
+		return n.announceUntilSuccession(ctx, joined)
+	}
+	hostContext, stop := context.WithCancel(ctx)
+	host := n.newOverridesHost(joined.ProcessID())
+	n.overrides.Store(host)
+	go host.run(hostContext)
+	successorServes = n.announceUntilSuccession(ctx, joined)
+	stop()
+	<-host.ended
+	return successorServes
+}
+
+// announceUntilSuccession announces when the node serves, and returns once ctx ends or a successor serves.
+func (n *Node) announceUntilSuccession(ctx context.Context, joined *membership.Mesh) (successorServes bool) {
+	for announced := false; ; {
+		if !announced && n.lifecycle.current() == phaseServing {
+			joined.AnnounceServing()
+			announced = true
 		}
 		if n.handover.successorServes.Load() {
 			return true
@@ -162,26 +172,53 @@
 	}
 }
 
-// membersPage is what the door shows of the fleet.
+// awaitSuccessorExit returns true once no successor serves, and false if ctx ends before that.
+func (n *Node) awaitSuccessorExit(ctx context.Context) bool {
+	for n.handover.successorServes.Load() {
+		select {
+		case <-n.handover.changed:
+		case <-ctx.Done():
+			return false
+		}
+	}
+	return true
+}
+
+// fleetPage is the JSON of the fleet that operators read.
+type fleetPage struct {
+	Fleet         string                    `json:"fleet"`
+	Self          string                    `json:"self"`
+	Side          membership.PartitionSide  `json:"side"`
+	LeaderProcess string                    `json:"under"`
+	Epoch         membership.Epoch          `json:"epoch"`
+	MemberCount   int                       `json:"roster"`
+	Settled       bool                      `json:"settled"`
+	Digest        string                    `json:"digest"`
+	Members       []membership.Member       `json:"members"`
+	Disagreements []membership.Disagreement `json:"differ"`
+	Counters      membership.Counters       `json:"figures"`
+}
+
+// membersPage is the fleet as this node sees it, in JSON; false: there is no membership.
 func (n *Node) membersPage() ([]byte, bool) {
-	m := n.membership.Load()
-	if m == nil {
+	joined := n.membership.Load()
+	if joined == nil {
 		return nil, false
 	}
-	v := m.View()
-	text, err := json.Marshal(struct {
-		Fleet   string                    `json:"fleet"`
-		Self    string                    `json:"self"`
-		Side    membership.PartitionSide  `json:"side"`
-		Under   string                    `json:"under"`
-		Epoch   membership.Epoch          `json:"epoch"`
-		Roster  int                       `json:"roster"`
-		Settled bool                      `json:"settled"`
-		Digest  string                    `json:"digest"`
-		Members []membership.Member       `json:"members"`
-		Differ  []membership.Disagreement `json:"differ"`
-		Figures membership.Counters       `json:"figures"`
-	}{n.cfg.Fleet.Name, n.cfg.Name, v.Side, fmt.Sprintf("%016x", v.LeaderProcess), v.Epoch, v.MemberListSize, v.MemberListSettled, fmt.Sprintf("%016x", v.Digest), v.Members, m.Disagreements(), m.Counters()})
+	view := joined.View()
+	text, err := json.Marshal(fleetPage{
+		Fleet:         n.cfg.Fleet.Name,
+		Self:          n.cfg.Name,
+		Side:          view.Side,
+		LeaderProcess: fmt.Sprintf("%016x", view.LeaderProcess),
+		Epoch:         view.Epoch,
+		MemberCount:   view.MemberListSize,
+		Settled:       view.MemberListSettled,
+		Digest:        fmt.Sprintf("%016x", view.Digest),
+		Members:       view.Members,
+		Disagreements: joined.Disagreements(),
+		Counters:      joined.Counters(),
+	})
 	if err != nil {
 		n.log.Error("members", "err", err)
 		return nil, false
--- a/internal/node/leavers_test.go
+++ b/internal/node/leavers_test.go
@@ -68,7 +68,7 @@
 // idle says that no request is left, waiting or at a server.
 func (n *running) idle() bool {
 	var calls int
-	n.loop.runTask(func() { calls = len(n.loop.calls) })
+	n.loop.runTask(func() { calls = len(n.loop.openRequests) })
 	return calls == 0
 }
 
@@ -116,7 +116,7 @@
 // waits says that the loop has a request.
 func (n *running) waits(id string) bool {
 	var there bool
-	n.loop.runTask(func() { there = n.loop.calls[id] != nil })
+	n.loop.runTask(func() { there = n.loop.openRequests[id] != nil })
 	return there
 }
 
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -5,65 +5,94 @@
 	"time"
 )
 
-// phase is what a node is to its callers.
+// phase is the state of a node towards its clients. Its number is sent on the hand-over socket.
 type phase int
 
 const (
-	phaseStarting phase = iota // discovery has not spoken yet
-	phaseServing
-	phaseDrained      // out of service by the operators' wish: its callers are sent away, and it can come back
-	phaseShuttingDown // told to stop; there is no way back
+	phaseStarting     phase = iota // waits for the first endpoint list
+	phaseServing                   // takes requests
+	phaseDrained                   // out of service on an operator's request: clients are sent away
+	phaseShuttingDown              // final
 )
 
 func (p phase) String() string { return [...]string{"starting", "serving", "drained", "leaving"}[p] }
 
-// lifecycleEvent is what moves a node from one phase to another.
+// lifecycleEvent may move a node from one phase to another.
 type lifecycleEvent int
 
 const (
-	eventListReceived lifecycleEvent = iota // discovery has spoken, or had its time
-	eventDrain                              // operators take it out of service
-	eventResume                             // operators take it back
-	eventShutdown                           // it is to stop
+	eventListReceived lifecycleEvent = iota // an endpoint list has come, or the time to wait for one is over
+	eventDrain                              // an operator takes the node out of service
+	eventResume                             // an operator takes the node back into service
+	eventShutdown                           // the process is to end
 )
 
-// phaseTransitions is every move there is. A signal that a phase does not list is refused.
+// phaseTransitions are all the transitions there are. A phase rejects the events that it does not list.
 var phaseTransitions = [...]map[lifecycleEvent]phase{
-	phaseStarting:     {eventListReceived: phaseServing, eventDrain: phaseDrained, eventResume: phaseStarting, eventShutdown: phaseShuttingDown},
-	phaseServing:      {eventListReceived: phaseServing, eventDrain: phaseDrained, eventResume: phaseServing, eventShutdown: phaseShuttingDown},
-	phaseDrained:      {eventListReceived: phaseDrained, eventDrain: phaseDrained, eventResume: phaseServing, eventShutdown: phaseShuttingDown},
-	phaseShuttingDown: {eventListReceived: phaseShuttingDown, eventDrain: phaseShuttingDown, eventShutdown: phaseShuttingDown},
+	phaseStarting: {
+		eventListReceived: phaseServing,
+		eventDrain:        phaseDrained,
+		eventResume:       phaseStarting,
+		eventShutdown:     phaseShuttingDown,
+	},
+	phaseServing: {
+		eventListReceived: phaseServing,
+		eventDrain:        phaseDrained,
+		eventResume:       phaseServing,
+		eventShutdown:     phaseShuttingDown,
+	},
+	phaseDrained: {
+		eventListReceived: phaseDrained,
+		eventDrain:        phaseDrained,
+		eventResume:       phaseServing,
+		eventShutdown:     phaseShuttingDown,
+	},
+	phaseShuttingDown: {
+		eventListReceived: phaseShuttingDown,
+		eventDrain:        phaseShuttingDown,
+		eventShutdown:     phaseShuttingDown,
+	},
 }
 
-// lifecycle is the one state machine of a node.
+// lifecycle is the state machine of a node. It is safe for concurrent use.
+//
+//	phase           list received   drain           resume            shutdown
+//	starting        serving         drained         starting          shutting down
+//	serving         serving         drained         serving           shutting down
+//	drained         drained         drained         serving (note)    shutting down
+//	shutting down   -               -               rejected          -
+//
+// Note: a drained node that has never received a list resumes to starting.
 type lifecycle struct {
-	onTransition func(phase, phase) // is told of every change, in order; must not block
+	onTransition func(from, to phase) // called for each change, in order; must not block
 
 	mu           sync.Mutex
 	phase        phase
-	drainedSince time.Time // of the phase
+	drainedSince time.Time // since when clients are sent away, in the phases from drained on
 	listReceived bool
 }
 
-// transition moves on a signal and says whether the phase allows it.
-func (l *lifecycle) transition(s lifecycleEvent) bool {
+// transition handles an event and reports whether the current phase allows it.
+func (l *lifecycle) transition(event lifecycleEvent) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	to, ok := phaseTransitions[l.phase][s]
+	from := l.phase
+	to, ok := phaseTransitions[from][event]
 	if !ok {
 		return false
 	}
-	l.listReceived = l.listReceived || s == eventListReceived
-	if to == phaseServing && !l.listReceived { // taken back before discovery spoke
+	l.listReceived = l.listReceived || event == eventListReceived
+	if to == phaseServing && !l.listReceived {
 		to = phaseStarting
 	}
-	if from := l.phase; to != from {
-		if from < phaseDrained { // else callers have been sent away since before
-			l.drainedSince = time.Now()
-		}
-		l.phase = to
-		l.onTransition(from, to)
+	if to == from {
+		return true
 	}
+	if from < phaseDrained { // else clients have been sent away since before
+		l.drainedSince = time.Now()
+	}
+	l.phase = to
+	l.onTransition(from, to)
 	return true
 }
 
@@ -73,14 +102,14 @@
 	return l.phase
 }
 
-// canServe says that the process could serve, in service or out of it.
+// canServe reports whether the process could serve, whether or not it is in service.
 func (l *lifecycle) canServe() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.listReceived && l.phase != phaseShuttingDown
 }
 
-// drainedFor is for how long callers have been told to go elsewhere; 0: they may come.
+// drainedFor is for how long clients have been sent away; 0 if they are not.
 func (l *lifecycle) drainedFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- /dev/null
+++ b/internal/node/request_events.go
@@ -0,0 +1,199 @@
+// What the event loop does with requests and attempts.
+
+package node
+
+import (
+	"maps"
+	"net/http"
+	"slices"
+	"time"
+
+	"keelusher/policy"
+	"keelusher/policy/guard"
+)
+
+// handleRequest takes a request whose head, and body up to a limit, has been read.
+func (l *eventLoop) handleRequest(request *clientRequest) {
+	l.awaitOverdueUpdates()
+	if open := l.openRequests[request.meta.ID]; open != nil {
+		l.rejectDuplicate(request, open)
+		return
+	}
+	l.openRequests[request.meta.ID] = request
+	if request.bodyStream == nil {
+		l.countRequest(request)
+	}
+	l.handle(request.meta)
+}
+
+// rejectDuplicate rejects a request whose ID is in use: the policy would take it for the open one, and never answer it.
+// Where only attempts are left of the open one because its client has disconnected, that client has come again: an
+// idempotent request gets 503, so that it is sent once more; of the others the client must not think that nothing ran.
+func (l *eventLoop) rejectDuplicate(request, open *clientRequest) {
+	status := http.StatusConflict
+	if open.finished.Load() && request.method == http.MethodGet {
+		status = http.StatusServiceUnavailable
+	}
+	l.metrics.countInvalidRequest("X-Call-Id is in use")
+	request.bodyMemory.shrink(0)
+	request.responses <- response{status: status}
+}
+
+// countRequest counts a request once it is complete, or has its final response before that.
+func (l *eventLoop) countRequest(request *clientRequest) {
+	if request.counted {
+		return
+	}
+	request.counted = true
+	l.metrics.update(func(c *counters) { c.requests++ })
+}
+
+// handleDisconnect handles the disconnect of a client that waits for its response.
+func (l *eventLoop) handleDisconnect(request *clientRequest) {
+	l.awaitOverdueUpdates()
+	l.disconnect(request)
+	l.forget(request)
+}
+
+// disconnect finishes a request whose client has disconnected. It returns false if the request has finished already.
+func (l *eventLoop) disconnect(request *clientRequest) bool {
+	if request.finished.Swap(true) {
+		return false
+	}
+	request.disconnectedAt.set(l.clock.now())
+	if request.counted {
+		l.metrics.update(func(c *counters) { c.clientDisconnects++ })
+	}
+	l.handle(policy.ClientDisconnected{ID: request.meta.ID})
+	return true
+}
+
+// failOpenRequests gives every open request its final response now.
+func (l *eventLoop) failOpenRequests() {
+	for _, id := range slices.Sorted(maps.Keys(l.openRequests)) {
+		l.handle(policy.ShutdownDeadline{ID: id})
+	}
+}
+
+// sendAttempt starts an attempt. One to an endpoint that is no longer in service ends without being sent.
+func (l *eventLoop) sendAttempt(now time.Duration, action policy.SendAttempt) {
+	request := l.openRequests[action.ID]
+	if request == nil {
+		l.log.Error("attempt for an unknown request", "id", action.ID)
+		return
+	}
+	to := l.endpoints[action.Endpoint]
+	if to == nil {
+		to = &endpoint{id: action.Endpoint}
+		to.unavailable.Store(true)
+	}
+	att := &attempt{
+		request:     request,
+		number:      request.attemptCount,
+		endpoint:    to,
+		timeout:     action.Timeout,
+		deadline:    min(now+action.Timeout, request.deadline),
+		retryBefore: action.RetryBefore,
+	}
+	request.attemptCount++
+	request.inFlight++
+	l.attemptsOut++
+	l.sender.start(att)
+}
+
+// handleRequestSent starts the deadline of a request whose body was streamed to a server.
+func (l *eventLoop) handleRequestSent(written requestWritten) {
+	request := written.attempt.request
+	request.deadline = written.writtenAt + request.budget
+	if !request.finished.Load() {
+		l.countRequest(request)
+	}
+	l.handle(policy.RequestSent{ID: request.meta.ID, Attempt: written.attempt.number, Deadline: request.deadline})
+}
+
+// handleResponseStarted passes a response that is streamed to the client. It is counted when it has ended.
+func (l *eventLoop) handleResponseStarted(started responseStarted) {
+	request := started.attempt.request
+	if request.finished.Swap(true) {
+		started.response.discard()
+		return
+	}
+	l.handle(policy.ResponseStarted{ID: request.meta.ID, Attempt: started.attempt.number})
+	request.responses <- started.response
+}
+
+// reject gives a request that the policy rejects or fails its final response, unless it has one.
+func (l *eventLoop) reject(id string, final response, why guard.Verdict) {
+	request := l.openRequests[id]
+	if request == nil || request.finished.Swap(true) {
+		return
+	}
+	l.decisions.requestRejected(id, final.status, request.attemptCount, why)
+	request.responses <- final
+	l.countRequest(request)
+	l.metrics.countAnswer(request.meta.Class, final.status, request.attemptCount)
+	l.forget(request)
+}
+
+// forget drops a request that is finished and has no attempt in flight.
+func (l *eventLoop) forget(request *clientRequest) {
+	if !request.finished.Load() || request.inFlight > 0 || l.openRequests[request.meta.ID] != request {
+		return
+	}
+	delete(l.openRequests, request.meta.ID)
+	request.bodyMemory.shrink(0)
+}
+
+// handleAttemptResult notifies the policy of an attempt that ended, and answers the client if it can.
+func (l *eventLoop) handleAttemptResult(outcome attemptOutcome) {
+	l.awaitOverdueUpdates()
+	att, request := outcome.attempt, outcome.attempt.request
+	request.inFlight--
+	l.attemptsOut--
+	l.metrics.countAttemptResult(att.endpoint.id, outcome.result, l.clock.now()-att.startedAt, outcome.err)
+	if outcome.notSentReason == guard.ClientLeft && l.disconnect(request) {
+		request.responses <- abortResponse
+	}
+	bodyConsumed := l.checkBodyStream(request)
+	l.passResponse(request, outcome)
+	l.handle(policy.AttemptEnded{
+		ID:           request.meta.ID,
+		Attempt:      att.number,
+		Endpoint:     att.endpoint.id,
+		Result:       outcome.result,
+		Latency:      l.clock.now() - att.startedAt,
+		Answered:     request.finished.Load(),
+		BodyConsumed: bodyConsumed,
+		Load:         outcome.load,
+	})
+	l.forget(request)
+}
+
+// checkBodyStream reports whether some of a streamed body has been read, so that the request cannot be sent again. If
+// the client failed to send its body, no server is at fault and none would get more of it: the request ends.
+func (l *eventLoop) checkBodyStream(request *clientRequest) (consumed bool) {
+	if request.bodyStream == nil || request.finished.Load() {
+		return false
+	}
+	consumed = request.bodyStream.touched.Load()
+	if request.bodyStream.failed() != nil {
+		l.disconnect(request)
+		request.responses <- response{status: http.StatusRequestTimeout}
+	}
+	return consumed
+}
+
+// passResponse gives the client the response of an attempt, if it is the final one, and counts it.
+func (l *eventLoop) passResponse(request *clientRequest, outcome attemptOutcome) {
+	switch {
+	case outcome.streamed: // the client has it already
+		l.countRequest(request)
+		l.metrics.countAnswer(request.meta.Class, outcome.response.status, request.attemptCount)
+	case outcome.result == policy.Success && !request.finished.Swap(true):
+		l.countRequest(request)
+		l.metrics.countAnswer(request.meta.Class, http.StatusOK, request.attemptCount)
+		request.responses <- outcome.response
+	default:
+		outcome.response.discard()
+	}
+}
--- /dev/null
+++ b/internal/node/shutdown.go
@@ -0,0 +1,103 @@
+// Draining and graceful shutdown.
+
+package node
+
+import (
+	"context"
+	"time"
+
+	"keelusher/policy/guard"
+)
+
+const (
+	// frontNoticeDelay is how long the front still sends connections after SIGTERM.
+	frontNoticeDelay = 450 * time.Millisecond
+	// closingAnswersTime is for how long after that every response closes its connection.
+	closingAnswersTime = 150 * time.Millisecond
+	// idleCloseInterval is between two looks at idle connections of clients that are sent away.
+	idleCloseInterval = 20 * time.Millisecond
+	// shutdownPollInterval is between two looks at the connections that are still open.
+	shutdownPollInterval = idleCloseInterval / 4
+	// finalAnswersMargin is before the kill that follows SIGTERM; by then all responses are on their way.
+	finalAnswersMargin = 100 * time.Millisecond
+	// killGrace is between SIGTERM and the kill, on top of the longest deadline of a class.
+	killGrace = 700 * time.Millisecond
+	// shutdownSlack is on top of the longest deadline, for the last responses to be written.
+	shutdownSlack = 20 * time.Millisecond
+	// maxDeadlineBeforeKill bounds that deadline.
+	maxDeadlineBeforeKill = 3 * time.Second
+)
+
+// ready reports whether clients may come: the node serves and knows an endpoint in service. To clients two processes
+// are one node: while this one shuts down, its successor has them.
+func (n *Node) ready() bool {
+	phase := n.lifecycle.current()
+	verdict := guard.TakeClients{
+		Serving:         phase == phaseServing,
+		Leaving:         phase == phaseShuttingDown,
+		SuccessorServes: n.handover.successorServes.Load(),
+		ServerKnown:     n.loop.hasReadyEndpoint.Load(),
+	}.Verdict()
+	if verdict != guard.Allowed {
+		n.loop.decisions.readinessRefused.add(verdict)
+	}
+	return verdict == guard.Allowed
+}
+
+// closing reports whether every response closes its connection.
+func (n *Node) closing() bool {
+	if n.lifecycle.drainedFor() >= frontNoticeDelay {
+		return true
+	}
+	return n.lifecycle.current() == phaseShuttingDown && n.handover.successorServes.Load()
+}
+
+// closeIdleWhileDrained closes client connections without a request while clients are sent away, until ctx ends. An old
+// connection has had the time to get its last response; a young one may have a request on its way.
+func (n *Node) closeIdleWhileDrained(ctx context.Context) {
+	ticker := time.NewTicker(idleCloseInterval)
+	defer ticker.Stop()
+	for {
+		if n.lifecycle.drainedFor() == 0 {
+			ticker.Stop()
+		} else {
+			ticker.Reset(idleCloseInterval)
+		}
+		select {
+		case <-n.phaseChanges:
+		case <-ticker.C:
+			if n.lifecycle.drainedFor() >= frontNoticeDelay+closingAnswersTime {
+				n.inbound.closeWaiting(closingAnswersTime)
+			}
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// shutDown stops serving without losing a request. A listener closed at once would reset the connections that the front
+// still sends, and idle connections closed at once could have a request on its way. http.Server.Shutdown does not do: it
+// closes a connection without a response if its request is read after the call.
+func (n *Node) shutDown(ended <-chan serveEnded) {
+	n.lifecycle.transition(eventShutdown)
+	began, longest := time.Now(), longestDeadline(n.cfg.Settings)
+	finalAnswers := began.Add(min(longest, maxDeadlineBeforeKill) + killGrace - finalAnswersMargin)
+	end := began.Add(frontNoticeDelay + closingAnswersTime + longest + shutdownSlack)
+	if n.handover.successorServes.Load() {
+		closeSocket(n.inbound) // the successor has the queue of connections
+	}
+	time.Sleep(frontNoticeDelay + closingAnswersTime)
+	closeSocket(n.inbound)
+	<-ended
+	for open := n.inbound.open(); open > 0; open = n.inbound.open() {
+		now := time.Now()
+		if now.After(end) {
+			n.log.Warn("connections left open", "n", open) // all of their requests have been answered
+			return
+		}
+		if now.After(finalAnswers) { // also requests that are complete only now; streamed responses may still end
+			n.loop.runTask(n.loop.failOpenRequests)
+		}
+		time.Sleep(shutdownPollInterval)
+	}
+}
--- a/internal/node/staleness.go
+++ b/internal/node/staleness.go
@@ -8,144 +8,161 @@
 )
 
 const (
-	// A call or a watch without a line for so long is broken: a line comes every 2 s, and a call that waits in
-	// turn ends sooner. Silence, another dial and its watchSilenceTimeout must fit in the 6 s after which news counts as told
-	// and the 3 s of grace for a drain.
+	// watchSilenceTimeout is how long a watch or a poll may go without a line: discovery sends one every 2 s, and a
+	// poll that waits its turn ends sooner. Silence, another connection and its silence fit in the 6 s after which a
+	// change counts as notified and the 3 s of grace for a draining server.
 	watchSilenceTimeout = 3 * time.Second
-	// A first line comes at once, after a turn of 1 s and a connection that is 1 s late at most. One that fails must
-	// leave time for another: where lists are pushed the grace of a drain is running already.
-	firstLineTimeout      = 2300 * time.Millisecond
-	incompleteListTimeout = 500 * time.Millisecond // a list that has begun is whole so soon, or it was cut short
-	// A watchdog that comes so much late has slept with the whole process. The grace of a drain has 50 ms of slack.
+	// firstLineTimeout is for the first line, which comes at once but for a connection 1 s late and a turn of 1 s. A
+	// watch that fails leaves time for another: where lists are pushed, the grace of a draining server runs already.
+	firstLineTimeout = 2300 * time.Millisecond
+	// incompleteListTimeout is for the rest of a list in many lines.
+	incompleteListTimeout = 500 * time.Millisecond
+	// suspensionThreshold is how late the monitor's own timer may be before the process counts as suspended. The
+	// grace of a draining server has 50 ms of slack.
 	suspensionThreshold = 100 * time.Millisecond
-	resumeQuietPeriod   = 50 * time.Millisecond // after a sleep, without a further line: all that waited has been read
-	maxSendHold         = 300 * time.Millisecond
+	// resumeQuietPeriod without a further line means that everything buffered during a suspension has been read.
+	resumeQuietPeriod = 50 * time.Millisecond
+	// maxSendHold bounds how long sends wait after a suspension.
+	maxSendHold = 300 * time.Millisecond
 )
 
+// The errors with which the monitor cancels a watch.
 var (
 	errSilent         = errors.New("silent for too long")
 	errIncompleteList = errors.New("a list was cut short")
 )
 
-// stalenessMonitor holds discovery to its clock. A watch that falls silent, is mute from the start or leaves a list unfinished
-// is cut, so that it is opened anew. It also sees that the process itself was stopped: news that waits in the socket
-// may be overdue then, and until it has been read the node is behind.
+// stalenessMonitor watches over the age of the endpoint list. It cancels a watch that is silent, or that leaves a list
+// incomplete, so that discovery opens another. It also detects that the process itself was suspended: updates that are
+// buffered in the socket may be overdue then, and until they have been read the list is stale.
+//
+//	state       sign of life                   timer expires
+//	no watch    ignored                        ignored
+//	watching    deadline moves                 suspended if the timer is far too late; else the watch is canceled
+//	suspended   quiet period starts again      watching if something was read and no list is incomplete; else canceled
+//
+// A nil monitor never holds sends. Methods are safe for concurrent use.
 type stalenessMonitor struct {
 	silenceTimeout time.Duration
-	pushed         bool // the agent's word counts also while no watch is open
+	pushed         bool // lists are pushed: changes count as notified also while no watch is open
 	start          time.Time
-	signDeadline   atomic.Int64 // after began: when the watchdog has surely bitten, unless it slept; 0: nothing is owed
+	signDeadline   atomic.Int64 // nanoseconds after start; past it the process was suspended. 0: no sign is expected
 
 	mu              sync.Mutex
-	timer           *time.Timer // nil: nothing is open
-	watchNumber     int         // so many were opened
+	timer           *time.Timer // nil: no watch is open
+	watchNumber     int
 	cancelWatch     func(error)
 	listIncomplete  bool
-	suspended       bool      // it has slept
-	readSinceResume bool      // and something was read since
-	heldDeadline    int64     // the due that hold was last asked of while behind,
-	heldSince       time.Time // and when it first was
+	suspended       bool
+	readSinceResume bool
+	heldDeadline    int64     // the deadline for which sends are held
+	heldSince       time.Time // and since when they are
 }
 
 func newStalenessMonitor(silence time.Duration, pushed bool) *stalenessMonitor {
 	return &stalenessMonitor{silenceTimeout: silence, pushed: pushed, start: time.Now()}
 }
 
-// stale says that news may be waiting which is overdue: nothing should be sent until it is read.
-func (w *stalenessMonitor) stale() bool {
-	due := w.signDeadline.Load()
-	return due != 0 && int64(time.Since(w.start)) > due
+// stale reports whether overdue updates may be waiting to be read.
+func (m *stalenessMonitor) stale() bool {
+	deadline := m.signDeadline.Load()
+	return deadline != 0 && int64(time.Since(m.start)) > deadline
 }
 
-// holdSends says that whoever is about to send should wait. After a sleep it does for holdMost at most.
-func (w *stalenessMonitor) holdSends() bool {
-	if w == nil || !w.stale() {
+// holdSends reports whether sends should wait for updates to be read, for maxSendHold after a suspension at most.
+func (m *stalenessMonitor) holdSends() bool {
+	if m == nil || !m.stale() {
 		return false
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if due := w.signDeadline.Load(); due != w.heldDeadline {
-		w.heldDeadline, w.heldSince = due, time.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if deadline := m.signDeadline.Load(); deadline != m.heldDeadline {
+		m.heldDeadline, m.heldSince = deadline, time.Now()
 	}
-	return time.Since(w.heldSince) < maxSendHold
+	return time.Since(m.heldSince) < maxSendHold
 }
 
 // expectSign sets when the next sign of life is due. The caller holds the lock.
-func (w *stalenessMonitor) expectSign(within time.Duration) {
-	w.signDeadline.Store(int64(time.Since(w.start) + within + suspensionThreshold))
+func (m *stalenessMonitor) expectSign(within time.Duration) {
+	m.signDeadline.Store(int64(time.Since(m.start) + within + suspensionThreshold))
 }
 
-// watchStarted begins to guard a call or a watch, which cut ends.
-func (w *stalenessMonitor) watchStarted(cut func(error)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.suspended = w.stale() // it slept between two watches
-	patience := min(w.silenceTimeout, firstLineTimeout)
-	if !w.suspended {
-		w.expectSign(patience)
+// watchStarted starts to monitor a watch or a poll, which cancel ends.
+func (m *stalenessMonitor) watchStarted(cancel func(error)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	timeout := min(m.silenceTimeout, firstLineTimeout)
+	m.suspended = m.stale() // the process was suspended between two watches
+	if !m.suspended {
+		m.expectSign(timeout)
 	}
-	w.cancelWatch, w.listIncomplete, w.readSinceResume = cut, false, false
-	w.watchNumber++
-	n := w.watchNumber
-	w.timer = time.AfterFunc(patience, func() { w.expire(n) })
+	m.cancelWatch = cancel
+	m.listIncomplete, m.readSinceResume = false, false
+	m.watchNumber++
+	number := m.watchNumber
+	m.timer = time.AfterFunc(timeout, func() { m.expire(number) })
 }
 
-// lineReceived hears a whole lineReceived or list.
-func (w *stalenessMonitor) lineReceived() { w.signReceived(false, w.silenceTimeout) }
+// lineReceived notes a complete line or list.
+func (m *stalenessMonitor) lineReceived() { m.signReceived(false, m.silenceTimeout) }
 
-// partReceived hears the beginning of a list in many lines.
-func (w *stalenessMonitor) partReceived() {
-	w.signReceived(true, min(incompleteListTimeout, w.silenceTimeout))
+// partReceived notes a line of a list in many lines.
+func (m *stalenessMonitor) partReceived() {
+	m.signReceived(true, min(incompleteListTimeout, m.silenceTimeout))
 }
 
-func (w *stalenessMonitor) signReceived(torn bool, patience time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.timer == nil || torn && w.listIncomplete { // the time for a whole list runs from its first line
+func (m *stalenessMonitor) signReceived(listIncomplete bool, timeout time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.timer == nil {
 		return
 	}
-	w.listIncomplete, w.readSinceResume = torn, true
-	if w.suspended {
-		w.timer.Reset(resumeQuietPeriod)
+	if listIncomplete && m.listIncomplete { // the time for a complete list runs from its first line
 		return
 	}
-	w.expectSign(patience)
-	w.timer.Reset(patience)
+	m.listIncomplete, m.readSinceResume = listIncomplete, true
+	if m.suspended {
+		m.timer.Reset(resumeQuietPeriod)
+		return
+	}
+	m.expectSign(timeout)
+	m.timer.Reset(timeout)
 }
 
-func (w *stalenessMonitor) expire(watch int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// expire handles the timer of a watch.
+func (m *stalenessMonitor) expire(watchNumber int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
-	case w.timer == nil || w.watchNumber != watch: // that one is over
-	case !w.suspended && w.stale(): // it slept: first what waits in the socket
-		w.suspended, w.readSinceResume = true, false
-		w.timer.Reset(resumeQuietPeriod)
-	case w.suspended && w.readSinceResume && !w.listIncomplete: // all of that is read
-		w.suspended = false
-		w.expectSign(w.silenceTimeout)
-		w.timer.Reset(w.silenceTimeout)
+	case m.timer == nil || m.watchNumber != watchNumber: // that watch has ended
+	case !m.suspended && m.stale(): // first read what the socket has buffered
+		m.suspended, m.readSinceResume = true, false
+		m.timer.Reset(resumeQuietPeriod)
+	case m.suspended && m.readSinceResume && !m.listIncomplete: // all of that is read
+		m.suspended = false
+		m.expectSign(m.silenceTimeout)
+		m.timer.Reset(m.silenceTimeout)
 	default:
-		why := errSilent
-		if w.listIncomplete {
-			why = errIncompleteList
+		cause := errSilent
+		if m.listIncomplete {
+			cause = errIncompleteList
 		}
-		w.suspended = false
-		w.signDeadline.Store(0)
-		w.cancelWatch(why)
+		m.suspended = false
+		m.signDeadline.Store(0)
+		m.cancelWatch(cause)
 	}
 }
 
-// watchEnded ends the guard. Where lists are pushed another watch is to be open within again.
-func (w *stalenessMonitor) watchEnded(again time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.timer.Stop()
-	w.timer = nil
+// watchEnded ends the monitoring of a watch. Where lists are pushed, the next one is to be open within backoff.
+func (m *stalenessMonitor) watchEnded(backoff time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.timer.Stop()
+	m.timer = nil
 	switch {
-	case !w.pushed:
-		w.signDeadline.Store(0)
-	case !w.stale():
-		w.expectSign(again)
+	case !m.pushed:
+		m.signDeadline.Store(0)
+	case !m.stale():
+		m.expectSign(backoff)
 	}
 }
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -1,4 +1,4 @@
-// Stops of the whole process, and the requests that waited meanwhile.
+// Detection of suspensions of the whole process, for the requests that were queued in the system meanwhile.
 
 package node
 
@@ -11,28 +11,29 @@
 )
 
 const (
-	heartbeatInterval = 50 * time.Millisecond // between two signs of life that the process gives itself
-	backlogReadTime   = 50 * time.Millisecond // after a stop, what waited in the system has been read
+	heartbeatInterval = 50 * time.Millisecond
+	backlogReadTime   = 50 * time.Millisecond // within which all that was queued during a suspension is read
 )
 
-// suspensionDetector notices that the process was stopped, or got no processor, for longer than a promise allows for. A request
-// that comes in just after has lain in the system for up to that time, and its client counts from when it sent it.
+// suspensionDetector detects that the process was stopped, or got no processor, for longer than guard.HeldUpMost. A
+// request that is read just afterwards was in the system's buffers for up to that time, and its client's deadline runs
+// from when it was sent. A nil detector detects nothing.
 type suspensionDetector struct {
 	start         time.Time
-	lastHeartbeat atomic.Int64 // the last sign of life, after began
-	lastPause     atomic.Int64 // how long the last stop was
-	resumedAt     atomic.Int64 // when it ended, after began; 0: there was none
+	lastHeartbeat atomic.Int64 // nanoseconds after start
+	lastPause     atomic.Int64 // length of the last suspension in nanoseconds
+	resumedAt     atomic.Int64 // its end in nanoseconds after start; 0: there was none
 }
 
 func newSuspensionDetector() *suspensionDetector { return &suspensionDetector{start: time.Now()} }
 
-// run gives signs of life until ctx ends.
+// run records heartbeats until ctx ends.
 func (s *suspensionDetector) run(ctx context.Context) {
-	tick := time.NewTicker(heartbeatInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(heartbeatInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			s.heartbeat(time.Since(s.start))
 		case <-ctx.Done():
 			return
@@ -40,17 +41,17 @@
 	}
 }
 
-// heartbeat takes a sign of life.
+// heartbeat records that the process runs, now being counted from start.
 func (s *suspensionDetector) heartbeat(now time.Duration) {
-	gap := now - time.Duration(s.lastHeartbeat.Swap(int64(now)))
-	if gap > guard.HeldUpMost {
-		s.lastPause.Store(int64(gap))
+	pause := now - time.Duration(s.lastHeartbeat.Swap(int64(now)))
+	if pause > guard.HeldUpMost {
+		s.lastPause.Store(int64(pause))
 		s.resumedAt.Store(int64(now))
 	}
 }
 
-// timeQueued is how long a request that has just been read may have lain in the system because the process stood still;
-// less than a promise allows for counts as nothing.
+// timeQueued is how long a request that has just been read may have been queued because of a suspension; 0 if there was
+// none, or a short one.
 func (s *suspensionDetector) timeQueued() time.Duration {
 	if s == nil {
 		return 0
@@ -59,10 +60,11 @@
 }
 
 func (s *suspensionDetector) timeQueuedAt(now time.Duration) time.Duration {
-	if gap := now - time.Duration(s.lastHeartbeat.Load()); gap > guard.HeldUpMost {
-		return gap // it has just gone on
+	if pause := now - time.Duration(s.lastHeartbeat.Load()); pause > guard.HeldUpMost {
+		return pause // resumed just now, before the first heartbeat
 	}
-	if resumed := time.Duration(s.resumedAt.Load()); resumed > 0 && now-resumed < backlogReadTime {
+	resumedAt := time.Duration(s.resumedAt.Load())
+	if resumedAt > 0 && now-resumedAt < backlogReadTime {
 		return time.Duration(s.lastPause.Load())
 	}
 	return 0
