--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"net"
 	"os"
+	"sync"
 	"testing"
 	"time"
 )
@@ -24,6 +25,10 @@
 	return time.Since(from)
 }
 
+// givenAddresses are the addresses that a test has got: one that is free until its test listens must not go to a second
+// test beside it.
+var givenAddresses sync.Map
+
 // freeAddresses finds addresses that are free for both protocols.
 func freeAddresses(t *testing.T, count int) (all []string) {
 	t.Helper()
@@ -35,7 +40,9 @@
 		address := tcp.Addr().String()
 		udp, err := net.ListenPacket("udp4", address)
 		if err == nil {
-			all = append(all, address)
+			if _, given := givenAddresses.LoadOrStore(address, true); !given {
+				all = append(all, address)
+			}
 			_ = udp.Close() // was only to see that it is free
 		}
 		tcp.Close()
@@ -57,7 +64,7 @@
 		log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("self", i)
 	}
 	return Config{
-		Fleet:  "test",
+		Fleet:  f.t.Name(), // tests that run beside each other are strangers
 		Name:   fmt.Sprintf("n%d", i),
 		Zone:   "z",
 		Region: "r",
