--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -273,7 +273,7 @@
 // The counters say what clients and servers saw, from the start of the process, and agree with the log's counts.
 func TestCounters(t *testing.T) {
 	release := make(chan struct{})
-	good := newBackend(t, func(n int, c net.Conn, r *http.Request) bool {
+	good := newBackend(t, func(_ int, c net.Conn, r *http.Request) bool {
 		switch r.Header.Get("X-Call-Id") {
 		case "held":
 			<-release
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -17,12 +17,14 @@
 	end   chan struct{}
 }
 
-func newAgent(t *testing.T, snapshot string) (*agent, string) {
+// newAgent returns a scripted discovery, whose snapshot is snapshotLine, and its address.
+func newAgent(t *testing.T) (*agent, string) {
+	t.Helper()
 	a := &agent{calls: make(chan string, 100), lines: make(chan string), end: make(chan struct{})}
 	return a, newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("watch") == "" {
 			a.calls <- "list"
-			writeFlushed(w, snapshot+"\n")
+			writeFlushed(w, snapshotLine+"\n")
 			return
 		}
 		a.calls <- "watch " + r.URL.Query().Get("from")
@@ -40,6 +42,7 @@
 	})
 }
 
+// watchOn runs a discovery until the test ends, and returns what it delivers.
 func watchOn(t *testing.T, addr, mode string, silence time.Duration) (*discovery, <-chan watchEvent) {
 	cfg := testConfig(t, mode)
 	cfg.Discovery = addr
@@ -76,7 +79,7 @@
 const snapshotLine = `{"seq":50,"whole":true,"hosts":[{"host":"s-9","dial":"127.0.0.1:9","health":"in_service"}]}`
 
 func TestWatchFollowsAndReconnects(t *testing.T) {
-	a, addr := newAgent(t, snapshotLine)
+	a, addr := newAgent(t)
 	_, events := watchOn(t, addr, "pushed", time.Minute)
 	wantCall(t, a, "watch 1")
 	a.lines <- `{"seq":43,"whole":false,"hosts":[]}`
@@ -95,7 +98,7 @@
 		"gone back":  `{"seq":0,"whole":false,"hosts":[]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, addr := newAgent(t, snapshotLine)
+			a, addr := newAgent(t)
 			_, events := watchOn(t, addr, "pushed", time.Minute)
 			wantCall(t, a, "watch 1")
 			a.lines <- line
@@ -138,7 +141,7 @@
 
 // A machine that is cut off leaves its connection open: only the missing lines show it.
 func TestSilentWatchIsReplaced(t *testing.T) {
-	a, addr := newAgent(t, snapshotLine)
+	a, addr := newAgent(t)
 	watchOn(t, addr, "pushed", 20*time.Millisecond)
 	wantCall(t, a, "watch 1")
 	wantCall(t, a, "watch 1")
@@ -146,7 +149,7 @@
 
 // A poll that discovery never answers is canceled; the policy is notified and polls again.
 func TestSilentPollIsCanceled(t *testing.T) {
-	addr := newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	addr := newDiscoveryServer(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	d, events := watchOn(t, addr, "on_request", 20*time.Millisecond)
 	d.requestWatch()
 	select {
@@ -159,13 +162,13 @@
 	}
 }
 
-// When the address of discovery changes, a node continues there at once, from the version held, also if the event loop has
-// not taken the last update yet.
+// When the address of discovery changes, a node continues there at once, from the version held, also if the event
+// loop has not taken the last update yet.
 func TestWatchMoves(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
-			a, addr := newAgent(t, snapshotLine)
-			b, moved := newAgent(t, snapshotLine)
+			a, addr := newAgent(t)
+			b, moved := newAgent(t)
 			d, events := watchOn(t, addr, mode, time.Minute)
 			d.requestWatch()
 			wantCall(t, a, "watch 1")
@@ -186,7 +189,7 @@
 
 // Where lists are polled, the policy says when: the node polls only then, and notifies it of failures.
 func TestPollMode(t *testing.T) {
-	a, addr := newAgent(t, snapshotLine)
+	a, addr := newAgent(t)
 	d, events := watchOn(t, addr, "on_request", time.Minute)
 	for range 2 {
 		d.requestWatch()
@@ -223,8 +226,8 @@
 	}
 }
 
-// A change counts as notified 6 s after discovery had it and could be reached, whatever poll interval the settings allow:
-// polls that are rejected, reset, or canceled because nothing comes are repeated by then.
+// A change counts as notified 6 s after discovery had it and could be reached, whatever poll interval the settings
+// allow: polls that are rejected, reset, or canceled because nothing comes are repeated by then.
 func TestNotifiedWithinSixSecondsOfFailedPolls(t *testing.T) {
 	reject := func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "busy", http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -276,7 +279,7 @@
 // A draining server gets nothing new, a server with a new address is reached there, and one that a snapshot does not
 // name is removed.
 func TestEndpointListChangesApply(t *testing.T) {
-	a, addr := newAgent(t, snapshotLine)
+	a, addr := newAgent(t)
 	first, second := newBackend(t, ok), newBackend(t, ok)
 	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
 	cfg.Discovery = addr
@@ -335,8 +338,8 @@
 	}
 }
 
-// A list with unknown states, a server twice, entries without a name or with a huge one, or ten thousand of them does the
-// node no harm: it takes what it can, serves on, and takes the next list.
+// A list with unknown states, a server twice, entries without a name or with a huge one, or ten thousand of them does
+// the node no harm: it takes what it can, serves on, and takes the next list.
 func TestUnusualLists(t *testing.T) {
 	b := newBackend(t, ok)
 	entry := func(id, addr, health string) string {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -136,9 +136,9 @@
 	}
 }
 
-// runMember runs the host of overrides, if there is one, and announces when the node serves. It returns once ctx ends or
-// a successor serves, and reports whether one does. Each process of the membership has a register of its own, which is
-// empty at first.
+// runMember runs the host of overrides, if there is one, and announces when the node serves. It returns once ctx ends
+// or a successor serves, and reports whether one does. Each process of the membership has a register of its own,
+// which is empty at first.
 func (n *Node) runMember(ctx context.Context, joined *membership.Mesh) (successorServes bool) {
 	if n.cfg.Fleet.Overrides == nil {
 		return n.announceUntilSuccession(ctx, joined)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -15,9 +15,9 @@
 	"time"
 )
 
-// Two processes serve one address while a new version takes over. The new one gets the listening socket itself from the
-// old one, so that both accept from one queue and nothing queued is lost when the old one closes its end. They connect
-// through the hand-over socket, a Unix socket in $TMPDIR:
+// Two processes serve one address while a new version takes over. The new one gets the listening socket itself from
+// the old one, so that both accept from one queue and nothing queued is lost when the old one closes its end. They
+// connect through the hand-over socket, a Unix socket in $TMPDIR:
 //
 //	old to new: one byte, its phase, with the listening socket
 //	new to old: one byte, once it serves
@@ -105,8 +105,8 @@
 	return net.FileListener(file)
 }
 
-// announceServing announces to the predecessor that clients are accepted here. What it answers to the front from then on
-// relies on that, so nobody else may be notified before the predecessor knows.
+// announceServing announces to the predecessor that clients are accepted here. What it answers to the front from then
+// on relies on that, so nobody else may be notified before the predecessor knows.
 func (p *predecessor) announceServing() {
 	_, _ = p.conn.Write([]byte{1}) // fails only if the predecessor has exited, which awaitEnd notices
 }
@@ -201,8 +201,8 @@
 	}
 }
 
-// bind binds beside the path and renames the file to it in one step: whoever is bound there before loses nothing but the
-// name.
+// bind binds beside the path and renames the file to it in one step: whoever is bound there before loses nothing but
+// the name.
 func (h *handoverServer) bind() (*net.UnixListener, error) {
 	ownPath := fmt.Sprintf("%s.%d", h.path, os.Getpid())
 	removeFile(ownPath) // left by a killed process that had this number
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -68,8 +68,8 @@
 	return cfg
 }
 
-// sendUntil sends requests, each on a connection of its own, and polls readiness until done is closed. It fails the test
-// at the first request that does not succeed, and at each negative answer to the front.
+// sendUntil sends requests, each on a connection of its own, and polls readiness until done is closed. It fails the
+// test at the first request that does not succeed, and at each negative answer to the front.
 func (r *running) sendUntil(t *testing.T, client int, done <-chan struct{}) {
 	t.Helper()
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -102,8 +102,8 @@
 	}
 }
 
-// While a new process takes over and the old one shuts down, no client's connection is refused, reset or left unread, and
-// the front gets no negative answer.
+// While a new process takes over and the old one shuts down, no client's connection is refused, reset or left unread,
+// and the front gets no negative answer.
 func TestUpgradeUnderLoad(t *testing.T) {
 	cfg := deployment(t, newBackend(t, ok))
 	old := process(t, cfg)
--- a/internal/node/overrides_host.go
+++ b/internal/node/overrides_host.go
@@ -21,8 +21,8 @@
 )
 
 // overridesHost is the host of the register of overrides: it brings messages to it and from it, asks the leader on
-// behalf of the admin endpoint, and keeps the event loop notified of the overrides in force. It exists only if the fleet
-// configuration asks for overrides.
+// behalf of the admin endpoint, and keeps the event loop notified of the overrides in force. It exists only if the
+// fleet configuration asks for overrides.
 type overridesHost struct {
 	loop       *eventLoop
 	self       string
@@ -259,8 +259,8 @@
 	o.loop.overrideUpdates <- expiries // has space: only this goroutine sends
 }
 
-// startCall decides here, as the leader or for this process alone, or asks the leader. The answer goes to answers, which
-// must have space for it.
+// startCall decides here, as the leader or for this process alone, or asks the leader. The answer goes to answers,
+// which must have space for it.
 func (o *overridesHost) startCall(now time.Duration, call overrideCall, local bool, answers chan<- overrideAnswer) {
 	switch {
 	case local:
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -52,8 +52,8 @@
 	return n.lifecycle.current() == phaseShuttingDown && n.handover.successorServes.Load()
 }
 
-// closeIdleWhileDrained closes client connections without a request while clients are sent away, until ctx ends. An old
-// connection has had the time to get its last response; a young one may have a request on its way.
+// closeIdleWhileDrained closes client connections without a request while clients are sent away, until ctx ends. An
+// old connection has had the time to get its last response; a young one may have a request on its way.
 func (n *Node) closeIdleWhileDrained(ctx context.Context) {
 	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
@@ -75,9 +75,9 @@
 	}
 }
 
-// shutDown stops serving without losing a request. A listener closed at once would reset the connections that the front
-// still sends, and idle connections closed at once could have a request on its way. http.Server.Shutdown does not do: it
-// closes a connection without a response if its request is read after the call.
+// shutDown stops serving without losing a request. A listener closed at once would reset the connections that the
+// front still sends, and idle connections closed at once could have a request on its way. http.Server.Shutdown does
+// not do: it closes a connection without a response if its request is read after the call.
 func (n *Node) shutDown(ended <-chan serveEnded) {
 	n.lifecycle.transition(eventShutdown)
 	began, longest := time.Now(), longestDeadline(n.cfg.Settings)
--- a/internal/node/sites_test.go
+++ b/internal/node/sites_test.go
@@ -204,8 +204,8 @@
 	return run
 }
 
-// checkClass checks that a class is served, and that a request that may have run is sent again only if its effect allows
-// that.
+// checkClass checks that a class is served, and that a request that may have run is sent again only if its effect
+// allows that.
 func (run *siteRun) checkClass(t *testing.T, class siteClass) {
 	t.Helper()
 	if status := run.send(t, class, "-1"); status != http.StatusOK {
--- a/internal/node/staleness_test.go
+++ b/internal/node/staleness_test.go
@@ -10,7 +10,7 @@
 
 // A list may come in many lines, and the watch that brought it goes on.
 func TestListInManyLines(t *testing.T) {
-	a, addr := newAgent(t, snapshotLine)
+	a, addr := newAgent(t)
 	_, events := watchOn(t, addr, "pushed", time.Minute)
 	wantCall(t, a, "watch 1")
 	for seq := range 2 {
@@ -36,8 +36,8 @@
 	}
 }
 
-// A list that breaks off, a trickle of bytes without a line's end, and silence are no signs of life. The watch is opened
-// anew from the version held.
+// A list that breaks off, a trickle of bytes without a line's end, and silence are no signs of life. The watch is
+// opened anew from the version held.
 func TestBrokenWatchesAreReplaced(t *testing.T) {
 	for name, text := range map[string]string{"mute": "", "trickle": " ", "torn": "{\n", "torn later": "{\"seq\":44,\n"} {
 		t.Run(name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 
 // Updates that were buffered while the process was suspended are handled before the requests that were.
 func TestEndpointUpdatesComeFirstAfterSuspension(t *testing.T) {
-	a, addr := newAgent(t, snapshotLine)
+	a, addr := newAgent(t)
 	first, second := newBackend(t, ok), newBackend(t, ok)
 	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
 	cfg.Discovery = addr
--- a/internal/node/suspension_test.go
+++ b/internal/node/suspension_test.go
@@ -18,7 +18,7 @@
 	}{
 		{guard.MaxSuspension, true, 0},
 		{guard.MaxSuspension, false, 0},
-		{3 * time.Second, false, 3*time.Second + guard.MaxSuspension}, // it resumes, and a request is read ahead of the heartbeat
+		{3 * time.Second, false, 3*time.Second + guard.MaxSuspension}, // a request is read ahead of the heartbeat
 		{0, true, 3*time.Second + guard.MaxSuspension},
 		{backlogReadTime - 1, false, 3*time.Second + guard.MaxSuspension},
 		{1, false, 0},
