--- /dev/null
+++ b/internal/lifecycle/phase_test.go
@@ -0,0 +1,55 @@
+package lifecycle
+
+import "testing"
+
+// A node that shuts down does not come back, and one without an endpoint list is not in service.
+func TestLifecycleTransitions(t *testing.T) {
+	for name, tc := range map[string]struct {
+		events   []Event
+		want     Phase
+		rejected bool // the last event
+	}{
+		"list received": {
+			events: []Event{ListReceived},
+			want:   Serving,
+		},
+		"drained before a list is received": {
+			events: []Event{Drain, ListReceived},
+			want:   Drained,
+		},
+		"resumed too early": {
+			events: []Event{Drain, Resume},
+			want:   Starting,
+		},
+		"resumed, then list received": {
+			events: []Event{Drain, Resume, ListReceived},
+			want:   Serving,
+		},
+		"drained and resumed, twice": {
+			events: []Event{ListReceived, Drain, Resume, Drain, Resume},
+			want:   Serving,
+		},
+		"no resume after shutdown": {
+			events:   []Event{ListReceived, Shutdown, Resume},
+			want:     ShuttingDown,
+			rejected: true,
+		},
+		"drained, then shutdown": {
+			events: []Event{ListReceived, Drain, Shutdown},
+			want:   ShuttingDown,
+		},
+		"drain after shutdown": {
+			events: []Event{ListReceived, Shutdown, Drain},
+			want:   ShuttingDown,
+		},
+	} {
+		m := New(func(Phase, Phase) {})
+		ok := true
+		for _, event := range tc.events {
+			ok = m.Transition(event)
+		}
+		if m.Current() != tc.want || ok == tc.rejected {
+			t.Errorf("%s: %v, allowed %v", name, m.Current(), ok)
+		}
+	}
+}
--- a/internal/node/suspension_test.go
+++ b/internal/lifecycle/suspension_test.go
@@ -1,4 +1,4 @@
-package node
+package lifecycle
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 )
 
 func TestSuspensionDetectorTimeQueued(t *testing.T) {
-	s := newSuspensionDetector()
+	s := NewSuspensionDetector()
 	at := time.Second
 	s.lastHeartbeat.Store(int64(at)) // the last heartbeat
 	for _, x := range []struct {
@@ -32,8 +32,8 @@
 			t.Errorf("at %v: %v, want %v", at, got, x.want)
 		}
 	}
-	var none *suspensionDetector
-	if none.timeQueued() != 0 {
+	var none *SuspensionDetector
+	if none.TimeQueued() != 0 {
 		t.Error("without a detector there was a suspension")
 	}
 }
--- a/internal/node/accept_faults_test.go
+++ b/internal/node/accept_faults_test.go
@@ -13,6 +13,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"keelusher/internal/lifecycle"
 )
 
 // faultyListener fails its next calls of Accept with errors of the system's, then accepts as ever.
@@ -155,7 +157,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	h := &handoverServer{path: filepath.Join(dir, "s"), log: quiet(), listener: ln.(syscall.Conn), phase: func() phase { return phaseServing },
+	h := &handoverServer{path: filepath.Join(dir, "s"), log: quiet(), listener: ln.(syscall.Conn), phase: func() lifecycle.Phase { return lifecycle.Serving },
 		changeProcesses: func(int) {}, changed: make(chan struct{}, 1)}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -8,6 +8,8 @@
 	"strings"
 	"sync/atomic"
 	"time"
+
+	"keelusher/internal/lifecycle"
 )
 
 const (
@@ -19,7 +21,7 @@
 // adminEndpoint answers operators. It shares nothing with the clients' side that could make it wait: it has a listener
 // and a connection limit of its own, and a call reads only what is at hand.
 type adminEndpoint struct {
-	lifecycle   *lifecycle
+	lifecycle   *lifecycle.Machine
 	membersPage func() ([]byte, bool) // JSON; false: there is no membership
 	overrides   *atomic.Pointer[overridesHost]
 	canServe    func() bool // clients are served here, and some endpoint is known to be in service
@@ -86,9 +88,9 @@
 	case "/control/ready":
 		return adminCall{http.MethodGet, a.serveReady}, true
 	case "/control/out-of-service":
-		return adminCall{http.MethodPut, a.serveTransition(eventDrain)}, true
+		return adminCall{http.MethodPut, a.serveTransition(lifecycle.Drain)}, true
 	case "/control/in-service":
-		return adminCall{http.MethodPut, a.serveTransition(eventResume)}, true
+		return adminCall{http.MethodPut, a.serveTransition(lifecycle.Resume)}, true
 	}
 	if zone, action, ok := parseZonePath(path); ok {
 		return adminCall{http.MethodPut, a.serveEvacuation(zone, action)}, true
@@ -98,15 +100,15 @@
 
 // serveReady answers whether this process can serve, whether or not it is in service.
 func (a *adminEndpoint) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if !a.lifecycle.canServe() || !a.canServe() {
+	if !a.lifecycle.CanServe() || !a.canServe() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
 // serveTransition makes a handler that passes an event to the lifecycle, and answers whether its phase allows it.
-func (a *adminEndpoint) serveTransition(event lifecycleEvent) http.HandlerFunc {
+func (a *adminEndpoint) serveTransition(event lifecycle.Event) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		if !a.lifecycle.transition(event) {
+		if !a.lifecycle.Transition(event) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -198,58 +198,6 @@
 	}
 }
 
-// A node that shuts down does not come back, and one without an endpoint list is not in service.
-func TestLifecycleTransitions(t *testing.T) {
-	for name, tc := range map[string]struct {
-		events   []lifecycleEvent
-		want     phase
-		rejected bool // the last event
-	}{
-		"list received": {
-			events: []lifecycleEvent{eventListReceived},
-			want:   phaseServing,
-		},
-		"drained before a list is received": {
-			events: []lifecycleEvent{eventDrain, eventListReceived},
-			want:   phaseDrained,
-		},
-		"resumed too early": {
-			events: []lifecycleEvent{eventDrain, eventResume},
-			want:   phaseStarting,
-		},
-		"resumed, then list received": {
-			events: []lifecycleEvent{eventDrain, eventResume, eventListReceived},
-			want:   phaseServing,
-		},
-		"drained and resumed, twice": {
-			events: []lifecycleEvent{eventListReceived, eventDrain, eventResume, eventDrain, eventResume},
-			want:   phaseServing,
-		},
-		"no resume after shutdown": {
-			events:   []lifecycleEvent{eventListReceived, eventShutdown, eventResume},
-			want:     phaseShuttingDown,
-			rejected: true,
-		},
-		"drained, then shutdown": {
-			events: []lifecycleEvent{eventListReceived, eventDrain, eventShutdown},
-			want:   phaseShuttingDown,
-		},
-		"drain after shutdown": {
-			events: []lifecycleEvent{eventListReceived, eventShutdown, eventDrain},
-			want:   phaseShuttingDown,
-		},
-	} {
-		l := &lifecycle{onTransition: func(phase, phase) {}}
-		ok := true
-		for _, s := range tc.events {
-			ok = l.transition(s)
-		}
-		if l.current() != tc.want || ok == tc.rejected {
-			t.Errorf("%s: %v, allowed %v", name, l.current(), ok)
-		}
-	}
-}
-
 // An admin address that is in use ends the start before anything is served.
 func TestAdminAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -11,6 +11,7 @@
 	"strings"
 	"time"
 
+	"keelusher/internal/lifecycle"
 	"keelusher/policy"
 	"keelusher/policy/guard"
 )
@@ -35,8 +36,8 @@
 	stats      *metrics
 	decisions  *decisions
 	buffers    buffers
-	methods    map[string]string   // by class; others are no classes
-	suspension *suspensionDetector // nil: stops of the process are not noticed
+	methods    map[string]string             // by class; others are no classes
+	suspension *lifecycle.SuspensionDetector // nil: stops of the process are not noticed
 	ready      func() bool
 	closing    func() bool // every answer ends its connection
 }
@@ -172,7 +173,7 @@
 	c.header = forwardable(r.Header)
 	c.budget = budget
 	// A request that waited for a process that stood still has used up a part of its time.
-	c.budget -= min(h.suspension.timeQueued(), connOf(r).restedFor())
+	c.budget -= min(h.suspension.TimeQueued(), connOf(r).restedFor())
 	if c.budget <= 0 {
 		return nil, http.StatusServiceUnavailable, errWaited
 	}
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"keelusher/internal/lifecycle"
 )
 
 func TestServedThroughTheNode(t *testing.T) {
@@ -275,7 +277,7 @@
 	}()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.lifecycle.current() == phaseShuttingDown })
+	eventually(t, "leaving", func() bool { return n.lifecycle.Current() == lifecycle.ShuttingDown })
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := fresh.Do(newRequest(t, n.url, "unsafe", "late", "x"))
 	if err != nil {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -9,6 +9,7 @@
 	"runtime/debug"
 
 	"keelusher/internal/fleet"
+	"keelusher/internal/lifecycle"
 	"keelusher/internal/membership"
 	"keelusher/policy"
 )
@@ -156,7 +157,7 @@
 // announceUntilSuccession announces when the node serves, and returns once ctx ends or a successor serves.
 func (n *Node) announceUntilSuccession(ctx context.Context, joined *membership.Mesh) (successorServes bool) {
 	for announced := false; ; {
-		if !announced && n.lifecycle.current() == phaseServing {
+		if !announced && n.lifecycle.Current() == lifecycle.Serving {
 			joined.AnnounceServing()
 			announced = true
 		}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -13,6 +13,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"keelusher/internal/lifecycle"
 )
 
 // Two processes serve one address while a new version takes over. The new one gets the listening socket itself from
@@ -43,7 +45,7 @@
 type predecessor struct {
 	conn     *net.UnixConn
 	listener net.Listener
-	phase    phase
+	phase    lifecycle.Phase
 }
 
 // connectPredecessor asks the process that serves already for its listener; nil: there is no such process. A socket
@@ -80,7 +82,7 @@
 	if stateLength != 1 {
 		return errors.New("no phase came")
 	}
-	p.phase = phase(state[0])
+	p.phase = lifecycle.Phase(state[0])
 	if p.listener, err = parseListener(rights[:rightsLength]); err != nil {
 		return err
 	}
@@ -126,7 +128,7 @@
 	path            string
 	log             *slog.Logger
 	listener        syscall.Conn
-	phase           func() phase
+	phase           func() lifecycle.Phase
 	changeProcesses func(int)     // so many more processes share the limits
 	successorServes atomic.Bool   // clients are accepted by a successor
 	changed         chan struct{} // holds a token after successorServes has changed; runMembership receives it
@@ -137,7 +139,7 @@
 		path:            n.cfg.handoverSocket,
 		log:             n.log,
 		listener:        listener,
-		phase:           n.lifecycle.current,
+		phase:           n.lifecycle.Current,
 		changeProcesses: n.changeProcesses,
 		changed:         make(chan struct{}, 1),
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"keelusher/internal/lifecycle"
 	"keelusher/internal/membership"
 	"keelusher/policy"
 )
@@ -23,7 +24,7 @@
 	loop      *eventLoop
 	pool      *pool
 	discovery *discovery
-	lifecycle *lifecycle
+	lifecycle *lifecycle.Machine
 	buffers   buffers
 	inbound   *limitedListener // client connections; nil until serve
 	handover  *handoverServer  // nil until serve
@@ -58,7 +59,7 @@
 		phaseChanges:           make(chan struct{}, 1),
 		membershipPhaseChanges: make(chan struct{}, 1),
 	}
-	n.lifecycle = &lifecycle{onTransition: n.phaseChanged}
+	n.lifecycle = lifecycle.New(n.phaseChanged)
 	n.pool = newPool(cfg, cfg.Sockets-cfg.reservedDescriptors()-clientConnections, n.loop, n.buffers)
 	n.discovery = newDiscovery(cfg, logger, n.deliverWatchEvent)
 	n.loop.sender = n.pool
@@ -69,7 +70,7 @@
 }
 
 // phaseChanged logs a transition and notifies those who wait for one.
-func (n *Node) phaseChanged(from, to phase) {
+func (n *Node) phaseChanged(from, to lifecycle.Phase) {
 	n.log.Info("phase", "from", from.String(), "to", to.String())
 	for _, changes := range []chan struct{}{n.phaseChanges, n.membershipPhaseChanges} {
 		select {
@@ -83,7 +84,7 @@
 func (n *Node) deliverWatchEvent(ctx context.Context, event watchEvent) error {
 	select {
 	case n.loop.endpointUpdates <- event:
-		n.lifecycle.transition(eventListReceived)
+		n.lifecycle.Transition(lifecycle.ListReceived)
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -12,6 +12,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"keelusher/internal/lifecycle"
 )
 
 // readinessPollInterval is between two looks at whether a successor can serve.
@@ -47,7 +49,7 @@
 	}
 	watchContext, stopWatching := context.WithCancel(context.Background())
 	suspension := s.startLoop(watchContext)
-	firstList := time.AfterFunc(firstListTimeout, func() { n.lifecycle.transition(eventListReceived) })
+	firstList := time.AfterFunc(firstListTimeout, func() { n.lifecycle.Transition(lifecycle.ListReceived) })
 	defer firstList.Stop()
 
 	n.inbound = newLimitedListener(listener, n.cfg.clientConnectionLimit(n.cfg.Sockets), n.loop.metrics, n.loop.decisions)
@@ -103,18 +105,18 @@
 
 // startLoop starts the event loop with the known list, and what watches the endpoint list and the process. The loop
 // ends when its channel stop is closed, the others with ctx.
-func (s *session) startLoop(ctx context.Context) *suspensionDetector {
+func (s *session) startLoop(ctx context.Context) *lifecycle.SuspensionDetector {
 	n := s.node
 	s.run(n.loop.run)
 	n.loop.endpointUpdates <- watchEvent{list: n.cfg.KnownEndpoints.asSnapshot(), cached: true}
-	suspension := newSuspensionDetector()
-	s.run(func() { suspension.run(ctx) })
+	suspension := lifecycle.NewSuspensionDetector()
+	s.run(func() { suspension.Run(ctx) })
 	s.run(func() { n.discovery.run(ctx) })
 	return suspension
 }
 
 // newClientServer is the HTTP server of the clients.
-func (n *Node) newClientServer(suspension *suspensionDetector) *http.Server {
+func (n *Node) newClientServer(suspension *lifecycle.SuspensionDetector) *http.Server {
 	return &http.Server{
 		Handler: &callers{
 			clock:      n.loop.clock,
@@ -144,8 +146,8 @@
 func (s *session) takeOver(ctx context.Context) {
 	n := s.node
 	n.changeProcesses(+1)
-	if s.predecessor.phase == phaseDrained {
-		n.lifecycle.transition(eventDrain)
+	if s.predecessor.phase == lifecycle.Drained {
+		n.lifecycle.Transition(lifecycle.Drain)
 	}
 	go func() { // ends with the connection, which serve closes
 		s.predecessor.awaitEnd(sync.OnceFunc(func() { close(s.predecessorKnows) }))
@@ -162,7 +164,7 @@
 func (n *Node) awaitReadiness(ctx context.Context, predecessorExited <-chan struct{}) {
 	ticker := time.NewTicker(readinessPollInterval)
 	defer ticker.Stop()
-	for !n.lifecycle.canServe() || !n.loop.hasReadyEndpoint.Load() {
+	for !n.lifecycle.CanServe() || !n.loop.hasReadyEndpoint.Load() {
 		select {
 		case <-ticker.C:
 		case <-predecessorExited:
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -6,6 +6,7 @@
 	"context"
 	"time"
 
+	"keelusher/internal/lifecycle"
 	"keelusher/policy/guard"
 )
 
@@ -31,10 +32,10 @@
 // ready reports whether clients may come: the node serves and knows an endpoint in service. To clients two processes
 // are one node: while this one shuts down, its successor has them.
 func (n *Node) ready() bool {
-	phase := n.lifecycle.current()
+	phase := n.lifecycle.Current()
 	verdict := guard.AcceptClients{
-		Serving:         phase == phaseServing,
-		ShuttingDown:    phase == phaseShuttingDown,
+		Serving:         phase == lifecycle.Serving,
+		ShuttingDown:    phase == lifecycle.ShuttingDown,
 		SuccessorServes: n.handover.successorServes.Load(),
 		EndpointKnown:   n.loop.hasReadyEndpoint.Load(),
 	}.Verdict()
@@ -46,10 +47,10 @@
 
 // closing reports whether every response closes its connection.
 func (n *Node) closing() bool {
-	if n.lifecycle.drainedFor() >= frontNoticeDelay {
+	if n.lifecycle.DrainedFor() >= frontNoticeDelay {
 		return true
 	}
-	return n.lifecycle.current() == phaseShuttingDown && n.handover.successorServes.Load()
+	return n.lifecycle.Current() == lifecycle.ShuttingDown && n.handover.successorServes.Load()
 }
 
 // closeIdleWhileDrained closes client connections without a request while clients are sent away, until ctx ends. An
@@ -58,7 +59,7 @@
 	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
 	for {
-		if n.lifecycle.drainedFor() == 0 {
+		if n.lifecycle.DrainedFor() == 0 {
 			ticker.Stop()
 		} else {
 			ticker.Reset(idleCloseInterval)
@@ -66,7 +67,7 @@
 		select {
 		case <-n.phaseChanges:
 		case <-ticker.C:
-			if n.lifecycle.drainedFor() >= frontNoticeDelay+closingAnswersTime {
+			if n.lifecycle.DrainedFor() >= frontNoticeDelay+closingAnswersTime {
 				n.inbound.closeWaiting(closingAnswersTime)
 			}
 		case <-ctx.Done():
@@ -79,7 +80,7 @@
 // front still sends, and idle connections closed at once could have a request on its way. http.Server.Shutdown does
 // not do: it closes a connection without a response if its request is read after the call.
 func (n *Node) shutDown(ended <-chan serveEnded) {
-	n.lifecycle.transition(eventShutdown)
+	n.lifecycle.Transition(lifecycle.Shutdown)
 	began, longest := time.Now(), longestDeadline(n.cfg.Settings)
 	finalAnswers := began.Add(min(longest, maxDeadlineBeforeKill) + killGrace - finalAnswersMargin)
 	end := began.Add(frontNoticeDelay + closingAnswersTime + longest + shutdownSlack)
