--- a/internal/node/accept_faults_test.go
+++ b/internal/node/accept_faults_test.go
@@ -7,14 +7,11 @@
 	"net"
 	"net/http"
 	"os"
-	"path/filepath"
 	"slices"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
-
-	"keelusher/internal/lifecycle"
 )
 
 // faultyListener fails its next calls of Accept with errors of the system's, then accepts as ever.
@@ -148,35 +145,3 @@
 		t.Errorf("as the process is told to stop: %v", err)
 	}
 }
-
-// A meeting place that cannot be bound is tried again: a node lives for months, and its next version comes some day.
-func TestHandoverAfterAFailedBind(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "later")
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	h := &handoverServer{path: filepath.Join(dir, "s"), log: quiet(), listener: ln.(syscall.Conn), phase: func() lifecycle.Phase { return lifecycle.Serving },
-		changeProcesses: func(int) {}, changed: make(chan struct{}, 1)}
-	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		h.serve(ctx)
-	}()
-	time.Sleep(50 * time.Millisecond) // the first bind fails meanwhile; if not, the test shows less
-	if err := os.Mkdir(dir, 0o700); err != nil {
-		t.Fatal(err)
-	}
-	eventually(t, "a successor gets the listener", func() bool {
-		p, err := connectPredecessor(h.path)
-		if p == nil || err != nil {
-			return false
-		}
-		p.conn.Close()
-		return p.listener.Close() == nil
-	})
-	stop()
-	<-ended
-}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"keelusher/internal/fleet"
+	"keelusher/internal/handover"
 	"keelusher/internal/simulator"
 	"keelusher/policy"
 )
@@ -59,7 +60,7 @@
 	if c.Sockets > 0 && c.Sockets < 2*c.reservedDescriptors() {
 		return Config{}, fmt.Errorf("configuration %s: limits: %d sockets are too few with a mesh", path, c.Sockets)
 	}
-	c.handoverSocket = handoverPath(os.Getenv("TMPDIR"), c.Listen)
+	c.handoverSocket = handover.Path(os.Getenv("TMPDIR"), c.Listen)
 	return c, nil
 }
 
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -161,23 +161,23 @@
 			joined.AnnounceServing()
 			announced = true
 		}
-		if n.handover.successorServes.Load() {
+		if n.handover.SuccessorServes() {
 			return true
 		}
 		select {
 		case <-n.membershipPhaseChanges:
-		case <-n.handover.changed:
+		case <-n.handover.Changed():
 		case <-ctx.Done():
-			return n.handover.successorServes.Load()
+			return n.handover.SuccessorServes()
 		}
 	}
 }
 
 // awaitSuccessorExit returns true once no successor serves, and false if ctx ends before that.
 func (n *Node) awaitSuccessorExit(ctx context.Context) bool {
-	for n.handover.successorServes.Load() {
+	for n.handover.SuccessorServes() {
 		select {
-		case <-n.handover.changed:
+		case <-n.handover.Changed():
 		case <-ctx.Done():
 			return false
 		}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -9,6 +9,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"keelusher/internal/handover"
 )
 
 // freeAddr is an address that nobody listens on.
@@ -64,7 +66,7 @@
 	cfg := testConfig(t, "pushed", inService("s", b.addr()))
 	cfg.Discovery = silentDiscovery(t)
 	cfg.Listen = freeAddr(t)
-	cfg.handoverSocket = handoverPath(t.TempDir(), cfg.Listen)
+	cfg.handoverSocket = handover.Path(t.TempDir(), cfg.Listen)
 	return cfg
 }
 
@@ -125,7 +127,7 @@
 	}
 	eventually(t, "the old one serves", func() bool { return served(old) > 20 })
 	young := process(t, cfg)
-	eventually(t, "the old one knows", old.handover.successorServes.Load)
+	eventually(t, "the old one knows", old.handover.SuccessorServes)
 	half := cfg.clientConnectionLimit(cfg.Sockets / 2)
 	if old.inbound.most != half || young.inbound.most != half {
 		t.Errorf("%d and %d connections, want %d each", old.inbound.most, young.inbound.most, half)
@@ -150,22 +152,22 @@
 func TestSuccessorFails(t *testing.T) {
 	cfg := deployment(t, newBackend(t, ok))
 	old := process(t, cfg)
-	var before *predecessor
+	var before *handover.Predecessor
 	eventually(t, "the file is there", func() bool {
 		var err error
-		before, err = connectPredecessor(cfg.handoverSocket)
+		before, err = handover.Connect(cfg.handoverSocket)
 		return err == nil && before != nil
 	})
-	before.announceServing()
-	eventually(t, "it took over", old.handover.successorServes.Load)
-	before.listener.Close()
-	closeSocket(before.conn)
-	eventually(t, "its end is noticed", func() bool { return !old.handover.successorServes.Load() })
+	before.AnnounceServing()
+	eventually(t, "it took over", old.handover.SuccessorServes)
+	before.Listener.Close()
+	before.Close()
+	eventually(t, "its end is noticed", func() bool { return !old.handover.SuccessorServes() })
 	if status, _, _ := do(t, newRequest(t, old.url, "unsafe", "1", "x")); status != http.StatusOK {
 		t.Errorf("answered %d", status)
 	}
 	young := process(t, cfg)
-	eventually(t, "the next one took over", old.handover.successorServes.Load)
+	eventually(t, "the next one took over", old.handover.SuccessorServes)
 	old.stopAndWait(t)
 	http.DefaultClient.CloseIdleConnections() // that of the old one has just been closed
 	if status, _, _ := do(t, newRequest(t, young.url, "unsafe", "2", "x")); status != http.StatusOK {
@@ -220,7 +222,7 @@
 		t.Fatalf("not drained: %d", status)
 	}
 	young := process(t, cfg)
-	eventually(t, "the new one took over", old.handover.successorServes.Load)
+	eventually(t, "the new one took over", old.handover.SuccessorServes)
 	old.stopAndWait(t)
 	if status := young.ready(t); status != http.StatusServiceUnavailable {
 		t.Errorf("/ready says %d", status)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"keelusher/internal/handover"
 	"keelusher/internal/lifecycle"
 	"keelusher/internal/membership"
 	"keelusher/policy"
@@ -27,7 +28,7 @@
 	lifecycle *lifecycle.Machine
 	buffers   buffers
 	inbound   *limitedListener // client connections; nil until serve
-	handover  *handoverServer  // nil until serve
+	handover  *handover.Server // nil until serve
 
 	// Each of these holds a token after the phase has changed; each has one receiver.
 	phaseChanges           chan struct{} // for closeIdleWhileDrained
@@ -106,14 +107,14 @@
 		n.membership.Store(joined)
 		defer joined.Close()
 	}
-	before, err := Patiently(ctx, func() (*predecessor, error) { return connectPredecessor(n.cfg.handoverSocket) })
+	before, err := Patiently(ctx, func() (*handover.Predecessor, error) { return handover.Connect(n.cfg.handoverSocket) })
 	if err != nil {
 		n.log.Warn("nothing was handed over", "err", err)
 	}
 	if before != nil {
-		return n.serve(ctx, before.listener, adminListener, before)
+		return n.serve(ctx, before.Listener, adminListener, before)
 	}
-	listener, err := Patiently(ctx, func() (net.Listener, error) { return listenShared(n.cfg.Listen) })
+	listener, err := Patiently(ctx, func() (net.Listener, error) { return handover.Listen(n.cfg.Listen) })
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -13,6 +13,7 @@
 	"syscall"
 	"time"
 
+	"keelusher/internal/handover"
 	"keelusher/internal/lifecycle"
 )
 
@@ -27,9 +28,9 @@
 	node        *Node
 	tasks       sync.WaitGroup // goroutines that serve waits for
 	clients     *http.Server
-	admin       *http.Server    // nil: there is no admin endpoint
-	predecessor *predecessor    // nil: there is none
-	serveEnded  chan serveEnded // holds one, once the clients' server has ended
+	admin       *http.Server          // nil: there is no admin endpoint
+	predecessor *handover.Predecessor // nil: there is none
+	serveEnded  chan serveEnded       // holds one, once the clients' server has ended
 
 	// Closed once, by the goroutines that takeOver starts.
 	acceptClients     chan struct{} // clients are to be accepted here
@@ -38,7 +39,7 @@
 }
 
 // serve runs on its listeners until ctx ends; adminListener and before may be nil.
-func (n *Node) serve(ctx context.Context, listener, adminListener net.Listener, before *predecessor) error {
+func (n *Node) serve(ctx context.Context, listener, adminListener net.Listener, before *handover.Predecessor) error {
 	s := &session{
 		node:              n,
 		predecessor:       before,
@@ -53,12 +54,18 @@
 	defer firstList.Stop()
 
 	n.inbound = newLimitedListener(listener, n.cfg.clientConnectionLimit(n.cfg.Sockets), n.loop.metrics, n.loop.decisions)
-	n.handover = n.newHandoverServer(listener.(syscall.Conn))
+	n.handover = handover.NewServer(handover.Config{
+		Path:            n.cfg.handoverSocket,
+		Log:             n.log,
+		Listener:        listener.(syscall.Conn),
+		Phase:           n.lifecycle.Current,
+		ChangeProcesses: n.changeProcesses,
+	})
 	s.clients = n.newClientServer(suspension)
 	if before == nil {
 		close(s.acceptClients)
 	} else {
-		defer closeSocket(before.conn)
+		defer before.Close()
 		s.takeOver(ctx)
 	}
 	s.startAccepting()
@@ -146,11 +153,11 @@
 func (s *session) takeOver(ctx context.Context) {
 	n := s.node
 	n.changeProcesses(+1)
-	if s.predecessor.phase == lifecycle.Drained {
+	if s.predecessor.Phase == lifecycle.Drained {
 		n.lifecycle.Transition(lifecycle.Drain)
 	}
 	go func() { // ends with the connection, which serve closes
-		s.predecessor.awaitEnd(sync.OnceFunc(func() { close(s.predecessorKnows) }))
+		s.predecessor.AwaitEnd(sync.OnceFunc(func() { close(s.predecessorKnows) }))
 		close(s.predecessorExited)
 		n.changeProcesses(-1)
 	}()
@@ -188,19 +195,17 @@
 	n := s.node
 	<-s.acceptClients
 	if s.predecessor != nil {
-		s.predecessor.announceServing()
+		s.predecessor.AnnounceServing()
 		select {
 		case <-s.predecessorKnows:
 		case <-s.predecessorExited:
-		case <-time.After(handoverTimeout):
+		case <-time.After(handover.Timeout):
 			n.log.Warn("the predecessor does not acknowledge")
 		case <-ctx.Done():
 		}
 	}
 	n.accepting.Store(true)
-	if n.handover.path != "" {
-		n.handover.serve(ctx)
-	}
+	n.handover.Serve(ctx)
 }
 
 // startAdmin serves operators until the server is closed.
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"io"
 	"time"
 
 	"keelusher/internal/lifecycle"
@@ -29,6 +30,9 @@
 	maxDeadlineBeforeKill = 3 * time.Second
 )
 
+// closeSocket closes what is no longer needed; a failure would change nothing.
+func closeSocket(socket io.Closer) { socket.Close() }
+
 // ready reports whether clients may come: the node serves and knows an endpoint in service. To clients two processes
 // are one node: while this one shuts down, its successor has them.
 func (n *Node) ready() bool {
@@ -36,7 +40,7 @@
 	verdict := guard.AcceptClients{
 		Serving:         phase == lifecycle.Serving,
 		ShuttingDown:    phase == lifecycle.ShuttingDown,
-		SuccessorServes: n.handover.successorServes.Load(),
+		SuccessorServes: n.handover.SuccessorServes(),
 		EndpointKnown:   n.loop.hasReadyEndpoint.Load(),
 	}.Verdict()
 	if verdict != guard.Allowed {
@@ -50,7 +54,7 @@
 	if n.lifecycle.DrainedFor() >= frontNoticeDelay {
 		return true
 	}
-	return n.lifecycle.Current() == lifecycle.ShuttingDown && n.handover.successorServes.Load()
+	return n.lifecycle.Current() == lifecycle.ShuttingDown && n.handover.SuccessorServes()
 }
 
 // closeIdleWhileDrained closes client connections without a request while clients are sent away, until ctx ends. An
@@ -84,7 +88,7 @@
 	began, longest := time.Now(), longestDeadline(n.cfg.Settings)
 	finalAnswers := began.Add(min(longest, maxDeadlineBeforeKill) + killGrace - finalAnswersMargin)
 	end := began.Add(frontNoticeDelay + closingAnswersTime + longest + shutdownSlack)
-	if n.handover.successorServes.Load() {
+	if n.handover.SuccessorServes() {
 		closeSocket(n.inbound) // the successor has the queue of connections
 	}
 	time.Sleep(frontNoticeDelay + closingAnswersTime)
