--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -12,6 +12,9 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"keelusher/internal/handover"
+	"keelusher/internal/lifecycle"
 )
 
 // readinessPollInterval is between two looks at whether a successor can serve.
@@ -25,9 +28,9 @@
 	node        *Node
 	tasks       sync.WaitGroup // goroutines that serve waits for
 	clients     *http.Server
-	admin       *http.Server    // nil: there is no admin endpoint
-	predecessor *predecessor    // nil: there is none
-	serveEnded  chan serveEnded // holds one, once the clients' server has ended
+	admin       *http.Server          // nil: there is no admin endpoint
+	predecessor *handover.Predecessor // nil: there is none
+	serveEnded  chan serveEnded       // holds one, once the clients' server has ended
 
 	// Closed once, by the goroutines that takeOver starts.
 	acceptClients     chan struct{} // clients are to be accepted here
@@ -36,7 +39,7 @@
 }
 
 // serve runs on its listeners until ctx ends; adminListener and before may be nil.
-func (n *Node) serve(ctx context.Context, listener, adminListener net.Listener, before *predecessor) error {
+func (n *Node) serve(ctx context.Context, listener, adminListener net.Listener, before *handover.Predecessor) error {
 	s := &session{
 		node:              n,
 		predecessor:       before,
@@ -47,16 +50,22 @@
 	}
 	watchContext, stopWatching := context.WithCancel(context.Background())
 	suspension := s.startLoop(watchContext)
-	firstList := time.AfterFunc(firstListTimeout, func() { n.lifecycle.transition(eventListReceived) })
+	firstList := time.AfterFunc(firstListTimeout, func() { n.lifecycle.Transition(lifecycle.ListReceived) })
 	defer firstList.Stop()
 
 	n.inbound = newLimitedListener(listener, n.cfg.clientConnectionLimit(n.cfg.Sockets), n.loop.metrics, n.loop.decisions)
-	n.handover = n.newHandoverServer(listener.(syscall.Conn))
+	n.handover = handover.NewServer(handover.Config{
+		Path:            n.cfg.handoverSocket,
+		Log:             n.log,
+		Listener:        listener.(syscall.Conn),
+		Phase:           n.lifecycle.Current,
+		ChangeProcesses: n.changeProcesses,
+	})
 	s.clients = n.newClientServer(suspension)
 	if before == nil {
 		close(s.acceptClients)
 	} else {
-		defer closeSocket(before.conn)
+		defer before.Close()
 		s.takeOver(ctx)
 	}
 	s.startAccepting()
@@ -103,18 +112,18 @@
 
 // startLoop starts the event loop with the known list, and what watches the endpoint list and the process. The loop
 // ends when its channel stop is closed, the others with ctx.
-func (s *session) startLoop(ctx context.Context) *suspensionDetector {
+func (s *session) startLoop(ctx context.Context) *lifecycle.SuspensionDetector {
 	n := s.node
 	s.run(n.loop.run)
 	n.loop.endpointUpdates <- watchEvent{list: n.cfg.KnownEndpoints.asSnapshot(), cached: true}
-	suspension := newSuspensionDetector()
-	s.run(func() { suspension.run(ctx) })
+	suspension := lifecycle.NewSuspensionDetector()
+	s.run(func() { suspension.Run(ctx) })
 	s.run(func() { n.discovery.run(ctx) })
 	return suspension
 }
 
 // newClientServer is the HTTP server of the clients.
-func (n *Node) newClientServer(suspension *suspensionDetector) *http.Server {
+func (n *Node) newClientServer(suspension *lifecycle.SuspensionDetector) *http.Server {
 	return &http.Server{
 		Handler: &callers{
 			clock:      n.loop.clock,
@@ -144,11 +153,11 @@
 func (s *session) takeOver(ctx context.Context) {
 	n := s.node
 	n.changeProcesses(+1)
-	if s.predecessor.phase == phaseDrained {
-		n.lifecycle.transition(eventDrain)
+	if s.predecessor.Phase == lifecycle.Drained {
+		n.lifecycle.Transition(lifecycle.Drain)
 	}
 	go func() { // ends with the connection, which serve closes
-		s.predecessor.awaitEnd(sync.OnceFunc(func() { close(s.predecessorKnows) }))
+		s.predecessor.AwaitEnd(sync.OnceFunc(func() { close(s.predecessorKnows) }))
 		close(s.predecessorExited)
 		n.changeProcesses(-1)
 	}()
@@ -162,7 +171,7 @@
 func (n *Node) awaitReadiness(ctx context.Context, predecessorExited <-chan struct{}) {
 	ticker := time.NewTicker(readinessPollInterval)
 	defer ticker.Stop()
-	for !n.lifecycle.canServe() || !n.loop.hasReadyEndpoint.Load() {
+	for !n.lifecycle.CanServe() || !n.loop.hasReadyEndpoint.Load() {
 		select {
 		case <-ticker.C:
 		case <-predecessorExited:
@@ -186,19 +195,17 @@
 	n := s.node
 	<-s.acceptClients
 	if s.predecessor != nil {
-		s.predecessor.announceServing()
+		s.predecessor.AnnounceServing()
 		select {
 		case <-s.predecessorKnows:
 		case <-s.predecessorExited:
-		case <-time.After(handoverTimeout):
+		case <-time.After(handover.Timeout):
 			n.log.Warn("the predecessor does not acknowledge")
 		case <-ctx.Done():
 		}
 	}
 	n.accepting.Store(true)
-	if n.handover.path != "" {
-		n.handover.serve(ctx)
-	}
+	n.handover.Serve(ctx)
 }
 
 // startAdmin serves operators until the server is closed.
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -4,8 +4,10 @@
 
 import (
 	"context"
+	"io"
 	"time"
 
+	"keelusher/internal/lifecycle"
 	"keelusher/policy/guard"
 )
 
@@ -28,14 +30,17 @@
 	maxDeadlineBeforeKill = 3 * time.Second
 )
 
+// closeSocket closes what is no longer needed; a failure would change nothing.
+func closeSocket(socket io.Closer) { socket.Close() }
+
 // ready reports whether clients may come: the node serves and knows an endpoint in service. To clients two processes
 // are one node: while this one shuts down, its successor has them.
 func (n *Node) ready() bool {
-	phase := n.lifecycle.current()
+	phase := n.lifecycle.Current()
 	verdict := guard.AcceptClients{
-		Serving:         phase == phaseServing,
-		ShuttingDown:    phase == phaseShuttingDown,
-		SuccessorServes: n.handover.successorServes.Load(),
+		Serving:         phase == lifecycle.Serving,
+		ShuttingDown:    phase == lifecycle.ShuttingDown,
+		SuccessorServes: n.handover.SuccessorServes(),
 		EndpointKnown:   n.loop.hasReadyEndpoint.Load(),
 	}.Verdict()
 	if verdict != guard.Allowed {
@@ -46,19 +51,19 @@
 
 // closing reports whether every response closes its connection.
 func (n *Node) closing() bool {
-	if n.lifecycle.drainedFor() >= frontNoticeDelay {
+	if n.lifecycle.DrainedFor() >= frontNoticeDelay {
 		return true
 	}
-	return n.lifecycle.current() == phaseShuttingDown && n.handover.successorServes.Load()
+	return n.lifecycle.Current() == lifecycle.ShuttingDown && n.handover.SuccessorServes()
 }
 
-// closeIdleWhileDrained closes client connections without a request while clients are sent away, until ctx ends. An old
-// connection has had the time to get its last response; a young one may have a request on its way.
+// closeIdleWhileDrained closes client connections without a request while clients are sent away, until ctx ends. An
+// old connection has had the time to get its last response; a young one may have a request on its way.
 func (n *Node) closeIdleWhileDrained(ctx context.Context) {
 	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
 	for {
-		if n.lifecycle.drainedFor() == 0 {
+		if n.lifecycle.DrainedFor() == 0 {
 			ticker.Stop()
 		} else {
 			ticker.Reset(idleCloseInterval)
@@ -66,7 +71,7 @@
 		select {
 		case <-n.phaseChanges:
 		case <-ticker.C:
-			if n.lifecycle.drainedFor() >= frontNoticeDelay+closingAnswersTime {
+			if n.lifecycle.DrainedFor() >= frontNoticeDelay+closingAnswersTime {
 				n.inbound.closeWaiting(closingAnswersTime)
 			}
 		case <-ctx.Done():
@@ -75,15 +80,15 @@
 	}
 }
 
-// shutDown stops serving without losing a request. A listener closed at once would reset the connections that the front
-// still sends, and idle connections closed at once could have a request on its way. http.Server.Shutdown does not do: it
-// closes a connection without a response if its request is read after the call.
+// shutDown stops serving without losing a request. A listener closed at once would reset the connections that the
+// front still sends, and idle connections closed at once could have a request on its way. http.Server.Shutdown does
+// not do: it closes a connection without a response if its request is read after the call.
 func (n *Node) shutDown(ended <-chan serveEnded) {
-	n.lifecycle.transition(eventShutdown)
+	n.lifecycle.Transition(lifecycle.Shutdown)
 	began, longest := time.Now(), longestDeadline(n.cfg.Settings)
 	finalAnswers := began.Add(min(longest, maxDeadlineBeforeKill) + killGrace - finalAnswersMargin)
 	end := began.Add(frontNoticeDelay + closingAnswersTime + longest + shutdownSlack)
-	if n.handover.successorServes.Load() {
+	if n.handover.SuccessorServes() {
 		closeSocket(n.inbound) // the successor has the queue of connections
 	}
 	time.Sleep(frontNoticeDelay + closingAnswersTime)
