--- a/policy/api.go
+++ b/policy/api.go
@@ -6,6 +6,10 @@
 // and its only randomness is the seed given to New, so the same events always give the same actions.
 // Balancers share nothing. Memory is held for each request until it is answered and its attempts have ended,
 // and for each endpoint until it has been removed and its attempts have ended.
+//
+// The other files have one subject each, with a type that owns its state, and policy.go joins them. They are
+// one package because most subjects work on the same endpoints, requests and attempts, and because tests
+// drive them through a Balancer.
 package policy
 
 import (
