--- a/internal/node/suspension_test.go
+++ b/internal/lifecycle/suspension_test.go
@@ -1,4 +1,4 @@
-package node
+package lifecycle
 
 import (
 	"testing"
@@ -8,9 +8,9 @@
 )
 
 func TestSuspensionDetectorTimeQueued(t *testing.T) {
-	s := newSuspensionDetector()
+	s := NewSuspensionDetector()
 	at := time.Second
-	s.lastHeartbeat.Store(int64(at)) // the last sign of life
+	s.lastHeartbeat.Store(int64(at)) // the last heartbeat
 	for _, x := range []struct {
 		after time.Duration
 		beats bool
@@ -18,7 +18,7 @@
 	}{
 		{guard.MaxSuspension, true, 0},
 		{guard.MaxSuspension, false, 0},
-		{3 * time.Second, false, 3*time.Second + guard.MaxSuspension}, // it goes on, and a request is read ahead of the beat
+		{3 * time.Second, false, 3*time.Second + guard.MaxSuspension}, // a request is read ahead of the heartbeat
 		{0, true, 3*time.Second + guard.MaxSuspension},
 		{backlogReadTime - 1, false, 3*time.Second + guard.MaxSuspension},
 		{1, false, 0},
@@ -32,8 +32,8 @@
 			t.Errorf("at %v: %v, want %v", at, got, x.want)
 		}
 	}
-	var none *suspensionDetector
-	if none.timeQueued() != 0 {
-		t.Error("without a monitor something waited")
+	var none *SuspensionDetector
+	if none.TimeQueued() != 0 {
+		t.Error("without a detector there was a suspension")
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -9,6 +9,7 @@
 	"runtime/debug"
 
 	"keelusher/internal/fleet"
+	"keelusher/internal/lifecycle"
 	"keelusher/internal/membership"
 	"keelusher/policy"
 )
@@ -136,9 +137,9 @@
 	}
 }
 
-// runMember runs the host of overrides, if there is one, and announces when the node serves. It returns once ctx ends or
-// a successor serves, and reports whether one does. Each process of the membership has a register of its own, which is
-// empty at first.
+// runMember runs the host of overrides, if there is one, and announces when the node serves. It returns once ctx ends
+// or a successor serves, and reports whether one does. Each process of the membership has a register of its own,
+// which is empty at first.
 func (n *Node) runMember(ctx context.Context, joined *membership.Mesh) (successorServes bool) {
 	if n.cfg.Fleet.Overrides == nil {
 		return n.announceUntilSuccession(ctx, joined)
@@ -156,27 +157,27 @@
 // announceUntilSuccession announces when the node serves, and returns once ctx ends or a successor serves.
 func (n *Node) announceUntilSuccession(ctx context.Context, joined *membership.Mesh) (successorServes bool) {
 	for announced := false; ; {
-		if !announced && n.lifecycle.current() == phaseServing {
+		if !announced && n.lifecycle.Current() == lifecycle.Serving {
 			joined.AnnounceServing()
 			announced = true
 		}
-		if n.handover.successorServes.Load() {
+		if n.handover.SuccessorServes() {
 			return true
 		}
 		select {
 		case <-n.membershipPhaseChanges:
-		case <-n.handover.changed:
+		case <-n.handover.Changed():
 		case <-ctx.Done():
-			return n.handover.successorServes.Load()
+			return n.handover.SuccessorServes()
 		}
 	}
 }
 
 // awaitSuccessorExit returns true once no successor serves, and false if ctx ends before that.
 func (n *Node) awaitSuccessorExit(ctx context.Context) bool {
-	for n.handover.successorServes.Load() {
+	for n.handover.SuccessorServes() {
 		select {
-		case <-n.handover.changed:
+		case <-n.handover.Changed():
 		case <-ctx.Done():
 			return false
 		}
--- a/internal/node/settings_digest.go
+++ b/internal/node/settings_digest.go
@@ -9,8 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Members compare digests of their settings, and a fleet may have members of different builds. So the text that a digest
-// is computed from is a wire form: its words and their order are fixed, whatever the policy calls its settings.
+// Members compare digests of their settings, and a fleet may have members of different builds. So the text that a
+// digest is computed from is a wire form: its words and their order are fixed, whatever the policy calls its
+// settings.
 const (
 	digestForm = "{Classes:[%s] Tenants:[%s] OverWorth:%v Balancers:0 Self:0 Zone: Tiers:%d Tier:0 WholeWeight:%v" +
 		" ClassWeight:%v MarksRepeats:%t MaxAttempts:%d AskDiscovery:%t AskWithin:%v Tick:%v MaxRetryAfter:%v" +
