--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -31,7 +31,7 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP) // first of all: untaken, it would end the program
 	path := os.Getenv("ROUTER_CONFIG")
-	cfg, err := node.Patiently(context.Background(), func() (node.Config, error) { return node.LoadConfig(path) })
+	cfg, err := node.RetryOnShortage(context.Background(), func() (node.Config, error) { return node.LoadConfig(path) })
 	if err != nil {
 		return err
 	}
--- a/internal/node/accept_faults_test.go
+++ b/internal/node/accept_faults_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// faultyListener fails its next calls of Accept with errors of the system's, then accepts as ever.
+// faultyListener fails its first calls of Accept with system errors, then accepts.
 type faultyListener struct {
 	net.Listener
 	errors chan error
@@ -46,17 +46,17 @@
 	}
 }
 
-// SyscallConn lets the node hand the listener over.
+// SyscallConn lets the node pass the listener to its successor.
 func (l *faultyListener) SyscallConn() (syscall.RawConn, error) {
 	return l.Listener.(syscall.Conn).SyscallConn()
 }
 
-// acceptErrors are what accept(2) documents, but for those that say that the listener itself is unusable.
+// acceptErrors are the errors that accept(2) documents, except those of an unusable listener.
 var acceptErrors = []syscall.Errno{syscall.EAGAIN, syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EPROTO, syscall.ENOSR, syscall.ETIMEDOUT, syscall.ENETDOWN,
 	syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH}
 
-// serves says whether a path is answered with 200 on a new connection.
+// serves reports whether a path is answered with 200 on a new connection.
 func serves(url string) func() bool {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	return func() bool {
@@ -64,13 +64,13 @@
 		if err != nil {
 			return false
 		}
-		io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
+		defer resp.Body.Close()
+		_, err = io.Copy(io.Discard, resp.Body)
+		return err == nil && resp.StatusCode == http.StatusOK
 	}
 }
 
-// No failed accept ends the node, on the clients' listener or on the operators'.
+// No failed accept ends the node, whether of a client or of an operator.
 func TestFailedAcceptsDoNotEndTheNode(t *testing.T) {
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// A listener that is none any more ends the accepting, and so does its close while the node waits for the system.
+// An unusable listener ends the accepting, and so does a close during the backoff after an error.
 func TestAcceptingEnds(t *testing.T) {
 	broken := newLimitedListener(newFaultyListener(t, syscall.EBADF), 1, newStats(nil), newDecisions(quiet()))
 	if _, err := broken.Accept(); !errors.Is(err, syscall.EBADF) {
@@ -113,15 +113,17 @@
 		_, err := closed.Accept()
 		ended <- err
 	}()
-	eventually(t, "it waits", func() bool { return failing.failed.Load() > 0 })
-	closed.Close()
+	eventually(t, "it backs off", func() bool { return failing.failed.Load() > 0 })
+	if err := closed.Close(); err != nil {
+		t.Fatal(err)
+	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closed while it waits: %v", err)
+		t.Errorf("closed during the backoff: %v", err)
 	}
 }
 
-// What a start needs is asked for again while the system lacks something, and not where the error stays.
-func TestPatiently(t *testing.T) {
+// An open is retried during a shortage, not after a permanent error.
+func TestRetryOnShortage(t *testing.T) {
 	calls := 0
 	opens := func(errs ...error) func() (int, error) {
 		calls = 0
@@ -133,21 +135,22 @@
 			return 7, nil
 		}
 	}
-	lacking := &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}
-	if got, err := Patiently(t.Context(), opens(lacking, lacking)); got != 7 || err != nil || calls != 3 {
+	shortage := &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}
+	got, err := RetryOnShortage(t.Context(), opens(shortage, shortage))
+	if got != 7 || err != nil || calls != 3 {
 		t.Errorf("after two shortages: %d, %v, %d calls", got, err, calls)
 	}
-	if _, err := Patiently(t.Context(), opens(syscall.EACCES)); err != syscall.EACCES || calls != 1 {
-		t.Errorf("where it may not: %v, %d calls", err, calls)
+	if _, err := RetryOnShortage(t.Context(), opens(syscall.EACCES)); !errors.Is(err, syscall.EACCES) || calls != 1 {
+		t.Errorf("after a permanent error: %v, %d calls", err, calls)
 	}
-	over, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Patiently(over, opens(lacking)); err != lacking {
-		t.Errorf("as the process is told to stop: %v", err)
+	if _, err := RetryOnShortage(canceled, opens(shortage)); !errors.Is(err, shortage) {
+		t.Errorf("as the process is to stop: %v", err)
 	}
 }
 
-// A meeting place that cannot be bound is tried again: a node lives for months, and its next version comes some day.
+// A hand-over socket that cannot be bound is retried: a node runs for months before its successor starts.
 func TestHandoverAfterAFailedBind(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -155,15 +158,21 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	h := &handover{path: filepath.Join(dir, "s"), log: quiet(), ln: ln.(syscall.Conn), phase: func() phase { return serving },
-		share: func(int) {}, moved: make(chan struct{}, 1)}
+	h := &handover{
+		path:  filepath.Join(dir, "s"),
+		log:   quiet(),
+		ln:    ln.(syscall.Conn),
+		phase: func() phase { return serving },
+		share: func(int) {},
+		moved: make(chan struct{}, 1),
+	}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		h.serve(ctx)
 	}()
-	time.Sleep(50 * time.Millisecond) // the first bind fails meanwhile; if not, the test shows less
+	time.Sleep(50 * time.Millisecond) // the first bind fails meanwhile, as a rule
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +181,7 @@
 		if p == nil || err != nil {
 			return false
 		}
-		p.conn.Close()
+		_ = p.conn.Close()
 		return p.ln.Close() == nil
 	})
 	stop()
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -1,3 +1,8 @@
+// Streamed bodies. A body of up to maxBufferedBody is buffered completely: that of a request can then be sent again,
+// and that of a response is known to be complete before a byte of it is forwarded. A longer one is streamed through a
+// buffer of fixed size for each connection and direction, so that a slow peer slows the other side down and occupies
+// no further memory.
+
 package node
 
 import (
@@ -10,197 +15,162 @@
 	"time"
 )
 
-// Bodies of up to maxBody are held whole: those of requests can then be sent again, those of answers are known to
-// be whole before a byte of them is passed on. Longer ones pass through buffers of a fixed size, one a connection
-// and direction, so that a slow peer slows the other side down and holds nothing else.
 const (
-	maxStreamedBody = 32 << 20 // of a body that passes through
-	minBodyRate   = 64e3     // bytes a second that clients' bodies come with at least
-
-	maxBodyReadGap = 2300 * time.Millisecond // between two pieces: a client that stops is owed an error or a close in 3 s
-)
-
-// memoryBudget bounds the sum of what is held whole. It never makes anyone wait: a body for which there is no room
-// passes through.
-type memoryBudget struct {
-	total int
-	available  atomic.Int64 // below 0: what is out is over a whole that has become smaller
-}
+	maxStreamedBody = 32 << 20
+	minBodyRate     = 64e3 // bytes a second, of clients' bodies
 
-func newMemoryBudget(n int) *memoryBudget {
-	b := &memoryBudget{total: n}
-	b.available.Store(int64(n))
-	return b
-}
-
-// rescale makes it a part of the whole. The parts are those of processes that rescale a limit.
-func (b *memoryBudget) rescale(was, now int) { b.available.Add(int64(b.total/now - b.total/was)) }
+	// maxBodyReadGap is the longest pause within a client's body: a client that stops sending is owed an error or a
+	// close within 3 s.
+	maxBodyReadGap = 2300 * time.Millisecond
 
-// reserve reserves n bytes; nil: there is no room.
-func (b *memoryBudget) reserve(n int) *memoryReservation {
-	if b.available.Add(int64(-n)) < 0 {
-		b.available.Add(int64(n))
-		return nil
-	}
-	return &memoryReservation{budget: b, size: n}
-}
-
-// memoryReservation is a reserved part of a budget. One owner at a time changes it.
-type memoryReservation struct {
-	budget *memoryBudget
-	size    int
-}
-
-// shrink gives back what is over n bytes, all of it for 0.
-func (l *memoryReservation) shrink(n int) {
-	if l != nil && n < l.size {
-		l.budget.available.Add(int64(l.size - n))
-		l.size = n
-	}
-}
-
-// buffers are the sizes that follow from the limits, so that all of them together stay in memory.
-type buffers struct {
-	requests, responses *memoryBudget
-	chunkSize             int // of what passes through, a connection and direction
-}
-
-// newBuffers gives an eighth of the memory to each kind.
-func newBuffers(memoryMB, connections int) buffers {
-	part := memoryMB << 20 / 8
-	if memoryMB == 0 {
-		part = 32 << 20
-	}
-	return buffers{requests: newMemoryBudget(part), responses: newMemoryBudget(part),
-		chunkSize: min(max(part/(2*connections), 2<<10), 32<<10)}
-}
+	discardBufferSize = 4 << 10
+)
 
 var (
-	errBodyTooSlow   = errors.New("the body came too slowly")
-	errBodyTooLong   = errors.New("the body is too long")
-	errClosed = errors.New("nobody wants the rest of the body")
+	errBodyTooSlow  = errors.New("the body came too slowly")
+	errBodyTooLong  = errors.New("the body is too long")
+	errBodyUnwanted = errors.New("the rest of the body is not needed any more")
 )
 
-// upload is a body that has not been read whole when its request is taken. It is read at the pace of the server
-// it goes to, and given up when it comes slower than callers may send.
-type upload struct {
-	rc    *http.ResponseController
-	body  io.Reader
-	first time.Duration // its first bytes are due within it
-
-	mu      sync.Mutex // held during a read
-	n       int64
-	waited  time.Duration // for the client, over all reads
-	err     error
-	touched atomic.Bool // some of it was read: it cannot be sent again
-	stopped atomic.Bool
-}
-
-func (u *upload) Read(b []byte) (int, error) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.stopped.Load() {
-		u.err = errClosed
+// requestStream is the part of a request's body that was not read when the request was accepted. It is read as fast
+// as the endpoint takes it, and fails when the client sends more slowly than minBodyRate.
+type requestStream struct {
+	controller       *http.ResponseController
+	body             io.Reader
+	firstByteTimeout time.Duration
+
+	mu        sync.Mutex // held during a read
+	bytesRead int64
+	waitTime  time.Duration // spent waiting for the client, over all reads
+	err       error         // of the last read; io.EOF: the body was read completely
+	consumed  atomic.Bool   // some of it was read: it cannot be sent again
+	stopped   atomic.Bool
+}
+
+// Read implements io.Reader with the deadlines of a client's body.
+func (s *requestStream) Read(b []byte) (int, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.stopped.Load() {
+		s.err = errBodyUnwanted
 	}
-	if u.err != nil {
-		return 0, u.err
+	if s.err != nil {
+		return 0, s.err
 	}
-	began := time.Now()
-	u.expect(began)
-	n, err := u.body.Read(b)
-	u.waited += time.Since(began)
+	n, err := s.readNext(b)
 	if n > 0 {
-		u.n += int64(n)
-		u.touched.Store(true)
+		s.consumed.Store(true)
 	}
 	switch {
-	case u.stopped.Load():
-		err = errClosed
-	case err == io.EOF: // from here on a read only watches for the client's leaving
-		u.rc.SetReadDeadline(time.Time{})
+	case s.stopped.Load():
+		err = errBodyUnwanted
+	case errors.Is(err, io.EOF): // from here on net/http reads only to notice a disconnect
+		s.setReadDeadline(time.Time{})
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		err = errBodyTooSlow
-	case u.n > maxStreamedBody:
+	case s.bytesRead > maxStreamedBody:
 		err = errBodyTooLong
 	}
-	u.err = err
+	s.err = err
 	return n, err
 }
 
-// stop ends the reading, also one that waits, and says whether the body was read to its end.
-func (u *upload) stop() bool {
-	u.stopped.Store(true)
-	if u.mu.TryLock() { // nobody reads
-		defer u.mu.Unlock()
-		return u.err == io.EOF
-	}
-	u.rc.SetReadDeadline(time.Unix(1, 0))
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.err == io.EOF
+// readNext reads once within the time that the client has for its next bytes. The caller holds the lock.
+func (s *requestStream) readNext(b []byte) (int, error) {
+	began := time.Now()
+	s.setReadDeadline(s.nextDeadline(began))
+	n, err := s.body.Read(b)
+	s.waitTime += time.Since(began)
+	s.bytesRead += int64(n)
+	return n, err
+}
+
+// setReadDeadline sets the deadline of the client's connection. Its error is ignored: it fails only on a closed
+// connection, and so does the read that follows.
+func (s *requestStream) setReadDeadline(deadline time.Time) {
+	_ = s.controller.SetReadDeadline(deadline)
 }
 
-// expect gives the next bytes the time that a client at the slowest pace may still take, and no longer than one may be
-// silent. The time in which the server took nothing is not the client's.
-func (u *upload) expect(now time.Time) {
-	pace := time.Duration(float64(u.n) / minBodyRate * float64(time.Second))
-	left := u.first + pace - u.waited
-	if u.n > 0 {
+// nextDeadline is when the next bytes are due from a client that sends at minBodyRate, and at the latest after
+// maxBodyReadGap. Time in which the endpoint took nothing is not charged to the client.
+func (s *requestStream) nextDeadline(now time.Time) time.Time {
+	sendTime := time.Duration(float64(s.bytesRead) / minBodyRate * float64(time.Second))
+	left := s.firstByteTimeout + sendTime - s.waitTime
+	if s.bytesRead > 0 {
 		left = min(left, maxBodyReadGap)
 	}
-	u.rc.SetReadDeadline(now.Add(left))
+	return now.Add(left)
 }
 
-// discard reads on after stop, as long as the caller keeps the pace: a close before it has written its request would
-// reset the connection, and it might not get to read its answer.
-func (u *upload) discard() {
-	buf := make([]byte, 4<<10)
-	for n, err := 0, error(nil); err == nil && u.n < maxStreamedBody; u.n += int64(n) {
-		began := time.Now()
-		u.expect(began)
-		n, err = u.body.Read(buf)
-		u.waited += time.Since(began)
+// stop ends the reading, a read in progress included, and reports whether the body was read completely.
+func (s *requestStream) stop() (complete bool) {
+	s.stopped.Store(true)
+	if s.mu.TryLock() { // no read is in progress
+		defer s.mu.Unlock()
+		return errors.Is(s.err, io.EOF)
+	}
+	s.setReadDeadline(pastDeadline)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return errors.Is(s.err, io.EOF)
+}
+
+// discard reads the remainder of a stopped body while the client keeps to minBodyRate: a close before the client has
+// written its request would reset the connection, and the client might lose its response.
+func (s *requestStream) discard() {
+	buffer := make([]byte, discardBufferSize)
+	for s.bytesRead < maxStreamedBody {
+		if _, err := s.readNext(buffer); err != nil {
+			return
+		}
 	}
 }
 
-// failed is why the body could not be read to its end; nil: it was, or it was not tried.
-func (u *upload) failed() error {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.err == io.EOF {
+// failure is why the body could not be read to its end; nil if it was, or if no read has failed.
+func (s *requestStream) failure() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if errors.Is(s.err, io.EOF) {
 		return nil
 	}
-	return u.err
-}
-
-// download is an answer that is passed on while it comes. Whoever reads it ends it once.
-type download struct {
-	conn *conn
-	resp *http.Response
-	n    int64
-	over chan struct{}
-	once sync.Once
-	err  error // once over: why it is not whole
-	ours bool  // once over: the server is not to blame
-}
-
-func (d *download) Read(b []byte) (int, error) {
-	d.conn.SetReadDeadline(time.Now().Add(d.conn.pool.streamTimeout))
-	n, err := d.resp.Body.Read(b)
-	if d.n += int64(n); d.n > maxStreamedBody && err == nil {
+	return s.err
+}
+
+// responseStream is the part of a response's body that is forwarded while it arrives. Whoever reads it calls finish.
+type responseStream struct {
+	conn      *serverConn
+	response  *http.Response
+	bytesRead int64
+	done      chan struct{} // closed by finish
+	once      sync.Once
+	err       error // once done: why it was not forwarded completely
+	abandoned bool  // once done: the endpoint is not to blame for err
+}
+
+// Read implements io.Reader with the timeout of a server's body.
+func (s *responseStream) Read(b []byte) (int, error) {
+	// An error is ignored: it fails only on a closed connection, and so does the read.
+	_ = s.conn.SetReadDeadline(time.Now().Add(s.conn.pool.streamTimeout))
+	n, err := s.response.Body.Read(b)
+	if s.bytesRead += int64(n); s.bytesRead > maxStreamedBody && err == nil {
 		err = errBodyTooLong
 	}
 	return n, err
 }
 
-// end says how the passing on went, before the connection is used again.
-func (d *download) end(err error, ours bool) {
-	d.once.Do(func() {
-		d.err, d.ours = err, ours
+// finish records how the forwarding ended. Only the first call counts.
+func (s *responseStream) finish(err error, abandoned bool) {
+	s.once.Do(func() {
+		s.err, s.abandoned = err, abandoned
 		if err == nil {
-			d.check()
-			d.conn.rest()
+			s.closeIfBytesFollow()
+			s.conn.endRequest()
 		}
-		close(d.over)
+		close(s.done)
 	})
 }
+
+// closeIfBytesFollow makes sure that bytes after a response are not taken for the next request's response.
+func (s *responseStream) closeIfBytesFollow() {
+	s.response.Close = s.response.Close || s.conn.reader.Buffered() > 0
+}
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -15,9 +15,10 @@
 	"time"
 )
 
-const long = 40 * maxBufferedBody
+// longBody is the size of a body that is streamed.
+const longBody = 40 * maxBufferedBody
 
-// noise is a body without a pattern that a misplaced piece could hide in.
+// noise is a body without a pattern, so that a misplaced part shows.
 func noise(n int) string {
 	b := make([]byte, n)
 	for i, x := 0, uint32(1); i < n; i++ {
@@ -27,27 +28,27 @@
 	return string(b)
 }
 
-// Bodies of all sizes and framings pass both ways unchanged.
-func TestBodiesPassUnchanged(t *testing.T) {
+// Bodies of all sizes and framings are forwarded unchanged in both directions.
+func TestBodiesAreForwardedUnchanged(t *testing.T) {
 	framings := map[string]func(c net.Conn, body string) bool{
 		"length": func(c net.Conn, body string) bool { return respond(c, "200 OK", body) },
 		"chunks": func(c net.Conn, body string) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for len(body) > 0 {
 				n := min(len(body), 1+len(body)%5000)
-				fmt.Fprintf(c, "%x;ext=1\r\n%s\r\n", n, body[:n])
+				_, _ = fmt.Fprintf(c, "%x;ext=1\r\n%s\r\n", n, body[:n])
 				body = body[n:]
 			}
 			_, err := io.WriteString(c, "0\r\nX-Trailer: 1\r\n\r\n")
 			return err == nil
 		},
 		"close": func(c net.Conn, body string) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+body)
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+body)
 			return false
 		},
 	}
 	for name, frame := range framings {
-		for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, long} {
+		for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, longBody} {
 			body := noise(size)
 			b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool { return frame(c, body) })
 			n := startWith(t, b)
@@ -61,7 +62,7 @@
 				}
 				status, _, got := do(t, r)
 				if status != http.StatusOK || got != body || b.body[i] != body {
-					t.Errorf("%s, %d bytes, chunked %v: status %d, the caller got %d bytes, the server %d", name, size, chunked,
+					t.Errorf("%s, %d bytes, chunked %v: status %d, the client got %d bytes, the server %d", name, size, chunked,
 						status, len(got), len(b.body[i]))
 				}
 			}
@@ -69,14 +70,14 @@
 	}
 }
 
-// An answer that breaks off is never passed off as whole, however long it was, and is not counted as served.
-func TestBrokenLongAnswer(t *testing.T) {
+// A response that breaks off never looks complete to the client, and is not counted as served.
+func TestBrokenStreamedResponse(t *testing.T) {
 	for name, head := range map[string]string{
-		"length": fmt.Sprintf("Content-Length: %d\r\n\r\n", long),
-		"chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", long),
+		"length": fmt.Sprintf("Content-Length: %d\r\n\r\n", longBody),
+		"chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", longBody),
 	} {
 		b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+noise(long/2))
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+noise(longBody/2))
 			return false
 		})
 		n := startWith(t, b)
@@ -86,7 +87,7 @@
 			resp.Body.Close()
 		}
 		if err == nil {
-			t.Errorf("%s: passed off as whole", name)
+			t.Errorf("%s: looked complete", name)
 		}
 		eventually(t, "it is counted", func() bool {
 			c := n.loop.stats.snapshot()
@@ -95,15 +96,15 @@
 	}
 }
 
-// The first bytes of a long answer reach the caller while the server still holds the rest, and a caller that does
-// not read holds the server back.
-func TestAnswersArePassedOnAsTheyCome(t *testing.T) {
+// The first bytes of a long response reach the client before the server has sent the others, and a client that does
+// not read slows the server down.
+func TestResponsesAreStreamed(t *testing.T) {
 	const total = maxStreamedBody - 1
 	release := make(chan struct{})
 	var written atomic.Int64
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", total)
-		io.WriteString(c, "first")
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", total)
+		_, _ = io.WriteString(c, "first")
 		<-release
 		piece := make([]byte, 32<<10)
 		for left := total - 5; left > 0; {
@@ -127,21 +128,21 @@
 	}
 	close(release)
 	var before int64 = -1
-	eventually(t, "the server is held back", func() bool {
+	eventually(t, "the server is slowed down", func() bool {
 		was := before
 		before = written.Load()
 		time.Sleep(50 * time.Millisecond)
 		return before > 0 && was == before
 	})
 	if before == total-5 {
-		t.Error("the node took the whole answer in")
+		t.Error("the node buffered the whole response")
 	}
 	if rest, err := io.Copy(io.Discard, resp.Body); rest != total-5 || err != nil {
 		t.Errorf("the rest was %d bytes, %v", rest, err)
 	}
 }
 
-// open sends a request's head on a connection of its own.
+// open sends the head of a request on a new connection.
 func open(t *testing.T, n *running, length string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
@@ -149,9 +150,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Call-Id: %s\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\n%s\r\n\r\n",
-		c.LocalAddr(), length)
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	write(t, c, text("unsafe", c.LocalAddr().String(), "", length))
+	setReadTimeout(t, c, 20*time.Second)
 	return c
 }
 
@@ -164,12 +164,12 @@
 	return resp.StatusCode
 }
 
-// A proper caller may take 2 s for its head and send its body at 64 kB a second.
-func TestSlowCallerIsServed(t *testing.T) {
+// A client may take 2 s for its head and send its body at 64 kB a second.
+func TestSlowClientIsServed(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, ok)
 	n := startWith(t, b)
-	for _, size := range []int{60e3, 192e3} { // held whole, passed on
+	for _, size := range []int{60e3, 192e3} { // buffered, streamed
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
@@ -181,13 +181,13 @@
 				"X-Budget: 30000m\r\nContent-Length: %d\r\n\r\n", size, size)
 			for _, part := range []string{head[:10], head[10:50], head[50:]} {
 				time.Sleep(400 * time.Millisecond)
-				io.WriteString(c, part)
+				write(t, c, part)
 			}
 			for begin, left := time.Now(), size; left > 0; left -= 6400 {
-				io.WriteString(c, strings.Repeat("x", min(left, 6400)))
+				write(t, c, strings.Repeat("x", min(left, 6400)))
 				time.Sleep(time.Until(begin.Add(time.Duration(size-left+6400) * time.Second / 64000)))
 			}
-			c.SetReadDeadline(time.Now().Add(20 * time.Second))
+			setReadTimeout(t, c, 20*time.Second)
 			if got := status(t, c); got != http.StatusOK {
 				t.Errorf("answered %d", got)
 			}
@@ -195,8 +195,8 @@
 	}
 }
 
-// A long body that stops coming is turned down or closed within the limit, and no server has a whole request of it.
-func TestStalledBodyIsTurnedDown(t *testing.T) {
+// A long body that stops arriving is rejected or closed in time, and no server gets a whole request of it.
+func TestStalledBodyIsRejected(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, ok)
 	n := startWith(t, b)
@@ -206,10 +206,11 @@
 			begin := time.Now()
 			c := open(t, n, length)
 			if length[0] == 'T' {
-				io.WriteString(c, "f4240\r\n")
+				write(t, c, "f4240\r\n")
 			}
-			io.WriteString(c, "half")
-			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && (resp.StatusCode < 400 || resp.StatusCode > 499) {
+			write(t, c, "half")
+			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			if err == nil && (resp.StatusCode < 400 || resp.StatusCode > 499) {
 				t.Errorf("answered %d", resp.StatusCode)
 			} else if errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Error("left open")
@@ -224,9 +225,9 @@
 	}
 }
 
-// A long body that no server has begun to get goes to the next one; one that was begun is gone, and the request is
-// refused at once, since it never ran.
-func TestLongBodyIsSentAgainOnlyWhole(t *testing.T) {
+// A streamed body of which no byte was sent is retried with the next server. After a byte was sent, the request is
+// rejected at once, since it never ran.
+func TestStreamedBodyIsRetriedOnlyIfUnconsumed(t *testing.T) {
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -236,8 +237,8 @@
 	cfg := testConfig(t, "pushed", inService("s-0", refusing.Addr().String()), inService("s-1", good.addr()))
 	cfg.Discovery = silentDiscovery(t)
 	n := start(t, cfg)
-	body := noise(long)
-	for i := range 8 { // the draw meets the refusing one in some
+	body := noise(longBody)
+	for i := range 8 { // the refusing one is drawn for some
 		if got, _, _ := do(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), body)); got != http.StatusOK {
 			t.Errorf("answered %d", got)
 		}
@@ -255,15 +256,17 @@
 				return
 			}
 			cuts.Add(1)
-			io.ReadFull(c, make([]byte, maxBufferedBody))
+			_, _ = io.ReadFull(c, make([]byte, maxBufferedBody))
 			c.Close()
 		}
 	}()
 	cfg = testConfig(t, "pushed", inService("s-0", cutting.Addr().String()), inService("s-1", cutting.Addr().String()))
 	cfg.Discovery = silentDiscovery(t)
 	n = start(t, cfg)
-	c := open(t, n, fmt.Sprintf("Content-Length: %d", long))
-	go io.WriteString(c, body)
+	c := open(t, n, fmt.Sprintf("Content-Length: %d", longBody))
+	go func() { // ends as the node has closed the connection
+		_, _ = io.WriteString(c, body)
+	}()
 	if got := status(t, c); got != http.StatusServiceUnavailable {
 		t.Errorf("answered %d, want 503", got)
 	}
@@ -272,15 +275,15 @@
 	}
 }
 
-// What is held whole is bounded in sum; what there is no room for passes through, and all room comes back.
-func TestBudgetsAreKept(t *testing.T) {
+// The memory for buffered bodies is bounded, other bodies are streamed, and all memory is released.
+func TestMemoryBudgetsHold(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", noise(1000)) })
 	cfg := testConfig(t, "pushed", inService("s", b.addr()))
 	cfg.Discovery = silentDiscovery(t)
-	const room = 1500 // for one of either kind
+	const memory = 1500 // for one body of either direction
 	n := start(t, cfg, func(n *Node) {
-		n.buffers.requests.available.Store(room)
-		n.buffers.responses.available.Store(room)
+		n.buffers.requests.available.Store(memory)
+		n.buffers.responses.available.Store(memory)
 	})
 	done := make(chan error)
 	for i := range 20 {
@@ -302,28 +305,28 @@
 			t.Error(err)
 		}
 	}
-	eventually(t, "all room is back", func() bool {
-		return n.buffers.requests.available.Load() == room && n.buffers.responses.available.Load() == room
+	eventually(t, "all memory is released", func() bool {
+		return n.buffers.requests.available.Load() == memory && n.buffers.responses.available.Load() == memory
 	})
 	small := newMemoryBudget(10)
-	l := small.reserve(8)
-	if l == nil || small.reserve(3) != nil {
-		t.Error("a budget gave more than it has")
+	reservation := small.reserve(8)
+	if reservation == nil || small.reserve(3) != nil {
+		t.Error("a budget gave more than it had")
 	}
 	small.rescale(1, 2)
-	if l.shrink(0); small.reserve(6) != nil || small.reserve(5) == nil {
-		t.Error("a shared budget did not give its half")
+	if reservation.release(); small.reserve(6) != nil || small.reserve(5) == nil {
+		t.Error("a rescaled budget did not give its half")
 	}
 }
 
-// A caller that is refused while its body still comes gets its answer at once, and may write on to the end.
-func TestRefusedCallerMayWriteOn(t *testing.T) {
+// A client that is rejected while its body still arrives gets the response at once, and may send the whole body.
+func TestRejectedClientMayFinishItsBody(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, ok)
 	n := startWith(t, b)
 	b.ln.Close()
 	c := open(t, n, fmt.Sprintf("Content-Length: %d", maxBufferedBody+256000))
-	c.Write(make([]byte, maxBufferedBody)) // so that it is taken up
+	write(t, c, string(make([]byte, maxBufferedBody))) // so that it is accepted
 	begin := time.Now()
 	if got := status(t, c); got != http.StatusServiceUnavailable {
 		t.Errorf("answered %d, want 503", got)
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -1,4 +1,4 @@
-// A client's connection as the HTTP server has it: what it reads, whether its client is still there, and how it ends.
+// A client's connection as the HTTP server sees it: its reads, their timeouts, and how it is closed.
 
 package node
 
@@ -8,252 +8,226 @@
 	"io"
 	"net"
 	"os"
-	"syscall"
 	"time"
 
 	"keelusher/policy/guard"
-
-	"golang.org/x/sys/unix"
 )
 
 const (
-	lingerTime = 250 * time.Millisecond // for a client to end its side of a connection that we close over its bytes
-	lingerMost = 256 << 10              // so many of which are read
+	lingerTimeout  = 250 * time.Millisecond // for a client to close a connection that the node ends over unread bytes
+	maxLingerBytes = 256 << 10              // of which so many are read
+
+	// backgroundReadSize is how many bytes net/http asks for while a request is served, to notice a disconnect. It
+	// does so when the whole request has been read, and at no other time.
+	backgroundReadSize = 1
 )
 
-// longAgo is a deadline that ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that ends a read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// clientConn gives its place back when it is closed.
+// clientConn is a client's connection, counted by its listener until it is closed. It is safe for concurrent use.
 type clientConn struct {
 	net.Conn
-	of *limitedListener
-
-	born time.Time
-	seen head // of the request that is coming in
+	listener *limitedListener
+
+	acceptedAt time.Time
+	head       requestHead // of the request that is being read
+
+	// Guarded by listener.mu.
+	state          clientConnState
+	list           *list.List    // the listener's, that element is in
+	element        *list.Element // nil: the connection cannot be evicted
+	listedSince    time.Time
+	reused         bool      // it had a request before
+	idleSince      time.Time // since its last response; zero: it had none
+	closeRequested bool      // its reader is to end it if no request has begun to arrive
+	readDeadline   time.Time // of the HTTP server's read; zero: none
+}
 
-	// guarded by of.mu
-	in     *list.List
-	place  *list.Element // there; nil: a request is in work
-	kept   bool          // it had a request before
-	freeAt time.Time     // when it became free for the next; at first a time long ago
-	since  time.Time     // when it was put there
-	closed bool
-	silent bool      // its reader ends it with nothing to say
-	ending bool      // its reader is to end it if nothing has come
-	due    time.Time // until when the HTTP server waits for the next bytes; zero: for good
+// newClientConn wraps an accepted connection. The caller holds the listener's lock.
+func newClientConn(accepted net.Conn, l *limitedListener, acceptedAt time.Time) *clientConn {
+	c := &clientConn{
+		Conn:       accepted,
+		listener:   l,
+		acceptedAt: acceptedAt,
+		state:      clientConnIdle,
+	}
+	c.enterList(l.awaitingHead)
+	return c
 }
 
-// Close is the HTTP server's. A close over unread bytes, such as the next request's, resets the connection, and what
-// is still on its way of an answer goes with it: these are read first, and the client is told that no more comes. Where
-// no answer is on its way the reset is right: what was not read its client sends again, what was read would be lost.
+// Close is called by the HTTP server. A close over unread bytes, such as those of the next request, resets the
+// connection, and the part of a response that is still on its way is lost: such bytes are read first, after the end of
+// sending was announced. Without a response on its way the reset is right: the client retries what was not read.
 func (c *clientConn) Close() error {
-	if !c.leaves() && c.unread() && !c.of.cut.Load() {
-		c.Conn.(interface{ CloseWrite() error }).CloseWrite()
-		c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
-		io.Copy(io.Discard, io.LimitReader(c.Conn, lingerMost)) // ends with the client's close, as a rule
+	if expired := c.startClose(); !expired && !c.listener.aborting.Load() && hasUnreadBytes(c.Conn) {
+		c.linger()
 	}
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	return c.closeLocked()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.endClose()
 }
 
-// leaves takes a connection that is about to be closed out of the lists, and says whether it has nothing to say.
-func (c *clientConn) leaves() (silent bool) {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	if c.in == c.of.waiting && c.place != nil && c.seen.half() {
-		c.of.stats.count(func(c *counts) { c.halves++ })
+// startClose begins the close and reports whether the reader had ended the connection before.
+func (c *clientConn) startClose() (expired bool) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	expired = c.state == clientConnExpired
+	if c.awaitsHead() && c.head.partial() {
+		c.listener.stats.count(func(c *counts) { c.halves++ })
 	}
-	c.unplace()
-	return c.silent
+	c.transition(closeStarted)
+	return expired
+}
+
+// linger ends the sending and reads what the client still sends, as a rule until the client closes. Its errors are
+// ignored: each of them means that the connection has ended already.
+func (c *clientConn) linger() {
+	_ = c.Conn.(interface{ CloseWrite() error }).CloseWrite()
+	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 }
 
-// closeLocked closes under the lock: no new connection may take the place while the descriptor is still held.
-func (c *clientConn) closeLocked() error {
-	if c.closed {
+// endClose closes the socket under the lock, which the caller holds: no further connection may be admitted while the
+// descriptor is in use.
+func (c *clientConn) endClose() error {
+	if c.state == clientConnClosed {
 		return net.ErrClosed
 	}
-	c.closed = true
-	c.of.taken--
-	c.of.freed.Signal()
+	c.transition(closeEnded)
+	c.listener.admitted--
+	c.listener.changed.Signal()
 	return c.Conn.Close()
 }
 
-// restedFor is how long the connection has been without a request at most: a client sends its next one when it has the
-// answer to the one before.
-func (c *clientConn) restedFor() time.Duration {
+// idleFor is for how long the connection can have been without a request: a client sends its next one when it has the
+// response to the one before. An unknown connection, nil, may have been idle for any time.
+func (c *clientConn) idleFor() time.Duration {
 	if c == nil {
 		return maxBudget
 	}
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	return time.Since(c.freeAt)
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return time.Since(c.idleSince)
 }
 
-// SetReadDeadline is the HTTP server's. That closeWaiting or makeRoom wants a read to end at once does not show in it.
+// SetReadDeadline is called by the HTTP server. The deadline takes effect later if the connection is being evicted,
+// which has ended the read in progress by a deadline of its own.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	c.due = t
-	if c.of.evicted == c {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.readDeadline = t
+	if c.listener.evicting == c {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Read reads for the HTTP server, and makes sure that no resting connection ends over a request.
+// applyReadDeadline restores the HTTP server's deadline. The error is ignored: it fails only on a closed connection,
+// and so does the read that follows. The caller holds the lock.
+func (c *clientConn) applyReadDeadline() { _ = c.Conn.SetReadDeadline(c.readDeadline) }
+
+// postponeReadDeadline gives the read more time than the HTTP server did. The caller holds the lock.
+func (c *clientConn) postponeReadDeadline(by time.Duration) {
+	c.readDeadline = time.Now().Add(by)
+	c.applyReadDeadline()
+}
+
+// interruptRead ends the read in progress and those that follow; their reader then decides in handleReadTimeout. The
+// error is ignored: it fails only on a closed connection, and so do the reads. The caller holds the lock.
+func (c *clientConn) interruptRead() { _ = c.Conn.SetReadDeadline(pastDeadline) }
+
+// Read is called by the HTTP server. It makes sure that no idle connection is ended while a request arrives.
 func (c *clientConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
 		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-			var again bool
-			if n, err, again = c.expired(b, err); again {
+			var retry bool
+			if n, retry, err = c.handleReadTimeout(b, err); retry {
 				continue
 			}
 		}
-		c.seen.add(b[:n])
+		c.head.add(b[:n])
 		return n, err
 	}
 }
 
-// readAhead is how many bytes net/http asks for while a request is in work, to notice that its client leaves. It does so
-// once the whole request was read, and at no other time.
-const readAhead = 1
-
-// expired is what a read gives whose time is over. Go looks at the time before it looks at the system, so that bytes may
-// lie there: a connection without a whole request is only ended if there are none.
-func (c *clientConn) expired(b []byte, why error) (n int, err error, again bool) {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	begun := c.seen.begun()
-	rests := c.in == c.of.waiting && c.place != nil && !begun
-	evicted := c.of.evicted == c
-	over := !c.due.IsZero() && !time.Now().Before(c.due)
-	if c.closed {
-		return 0, net.ErrClosed, false
-	}
-	whole := len(b) == readAhead
-	if whole {
-		c.unplace() // it makes room for nobody
-	}
-	if !over && !(evicted && !whole) && !(rests && c.ending) { // a request has begun since closeWaiting
-		c.Conn.SetReadDeadline(c.due)
-		return 0, nil, true
-	}
-	if c.place != nil {
-		n = c.look(b)
-	}
-	switch (guard.Close{RequestRead: whole || c.place == nil, BytesUnread: n > 0}).Verdict() {
-	case guard.RequestRead: // the HTTP server wants this read to end, and the request goes on
-		return 0, why, false
+// handleReadTimeout decides what a read returns whose deadline is over: bytes after all, the timeout, or nothing, so
+// that it is retried. Go checks the deadline before it asks the system, so that bytes may be waiting there: a
+// connection without a whole request is ended only if there are none.
+func (c *clientConn) handleReadTimeout(b []byte, timeout error) (n int, retry bool, err error) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.state == clientConnClosed {
+		return 0, false, net.ErrClosed
+	}
+	idle := c.awaitsHead() && !c.head.started()
+	evicted := c.listener.evicting == c
+	requestComplete := len(b) == backgroundReadSize
+	if requestComplete {
+		c.transition(requestRead)
+	}
+	interrupted := evicted && !requestComplete || idle && c.closeRequested
+	if !interrupted && !c.readDeadlineOver() { // a request has begun to arrive since the read was interrupted
+		c.applyReadDeadline()
+		return 0, true, nil
+	}
+	if c.element != nil {
+		n = readAvailable(c.Conn, b)
+	}
+	switch (guard.Close{RequestRead: requestComplete || c.element == nil, BytesUnread: n > 0}).Verdict() {
+	case guard.RequestRead: // the HTTP server itself wants this read to end, and the request goes on
+		return 0, false, timeout
 	case guard.BytesUnread:
-		if rests && !evicted {
-			c.due = time.Now().Add(headTime) // for the rest of its head
-			c.Conn.SetReadDeadline(c.due)
+		if idle && !evicted {
+			c.postponeReadDeadline(headTimeout)
 		}
-		return n, nil, false
+		return n, false, nil
 	}
-	if left := headTime - c.seen.age(); c.kept && begun && !evicted && c.in == c.of.waiting && left > 0 {
-		c.due = time.Now().Add(left) // its rest is over, the time for its head is not
-		c.Conn.SetReadDeadline(c.due)
-		return 0, nil, true
+	if left := c.headTimeLeft(); left > 0 && !evicted {
+		c.postponeReadDeadline(left)
+		return 0, true, nil
 	}
-	if c.in == c.of.waiting {
-		c.silent = true
-		c.of.decisions.connectionClosed(c.cause(evicted, rests))
+	if c.awaitsHead() {
+		c.transition(readExpired)
+		c.listener.decisions.connectionClosed(c.closeCause(evicted, idle))
 	}
-	return 0, why, false
+	return 0, false, timeout
+}
+
+// readDeadlineOver reports whether the HTTP server's deadline is over. The caller holds the lock.
+func (c *clientConn) readDeadlineOver() bool {
+	return !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline)
 }
 
-// cause says why the reader ends the connection. The caller holds the lock.
-func (c *clientConn) cause(evicted, rests bool) closeCause {
+// headTimeLeft is how much longer a head may take that has started to arrive on a reused connection, whose idle time
+// may end before. The caller holds the lock.
+func (c *clientConn) headTimeLeft() time.Duration {
+	if !c.reused || !c.awaitsHead() || !c.head.started() {
+		return 0
+	}
+	return headTimeout - c.head.age()
+}
+
+// closeCause is why the reader ends the connection. The caller holds the lock.
+func (c *clientConn) closeCause(evicted, idle bool) closeCause {
 	switch {
 	case evicted:
 		return closeMakesRoom
-	case c.ending:
+	case c.closeRequested:
 		return closeLeaving
-	case rests && c.kept:
+	case idle && c.reused:
 		return closeRested
 	}
 	return closeSlowHead
 }
 
-// state says whether the client has closed the connection. An end of its sending alone looks the same from here and counts
-// as leaving too. Bytes of a body or of a next request that lie before that end hide it from net/http, which
-// notices a client's leaving by reading on; so does a process that sleeps or has much to do.
-func (c *clientConn) state() guard.ClientState {
+// clientState tells whether the client has closed the connection. A client that only ended its sending cannot be told
+// from one that did, and counts as gone. net/http notices a disconnect by reading on, but not behind unread bytes of a
+// body or of a next request, nor while the process is suspended or busy.
+func (c *clientConn) clientState() guard.ClientState {
 	if c == nil {
 		return guard.ClientThere
 	}
-	raw, err := c.Conn.(syscall.Conn).SyscallConn()
-	if err != nil {
-		return guard.ClientThere // a connection that has no descriptor to ask
-	}
-	said := guard.ClientNotKnown
-	err = raw.Control(func(fd uintptr) { said = pollClient(int32(fd)) })
-	if err != nil { // closed here
-		return guard.ClientGone
-	}
-	return said
-}
-
-const pollTries = 3 // poll(2) may be interrupted, or lack memory for a moment
-
-// pollClient asks the system whether the far side of a connection has ended it.
-func pollClient(fd int32) guard.ClientState {
-	look := []unix.PollFd{{Fd: fd, Events: unix.POLLRDHUP}}
-	for range pollTries {
-		if _, err := unix.Poll(look, 0); err != nil {
-			continue
-		}
-		if look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
-			return guard.ClientGone
-		}
-		return guard.ClientThere
-	}
-	return guard.ClientNotKnown
-}
-
-// unread says that bytes lie in the system.
-func (c *clientConn) unread() (any bool) {
-	raw, err := c.Conn.(syscall.Conn).SyscallConn()
-	if err != nil {
-		return false
-	}
-	raw.Control(func(fd uintptr) {
-		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		any = err == nil && n > 0
-	})
-	return any
-}
-
-// look reads what the system holds, and waits for nothing.
-func (c *clientConn) look(b []byte) (n int) {
-	raw, err := c.Conn.(syscall.Conn).SyscallConn()
-	if err != nil {
-		return 0
-	}
-	raw.Control(func(fd uintptr) { n, _ = syscall.Read(int(fd), b) })
-	return max(n, 0)
-}
-
-// put places a connection last in a list.
-func (c *clientConn) put(in *list.List) {
-	c.in, c.place, c.since = in, in.PushBack(c), time.Now()
-}
-
-// unplace takes a connection out of its list. If it was to make room, another one does in its place.
-func (c *clientConn) unplace() {
-	if c.place != nil {
-		c.in.Remove(c.place)
-		c.place = nil
-	}
-	if c.of.evicted == c {
-		c.of.evicted = nil
-		c.of.freed.Signal()
-		if !c.closed {
-			c.Conn.SetReadDeadline(c.due)
-		}
-	}
+	return peerState(c.Conn)
 }
--- /dev/null
+++ b/internal/node/client_handler.go
@@ -0,0 +1,226 @@
+// The handler of clients' requests.
+
+package node
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"slices"
+	"strconv"
+	"time"
+
+	"keelusher/policy"
+	"keelusher/policy/guard"
+)
+
+// A well-behaved client takes up to 2 s for a head and sends its body at minBodyRate at least; a peer that sends no
+// whole request is owed an error or a close within 3 s of connecting.
+const (
+	headTimeout          = 2500 * time.Millisecond // from connecting on
+	firstBodyByteTimeout = 2 * time.Second
+	headAndBodyTimeout   = 2800 * time.Millisecond // for a head and the first bytes of a body, from connecting on
+	responseWriteTimeout = 5 * time.Second         // for the next bytes of a response
+	clientIdleTimeout    = 2 * time.Second         // between the requests on a connection
+)
+
+// clientHandler turns HTTP requests into requests for the loop, and writes the loop's responses.
+type clientHandler struct {
+	clock       clock
+	arrivals    chan<- *clientRequest
+	disconnects chan<- *clientRequest
+	stopped     <-chan struct{} // closed when the loop has ended
+	stats       *stats
+	decisions   *decisions
+	buffers     buffers
+	methods     map[string]string // by class; other classes are unknown
+	suspension  *suspension       // nil: suspensions of the process are not noticed
+	ready       func() bool
+
+	closeConnections func() bool // whether every response closes its connection
+}
+
+// ServeHTTP implements http.Handler.
+func (h *clientHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if !recordHeadRead(r) {
+		h.abortEvicted()
+	}
+	if status, err := checkFraming(r); err != nil {
+		h.rejectMalformed(w, status, err)
+		return
+	}
+	if r.URL.Path == "/ready" {
+		h.serveReadiness(w, r)
+		return
+	}
+	c, status, err := h.parseRequest(w, r)
+	if err != nil {
+		h.rejectMalformed(w, status, err)
+		return
+	}
+	if !recordRequestRead(r) {
+		c.bodyMemory.release()
+		h.abortEvicted()
+	}
+	if c.bodyStream != nil {
+		// The response may come before the body's end. An error is ignored: HTTP/1.1 connections support it.
+		_ = http.NewResponseController(w).EnableFullDuplex()
+	}
+	select {
+	case h.arrivals <- c:
+	case <-h.stopped: // the node has ended and closed this connection
+		panic(http.ErrAbortHandler)
+	}
+	select {
+	case final := <-c.responses:
+		if final.status == abortResponse.status {
+			h.abort(c)
+		}
+		h.writeResponse(w, r, c, final)
+	case <-r.Context().Done():
+		h.disconnected(c)
+	}
+}
+
+// serveReadiness answers whether the node serves clients.
+func (h *clientHandler) serveReadiness(w http.ResponseWriter, r *http.Request) {
+	status := http.StatusOK
+	if !h.ready() {
+		status = http.StatusServiceUnavailable
+	}
+	h.beginResponse(w, r)
+	w.WriteHeader(status)
+}
+
+// disconnected tells the loop that the client of a request has disconnected, and ends its handling.
+func (h *clientHandler) disconnected(c *clientRequest) {
+	select {
+	case h.disconnects <- c:
+	case <-h.stopped:
+	}
+	select { // a response may have come at the same moment; the loop sends none after the message
+	case final := <-c.responses:
+		final.discard()
+	default:
+	}
+	h.abort(c)
+}
+
+// abort ends the handling of a request whose client has disconnected. A plain return would send an empty 200, which a
+// client could read that closed only its sending.
+func (h *clientHandler) abort(c *clientRequest) {
+	if c.bodyStream != nil {
+		c.bodyStream.stop()
+	}
+	panic(http.ErrAbortHandler)
+}
+
+// abortEvicted ends the handling of a request whose connection the node has closed. Its client retries, so that
+// forwarding it would run it twice.
+func (h *clientHandler) abortEvicted() {
+	h.stats.count(func(c *counts) { c.crossed++ })
+	h.decisions.violation(guard.RequestRead)
+	panic(http.ErrAbortHandler)
+}
+
+// rejectMalformed answers a request that does not reach the loop, and closes its connection: the body may not have
+// been read to its end, and what follows on the connection need not be a request.
+func (h *clientHandler) rejectMalformed(w http.ResponseWriter, status int, err error) {
+	h.stats.turnedDown(err.Error())
+	w.Header().Set("Connection", "close")
+	http.Error(w, err.Error(), status)
+}
+
+// beginResponse prepares the connection for its next request, or for its close after this response.
+func (h *clientHandler) beginResponse(w http.ResponseWriter, r *http.Request) {
+	if c := clientConnOf(r); c != nil {
+		c.head.reset()
+	}
+	if h.closeConnections() {
+		w.Header().Set("Connection", "close")
+	}
+}
+
+// writeResponse writes the final response to a request. Errors of its writes are ignored: a client that has
+// disconnected is noticed by its request's context.
+func (h *clientHandler) writeResponse(w http.ResponseWriter, r *http.Request, c *clientRequest, final response) {
+	controller := http.NewResponseController(w)
+	defer final.bodyMemory.release()
+	_ = controller.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
+	h.beginResponse(w, r)
+	bodyUnread := c.bodyStream != nil && !c.bodyStream.stop()
+	if bodyUnread {
+		w.Header().Set("Connection", "close")
+	}
+	if final.retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(final.retryAfter.Seconds(), 'f', -1, 64))
+	}
+	if final.contentType != "" {
+		w.Header().Set("Content-Type", final.contentType)
+	}
+	if final.bodyStream != nil {
+		h.streamResponse(w, controller, final)
+	} else {
+		w.Header().Set("Content-Length", strconv.Itoa(len(final.body)))
+		w.WriteHeader(final.status)
+		_, _ = w.Write(final.body)
+	}
+	if bodyUnread {
+		_ = controller.Flush()
+		c.bodyStream.discard()
+	}
+}
+
+// streamResponse forwards a response while it arrives. If it breaks off the connection is closed, so that the client
+// does not take it for complete.
+func (h *clientHandler) streamResponse(w http.ResponseWriter, controller *http.ResponseController, final response) {
+	if length := final.bodyStream.response.ContentLength; length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
+	}
+	w.WriteHeader(final.status)
+	buffer := make([]byte, h.buffers.chunkSize)
+	chunk := final.body
+	for {
+		if err := writeChunk(w, controller, chunk); err != nil {
+			final.bodyStream.finish(err, true)
+			panic(http.ErrAbortHandler)
+		}
+		n, err := final.bodyStream.Read(buffer)
+		chunk = buffer[:n]
+		switch {
+		case n > 0: // an error is returned again by the next read
+		case errors.Is(err, io.EOF):
+			final.bodyStream.finish(nil, false)
+			return
+		case err != nil:
+			final.bodyStream.finish(err, false)
+			panic(http.ErrAbortHandler)
+		}
+	}
+}
+
+// writeChunk sends a part of a streamed response to the client.
+func writeChunk(w io.Writer, controller *http.ResponseController, chunk []byte) error {
+	// An error is ignored: it fails only on a closed connection, and so does the write.
+	_ = controller.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
+	_, err := w.Write(chunk)
+	return errors.Join(err, controller.Flush())
+}
+
+// methodsByClass gives the HTTP method of each class.
+func methodsByClass(classes []policy.Class) map[string]string {
+	methods := map[string]string{}
+	for _, class := range classes {
+		methods[class.Name] = http.MethodPost
+		if class.Idempotency == policy.Idempotent {
+			methods[class.Name] = http.MethodGet
+		}
+	}
+	return methods
+}
+
+// longestDeadline is the longest time that a client may wait for a response.
+func longestDeadline(s policy.Settings) time.Duration {
+	longest := slices.MaxFunc(s.Classes, func(a, b policy.Class) int { return int(a.Deadline - b.Deadline) })
+	return longest.Deadline
+}
--- a/internal/node/callers_test.go
+++ b/internal/node/client_handler_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-func TestServedThroughTheNode(t *testing.T) {
+func TestRequestIsForwarded(t *testing.T) {
 	b := newBackend(t, ok)
 	n := startWith(t, b)
 	r := newRequest(t, n.url, "keyed", "id-1", "payload")
@@ -32,26 +32,28 @@
 	}
 }
 
-// What is malformed gets a 4xx and reaches no server.
+// Malformed requests get a 4xx and reach no server.
 func TestMalformedRequests(t *testing.T) {
 	b := newBackend(t, ok)
 	n := startWith(t, b)
 	for name, spoil := range map[string]func(*http.Request){
-		"no id":            func(r *http.Request) { r.Header.Del("X-Call-Id") },
-		"no class":         func(r *http.Request) { r.Header.Del("X-Call-Class") },
-		"unknown class":    func(r *http.Request) { r.Header.Set("X-Call-Class", "unsafes") },
-		"GET for a POST":   func(r *http.Request) { r.Method, r.Body, r.ContentLength = http.MethodGet, nil, 0 },
-		"POST for a GET":   func(r *http.Request) { r.Header.Set("X-Call-Class", "safe") },
-		"no budget":        func(r *http.Request) { r.Header.Del("X-Budget") },
-		"no unit":          func(r *http.Request) { r.Header.Set("X-Budget", "480") },
-		"unknown unit":     func(r *http.Request) { r.Header.Set("X-Budget", "480s") },
-		"no number":        func(r *http.Request) { r.Header.Set("X-Budget", "m") },
-		"not a number":     func(r *http.Request) { r.Header.Set("X-Budget", "nanm") },
-		"negative":         func(r *http.Request) { r.Header.Set("X-Budget", "-1m") },
-		"nothing left":     func(r *http.Request) { r.Header.Set("X-Budget", "0m") },
-		"endless":          func(r *http.Request) { r.Header.Set("X-Budget", "1e300m") },
-		"method":           func(r *http.Request) { r.Method = http.MethodDelete },
-		"body over 32 MiB": func(r *http.Request) { *r = *newRequest(t, n.url, "keyed", "big", strings.Repeat("x", maxStreamedBody+1)) },
+		"no id":          func(r *http.Request) { r.Header.Del("X-Call-Id") },
+		"no class":       func(r *http.Request) { r.Header.Del("X-Call-Class") },
+		"unknown class":  func(r *http.Request) { r.Header.Set("X-Call-Class", "unsafes") },
+		"GET for a POST": func(r *http.Request) { r.Method, r.Body, r.ContentLength = http.MethodGet, nil, 0 },
+		"POST for a GET": func(r *http.Request) { r.Header.Set("X-Call-Class", "safe") },
+		"no budget":      func(r *http.Request) { r.Header.Del("X-Budget") },
+		"no unit":        func(r *http.Request) { r.Header.Set("X-Budget", "480") },
+		"unknown unit":   func(r *http.Request) { r.Header.Set("X-Budget", "480s") },
+		"no number":      func(r *http.Request) { r.Header.Set("X-Budget", "m") },
+		"not a number":   func(r *http.Request) { r.Header.Set("X-Budget", "nanm") },
+		"negative":       func(r *http.Request) { r.Header.Set("X-Budget", "-1m") },
+		"nothing left":   func(r *http.Request) { r.Header.Set("X-Budget", "0m") },
+		"endless":        func(r *http.Request) { r.Header.Set("X-Budget", "1e300m") },
+		"method":         func(r *http.Request) { r.Method = http.MethodDelete },
+		"body over 32 MiB": func(r *http.Request) {
+			*r = *newRequest(t, n.url, "keyed", "big", strings.Repeat("x", maxStreamedBody+1))
+		},
 		"GET with chunks": func(r *http.Request) {
 			r.Method = http.MethodGet
 			r.Header.Set("X-Call-Class", "safe")
@@ -71,9 +73,9 @@
 	}
 }
 
-// A request that stands inside the body of another is none, however the body's end is disguised: the outer one
-// is turned down and its connection closed before the inner one is read.
-func TestNoRequestOutOfABody(t *testing.T) {
+// A request inside the body of another is not served, however ambiguous the end of the body is: the outer one is
+// rejected and its connection closed before the inner one is read.
+func TestNoRequestSmuggledInABody(t *testing.T) {
 	b := newBackend(t, ok)
 	n := startWith(t, b)
 	fields := func(id string) string {
@@ -81,10 +83,12 @@
 	}
 	inner := "POST /api HTTP/1.1\r\n" + fields("inner") + "Content-Length: 0\r\n\r\n"
 	length := fmt.Sprintf("Content-Length: %d\r\n", len("0\r\n\r\n"+inner))
+	const chunked = "Transfer-Encoding: chunked\r\n\r\n"
+	const emptyChunk = "0\r\n\r\n"
 	for name, outer := range map[string]string{
-		"length and chunks":           "POST /api HTTP/1.1\r\n" + fields("1") + length + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"length and chunks at /ready": "GET /ready HTTP/1.1\r\nHost: s\r\n" + length + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"chunks in HTTP/1.0":          "POST /api HTTP/1.0\r\nConnection: keep-alive\r\n" + fields("2") + "Transfer-Encoding: chunked\r\n\r\n",
+		"length and chunks":           "POST /api HTTP/1.1\r\n" + fields("1") + length + chunked + emptyChunk,
+		"length and chunks at /ready": "GET /ready HTTP/1.1\r\nHost: s\r\n" + length + chunked + emptyChunk,
+		"chunks in HTTP/1.0":          "POST /api HTTP/1.0\r\nConnection: keep-alive\r\n" + fields("2") + chunked,
 		"GET with a body":             "GET /api HTTP/1.1\r\n" + fields("3") + length + "\r\n0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -96,11 +100,12 @@
 			if _, err := io.WriteString(c, outer+inner); err != nil {
 				t.Fatal(err)
 			}
-			c.SetReadDeadline(time.Now().Add(20 * time.Second))
-			said, _ := io.ReadAll(c) // the close may be a reset, for what follows is not read
-			if answers := strings.Count(string(said), "HTTP/1."); answers != 1 || !strings.Contains(string(said), " 4") &&
-				!strings.Contains(string(said), " 505 ") {
-				t.Errorf("got %q, want one 4xx or 505 and a close", said)
+			setReadTimeout(t, c, 20*time.Second)
+			received, _ := io.ReadAll(c) // the close may be a reset, since what follows is not read
+			answers := strings.Count(string(received), "HTTP/1.")
+			rejected := strings.Contains(string(received), " 4") || strings.Contains(string(received), " 505 ")
+			if answers != 1 || !rejected {
+				t.Errorf("got %q, want one 4xx or 505 and a close", received)
 			}
 		})
 	}
@@ -109,9 +114,9 @@
 	}
 }
 
-// Whoever connects and sends no whole request is answered or closed within 3 s of connecting, and so is a
-// connection kept without a request: their places are for callers.
-func TestSilentPeersAreClosed(t *testing.T) {
+// A peer that sends no whole request is answered or closed within 3 s of connecting, and so is an idle connection: the
+// limit on connections is for clients.
+func TestClientsWithoutARequestAreClosed(t *testing.T) {
 	b := newBackend(t, ok)
 	n := startWith(t, b)
 	request := "POST /api HTTP/1.1\r\nHost: s\r\nX-Call-Id: 1\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\n"
@@ -132,7 +137,7 @@
 			if _, err := io.WriteString(c, text); err != nil {
 				t.Fatal(err)
 			}
-			c.SetReadDeadline(time.Now().Add(2900 * time.Millisecond))
+			setReadTimeout(t, c, 2900*time.Millisecond)
 			if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Error("left open")
 			}
@@ -140,9 +145,9 @@
 	}
 }
 
-// An unsafe request whose kept connection broke may have run: http.Transport would send it again by
-// itself, since the key invites it.
-func TestNoHiddenResend(t *testing.T) {
+// A request that is not idempotent and whose reused connection broke may have run. http.Transport would retry it by
+// itself because of its idempotency key.
+func TestNoImplicitRetry(t *testing.T) {
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool { return n == 1 && respond(c, "200 OK", "done") })
 	n := startWith(t, b)
 	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
@@ -158,8 +163,8 @@
 	}
 }
 
-// What the module gives up on is answered at once, and a refusal says when to come back.
-func TestFinalAnswers(t *testing.T) {
+// A request that the policy gives up is answered at once, and a rejection says when to retry.
+func TestFinalResponses(t *testing.T) {
 	full := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "503 Service Unavailable", "", "X-Rejected: 1")
 	})
@@ -169,7 +174,7 @@
 	begin := time.Now()
 	status, header, _ := do(t, newRequest(t, startWith(t, full).url, "unsafe", "1", "x"))
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "0.002" {
-		t.Errorf("refused with %d, Retry-After %q", status, header.Get("Retry-After"))
+		t.Errorf("rejected with %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
 	status, header, _ = do(t, newRequest(t, startWith(t, broken).url, "unsafe", "1", "x"))
 	if status != http.StatusBadGateway || header.Get("Retry-After") != "" {
@@ -180,8 +185,8 @@
 	}
 }
 
-// The module knows one request by an id: a second one with it would never be answered.
-func TestIDInUseIsTurnedDown(t *testing.T) {
+// The policy knows a single request by an id: a second one with the same id would never be answered.
+func TestIDInUseIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		<-release
@@ -203,7 +208,7 @@
 	}
 }
 
-func TestClientThatLeavesIsForgotten(t *testing.T) {
+func TestDisconnectedClientIsForgotten(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		<-release
@@ -223,17 +228,17 @@
 		t.Fatal("it was answered")
 	}
 	close(release)
-	// Its id is free again only when the loop has let go of the call and of its attempt.
+	// Its id is free again when the loop has forgotten the request and its attempt.
 	eventually(t, "its id is free", func() bool {
 		status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x"))
 		return status == http.StatusOK
 	})
 }
 
-// A client that closes its side has gone away: it gets a close, not a made-up answer.
-func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
+// A client that ends its sending has disconnected: it gets a close, not a response that no server made.
+func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		io.Copy(io.Discard, c)
+		_, _ = io.Copy(io.Discard, c)
 		return false
 	})
 	n := startWith(t, b)
@@ -249,15 +254,14 @@
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	if said, err := io.ReadAll(c); len(said) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("got %q, %v, want a close", said, err)
+	setReadTimeout(t, c, 20*time.Second)
+	if received, err := io.ReadAll(c); len(received) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("got %q, %v, want a close", received, err)
 	}
 }
 
-// Told to stop, a node takes what still comes while the front notices, finishes what it holds and
-// ends without an error.
-func TestDrainLosesNothing(t *testing.T) {
+// A node that is stopped accepts requests while the front notices, finishes those it has and ends without an error.
+func TestShutdownLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
 		if n == 1 {
@@ -266,18 +270,18 @@
 		return respond(c, "200 OK", "done")
 	})
 	n := startWith(t, b)
-	held := make(chan int, 1)
+	inFlight := make(chan int, 1)
 	go func() {
 		status, _, _ := do(t, newRequest(t, n.url, "unsafe", "held", "x"))
-		held <- status
+		inFlight <- status
 	}()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.life.now() == leaving })
+	eventually(t, "shutting down", func() bool { return n.life.now() == leaving })
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := fresh.Do(newRequest(t, n.url, "unsafe", "late", "x"))
 	if err != nil {
-		t.Fatalf("a connection that came late was not taken: %v", err)
+		t.Fatalf("a late connection was not accepted: %v", err)
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -291,8 +295,8 @@
 		return err != nil
 	})
 	close(release)
-	if status := <-held; status != http.StatusOK {
-		t.Errorf("what it held was answered %d", status)
+	if status := <-inFlight; status != http.StatusOK {
+		t.Errorf("the request in flight was answered %d", status)
 	}
 	if err := <-n.done; err != nil {
 		t.Errorf("ended with %v", err)
--- a/internal/node/client_listener.go
+++ b/internal/node/client_listener.go
@@ -1,4 +1,4 @@
-// The listener for clients, with a bound on their connections, and which of them makes room.
+// The listener for clients: the limit on their connections, and the eviction of those without a request.
 
 package node
 
@@ -11,190 +11,188 @@
 	"time"
 )
 
-// limitedListener accepts no more connections at once than it has places. When all are taken, the one that has gone
-// longest without a request makes room, else the one whose request has been coming in for longest: clients must not
-// wait behind peers that send nothing, half a head or half a body. It makes room by the hand of its own reader, who
-// alone knows whether a whole request has come in meanwhile; that one is served, and another connection makes room.
+// limitedListener admits a limited number of connections at once. At the limit a further connection evicts the one
+// that has been without a request's head for longest, else the one whose body has been arriving for longest: clients
+// must not wait behind peers that send nothing, half a head or half a body. The reader of the evicted connection ends
+// it, since it alone knows whether a whole request has arrived meanwhile; such a request is served, and another
+// connection is evicted. The listener is safe for concurrent use.
 type limitedListener struct {
 	net.Listener
 	stats     *stats
 	decisions *decisions
-	ended     chan struct{} // closed by Close
-
-	mu      sync.Mutex
-	freed   *sync.Cond
-	most    int
-	taken   int
-	closed  bool
-	cut     atomic.Bool // the node ends: what is open is closed at once
-	waiting *list.List  // of *clientConn, without a whole head, the longest first
-	coming  *list.List  // of *clientConn, without a whole request, the longest first
-	evicted *clientConn // its reader was told to make room; nil: none
+	closing   chan struct{} // closed by Close
+	aborting  atomic.Bool   // the node ends: open connections are closed at once
+
+	mu           sync.Mutex
+	changed      *sync.Cond // signaled when a connection has been closed or may be evicted
+	limit        int        // on admitted connections
+	admitted     int
+	closed       bool
+	awaitingHead *list.List  // of *clientConn, the longest waiting first
+	awaitingBody *list.List  // of *clientConn, the longest waiting first
+	evicting     *clientConn // its reader is to end it; nil: none
 }
 
-func newLimitedListener(ln net.Listener, most int, st *stats, d *decisions) *limitedListener {
-	b := &limitedListener{Listener: ln, stats: st, decisions: d, ended: make(chan struct{}), most: most, waiting: list.New(),
-		coming: list.New()}
-	b.freed = sync.NewCond(&b.mu)
-	return b
+func newLimitedListener(ln net.Listener, limit int, st *stats, d *decisions) *limitedListener {
+	l := &limitedListener{
+		Listener:     ln,
+		stats:        st,
+		decisions:    d,
+		closing:      make(chan struct{}),
+		limit:        limit,
+		awaitingHead: list.New(),
+		awaitingBody: list.New(),
+	}
+	l.changed = sync.NewCond(&l.mu)
+	return l
+}
+
+// Accept waits for a connection, and until the limit admits it.
+func (l *limitedListener) Accept() (net.Conn, error) {
+	accepted, err := l.acceptWithBackoff()
+	if err != nil {
+		return nil, err
+	}
+	acceptedAt := time.Now()
+	l.stats.count(func(c *counts) { c.accepted++ })
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for l.admitted >= l.limit && !l.closed {
+		l.evictOne()
+		l.changed.Wait()
+	}
+	l.admitted++
+	return newClientConn(accepted, l, acceptedAt), nil
 }
 
-// accept waits for a connection. It fails only where no other can come any more: http.Server.Serve would end, and the
-// node with it, on each error that Go does not call temporary, such as ENOBUFS.
-func (b *limitedListener) accept() (net.Conn, error) {
-	for pause := acceptPauseLeast; ; pause = min(2*pause, acceptPauseMost) {
-		c, err := b.Listener.Accept()
+// acceptWithBackoff accepts a connection, and retries after errors that pass. It fails only when the listener can
+// accept no more: http.Server.Serve, and the node with it, would end on each error that Go does not call temporary,
+// such as ENOBUFS.
+func (l *limitedListener) acceptWithBackoff() (net.Conn, error) {
+	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
+		accepted, err := l.Listener.Accept()
 		if err == nil || endsListener(err) {
-			return c, err
+			return accepted, err
 		}
-		b.decisions.acceptFailed(err)
-		if !isShortage(err) { // of that one connection
-			pause = acceptPauseLeast
+		l.decisions.acceptFailed(err)
+		if !isShortage(err) { // it concerns that connection only
+			backoff = minAcceptBackoff
 		}
 		select {
-		case <-time.After(pause):
-		case <-b.ended:
+		case <-time.After(backoff):
+		case <-l.closing:
 			return nil, net.ErrClosed
 		}
 	}
 }
 
-// Accept waits for a connection and makes room for it.
-func (b *limitedListener) Accept() (net.Conn, error) {
-	c, err := b.accept()
-	if err != nil {
-		return nil, err
+// evictOne asks the reader of one connection to end it, unless another is being evicted. The caller holds the lock
+// and waits for changed, which is signaled when the connection is closed or has a request.
+func (l *limitedListener) evictOne() {
+	oldest := l.awaitingHead.Front()
+	if oldest == nil {
+		oldest = l.awaitingBody.Front()
 	}
-	b.stats.count(func(c *counts) { c.accepted++ })
-	p := &clientConn{Conn: c, of: b, born: time.Now()}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for b.taken >= b.most && !b.closed {
-		b.makeRoom()
-		b.freed.Wait()
-	}
-	b.taken++
-	p.put(b.waiting)
-	return p, nil
-}
-
-// makeRoom tells the reader of one connection to end it. The caller holds the lock, and waits until that is done or
-// the connection has a request: freed is signalled for both.
-func (b *limitedListener) makeRoom() {
-	e := b.waiting.Front()
-	if e == nil {
-		e = b.coming.Front()
-	}
-	if e == nil || b.evicted != nil {
+	if oldest == nil || l.evicting != nil {
 		return
 	}
-	b.stats.count(func(c *counts) { c.evicted++ })
-	b.evicted = e.Value.(*clientConn)
-	b.evicted.Conn.SetReadDeadline(longAgo)
+	l.stats.count(func(c *counts) { c.evicted++ })
+	l.evicting = oldest.Value.(*clientConn)
+	l.evicting.interruptRead()
 }
 
-// Close ends the accepting. What was accepted before is served still.
-func (b *limitedListener) Close() error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.closed {
-		close(b.ended)
+// Close ends the accepting. Admitted connections stay open.
+func (l *limitedListener) Close() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.closed {
+		close(l.closing)
 	}
-	b.closed = true
-	b.freed.Broadcast()
-	return b.Listener.Close()
+	l.closed = true
+	l.changed.Broadcast()
+	return l.Listener.Close()
 }
 
-// resize changes how many places there are. What is open beyond them stays until it ends.
-func (b *limitedListener) resize(most int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.most = most
-	b.freed.Broadcast()
+// setLimit changes the limit. Admitted connections beyond it stay until they end.
+func (l *limitedListener) setLimit(limit int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limit = limit
+	l.changed.Broadcast()
 }
 
-// track is told by the HTTP server what a connection is doing. That a request has begun to arrive is no reason
-// to keep a connection: engage is told when its head is there.
-func (b *limitedListener) track(c net.Conn, state http.ConnState) {
-	p, ok := c.(*clientConn)
+// connStateChanged is called by the HTTP server. Of its states only StateIdle matters: that bytes of a request have
+// arrived is no reason to keep a connection, and recordHeadRead is called when its head has.
+func (l *limitedListener) connStateChanged(nc net.Conn, state http.ConnState) {
+	c, ok := nc.(*clientConn)
 	if !ok || state != http.StateIdle {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if p.unplace(); !p.closed {
-		p.kept, p.freeAt = true, time.Now()
-		p.put(b.waiting)
-		b.freed.Signal()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c.transition(responseWritten)
+}
+
+// closeIdle ends the connections that have been without a request for an age at least. Their readers end them, since
+// nobody else knows whether a request has arrived meanwhile.
+func (l *limitedListener) closeIdle(age time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for e := l.awaitingHead.Front(); e != nil; e = e.Next() {
+		c := e.Value.(*clientConn)
+		if time.Since(c.listedSince) < age {
+			return
+		}
+		c.closeRequested = true
+		c.interruptRead()
 	}
 }
 
+// openConnections is the number of admitted connections.
+func (l *limitedListener) openConnections() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.admitted
+}
+
 // clientConnKey finds the connection in the context of its requests.
 type clientConnKey struct{}
 
-// connOf is the connection of a request; nil: it has none of ours.
-func connOf(r *http.Request) *clientConn {
-	p, _ := r.Context().Value(clientConnKey{}).(*clientConn)
-	return p
+// clientConnOf is the connection of a request; nil: it has none of a limitedListener's.
+func clientConnOf(r *http.Request) *clientConn {
+	c, _ := r.Context().Value(clientConnKey{}).(*clientConn)
+	return c
 }
 
-// engage tells that a request's head is there, hold that all of it is, or that it is on its way to a server: from
-// then until it is answered its connection does not make room. Both say whether it is still open: it may have made
-// room between the read and this look, and nobody could be answered there.
-func engage(r *http.Request) bool {
-	p := connOf(r)
-	if p == nil {
-		return true
-	}
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	if p.unplace(); !p.closed {
-		p.put(p.of.coming)
-		p.of.freed.Signal()
-	}
-	return !p.closed
-}
+// recordHeadRead records that the head of a request has been read. It reports whether the connection is still open: the
+// connection may have been evicted since the read, and the request could not be answered.
+func recordHeadRead(r *http.Request) (open bool) { return recordProgress(r, headRead) }
+
+// recordRequestRead records that a request has been read, or that the remainder is about to be streamed: from now on
+// until its response the connection is not evicted. It reports whether the connection is still open.
+func recordRequestRead(r *http.Request) (open bool) { return recordProgress(r, requestRead) }
 
-func hold(r *http.Request) bool {
-	p := connOf(r)
-	if p == nil {
+func recordProgress(r *http.Request, event clientConnEvent) (open bool) {
+	c := clientConnOf(r)
+	if c == nil {
 		return true
 	}
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	p.unplace()
-	return !p.closed
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.transition(event)
+	return c.state != clientConnClosed
 }
 
-// bodyDue is how soon the first bytes of a request's body have to be there.
-func bodyDue(r *http.Request) time.Duration {
-	p := connOf(r)
-	if p == nil {
-		return stallTime
+// firstBodyByteDue is how soon the first bytes of a request's body have to arrive.
+func firstBodyByteDue(r *http.Request) time.Duration {
+	c := clientConnOf(r)
+	if c == nil {
+		return firstBodyByteTimeout
 	}
-	p.of.mu.Lock()
-	defer p.of.mu.Unlock()
-	if p.kept {
-		return stallTime
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.reused {
+		return firstBodyByteTimeout
 	}
-	return min(stallTime, peerTime-time.Since(p.born))
-}
-
-// closeWaiting ends the connections that have been without a request in work for so long. It only tells their readers
-// to: nobody else can know that no request has come in meanwhile.
-func (b *limitedListener) closeWaiting(age time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for e := b.waiting.Front(); e != nil && time.Since(e.Value.(*clientConn).since) >= age; e = e.Next() {
-		p := e.Value.(*clientConn)
-		p.ending = true
-		p.Conn.SetReadDeadline(longAgo)
-	}
-}
-
-// open is how many connections there are.
-func (b *limitedListener) open() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.taken
+	return min(firstBodyByteTimeout, headAndBodyTimeout-time.Since(c.acceptedAt))
 }
--- a/internal/node/client_listener_test.go
+++ b/internal/node/client_listener_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// accepting hands on what a bounded listener of one place accepts; dial opens a connection to it.
+// accepting passes on what a listener with a limit of one accepts; dial opens a connection to it.
 func accepting(t *testing.T) (b *limitedListener, accepted <-chan net.Conn, dial func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,7 +43,7 @@
 	}
 }
 
-// readUntilEnd reads from a connection and closes it as the HTTP server does, and gives what ended the reading.
+// readUntilEnd reads from a connection and closes it as the HTTP server does. It returns what ended the reading.
 func readUntilEnd(c net.Conn) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
@@ -57,13 +57,13 @@
 	return ended
 }
 
-// inWork has a connection hold its place for a request.
+// inWork marks a connection as serving a request.
 func inWork(c net.Conn) {
 	r := &http.Request{}
-	hold(r.WithContext(context.WithValue(context.Background(), clientConnKey{}, c)))
+	recordRequestRead(r.WithContext(context.WithValue(context.Background(), clientConnKey{}, c)))
 }
 
-func TestInboundConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	b, accepted, dial := accepting(t)
 	dial()
 	first := <-accepted
@@ -71,67 +71,67 @@
 	dial()
 	select {
 	case <-accepted:
-		t.Error("a second connection was taken beyond the bound")
+		t.Error("a second connection was admitted beyond the limit")
 	default:
 	}
-	if b.taken != 1 {
-		t.Errorf("%d places taken, want 1", b.taken)
+	if b.admitted != 1 {
+		t.Errorf("%d connections admitted, want 1", b.admitted)
 	}
 	first.Close()
-	first.Close() // twice gives back one place only
+	first.Close() // counts once only
 	(<-accepted).Close()
 }
 
-// A caller must not wait behind a peer that sends nothing or half a head, nor take the place of one with a
-// request in work.
-func TestConnectionWithoutARequestMakesRoom(t *testing.T) {
+// A client does not wait behind a peer that sends nothing or half a head, and does not evict a connection with a
+// request.
+func TestIdleConnectionIsEvicted(t *testing.T) {
 	b, accepted, dial := accepting(t)
 	dial()
 	silent := <-accepted
-	b.track(silent, http.StateNew)
-	b.track(silent, http.StateActive) // half a head
+	b.connStateChanged(silent, http.StateNew)
+	b.connStateChanged(silent, http.StateActive) // half a head
 	silentEnds := readUntilEnd(silent)
 	dial()
-	caller := <-accepted
+	client := <-accepted
 	if err := <-silentEnds; !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the silent connection reads %v, want it to end", err)
 	}
-	inWork(caller)
-	b.closeWaiting(0)
+	inWork(client)
+	b.closeIdle(0)
 	dial()
 	select {
 	case <-accepted:
-		t.Error("a connection with a request in work lost its place")
+		t.Error("a connection with a request was evicted")
 	default:
 	}
-	b.track(caller, http.StateIdle)
-	readUntilEnd(caller)
+	b.connStateChanged(client, http.StateIdle)
+	readUntilEnd(client)
 	(<-accepted).Close()
 }
 
-// When all places are taken by requests that come in piece by piece, the oldest of them makes room, but after all
-// that have no whole head.
-func TestHalfRequestsMakeRoomLast(t *testing.T) {
+// At the limit, connections whose body is arriving are evicted, the oldest first, but after those without a whole
+// head.
+func TestPartialRequestsAreEvictedLast(t *testing.T) {
 	b, accepted, dial := accepting(t)
-	b.resize(2)
+	b.setLimit(2)
 	dial()
 	half := <-accepted
-	engage((&http.Request{}).WithContext(context.WithValue(context.Background(), clientConnKey{}, half)))
+	recordHeadRead((&http.Request{}).WithContext(context.WithValue(context.Background(), clientConnKey{}, half)))
 	dial()
 	silent := <-accepted
 	halfEnds, silentEnds := readUntilEnd(half), readUntilEnd(silent)
 	dial()
-	caller := <-accepted
+	client := <-accepted
 	if len(halfEnds) > 0 {
-		t.Error("the half request has made room, beside a connection without any")
+		t.Error("the partial request was evicted before a connection without any")
 	}
 	if err := <-silentEnds; !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the silent connection reads %v, want it to end", err)
 	}
-	inWork(caller)
+	inWork(client)
 	dial()
 	(<-accepted).Close()
 	if err := <-halfEnds; !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the half request reads %v, want it to end", err)
+		t.Errorf("the partial request reads %v, want it to end", err)
 	}
 }
--- a/internal/node/crossings_test.go
+++ b/internal/node/connection_race_test.go
@@ -21,16 +21,16 @@
 	return startOn(t, ln, cfg), ln
 }
 
-// A node that leaves ends the connections that rest, while a request comes in on one. Wherever that is at the moment,
-// in the kernel, read but not yet looked at, or half of each, it is served whole: the close may not cross it.
-func TestRequestAsItsRestingConnectionEnds(t *testing.T) {
+// A node that shuts down ends idle connections while a request arrives on one. Wherever the request is at that moment,
+// in the kernel, read but not yet examined, or half of each, it is served.
+func TestRequestWhileIdleConnectionIsClosed(t *testing.T) {
 	request := text("unsafe", "2", "")
-	for name, cross := range map[string]func(*testing.T, *caller) *gate{
-		"in the kernel of a new connection": func(t *testing.T, c *caller) *gate {
+	for name, cross := range map[string]func(*testing.T, *gatedClient) *gate{
+		"in the kernel of a new connection": func(t *testing.T, c *gatedClient) *gate {
 			c.send(t, request)
 			return c.node.before
 		},
-		"first bytes read, the others in the kernel": func(t *testing.T, c *caller) *gate {
+		"first bytes read, the others in the kernel": func(t *testing.T, c *gatedClient) *gate {
 			c.send(t, text("safe", "1", ""))
 			if status := c.answered(); status != http.StatusOK {
 				t.Fatalf("the first got %d", status)
@@ -41,7 +41,7 @@
 			c.send(t, request[2:])
 			return c.node.before
 		},
-		"read whole": func(t *testing.T, c *caller) *gate {
+		"read completely": func(t *testing.T, c *gatedClient) *gate {
 			c.send(t, text("safe", "1", ""))
 			if status := c.answered(); status != http.StatusOK {
 				t.Fatalf("the first got %d", status)
@@ -70,9 +70,9 @@
 	}
 }
 
-// The same where its time to rest is over: a request that comes after the system's read was given up, and before the
+// The same at the end of the idle timeout: a request that arrives after the read has timed out, and before the
 // connection is closed, is served.
-func TestRequestAsItsTimeToRestEnds(t *testing.T) {
+func TestRequestWhileIdleTimeoutExpires(t *testing.T) {
 	b := newBackend(t, ok)
 	_, ln := gatedNode(t, b)
 	c := ln.dial(t)
@@ -81,7 +81,7 @@
 		t.Fatalf("the first got %d", status)
 	}
 	c.node.late.set(true)
-	eventually(t, "its time is over", c.node.late.held)
+	eventually(t, "the idle timeout is over", c.node.late.held)
 	c.send(t, text("unsafe", "2", ""))
 	c.node.late.set(false)
 	if status := c.answered(); status != http.StatusOK {
@@ -89,9 +89,9 @@
 	}
 }
 
-// A connection that has rested for longest is to make room for a new one while a request on it has been read and not yet
-// looked at: by the newest term it would be lost. It is served, once, and the connection makes room after its answer.
-func TestRequestAsItsConnectionMakesRoom(t *testing.T) {
+// The connection that has been idle for longest is evicted while a request on it has been read and not yet examined.
+// The request is served, once, and the connection is evicted after its response.
+func TestRequestWhileConnectionIsEvicted(t *testing.T) {
 	b := newBackend(t, ok)
 	n, ln := gatedNode(t, b)
 	oldest := ln.dial(t)
@@ -99,15 +99,17 @@
 	if status := oldest.answered(); status != http.StatusOK {
 		t.Fatalf("the first got %d", status)
 	}
-	http.DefaultClient.CloseIdleConnections() // that asked whether it is ready
-	eventually(t, "it rests, alone", func() bool { return n.inbound.open() == 1 && n.inbound.rests(oldest.node) })
-	n.inbound.resize(1)
+	http.DefaultClient.CloseIdleConnections() // of the readiness check
+	eventually(t, "it is the only one, and idle", func() bool {
+		return n.inbound.openConnections() == 1 && n.inbound.isIdle(oldest.node)
+	})
+	n.inbound.setLimit(1)
 	sent := b.requests()
 	oldest.node.after.set(true)
 	oldest.send(t, text("unsafe", "crossed", ""))
 	eventually(t, "the reader is held up", oldest.node.after.held)
 	c := ln.dial(t)
-	eventually(t, "the oldest is to make room", oldest.node.ending)
+	eventually(t, "the oldest is to be evicted", oldest.node.ending)
 	oldest.node.after.set(false)
 	if status := oldest.answered(); status != http.StatusOK {
 		t.Errorf("the crossed request got %d", status)
@@ -124,11 +126,11 @@
 	}
 }
 
-// rests says that a connection has no request in work.
-func (b *limitedListener) rests(c net.Conn) bool {
+// isIdle reports whether a connection awaits the head of a request.
+func (b *limitedListener) isIdle(c net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for e := b.waiting.Front(); e != nil; e = e.Next() {
+	for e := b.awaitingHead.Front(); e != nil; e = e.Next() {
 		if e.Value.(*clientConn).Conn == c {
 			return true
 		}
@@ -136,7 +138,7 @@
 	return false
 }
 
-// blocked says that some goroutine waits for a lock in a function.
+// blocked reports whether some goroutine waits for a lock in a function.
 func blocked(in string) func() bool {
 	return func() bool {
 		stacks := make([]byte, 1<<20)
@@ -149,24 +151,24 @@
 	}
 }
 
-// hasRested makes idle connections old enough to be used again.
-func hasRested(p *pool, t *endpoint) {
+// ageIdle makes idle connections old enough to be used again.
+func ageIdle(p *pool, t *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range t.idle {
-		c.parked = c.parked.Add(-minIdlePeriod)
+		c.idleSince = c.idleSince.Add(-minIdlePeriod)
 	}
 }
 
-// What comes on a resting connection to a server in the moment in which an attempt takes it, after the system's read
-// and before the reader's look, is neither the answer to that attempt nor its failure.
-func TestStrayBytesAsAConnectionIsTaken(t *testing.T) {
-	stray := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
+// Bytes that arrive on an idle connection while an attempt acquires it, after the read of the socket and before the
+// reader examines them, are neither the response to that attempt nor its failure.
+func TestUnexpectedBytesWhileConnectionIsAcquired(t *testing.T) {
+	unexpected := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 	for name, cross := range map[string]func(net.Conn){
-		"a whole answer": func(c net.Conn) { io.WriteString(c, stray) },
-		"half a line":    func(c net.Conn) { io.WriteString(c, stray[:7]) },
-		"an end":         func(c net.Conn) { c.Close() },
-		"a reset":        func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
+		"a whole response": func(c net.Conn) { _, _ = io.WriteString(c, unexpected) },
+		"half a line":      func(c net.Conn) { _, _ = io.WriteString(c, unexpected[:7]) },
+		"an end":           func(c net.Conn) { c.Close() },
+		"a reset":          reset,
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t, ok)
@@ -176,16 +178,16 @@
 				t.Fatalf("the first ended with %v", first.result)
 			}
 			second := *att
-			hasRested(p, att.endpoint)
+			ageIdle(p, att.endpoint)
 			p.mu.Lock()
 			ended := make(chan attemptOutcome, 1)
 			go func() { ended <- p.runAttempt(&second) }()
-			eventually(t, "the attempt is about to take it", blocked("(*pool).acquire"))
+			eventually(t, "the attempt is about to acquire it", blocked("(*pool).acquire"))
 			b.mu.Lock()
 			c := b.conns[0]
 			b.mu.Unlock()
 			cross(c)
-			eventually(t, "the reader is about to look", blocked("(*conn).read"))
+			eventually(t, "the reader is about to examine them", blocked("(*serverConn).readResponses"))
 			p.mu.Unlock()
 			if r := <-ended; r.result != policy.Success || string(r.response.body) != "done" {
 				t.Errorf("it ended with %v, %v and %q", r.result, r.err, r.response.body)
@@ -197,47 +199,51 @@
 	}
 }
 
-// The same where the reader has not come to read yet: what lies in the system is found too.
-func TestStrayBytesUnreadAsAConnectionIsTaken(t *testing.T) {
+// The same for bytes that the reader has not read yet: those in the system are found too.
+func TestUnreadUnexpectedBytesWhileConnectionIsAcquired(t *testing.T) {
 	b := newBackend(t, ok)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
 	if first := p.runAttempt(att); first.result != policy.Success {
 		t.Fatalf("the first ended with %v", first.result)
 	}
-	hasRested(p, att.endpoint)
+	ageIdle(p, att.endpoint)
 	c := att.endpoint.idle[0]
-	c.step.Lock() // its reader, or the attempt, goes on first
+	c.readMu.Lock() // holds up both the reader and the attempt
 	second := *att
 	ended := make(chan attemptOutcome, 1)
 	go func() { ended <- p.runAttempt(&second) }()
-	eventually(t, "the attempt is about to claim it", blocked("(*conn).claim"))
+	eventually(t, "the attempt is about to check it", blocked("(*serverConn).claimForReuse"))
 	b.mu.Lock()
-	io.WriteString(b.conns[0], "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
+	_, _ = io.WriteString(b.conns[0], "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 	b.mu.Unlock()
-	eventually(t, "the reader is about to read", blocked("(*conn).Read"))
-	c.step.Unlock()
+	eventually(t, "the reader is about to read", blocked("(*serverConn).Read"))
+	c.readMu.Unlock()
 	if r := <-ended; r.result != policy.Success || string(r.response.body) != "done" {
 		t.Errorf("it ended with %v, %v and %q", r.result, r.err, r.response.body)
 	}
 }
 
-// An answer that ends its connection comes whole, also to a slow reader that has sent more meanwhile: a close over
-// unread bytes would reset the connection and take with it what is still on its way.
-func TestAnswerOverUnreadBytes(t *testing.T) {
+// A response that ends its connection arrives completely, also at a slow reader that has sent more meanwhile: a close
+// over unread bytes would reset the connection and lose what is still on its way.
+func TestResponseOverUnreadBytes(t *testing.T) {
 	const long = 16 << 10
-	b, release := stalled(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", strings.Repeat("x", long)) })
+	b, release := stalled(t, func(c net.Conn, _ *http.Request) bool {
+		return respond(c, "200 OK", strings.Repeat("x", long))
+	})
 	n, ln := gatedNode(t, b)
 	c := ln.dial(t)
-	c.SetReadBuffer(1) // the system's least: most of the answer stays at the node's end
+	if err := c.SetReadBuffer(1); err != nil { // the minimum: most of the response stays with the node
+		t.Fatal(err)
+	}
 	c.send(t, text("safe", "1", ""))
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	c.send(t, text("unsafe", "2", "")[:40])
 	n.stop()
-	eventually(t, "answers end their connections", n.closing)
+	eventually(t, "responses end their connections", n.closing)
 	release()
 	eventually(t, "the node has ended the connection", func() bool { return c.node.isClosed() || c.node.hasEnded() })
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	setReadTimeout(t, c, 20*time.Second)
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -247,9 +253,9 @@
 	}
 }
 
-// A client that has gone and comes again under the id that its first try's attempt still holds is refused where a
-// repeat does no harm, and gets a failure where the first may have run.
-func TestClientComesAgainUnderItsID(t *testing.T) {
+// A client that has disconnected and retries with an id that an attempt still uses is rejected if the request is
+// idempotent, and otherwise gets a failure, since the first may have run.
+func TestClientRetriesWithItsID(t *testing.T) {
 	for class, want := range map[string]int{"safe": http.StatusServiceUnavailable, "unsafe": http.StatusConflict} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
@@ -258,11 +264,11 @@
 			first := ln.dial(t)
 			first.send(t, text(class, "1", ""))
 			eventually(t, "it is out", func() bool { return b.requests() == 1 })
-			first.Close()
-			eventually(t, "the loop knows that it left", func() bool {
-				var left bool
-				n.loop.ask(func() { left = n.loop.calls["1"].finished.Load() })
-				return left
+			first.disconnect()
+			eventually(t, "the loop knows that it disconnected", func() bool {
+				var finished bool
+				n.loop.ask(func() { finished = n.loop.calls["1"].finished.Load() })
+				return finished
 			})
 			again := ln.dial(t)
 			again.send(t, text(class, "1", ""))
@@ -279,9 +285,9 @@
 	}
 }
 
-// A server that answers twice, the second time some milliseconds late: the next request on that connection may be written
-// by then, and nothing tells the two answers apart. No client gets the answer of another's request.
-func TestSecondAnswerSomeMillisecondsLate(t *testing.T) {
+// A server responds twice, the second time some milliseconds late: the next request on that connection may be written
+// by then, and nothing tells the two responses apart. No client gets the response to another's request.
+func TestLateSecondResponse(t *testing.T) {
 	answer := func(c net.Conn, r *http.Request) bool { return respond(c, "200 OK", r.Header.Get("X-Call-Id")) }
 	late := make(chan struct{})
 	b := newBackend(t, func(n int, c net.Conn, r *http.Request) bool {
@@ -308,7 +314,7 @@
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil || string(body) != id {
-			t.Errorf("request %s got the answer of %q, %v", id, body, err)
+			t.Errorf("request %s got the response to %q, %v", id, body, err)
 		}
 	}
 }
--- a/internal/node/door_test.go
+++ b/internal/node/door_test.go
@@ -97,7 +97,7 @@
 	eventually(t, "all places are taken", func() bool {
 		n.inbound.mu.Lock()
 		defer n.inbound.mu.Unlock()
-		return n.inbound.taken == most && n.inbound.waiting.Len() == 0
+		return n.inbound.admitted == most && n.inbound.awaitingHead.Len() == 0
 	})
 	for i := range 2 * doorPlaces {
 		c, err := net.Dial("tcp", n.door)
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -18,11 +18,14 @@
 
 const settings = `{"balancers":1,"me":0,"tier":0,"registry-mode":%q,"tick-ms":2,"zone":"z",
  "blend":{"whole":0.55,"worst-class":0.3},"callers":{"marks-retry":true},
- "limits":{"conn-idle-ms":30000,"connect-timeout-ms":2000,"max-attempts":6,"max-retry-after-ms":1200,"retry-after":true},
+ "limits":{"conn-idle-ms":30000,"connect-timeout-ms":2000,
+  "max-attempts":6,"max-retry-after-ms":1200,"retry-after":true},
  "rules":{"ask-within-ms":1000,"cold-from":0.12,"fall-multiple":3,"warm-after-ms":20000},
- "lanes":[{"name":"keyed","effect":"idempotency_key","key-scope":"cell","window-ms":60000,"target-ms":20000,"deadline-ms":60000,"worth":2},
+ "lanes":[{"name":"keyed","effect":"idempotency_key","key-scope":"cell","window-ms":60000,
+   "target-ms":20000,"deadline-ms":60000,"worth":2},
   {"name":"safe","effect":"read_like","key-scope":"all","target-ms":20000,"deadline-ms":60000,"worth":1},
-  {"name":"unsafe","effect":"non_idempotent","key-scope":"all","window-ms":5000,"target-ms":20000,"deadline-ms":60000,"worth":3}]}`
+  {"name":"unsafe","effect":"non_idempotent","key-scope":"all","window-ms":5000,
+   "target-ms":20000,"deadline-ms":60000,"worth":3}]}`
 
 func testConfig(t *testing.T, mode string, known ...host) Config {
 	t.Helper()
@@ -45,7 +48,7 @@
 	return host{Host: id, Dial: addr, Site: "z", Health: "in_service"}
 }
 
-// eventually waits for what the node does by itself in the background.
+// eventually waits for something that the node does in the background.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
@@ -55,7 +58,7 @@
 	}
 }
 
-// backend is a server whose every request is handled by a function, one connection at a time each.
+// backend is a server that handles each request with a function, one at a time on each connection.
 type backend struct {
 	ln    net.Listener
 	mu    sync.Mutex
@@ -138,11 +141,11 @@
 
 func ok(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") }
 
-// silentDiscovery is an agent that keeps its watches open and has nothing new.
+// silentDiscovery is a discovery agent that keeps its watches open and sends no updates.
 func silentDiscovery(t *testing.T) string {
 	t.Helper()
 	return newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
-		fmt.Fprintln(w, `{"seq":1,"whole":false,"hosts":[]}`)
+		_, _ = fmt.Fprintln(w, `{"seq":1,"whole":false,"hosts":[]}`)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
@@ -176,7 +179,7 @@
 	return startOn(t, ln, cfg, adjust...)
 }
 
-// startOn runs a node whose callers come through a listener.
+// startOn runs a node that accepts clients on a listener.
 func startOn(t *testing.T, ln net.Listener, cfg Config, adjust ...func(*Node)) *running {
 	t.Helper()
 	n, err := New(cfg, quiet())
@@ -191,7 +194,13 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Node: n, url: "http://" + ln.Addr().String(), door: door.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	r := &running{
+		Node: n,
+		url:  "http://" + ln.Addr().String(),
+		door: door.Addr().String(),
+		stop: cancel,
+		done: make(chan error, 1),
+	}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -212,7 +221,7 @@
 	return r
 }
 
-// startWith runs a node that knows the backends and hears nothing else.
+// startWith runs a node whose endpoint list is the backends.
 func startWith(t *testing.T, backends ...*backend) *running {
 	t.Helper()
 	var hosts []host
@@ -239,7 +248,7 @@
 	return r
 }
 
-// do sends a request and returns the status, the answer's headers and its body.
+// do sends a request and returns the status, the headers and the body of the response.
 func do(t *testing.T, r *http.Request) (int, http.Header, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
--- a/internal/node/floods_test.go
+++ b/internal/node/flood_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// Peers that send much at once and go hold nothing afterwards: no connection, no memory that is counted, no call; and
-// nothing of theirs reaches a server, be it proper or not.
-func TestFloodsThatGo(t *testing.T) {
+// Clients that send much at once and disconnect leave nothing behind: no connection, no reserved memory, no request;
+// and nothing of theirs reaches a server, valid or not.
+func TestFloodsLeaveNothingBehind(t *testing.T) {
+	longField := "X-Fill: " + strings.Repeat("x", 1000) + "\r\n"
 	for name, flood := range map[string]string{
 		"a line without an end":  "GET /" + strings.Repeat("x", 1<<20),
-		"fields without an end":  "GET /api HTTP/1.1\r\nHost: s\r\n" + strings.Repeat("X-Fill: "+strings.Repeat("x", 1000)+"\r\n", 1000),
+		"fields without an end":  "GET /api HTTP/1.1\r\nHost: s\r\n" + strings.Repeat(longField, 1000),
 		"a head that is no head": strings.Repeat("\x00\xff\r\n", 1<<18),
 		"many requests at once":  strings.Repeat(text("unsafe", "left", ""), 300),
 		"bodies under way":       strings.Repeat(text("unsafe", "left", strings.Repeat("x", 1000)), 30),
@@ -20,22 +21,22 @@
 			t.Parallel()
 			b := newBackend(t, ok)
 			n, ln := gatedNode(t, b)
-			whole := n.buffers.requests.available.Load()
+			available := n.buffers.requests.available.Load()
 			ln.hold.Store(true)
 			c := ln.dial(t)
 			go func() { // more than the system takes before the node reads
-				c.Write([]byte(flood))
-				c.Close()
+				_, _ = c.Write([]byte(flood))
+				c.disconnect()
 			}()
-			if len(flood) < 48<<10 { // all of it fits, and what is proper in it must not be sent on
-				eventually(t, "it has gone", c.node.gone)
+			if len(flood) < 48<<10 { // all of it fits, and no valid request in it may be forwarded
+				eventually(t, "it has disconnected", c.node.disconnected)
 			}
 			c.node.before.set(false)
 			eventually(t, "its connection is closed", c.node.isClosed)
 			ln.hold.Store(false)
-			n.onlyThoseThatStay(t, ln, b)
-			if left := n.buffers.requests.available.Load(); left != whole {
-				t.Errorf("%d bytes are held for nobody", whole-left)
+			n.checkOnlyConnectedServed(t, ln, b)
+			if left := n.buffers.requests.available.Load(); left != available {
+				t.Errorf("%d bytes stay reserved", available-left)
 			}
 		})
 	}
--- a/internal/node/gate_test.go
+++ b/internal/node/gated_conn_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// gate holds up what goes through it while it is shut, and tells of what waits there.
+// gate blocks those who pass it while it is shut, and counts them.
 type gate struct {
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -47,23 +47,23 @@
 	g.changed.Broadcast()
 }
 
-// held says whether something waits at it.
+// held reports whether somebody waits at it.
 func (g *gate) held() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.shut && g.waiting > 0
 }
 
-// gatedConn is a caller's connection as the node has it, with a gate before each read of the system and one after.
+// gatedConn is the node's end of a client's connection, with a gate before each read of the socket and one after.
 type gatedConn struct {
 	*net.TCPConn
 	before, after *gate
-	late          *gate // after a read whose time is over
+	late          *gate // after a read that timed out
 
-	mu     sync.Mutex
-	closed bool
-	hurry  bool // a read is to end at once
-	ended  bool // no more is sent
+	mu          sync.Mutex
+	closed      bool
+	interrupted bool // reads are to end at once
+	ended       bool // its sending has ended
 }
 
 func (c *gatedConn) Read(b []byte) (int, error) {
@@ -92,7 +92,7 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// hasEnded says that the node has ended its sending.
+// hasEnded reports whether the node has ended its sending.
 func (c *gatedConn) hasEnded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,16 +101,16 @@
 
 func (c *gatedConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.hurry = !t.IsZero() && !t.After(time.Now())
+	c.interrupted = !t.IsZero() && !t.After(time.Now())
 	c.mu.Unlock()
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// ending says that the node has closed it, or told its reader to come to an end.
+// ending reports whether the node has closed the connection or interrupted its reader.
 func (c *gatedConn) ending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closed || c.hurry
+	return c.closed || c.interrupted
 }
 
 func (c *gatedConn) isClosed() bool {
@@ -119,7 +119,7 @@
 	return c.closed
 }
 
-// gatedListener gives a node connections with gates, and these to the test.
+// gatedListener accepts connections with gates for a node, and passes them to the test too.
 type gatedListener struct {
 	*net.TCPListener
 	conns chan *gatedConn
@@ -146,15 +146,15 @@
 	return g, nil
 }
 
-// caller is a client on one connection, and the node's end of it.
-type caller struct {
+// gatedClient is a client on one connection, and the node's end of it.
+type gatedClient struct {
 	*net.TCPConn
 	in   *bufio.Reader
 	node *gatedConn
 }
 
-// dial connects, and finds the node's end by its address.
-func (l *gatedListener) dial(t *testing.T) *caller {
+// dial connects and finds the node's end by its address.
+func (l *gatedListener) dial(t *testing.T) *gatedClient {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -165,7 +165,7 @@
 		select {
 		case g := <-l.conns:
 			if g.RemoteAddr().String() == c.LocalAddr().String() {
-				return &caller{c.(*net.TCPConn), bufio.NewReader(c), g}
+				return &gatedClient{c.(*net.TCPConn), bufio.NewReader(c), g}
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatal("never accepted")
@@ -173,10 +173,10 @@
 	}
 }
 
-// fill sends as many requests as a node lets out to one server, and waits until all are there.
-func (l *gatedListener) fill(t *testing.T, b *backend) (filling []*caller) {
+// fill sends as many requests as the concurrency limit of one server allows, and waits until all are there.
+func (l *gatedListener) fill(t *testing.T, b *backend) (filling []*gatedClient) {
 	t.Helper()
-	for range 5 { // the window of one server
+	for range 5 { // the concurrency limit of one server
 		c := l.dial(t)
 		c.send(t, text("unsafe", "fill-"+c.LocalAddr().String(), ""))
 		filling = append(filling, c)
@@ -185,7 +185,7 @@
 	return filling
 }
 
-// text is a request as it goes over a connection, with more headers.
+// text is a request as it is written to a connection, with further headers.
 func text(class, id, body string, headers ...string) string {
 	method := http.MethodPost
 	if class == "safe" {
@@ -194,20 +194,52 @@
 	if body != "" {
 		headers = append(headers, fmt.Sprintf("Content-Length: %d", len(body)))
 	}
-	head := append([]string{method + " /api HTTP/1.1", "Host: s", "X-Call-Id: " + id, "X-Call-Class: " + class, "X-Budget: 30000m"}, headers...)
-	return strings.Join(head, "\r\n") + "\r\n\r\n" + body
+	head := []string{
+		method + " /api HTTP/1.1",
+		"Host: s",
+		"X-Call-Id: " + id,
+		"X-Call-Class: " + class,
+		"X-Budget: 30000m",
+	}
+	return strings.Join(append(head, headers...), "\r\n") + "\r\n\r\n" + body
+}
+
+// send writes a text to the connection.
+func (c *gatedClient) send(t *testing.T, what string) {
+	t.Helper()
+	write(t, c, what)
+}
+
+// disconnect closes the client's end. Its error is ignored: the connection is closed in any case.
+func (c *gatedClient) disconnect() { _ = c.Close() }
+
+// reset closes a connection with a reset.
+func reset(c net.Conn) {
+	_ = c.(*net.TCPConn).SetLinger(0)
+	c.Close()
 }
 
-func (c *caller) send(t *testing.T, what string) {
+// write writes a text to a connection.
+func write(t *testing.T, c io.Writer, text string) {
 	t.Helper()
-	if _, err := io.WriteString(c, what); err != nil {
+	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// answered reads one answer whole and gives its status; 0: the connection ended without one.
-func (c *caller) answered() int {
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
+// setReadTimeout bounds the reads of a connection from now on.
+func setReadTimeout(t *testing.T, c net.Conn, timeout time.Duration) {
+	t.Helper()
+	if err := c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// answered reads one complete response and returns its status; 0: the connection ended without one.
+func (c *gatedClient) answered() int {
+	if err := c.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		return 0
+	}
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return 0
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -104,8 +104,8 @@
 	eventually(t, "the old one serves", func() bool { return served(old) > 20 })
 	young := process(t, cfg)
 	eventually(t, "the old one knows", old.handover.passed.Load)
-	if in := cfg.inboundPlaces(cfg.Sockets / 2); old.inbound.most != in || young.inbound.most != in {
-		t.Errorf("%d and %d places, want %d each", old.inbound.most, young.inbound.most, in)
+	if in := cfg.inboundPlaces(cfg.Sockets / 2); old.inbound.limit != in || young.inbound.limit != in {
+		t.Errorf("%d and %d places, want %d each", old.inbound.limit, young.inbound.limit, in)
 	}
 	old.stop()
 	if err := <-old.done; err != nil {
@@ -116,7 +116,7 @@
 	eventually(t, "it has all places", func() bool {
 		young.inbound.mu.Lock()
 		defer young.inbound.mu.Unlock()
-		return young.inbound.most == cfg.inboundPlaces(cfg.Sockets)
+		return young.inbound.limit == cfg.inboundPlaces(cfg.Sockets)
 	})
 	third := process(t, cfg) // and so on
 	young.stop()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -1,8 +1,8 @@
 // Package node is the real node round the decision module: it takes callers' requests over HTTP,
 // carries the module's actions out on sockets and tells it what happened.
 //
-// The loop (this file) owns the Balancer and decides every final answer; callers.go is the HTTP
-// server, servers.go the attempts and their connections, discovery.go the watch of the server list.
+// The loop (this file) owns the Balancer and decides every final answer; client_handler.go is the
+// HTTP handler, pool.go and attempt.go the attempts and their connections, discovery.go the watch of the server list.
 package node
 
 import (
@@ -175,7 +175,7 @@
 			status = http.StatusServiceUnavailable
 		}
 		l.stats.turnedDown("X-Call-Id is in use")
-		c.bodyMemory.shrink(0)
+		c.bodyMemory.release()
 		c.responses <- response{status: status}
 		return
 	}
@@ -270,7 +270,7 @@
 func (l *loop) forget(c *clientRequest) {
 	if c.finished.Load() && c.inFlight == 0 && l.calls[c.meta.ID] == c {
 		delete(l.calls, c.meta.ID)
-		c.bodyMemory.shrink(0)
+		c.bodyMemory.release()
 	}
 }
 
@@ -284,8 +284,8 @@
 	}
 	var spent bool
 	if c.bodyStream != nil && !c.finished.Load() {
-		spent = c.bodyStream.touched.Load()
-		if why := c.bodyStream.failed(); why != nil { // no server is to blame, and no other would get more of it
+		spent = c.bodyStream.consumed.Load()
+		if why := c.bodyStream.failure(); why != nil { // no server is to blame, and no other would get more of it
 			l.leave(c)
 			c.responses <- response{status: http.StatusRequestTimeout}
 		}
--- a/internal/node/leases_test.go
+++ b/internal/node/memory_reservation_test.go
@@ -12,14 +12,22 @@
 	"keelusher/policy"
 )
 
-// A client that leaves in the moment of its answer leaves nothing behind: neither memory that is counted as held nor
-// an answer whose rest somebody waits for. The handler may see either first, so that a hundred show both.
-func TestClientLeavesAsItsAnswerComes(t *testing.T) {
-	arrivals, gone := make(chan *clientRequest), make(chan *clientRequest)
-	h := &callers{clock: newClock(), arrivals: arrivals, gone: gone, stopped: make(chan struct{}), stats: newStats(nil),
-		buffers: newBuffers(64, 8), methods: map[string]string{"safe": http.MethodGet},
-		ready: func() bool { return true }, closing: func() bool { return false }}
-	whole := h.buffers.responses.available.Load()
+// A client that disconnects while its response arrives leaves nothing behind: neither reserved memory nor a streamed
+// response that somebody waits for. The handler may see either first, so that a hundred requests show both.
+func TestDisconnectWhileResponseArrives(t *testing.T) {
+	arrivals, disconnects := make(chan *clientRequest), make(chan *clientRequest)
+	h := &clientHandler{
+		clock:            newClock(),
+		arrivals:         arrivals,
+		disconnects:      disconnects,
+		stopped:          make(chan struct{}),
+		stats:            newStats(nil),
+		buffers:          newBuffers(64, 8),
+		methods:          map[string]string{"safe": http.MethodGet},
+		ready:            func() bool { return true },
+		closeConnections: func() bool { return false },
+	}
+	available := h.buffers.responses.available.Load()
 	for range 100 {
 		ctx, leave := context.WithCancel(context.Background())
 		r := httptest.NewRequest(http.MethodGet, "/api", nil).WithContext(ctx)
@@ -29,27 +37,27 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			defer func() { recover() }() // it may end the connection
+			defer func() { _ = recover() }() // it may abort the connection
 			h.ServeHTTP(httptest.NewRecorder(), r)
 		}()
 		c := <-arrivals
 		leave()
 		c.responses <- response{status: http.StatusBadGateway, bodyMemory: h.buffers.responses.reserve(100)}
 		select {
-		case <-gone:
+		case <-disconnects:
 			<-ended
 		case <-ended:
 		}
-		if left := h.buffers.responses.available.Load(); left != whole {
-			t.Fatalf("%d bytes are held for nobody", whole-left)
+		if left := h.buffers.responses.available.Load(); left != available {
+			t.Fatalf("%d bytes stay reserved", available-left)
 		}
 	}
 }
 
-// A server that answers and closes before it has read a request leaves no memory counted as held.
-func TestAnswerBesideAFailedWrite(t *testing.T) {
+// A server that responds and closes before it has read a request leaves no memory reserved.
+func TestResponseBesideFailedWrite(t *testing.T) {
 	p := testPool(t)
-	whole := p.buffers.responses.available.Load()
+	available := p.buffers.responses.available.Load()
 	b := newBackend(t, ok)
 	att := testAttempt(p, b.addr(), time.Minute)
 	if first := p.runAttempt(att); first.result != policy.Success {
@@ -59,30 +67,30 @@
 	}
 	c := att.endpoint.idle[0]
 	p.mu.Lock()
-	p.removeIdle(c)
+	c.transition(serverConnAcquired)
 	p.mu.Unlock()
-	if !c.claim() {
-		t.Fatal("it cannot be taken")
+	if !c.claimForReuse() {
+		t.Fatal("it does not pass the reuse check")
 	}
 	b.mu.Lock()
 	respond(b.conns[0], "503 Service Unavailable", strings.Repeat("x", 100), "X-Rejected: 1")
 	b.mu.Unlock()
-	eventually(t, "the answer waits", func() bool { return len(c.replies) == 1 })
+	eventually(t, "the response waits", func() bool { return len(c.replies) == 1 })
 	c.Close() // the write fails
 	if _, err := p.roundTrip(c, att); err == nil {
 		t.Fatal("the write did not fail")
 	}
 	p.close(c)
-	if left := p.buffers.responses.available.Load(); left != whole {
-		t.Errorf("%d bytes are held for nobody", whole-left)
+	if left := p.buffers.responses.available.Load(); left != available {
+		t.Errorf("%d bytes stay reserved", available-left)
 	}
 }
 
-// A body whose request is turned down for its id is no longer counted as held.
-func TestBodyOfAnIDInUse(t *testing.T) {
+// The body of a request that is rejected for its id is released.
+func TestBodyOfIDInUseIsReleased(t *testing.T) {
 	b, release := stalled(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
 	n, ln := gatedNode(t, b)
-	whole := n.buffers.requests.available.Load()
+	available := n.buffers.requests.available.Load()
 	first, second := ln.dial(t), ln.dial(t)
 	first.send(t, text("unsafe", "1", "payload"))
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
@@ -95,7 +103,7 @@
 		t.Errorf("the first got %d", status)
 	}
 	eventually(t, "all is over", n.idle)
-	if left := n.buffers.requests.available.Load(); left != whole {
-		t.Errorf("%d bytes are held for nobody", whole-left)
+	if left := n.buffers.requests.available.Load(); left != available {
+		t.Errorf("%d bytes stay reserved", available-left)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -97,26 +97,26 @@
 // Run serves until ctx ends, then drains: it takes what still comes while the front notices, answers
 // what it holds and returns nil.
 func (n *Node) Run(ctx context.Context) error {
-	door, err := Patiently(ctx, func() (net.Listener, error) { return listenDoor(n.cfg.Control) })
+	door, err := RetryOnShortage(ctx, func() (net.Listener, error) { return listenDoor(n.cfg.Control) })
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
 	if n.cfg.meshed() {
-		m, err := Patiently(ctx, n.startMesh)
+		m, err := RetryOnShortage(ctx, n.startMesh)
 		if err != nil {
 			return fmt.Errorf("%w (mesh.listen of the fleet configuration)", err)
 		}
 		n.mesh.Store(m)
 		defer m.Close()
 	}
-	before, err := Patiently(ctx, func() (*predecessor, error) { return succeed(n.cfg.handover) })
+	before, err := RetryOnShortage(ctx, func() (*predecessor, error) { return succeed(n.cfg.handover) })
 	if err != nil {
 		n.log.Warn("nothing was handed over", "err", err)
 	}
 	if before != nil {
 		return n.serve(ctx, before.ln, door, before)
 	}
-	ln, err := Patiently(ctx, func() (net.Listener, error) { return listenShared(n.cfg.Listen) })
+	ln, err := RetryOnShortage(ctx, func() (net.Listener, error) { return listenShared(n.cfg.Listen) })
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -150,16 +150,16 @@
 
 	n.inbound = newLimitedListener(ln, n.cfg.inboundPlaces(n.cfg.Sockets), n.loop.stats, n.loop.decisions)
 	server := &http.Server{
-		Handler: &callers{clock: n.loop.clock, arrivals: n.loop.arrivals,
-			gone: n.loop.gone, stopped: n.loop.stop, stats: n.loop.stats, decisions: n.loop.decisions, buffers: n.buffers,
-			suspension: suspension, methods: methods(n.cfg.Settings.Classes), ready: n.ready, closing: n.closing},
-		ReadHeaderTimeout: headTime,
-		IdleTimeout:       idleTime,
-		ConnState:         n.inbound.track,
+		Handler: &clientHandler{clock: n.loop.clock, arrivals: n.loop.arrivals,
+			disconnects: n.loop.gone, stopped: n.loop.stop, stats: n.loop.stats, decisions: n.loop.decisions, buffers: n.buffers,
+			suspension: suspension, methods: methodsByClass(n.cfg.Settings.Classes), ready: n.ready, closeConnections: n.closing},
+		ReadHeaderTimeout: headTimeout,
+		IdleTimeout:       clientIdleTimeout,
+		ConnState:         n.inbound.connStateChanged,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, clientConnKey{}, c)
 		},
-		MaxHeaderBytes: maxHead,
+		MaxHeaderBytes: maxRequestHead,
 		ErrorLog:       slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
 	}
 	n.handover = &handover{path: n.cfg.handover, log: n.log, ln: ln.(syscall.Conn), phase: n.life.now, share: n.share, moved: make(chan struct{}, 1)}
@@ -235,7 +235,7 @@
 	}
 	stopPart()
 	stopMeeting()
-	n.inbound.cut.Store(true)
+	n.inbound.aborting.Store(true)
 	server.Close()
 	if operators != nil { // the last to go: it answers while callers are sent away
 		operators.Close()
@@ -294,7 +294,7 @@
 	n.buffers.responses.rescale(was, 1+n.others)
 	sockets := n.cfg.Sockets / (1 + n.others)
 	in := max(leastPlaces, n.cfg.inboundPlaces(sockets))
-	n.inbound.resize(in)
+	n.inbound.setLimit(in)
 	n.pool.setLimit(max(leastPlaces, sockets-n.cfg.reserved()-in))
 	if n.cfg.Shared != nil {
 		n.cfg.Shared(1 + n.others)
@@ -316,7 +316,7 @@
 		case <-n.moves:
 		case <-look.C:
 			if n.life.away() >= frontNotice+lastCalls {
-				n.inbound.closeWaiting(lastCalls)
+				n.inbound.closeIdle(lastCalls)
 			}
 		case <-ctx.Done():
 			return
@@ -338,7 +338,7 @@
 	time.Sleep(frontNotice + lastCalls)
 	n.inbound.Close()
 	<-accepting
-	for left := n.inbound.open(); left > 0; left = n.inbound.open() {
+	for left := n.inbound.openConnections(); left > 0; left = n.inbound.openConnections() {
 		switch now := time.Now(); {
 		case now.After(end):
 			n.log.Warn("connections left open", "n", left) // none of them is owed an answer any more
--- a/internal/node/servers_test.go
+++ b/internal/node/pool_test.go
@@ -27,9 +27,9 @@
 	return &attempt{request: c, endpoint: &endpoint{id: "s", addr: addr}, deadline: p.clock.now() + wait}
 }
 
-func TestEndings(t *testing.T) {
+func TestAttemptResults(t *testing.T) {
 	partly := func(_ int, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 		return false
 	}
 	status := func(s string, headers ...string) func(int, net.Conn, *http.Request) bool {
@@ -44,18 +44,18 @@
 		"not found":         {status("404 Not Found"), policy.ServerError},
 		"accepted":          {status("202 Accepted"), policy.ServerError},
 		"unmarked 503":      {status("503 Service Unavailable"), policy.ServerError},
-		"turned away, 503":  {status("503 Service Unavailable", "X-Rejected: 1"), policy.Overloaded},
-		"turned away, 504":  {status("504 Gateway Timeout", "X-Rejected: 1"), policy.Overloaded},
+		"rejected, 503":     {status("503 Service Unavailable", "X-Rejected: 1"), policy.Overloaded},
+		"rejected, 504":     {status("504 Gateway Timeout", "X-Rejected: 1"), policy.Overloaded},
 		"500 with the mark": {status("500 Internal Server Error", "X-Rejected: 1"), policy.ServerError},
-		"no answer":         {func(int, net.Conn, *http.Request) bool { return false }, policy.ConnectionLost},
-		"half an answer":    {partly, policy.ConnectionLost},
+		"no response":       {func(int, net.Conn, *http.Request) bool { return false }, policy.ConnectionLost},
+		"half a response":   {partly, policy.ConnectionLost},
 		"an end without a length": {func(_ int, c net.Conn, _ *http.Request) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nall")
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nall")
 			return false
 		}, policy.Success},
 		"a reset without a length": {func(_ int, c net.Conn, _ *http.Request) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
-			c.(*net.TCPConn).SetLinger(0) // a reset is no end
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
+			reset(c) // which does not end a response
 			return false
 		}, policy.ConnectionLost},
 		"a long error": {func(_ int, c net.Conn, _ *http.Request) bool {
@@ -72,34 +72,38 @@
 			}
 		})
 	}
-	t.Run("refused", func(t *testing.T) {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		ln.Close()
-		p := testPool(t)
-		if got := p.runAttempt(testAttempt(p, ln.Addr().String(), time.Minute)).result; got != policy.ConnectFailed {
-			t.Errorf("ending %v, want Unreachable", got)
-		}
-	})
-	t.Run("silence", func(t *testing.T) {
-		left := make(chan struct{})
-		b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
-			io.Copy(io.Discard, c) // until the node gives up
-			close(left)
-			return false
-		})
-		p := testPool(t)
-		if got := p.runAttempt(testAttempt(p, b.addr(), 100*time.Millisecond)).result; got != policy.TimedOut {
-			t.Errorf("ending %v, want TimedOut", got)
-		}
-		<-left // an attempt is given up by closing its connection
+}
+
+// A refused connection ends its attempt.
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln.Close()
+	p := testPool(t)
+	if got := p.runAttempt(testAttempt(p, ln.Addr().String(), time.Minute)).result; got != policy.ConnectFailed {
+		t.Errorf("ending %v, want ConnectFailed", got)
+	}
+}
+
+// An attempt without a response ends at its deadline, and its connection is closed.
+func TestNoResponseIsTimedOut(t *testing.T) {
+	left := make(chan struct{})
+	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
+		_, _ = io.Copy(io.Discard, c) // until the node gives up
+		close(left)
+		return false
 	})
+	p := testPool(t)
+	if got := p.runAttempt(testAttempt(p, b.addr(), 100*time.Millisecond)).result; got != policy.TimedOut {
+		t.Errorf("ending %v, want TimedOut", got)
+	}
+	<-left // an attempt is given up by closing its connection
 }
 
-// An attempt whose connection comes up after the server was told to drain, or after its request is
-// over, must not send a byte.
+// An attempt whose connection is established after its endpoint is draining, or after its request is finished, sends
+// nothing.
 func TestNothingSentAfterSlowConnect(t *testing.T) {
 	for name, stop := range map[string]func(*attempt){
 		"drained":  func(a *attempt) { a.endpoint.unavailable.Store(true) },
@@ -109,11 +113,11 @@
 			p, b := testPool(t), newBackend(t, ok)
 			att := testAttempt(p, b.addr(), time.Minute)
 			p.dialer.Control = func(string, string, syscall.RawConn) error {
-				stop(att) // the dial is under way
+				stop(att) // during the dial
 				return nil
 			}
 			if got := p.runAttempt(att).result; got != policy.NotSent {
-				t.Errorf("ending %v, want Void", got)
+				t.Errorf("ending %v, want NotSent", got)
 			}
 			p.shutdown()
 			if n := b.requests(); n != 0 {
@@ -123,11 +127,12 @@
 	}
 }
 
-// What follows an answer unasked must not pass as the answer to the next request.
-func TestBytesOutOfStep(t *testing.T) {
+// Bytes that follow a response are not taken for the response to the next request.
+func TestBytesAfterResponse(t *testing.T) {
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
 		if n == 1 {
-			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
+			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"+
+				"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 			return err == nil
 		}
 		return respond(c, "200 OK", "two")
@@ -142,8 +147,8 @@
 	}
 }
 
-// A server closes connections that idle. The node must see that before it uses one: else the
-// request ends as a reset and an unsafe one may not be tried again.
+// A server closes idle connections. The node must notice before it uses one: otherwise the request ends with a reset,
+// and one that is not idempotent may not be retried.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		respond(c, "200 OK", "done")
@@ -162,7 +167,8 @@
 	}
 }
 
-func mustTake(t *testing.T, p *pool, att *attempt) *conn {
+// mustAcquire acquires a connection for an attempt.
+func mustAcquire(t *testing.T, p *pool, att *attempt) *serverConn {
 	t.Helper()
 	c, err := p.acquire(att)
 	if err != nil {
@@ -171,7 +177,7 @@
 	return c
 }
 
-func TestConnectionIsKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	b := newBackend(t, ok)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
@@ -180,32 +186,32 @@
 		if got := p.runAttempt(att).result; got != policy.Success {
 			t.Fatalf("ended %v", got)
 		}
-		hasRested(p, att.endpoint)
+		ageIdle(p, att.endpoint)
 	}
 	if n := b.accepted(); n != 1 {
-		t.Errorf("%d connections for 5 requests, each after a rest", n)
+		t.Errorf("%d connections for 5 requests, each after the idle period", n)
 	}
-	p.setLimit(1) // no room for another: the one there is waits until it has rested
+	p.setLimit(1) // no further connection is allowed: the one there is waits for the end of its idle period
 	for range 3 {
-		p.release(mustTake(t, p, att))
+		p.release(mustAcquire(t, p, att))
 		began := time.Now()
-		c := mustTake(t, p, att)
+		c := mustAcquire(t, p, att)
 		if took := time.Since(began); took < minIdlePeriod/2 {
 			t.Errorf("a connection was used again after %v", took)
 		}
 		p.release(c)
 	}
 	if n := b.accepted(); n != 1 {
-		t.Errorf("%d connections where there is room for one", n)
+		t.Errorf("%d connections where one is allowed", n)
 	}
 	p.retire(att.endpoint)
 	if len(p.open) != 0 {
-		t.Errorf("%d connections stay open to a server that gets nothing new", len(p.open))
+		t.Errorf("%d connections stay open to an endpoint that was removed", len(p.open))
 	}
 }
 
-// The limit on sockets holds: an idle connection elsewhere makes room, else there is none.
-func TestNoMoreConnectionsThanAllowed(t *testing.T) {
+// The limit on connections holds: an idle connection to another endpoint is evicted, otherwise the attempt fails.
+func TestServerConnectionLimit(t *testing.T) {
 	a, b := newBackend(t, ok), newBackend(t, ok)
 	p := testPool(t)
 	p.limit = 1
@@ -219,16 +225,17 @@
 			}
 		}
 	}
-	p.idle.Init() // as if it were in use
+	p.mu.Lock()
 	for c := range p.open {
-		c.place, c.target.idle = nil, nil
+		c.transition(serverConnAcquired) // as if it were in use
 	}
+	p.mu.Unlock()
 	if got := p.runAttempt(testAttempt(p, a.addr(), time.Minute)).result; got != policy.ConnectFailed {
-		t.Errorf("ended %v, want Unreachable", got)
+		t.Errorf("ended %v, want ConnectFailed", got)
 	}
 }
 
-func TestMessageIsUnchanged(t *testing.T) {
+func TestForwardedRequestIsUnchanged(t *testing.T) {
 	p := testPool(t)
 	att := testAttempt(p, "127.0.0.1:1", 400*time.Millisecond)
 	att.request.url = &url.URL{Path: "/a/b c", RawPath: "/a%2Fb%20c", RawQuery: "x=%20&y"}
@@ -246,7 +253,7 @@
 	}
 }
 
-// The names are those that the settings give, as servers were seen to send them.
+// The fields have the names that the settings give, and that servers send.
 func TestLoadReport(t *testing.T) {
 	l := parseLoadReport(http.Header{"X-Load-Report": {`{"svc_ms":27.5,"busy_reqs":2.25,"other":1}`}})
 	if l == nil || l.Busy != 2.25 || l.Service != 27500*time.Microsecond {
--- a/internal/node/repeat_window_test.go
+++ b/internal/node/retry_window_test.go
@@ -13,9 +13,9 @@
 	"keelusher/policy/guard"
 )
 
-// A keyed request may be repeated within its class's window only. A retry that is decided in time, and whose connection
-// comes up when the window is over, is not sent: the servers no longer discard it as a repeat.
-func TestRepeatBehindASlowDialIsNotSentAfterItsWindow(t *testing.T) {
+// A request with an idempotency key may be retried only within the deduplication window of its class. A retry that was
+// decided in time, and whose connection is established after the window, is not sent: servers would run it again.
+func TestNoRetryAfterDeduplicationWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	fails := func(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "500 Internal Server Error", "") }
 	var hosts []host
@@ -34,14 +34,14 @@
 	n := start(t, cfg, func(n *Node) {
 		n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 			if dials.Add(1) == 2 {
-				time.Sleep(window + 100*time.Millisecond) // from the first send at least
+				time.Sleep(window + 100*time.Millisecond) // from the first attempt at least
 			}
 			return nil
 		}
 	})
 	status, _, _ := do(t, newRequest(t, n.url, "keyed", "1", ""))
 	if dials.Load() != 2 {
-		t.Fatalf("%d dials, want that of the first send and that of a retry", dials.Load())
+		t.Fatalf("%d dials, want one of the first attempt and one of a retry", dials.Load())
 	}
 	if got := backends[0].requests() + backends[1].requests(); got != 1 {
 		t.Errorf("servers got it %d times, want once: the window was over", got)
@@ -51,10 +51,10 @@
 	}
 }
 
-// What went out although it must not have is found by the second look, each kind under its name. The guard was asked
-// before the fact, as by a process that is held up between its clock and its write.
-func TestSecondLookCountsWhatWentOutLate(t *testing.T) {
-	for want, heldUp := range map[guard.Verdict]func(now time.Duration, att *attempt){
+// An attempt that was sent although it must not have been is counted as a violation, each kind under its name. The
+// guard had allowed it before, as in a process that is suspended between its check and its write.
+func TestViolationsAreCounted(t *testing.T) {
+	for want, delay := range map[guard.Verdict]func(now time.Duration, att *attempt){
 		guard.Allowed:          func(time.Duration, *attempt) {},
 		guard.RepeatWindowOver: func(now time.Duration, att *attempt) { att.retryBefore = now },
 		guard.ClientLeft:       func(now time.Duration, att *attempt) { att.request.disconnectedAt.set(now - time.Second) },
@@ -72,7 +72,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			heldUp(p.clock.now(), att)
+			delay(p.clock.now(), att)
 			if r, err := p.roundTrip(c, att); err != nil || r.err != nil {
 				t.Fatal(err, r.err)
 			}
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -13,72 +13,103 @@
 	"keelusher/policy"
 )
 
-// With servers that fail in every way a socket shows, each request gets one final answer, an unsafe one
-// runs once at most, and only what never ran is refused.
-func TestRulesUnderFaults(t *testing.T) {
-	var mu sync.Mutex
-	runs := map[string]int{} // by id: how often a server may have run it
-	faulty := func(n int, c net.Conn, r *http.Request) bool {
-		rejected := n%5 == 1
-		mu.Lock()
-		if !rejected {
-			runs[r.Header.Get("X-Call-Id")]++
-		}
-		mu.Unlock()
-		switch {
-		case rejected:
-			return respond(c, "503 Service Unavailable", "", "X-Rejected: 1")
-		case n%7 == 2:
-			return respond(c, "500 Internal Server Error", "")
-		case n%11 == 3:
-			return false // reset after the request
-		case n%13 == 4:
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart")
-			return false
-		case n%3 == 0:
-			respond(c, "200 OK", "done")
-			return false // closed while it idles
-		}
-		return respond(c, "200 OK", "done")
+// runCounts counts by request id how often a server may have run a request.
+type runCounts struct {
+	mu   sync.Mutex
+	runs map[string]int
+}
+
+func (c *runCounts) add(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.runs[id]++
+}
+
+func (c *runCounts) of(id string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.runs[id]
+}
+
+// serveWithFaults handles requests of a server that fails in every way that a socket shows.
+func (c *runCounts) serveWithFaults(n int, conn net.Conn, r *http.Request) bool {
+	if n%5 == 1 {
+		return respond(conn, "503 Service Unavailable", "", "X-Rejected: 1")
+	}
+	c.add(r.Header.Get("X-Call-Id"))
+	switch {
+	case n%7 == 2:
+		return respond(conn, "500 Internal Server Error", "")
+	case n%11 == 3:
+		return false // a reset after the request
+	case n%13 == 4:
+		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart")
+		return false
+	case n%3 == 0:
+		respond(conn, "200 OK", "done")
+		return false // a close while the connection is idle
+	}
+	return respond(conn, "200 OK", "done")
+}
+
+// checkResponse sends a request and compares its response with how often the request may have run. It returns the
+// status; 0: no response came.
+func checkResponse(t *testing.T, n *running, class, id string, runs *runCounts) int {
+	t.Helper()
+	resp, err := http.DefaultClient.Do(newRequest(t, n.url, class, id, "x"))
+	if err != nil {
+		t.Errorf("%s was not answered: %v", id, err)
+		return 0
+	}
+	body, err := io.ReadAll(resp.Body)
+	resp.Body.Close()
+	ran := runs.of(id)
+	switch {
+	case err != nil:
+		t.Errorf("%s: incomplete response: %v", id, err)
+	case resp.StatusCode == http.StatusOK && string(body) != "done":
+		t.Errorf("%s: served with %q", id, body)
+	case resp.StatusCode == http.StatusServiceUnavailable && ran > 0:
+		t.Errorf("%s was rejected, but may have run %d times", id, ran)
+	case class == "unsafe" && ran > 1:
+		t.Errorf("%s may have run %d times", id, ran)
 	}
-	n := startWith(t, newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty), newBackend(t, faulty))
+	return resp.StatusCode
+}
+
+// With servers that fail in every way that a socket shows, each request gets one final response, one that is not
+// idempotent runs once at most, and only requests that never ran are rejected.
+func TestRetryRulesUnderFaults(t *testing.T) {
+	runs := &runCounts{runs: map[string]int{}}
+	var backends []*backend
+	for range 4 {
+		backends = append(backends, newBackend(t, runs.serveWithFaults))
+	}
+	n := startWith(t, backends...)
 
-	const callers, each = 12, 40
+	const clients, each = 12, 40
+	var mu sync.Mutex
 	answered := map[int]int{}
 	var wg sync.WaitGroup
-	for caller := range callers {
+	for client := range clients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := range each {
-				id, class := fmt.Sprintf("%d-%d", caller, i), []string{"keyed", "unsafe"}[i%2]
-				resp, err := http.DefaultClient.Do(newRequest(t, n.url, class, id, "x"))
-				if err != nil {
-					t.Errorf("%s was not answered: %v", id, err)
+				class := []string{"keyed", "unsafe"}[i%2]
+				status := checkResponse(t, n, class, fmt.Sprintf("%d-%d", client, i), runs)
+				if status == 0 {
 					return
 				}
-				body, err := io.ReadAll(resp.Body)
-				resp.Body.Close()
 				mu.Lock()
-				answered[resp.StatusCode]++
-				ran := runs[id]
+				answered[status]++
 				mu.Unlock()
-				switch {
-				case err != nil:
-					t.Errorf("%s: answer not whole: %v", id, err)
-				case resp.StatusCode == http.StatusOK && string(body) != "done":
-					t.Errorf("%s: served with %q", id, body)
-				case resp.StatusCode == http.StatusServiceUnavailable && ran > 0:
-					t.Errorf("%s was refused, but may have run %d times", id, ran)
-				case class == "unsafe" && ran > 1:
-					t.Errorf("%s may have run %d times", id, ran)
-				}
 			}
 		}()
 	}
 	wg.Wait()
 	if answered[200] == 0 || answered[502] == 0 {
-		t.Errorf("answers by status: %v; the faults or the service did not show", answered)
+		t.Errorf("responses by status: %v; the faults or the service did not show", answered)
 	}
 	for status := range answered {
 		if status != 200 && status != 502 && status != 503 {
@@ -87,12 +118,11 @@
 	}
 }
 
-// A server that answers nothing costs its requests their time, not their answer: that comes at the
-// deadline and the attempt ends with it.
-func TestSilentServerEndsAtTheDeadline(t *testing.T) {
+// A request to a server that sends nothing is answered at its deadline, and its attempt ends then.
+func TestUnresponsiveServerEndsAtDeadline(t *testing.T) {
 	left := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		io.Copy(io.Discard, c)
+		_, _ = io.Copy(io.Discard, c)
 		close(left)
 		return false
 	})
@@ -105,7 +135,7 @@
 	<-left
 }
 
-// A large body on its way to a server that rejects it unread must not be taken for one that ran.
+// A request with a large body that a server rejects unread does not count as run.
 func TestEarlyRejection(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "503 Service Unavailable", "", "X-Rejected: 1", "Connection: close")
@@ -116,8 +146,8 @@
 	}
 }
 
-// An answer whose body never begins is unreadable, not a matter of time or of memory.
-func TestEndlessAnswers(t *testing.T) {
+// A response whose body never begins is a failure at once, and takes no memory without limit.
+func TestEndlessResponses(t *testing.T) {
 	for name, parts := range map[string][2]string{
 		"a header":        {"HTTP/1.1 200 OK\r\n", "X-More: more\r\n"},
 		"interim answers": {"", "HTTP/1.1 100 Continue\r\n\r\n"},
@@ -125,8 +155,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
-				io.WriteString(c, parts[0]+strings.Repeat(parts[1], 16*maxBufferedBody/len(parts[1])))
-				io.Copy(io.Discard, c) // until the node closes
+				_, _ = io.WriteString(c, parts[0]+strings.Repeat(parts[1], 16*maxBufferedBody/len(parts[1])))
+				_, _ = io.Copy(io.Discard, c) // until the node closes
 				return false
 			})
 			begin := time.Now()
@@ -140,7 +170,7 @@
 	}
 }
 
-// Boot times are clock times of the node; none stays none.
+// Start times of servers are clock times of the node; an absent one stays absent.
 func TestBootIsClockTime(t *testing.T) {
 	ck := newClock()
 	born := ck.start.Add(-5 * time.Second)
--- a/internal/node/leaving_test.go
+++ b/internal/node/shutdown_test.go
@@ -12,44 +12,45 @@
 	"keelusher/policy"
 )
 
-// A node that leaves answers what it cannot finish before it may be killed: what has been sent and may have run fails,
-// what waits is refused.
-func TestLastAnswersBeforeTheKill(t *testing.T) {
+// A node that shuts down answers what it cannot finish before it may be killed: requests that may have run fail, queued
+// ones are rejected.
+func TestLastResponsesBeforeKill(t *testing.T) {
 	b, _ := stalled(t, func(net.Conn, *http.Request) bool { return false })
 	n, ln := gatedNode(t, b)
 	sent := ln.fill(t, b)
 	n.stop()
-	told := time.Now()
+	stoppedAt := time.Now()
 	waits := ln.dial(t) // new connections come for a moment
 	waits.send(t, text("unsafe", "waits", ""))
 	if status := waits.answered(); status != http.StatusServiceUnavailable {
-		t.Errorf("what waited got %d, want 503", status)
+		t.Errorf("the queued request got %d, want 503", status)
 	}
 	for _, c := range sent {
 		if status := c.answered(); status != http.StatusBadGateway {
-			t.Errorf("what was sent got %d, want 502", status)
+			t.Errorf("a forwarded request got %d, want 502", status)
 		}
 	}
-	if took := time.Since(told); took > 10*time.Second { // 3.6 s, but for a busy machine; their own time ends after 20 s
-		t.Errorf("the last answer came after %v", took)
+	// After 3.6 s on an idle machine; their own deadlines are after 20 s.
+	if took := time.Since(stoppedAt); took > 10*time.Second {
+		t.Errorf("the last response came after %v", took)
 	}
 	if err := <-n.done; err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
-// A request whose last byte comes when a node that leaves has given its last answers gets one all the same: the kill is
-// not far, and the servers hang.
-func TestRequestThatIsWholeAfterTheLastAnswers(t *testing.T) {
+// A request whose last byte arrives after a node that shuts down has sent its last responses gets one all the same: the
+// kill is near, and the servers hang.
+func TestRequestCompletedAfterLastResponses(t *testing.T) {
 	t.Parallel()
 	const length = 60000
 	b, _ := stalled(t, func(net.Conn, *http.Request) bool { return false })
 	n, ln := gatedNode(t, b)
-	hangs := ln.dial(t) // keeps the node from ending by itself
+	hangs := ln.dial(t) // keeps the node from ending
 	hangs.send(t, text("unsafe", "hangs", ""))
 	n.stop()
-	told := time.Now()
-	after := func(d time.Duration) { time.Sleep(time.Until(told.Add(d))) }
+	stoppedAt := time.Now()
+	after := func(d time.Duration) { time.Sleep(time.Until(stoppedAt.Add(d))) }
 	after(300 * time.Millisecond)
 	c := ln.dial(t)
 	head := text("unsafe", "late", "", fmt.Sprint("Content-Length: ", length))
@@ -58,21 +59,22 @@
 	c.send(t, head[20:]+strings.Repeat("x", length-1))
 	after(3750 * time.Millisecond)
 	c.send(t, "x")
-	c.SetReadDeadline(time.Now().Add(2 * time.Second))
+	setReadTimeout(t, c, 2*time.Second)
 	if _, err := c.in.ReadByte(); err != nil {
-		t.Errorf("no answer 2 s after its last byte: %v", err)
+		t.Errorf("no response 2 s after its last byte: %v", err)
 	}
 }
 
-// A connection to a server that comes up after the node has ended its own carries nothing: nobody could be answered.
-func TestDialAcrossTheEnd(t *testing.T) {
+// A connection to a server that is established after the node has closed its own carries nothing: nobody could be
+// answered.
+func TestDialDuringShutdown(t *testing.T) {
 	b := newBackend(t, ok)
 	p := testPool(t)
-	resting := testAttempt(p, b.addr(), time.Minute)
-	if first := p.runAttempt(resting); first.result != policy.Success {
-		t.Fatalf("the first ended with %v", first.result)
+	first := testAttempt(p, b.addr(), time.Minute)
+	if outcome := p.runAttempt(first); outcome.result != policy.Success {
+		t.Fatalf("the first ended with %v", outcome.result)
 	}
-	c := resting.endpoint.idle[0]
+	c := first.endpoint.idle[0]
 	dialing, up := make(chan struct{}), make(chan struct{})
 	p.dialer.Control = func(string, string, syscall.RawConn) error {
 		close(dialing)
@@ -91,7 +93,7 @@
 		p.shutdown()
 		close(shut)
 	}()
-	<-c.gone // the end has begun
+	<-c.done // the shutdown has begun
 	close(up)
 	if r := <-ended; r.result != policy.ConnectFailed {
 		t.Errorf("it ended with %v, want Unreachable", r.result)
--- a/internal/node/pace_test.go
+++ b/internal/node/slow_body_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// lateReader is a server that reads nothing of a request for a while, then all of it, and answers.
+// lateReader is a server that reads nothing of a request for a while, then all of it, and responds.
 func lateReader(t *testing.T, wait time.Duration) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,8 +43,8 @@
 	return ln.Addr().String()
 }
 
-// A client whose long body is ready is not told that it was too slow because its server is.
-func TestSlowServerIsNotItsClientsFault(t *testing.T) {
+// A client whose long body is ready is not rejected as too slow because the server is.
+func TestSlowServerIsNotBlamedOnClient(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(t, "pushed", inService("s-0", lateReader(t, 4*time.Second)))
 	cfg.Discovery = silentDiscovery(t)
@@ -55,9 +55,9 @@
 	}
 }
 
-// A client that has sent much of a long body and stops gets its error or a close within the 3 s that it is owed, though
-// at the least pace its bytes would have taken far longer.
-func TestStopInALongBody(t *testing.T) {
+// A client that has sent most of a long body and stops gets an error or a close within 3 s, though at the minimum rate
+// its bytes would have taken far longer.
+func TestClientStopsWithinLongBody(t *testing.T) {
 	t.Parallel()
 	for name, length := range map[string]int{"of 3 MB": 3 << 20, "of 64 KiB": maxBufferedBody} {
 		t.Run(name, func(t *testing.T) {
@@ -68,10 +68,10 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: s\r\nX-Call-Id: 1\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\nContent-Length: %d\r\n\r\n%s",
-				length, strings.Repeat("x", length-length/16))
+			head := text("unsafe", "1", "", fmt.Sprint("Content-Length: ", length))
+			write(t, c, head+strings.Repeat("x", length-length/16))
 			stopped := time.Now()
-			c.SetReadDeadline(stopped.Add(10 * time.Second))
+			setReadTimeout(t, c, 10*time.Second)
 			_, err = c.Read(make([]byte, 1))
 			if took := time.Since(stopped); errors.Is(err, os.ErrDeadlineExceeded) || took > 3*time.Second {
 				t.Errorf("an error or a close came after %v, %v", took, err)
--- /dev/null
+++ b/internal/node/socket.go
@@ -0,0 +1,69 @@
+// What the system knows of a connection's socket, asked for without waiting.
+
+package node
+
+import (
+	"net"
+	"syscall"
+
+	"keelusher/policy/guard"
+
+	"golang.org/x/sys/unix"
+)
+
+const maxPollAttempts = 3 // poll(2) may be interrupted, or lack memory for a moment
+
+// peerState tells whether the peer has closed a connection or ended its sending.
+func peerState(c net.Conn) guard.ClientState {
+	raw, err := c.(syscall.Conn).SyscallConn()
+	if err != nil {
+		return guard.ClientThere // a connection without a descriptor to ask
+	}
+	state := guard.ClientNotKnown
+	err = raw.Control(func(fd uintptr) { state = pollPeer(int32(fd)) })
+	if err != nil { // closed by this side
+		return guard.ClientGone
+	}
+	return state
+}
+
+// pollPeer is peerState for a descriptor.
+func pollPeer(fd int32) guard.ClientState {
+	descriptors := []unix.PollFd{{Fd: fd, Events: unix.POLLRDHUP}}
+	for range maxPollAttempts {
+		if _, err := unix.Poll(descriptors, 0); err != nil {
+			continue
+		}
+		if descriptors[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
+			return guard.ClientGone
+		}
+		return guard.ClientThere
+	}
+	return guard.ClientNotKnown
+}
+
+// hasUnreadBytes reports whether received bytes wait in the system.
+func hasUnreadBytes(c net.Conn) (unread bool) {
+	raw, err := c.(syscall.Conn).SyscallConn()
+	if err != nil {
+		return false
+	}
+	err = raw.Control(func(fd uintptr) {
+		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		unread = err == nil && n > 0
+	})
+	return err == nil && unread
+}
+
+// readAvailable reads what waits in the system, which may be nothing.
+func readAvailable(c net.Conn, b []byte) (n int) {
+	raw, err := c.(syscall.Conn).SyscallConn()
+	if err != nil {
+		return 0
+	}
+	err = raw.Control(func(fd uintptr) { n, _ = syscall.Read(int(fd), b) })
+	if err != nil { // closed by this side
+		return 0
+	}
+	return max(n, 0)
+}
