--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -224,19 +224,19 @@
 			RepeatBefore:    att.retryBefore,
 			RequestAnswered: att.request.finished.Load(),
 			EndpointRemoved: att.endpoint.unavailable.Load(),
-			ListOutdated:    p.staleness.hold(),
+			ListOutdated:    p.staleness.holdSends(),
 			Client:          att.request.connection.clientState(),
 		}.Verdict()
 		if verdict != guard.ListOutdated {
 			return verdict
 		}
-		time.Sleep(settle / 10)
+		time.Sleep(resumeQuietPeriod / 10)
 	}
 }
 
 // recordWritten counts an attempt that was written completely, and checks afterwards that it was allowed.
 func (p *pool) recordWritten(att *attempt, clientDeadline time.Duration) {
-	p.stats.count(func(c *counts) { c.written++ })
+	p.metrics.update(func(c *counters) { c.attemptsWritten++ })
 	p.decisions.attemptWritten(att, guard.Sent{
 		Now:            p.clock.now(),
 		ClientDeadline: clientDeadline,
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -74,7 +74,7 @@
 	defer c.listener.mu.Unlock()
 	expired = c.state == clientConnExpired
 	if c.awaitsHead() && c.head.partial() {
-		c.listener.stats.count(func(c *counts) { c.halves++ })
+		c.listener.metrics.update(func(c *counters) { c.incompleteHeads++ })
 	}
 	c.transition(closeStarted)
 	return expired
@@ -213,11 +213,11 @@
 func (c *clientConn) closeCause(evicted, idle bool) closeCause {
 	switch {
 	case evicted:
-		return closeMakesRoom
+		return closeEvicted
 	case c.closeRequested:
-		return closeLeaving
+		return closeShutdown
 	case idle && c.reused:
-		return closeRested
+		return closeIdle
 	}
 	return closeSlowHead
 }
--- a/internal/node/client_conn_state_test.go
+++ b/internal/node/client_conn_state_test.go
@@ -10,7 +10,7 @@
 // newListedConn is a connection in a state, beside another one in each list.
 func newListedConn(t *testing.T, state clientConnState) *clientConn {
 	t.Helper()
-	l := newLimitedListener(nil, 1, newStats(nil), newDecisions(quiet()))
+	l := newLimitedListener(nil, 1, newMetrics(nil), newDecisions(quiet()))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	newPipeConn(t, l)
--- a/internal/node/client_handler.go
+++ b/internal/node/client_handler.go
@@ -30,11 +30,11 @@
 	arrivals    chan<- *clientRequest
 	disconnects chan<- *clientRequest
 	stopped     <-chan struct{} // closed when the loop has ended
-	stats       *stats
+	metrics     *metrics
 	decisions   *decisions
 	buffers     buffers
-	methods     map[string]string // by class; other classes are unknown
-	suspension  *suspension       // nil: suspensions of the process are not noticed
+	methods     map[string]string   // by class; other classes are unknown
+	suspension  *suspensionDetector // nil: suspensions of the process are not noticed
 	ready       func() bool
 
 	closeConnections func() bool // whether every response closes its connection
@@ -118,7 +118,7 @@
 // abortEvicted ends the handling of a request whose connection the node has closed. Its client retries, so that
 // forwarding it would run it twice.
 func (h *clientHandler) abortEvicted() {
-	h.stats.count(func(c *counts) { c.crossed++ })
+	h.metrics.update(func(c *counters) { c.requestsAfterClose++ })
 	h.decisions.violation(guard.RequestRead)
 	panic(http.ErrAbortHandler)
 }
@@ -126,7 +126,7 @@
 // rejectMalformed answers a request that does not reach the loop, and closes its connection: the body may not have
 // been read to its end, and what follows on the connection need not be a request.
 func (h *clientHandler) rejectMalformed(w http.ResponseWriter, status int, err error) {
-	h.stats.turnedDown(err.Error())
+	h.metrics.countInvalidRequest(err.Error())
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 }
--- a/internal/node/client_listener.go
+++ b/internal/node/client_listener.go
@@ -18,7 +18,7 @@
 // connection is evicted. The listener is safe for concurrent use.
 type limitedListener struct {
 	net.Listener
-	stats     *stats
+	metrics   *metrics
 	decisions *decisions
 	closing   chan struct{} // closed by Close
 	aborting  atomic.Bool   // the node ends: open connections are closed at once
@@ -33,10 +33,10 @@
 	evicting     *clientConn // its reader is to end it; nil: none
 }
 
-func newLimitedListener(ln net.Listener, limit int, st *stats, d *decisions) *limitedListener {
+func newLimitedListener(ln net.Listener, limit int, m *metrics, d *decisions) *limitedListener {
 	l := &limitedListener{
 		Listener:     ln,
-		stats:        st,
+		metrics:      m,
 		decisions:    d,
 		closing:      make(chan struct{}),
 		limit:        limit,
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	acceptedAt := time.Now()
-	l.stats.count(func(c *counts) { c.accepted++ })
+	l.metrics.update(func(c *counters) { c.acceptedConnections++ })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.admitted >= l.limit && !l.closed {
@@ -96,7 +96,7 @@
 	if oldest == nil || l.evicting != nil {
 		return
 	}
-	l.stats.count(func(c *counts) { c.evicted++ })
+	l.metrics.update(func(c *counters) { c.evictedConnections++ })
 	l.evicting = oldest.Value.(*clientConn)
 	l.evicting.interruptRead()
 }
--- a/internal/node/memory_reservation_test.go
+++ b/internal/node/memory_reservation_test.go
@@ -21,7 +21,7 @@
 		arrivals:         arrivals,
 		disconnects:      disconnects,
 		stopped:          make(chan struct{}),
-		stats:            newStats(nil),
+		metrics:          newMetrics(nil),
 		buffers:          newBuffers(64, 8),
 		methods:          map[string]string{"safe": http.MethodGet},
 		ready:            func() bool { return true },
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -47,8 +47,8 @@
 	results          chan<- attemptOutcome
 	requestsWritten  chan<- requestWritten
 	responsesStarted chan<- responseStarted
-	stats            *stats
-	staleness        *watchdog // of discovery
+	metrics          *metrics
+	staleness        *stalenessMonitor // of discovery
 	buffers          buffers
 
 	decisions    *decisions
@@ -72,7 +72,7 @@
 		results:          l.results,
 		requestsWritten:  l.sents,
 		responsesStarted: l.begins,
-		stats:            l.stats,
+		metrics:          l.stats,
 		buffers:          b,
 		decisions:        l.decisions,
 		removalGrace:     cfg.removalGrace,
@@ -137,7 +137,7 @@
 		if c.state != serverConnClosed && c.claimForReuse() {
 			return c
 		}
-		p.stats.count(func(c *counts) { c.stale++ })
+		p.metrics.update(func(c *counters) { c.staleConnections++ })
 		c.transition(serverConnDropped) // nothing of this attempt was written on it
 	}
 	return nil
--- a/internal/node/request_parsing.go
+++ b/internal/node/request_parsing.go
@@ -50,7 +50,7 @@
 	}
 	c.header = forwardableHeaders(r.Header)
 	// A request that waited for a suspended process has used up a part of its time.
-	c.budget = budget - min(h.suspension.waited(), c.connection.idleFor())
+	c.budget = budget - min(h.suspension.timeQueued(), c.connection.idleFor())
 	if c.budget <= 0 {
 		return nil, http.StatusServiceUnavailable, errBudgetUsedSuspended
 	}
