--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -221,7 +221,7 @@
 		verdict := guard.Send{
 			Now:             p.clock.now(),
 			Deadline:        att.deadline,
-			RepeatBefore:    att.retryBefore,
+			RetryBefore:     att.retryBefore,
 			RequestAnswered: att.request.finished.Load(),
 			EndpointRemoved: att.endpoint.unavailable.Load(),
 			ListOutdated:    p.staleness.holdSends(),
@@ -240,9 +240,9 @@
 	p.decisions.attemptWritten(att, guard.Sent{
 		Now:            p.clock.now(),
 		ClientDeadline: clientDeadline,
-		Told:           att.budgetSent,
-		RepeatBefore:   att.retryBefore,
-		ClientLeft:     att.request.disconnectedAt.get(),
+		Timeout:        att.budgetSent,
+		RetryBefore:    att.retryBefore,
+		DisconnectedAt: att.request.disconnectedAt.get(),
 		RemovedAt:      att.endpoint.removedAt.get(),
 		RemovalGrace:   p.removalGrace,
 	})
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -90,7 +90,7 @@
 			t.Errorf("%s: looked complete", name)
 		}
 		eventually(t, "it is counted", func() bool {
-			c := n.loop.stats.snapshot()
+			c := n.loop.metrics.snapshot()
 			return c.failed["unsafe"] == 1 && c.succeeded["unsafe"] == 0 && c.inFlight() == 0
 		})
 	}
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -227,7 +227,7 @@
 // body or of a next request, nor while the process is suspended or busy.
 func (c *clientConn) clientState() guard.ClientState {
 	if c == nil {
-		return guard.ClientThere
+		return guard.ClientConnected
 	}
 	return peerState(c.Conn)
 }
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -102,7 +102,7 @@
 // idle reports whether no request is left, queued or at a server.
 func (n *running) idle() bool {
 	var calls int
-	n.loop.ask(func() { calls = len(n.loop.calls) })
+	n.loop.runTask(func() { calls = len(n.loop.openRequests) })
 	return calls == 0
 }
 
@@ -151,7 +151,7 @@
 // waits reports whether the loop has a request.
 func (n *running) waits(id string) bool {
 	var there bool
-	n.loop.ask(func() { there = n.loop.calls[id] != nil })
+	n.loop.runTask(func() { there = n.loop.openRequests[id] != nil })
 	return there
 }
 
@@ -176,7 +176,7 @@
 			eventually(t, "it is out", func() bool { return b.got("left") == 1 })
 			l.leave(t, c)
 			eventually(t, "it has disconnected", c.node.disconnected)
-			n.loop.lists <- news{list: roster{Seq: 2, Hosts: []host{inService("s-1", other.addr())}}}
+			n.loop.endpointUpdates <- watchEvent{list: endpointList{Version: 2, Endpoints: []listedEndpoint{inService("s-1", other.addr())}}}
 			release()
 			eventually(t, "all is over", n.idle)
 			if got := other.requests(); got != 0 {
@@ -223,7 +223,7 @@
 			b := newBackend(t, ok)
 			n, ln := gatedNode(t, b)
 			busy, asleep := make(chan struct{}), make(chan struct{})
-			go func() { n.loop.asks <- func() { close(asleep); <-busy } }()
+			go func() { n.loop.tasks <- func() { close(asleep); <-busy } }()
 			<-asleep
 			c := ln.dial(t)
 			c.send(t, l.request)
--- a/internal/node/client_handler_test.go
+++ b/internal/node/client_handler_test.go
@@ -277,7 +277,7 @@
 	}()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	n.stop()
-	eventually(t, "shutting down", func() bool { return n.life.current() == phaseShuttingDown })
+	eventually(t, "shutting down", func() bool { return n.lifecycle.current() == phaseShuttingDown })
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := fresh.Do(newRequest(t, n.url, "unsafe", "late", "x"))
 	if err != nil {
--- a/internal/node/connection_race_test.go
+++ b/internal/node/connection_race_test.go
@@ -121,7 +121,7 @@
 	if got := b.requests(); got != sent+2 {
 		t.Errorf("servers got %d requests, want 2", got-sent)
 	}
-	if crossed := n.loop.stats.snapshot().requestsAfterClose; crossed != 0 || len(n.loop.decisions.violations.nonZero()) > 0 {
+	if crossed := n.loop.metrics.snapshot().requestsAfterClose; crossed != 0 || len(n.loop.decisions.violations.nonZero()) > 0 {
 		t.Errorf("%d were dropped, violations %v", crossed, n.loop.decisions.violations.nonZero())
 	}
 }
@@ -267,7 +267,7 @@
 			first.disconnect()
 			eventually(t, "the loop knows that it disconnected", func() bool {
 				var finished bool
-				n.loop.ask(func() { finished = n.loop.calls["1"].finished.Load() })
+				n.loop.runTask(func() { finished = n.loop.openRequests["1"].finished.Load() })
 				return finished
 			})
 			again := ln.dial(t)
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -63,16 +63,16 @@
 	running sync.WaitGroup // attempts and readers
 }
 
-func newPool(cfg Config, limit int, l *loop, b buffers) *pool {
+func newPool(cfg Config, limit int, l *eventLoop, b buffers) *pool {
 	return &pool{
 		clock:            l.clock,
 		dialer:           net.Dialer{Timeout: cfg.connectTimeout, KeepAlive: -1},
-		idleTimeout:      cfg.connIdle / 2,
-		streamTimeout:    cfg.connIdle,
-		results:          l.results,
-		requestsWritten:  l.sents,
-		responsesStarted: l.begins,
-		metrics:          l.stats,
+		idleTimeout:      cfg.connectionIdleTimeout / 2,
+		streamTimeout:    cfg.connectionIdleTimeout,
+		results:          l.attemptResults,
+		requestsWritten:  l.requestsSent,
+		responsesStarted: l.responsesStarted,
+		metrics:          l.metrics,
 		buffers:          b,
 		decisions:        l.decisions,
 		removalGrace:     cfg.removalGrace,
--- a/internal/node/retry_window_test.go
+++ b/internal/node/retry_window_test.go
@@ -18,7 +18,7 @@
 func TestNoRetryAfterDeduplicationWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	fails := func(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "500 Internal Server Error", "") }
-	var hosts []host
+	var hosts []listedEndpoint
 	var backends []*backend
 	for i := range 2 {
 		b := newBackend(t, fails)
@@ -55,11 +55,11 @@
 // guard had allowed it before, as in a process that is suspended between its check and its write.
 func TestViolationsAreCounted(t *testing.T) {
 	for want, delay := range map[guard.Verdict]func(now time.Duration, att *attempt){
-		guard.Allowed:          func(time.Duration, *attempt) {},
-		guard.RepeatWindowOver: func(now time.Duration, att *attempt) { att.retryBefore = now },
-		guard.ClientLeft:       func(now time.Duration, att *attempt) { att.request.disconnectedAt.set(now - time.Second) },
-		guard.EndpointRemoved:  func(now time.Duration, att *attempt) { att.endpoint.removedAt.set(now - 4*time.Second) },
-		guard.ToldTooMuchTime:  func(now time.Duration, att *attempt) { att.request.deadline = now + time.Second },
+		guard.Allowed:                 func(time.Duration, *attempt) {},
+		guard.DeduplicationWindowOver: func(now time.Duration, att *attempt) { att.retryBefore = now },
+		guard.ClientDisconnected:      func(now time.Duration, att *attempt) { att.request.disconnectedAt.set(now - time.Second) },
+		guard.EndpointRemoved:         func(now time.Duration, att *attempt) { att.endpoint.removedAt.set(now - 4*time.Second) },
+		guard.TimeoutTooLong:          func(now time.Duration, att *attempt) { att.request.deadline = now + time.Second },
 	} {
 		t.Run(want.String(), func(t *testing.T) {
 			p := testPool(t)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,7 +14,7 @@
 
 // A node that shuts down answers what it cannot finish before it may be killed: requests that may have run fail, queued
 // ones are rejected.
-func TestLastResponsesBeforeKill(t *testing.T) {
+func TestFinalResponsesBeforeTheKill(t *testing.T) {
 	b, _ := stalled(t, func(net.Conn, *http.Request) bool { return false })
 	n, ln := gatedNode(t, b)
 	sent := ln.fill(t, b)
@@ -41,7 +41,7 @@
 
 // A request whose last byte arrives after a node that shuts down has sent its last responses gets one all the same: the
 // kill is near, and the servers hang.
-func TestRequestCompletedAfterLastResponses(t *testing.T) {
+func TestRequestCompletedAfterFinalResponses(t *testing.T) {
 	t.Parallel()
 	const length = 60000
 	b, _ := stalled(t, func(net.Conn, *http.Request) bool { return false })
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -17,12 +17,12 @@
 func peerState(c net.Conn) guard.ClientState {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
-		return guard.ClientThere // a connection without a descriptor to ask
+		return guard.ClientConnected // a connection without a descriptor to ask
 	}
-	state := guard.ClientNotKnown
+	state := guard.ClientStateUnknown
 	err = raw.Control(func(fd uintptr) { state = pollPeer(int32(fd)) })
 	if err != nil { // closed by this side
-		return guard.ClientGone
+		return guard.ClientClosed
 	}
 	return state
 }
@@ -35,11 +35,11 @@
 			continue
 		}
 		if descriptors[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
-			return guard.ClientGone
+			return guard.ClientClosed
 		}
-		return guard.ClientThere
+		return guard.ClientConnected
 	}
-	return guard.ClientNotKnown
+	return guard.ClientStateUnknown
 }
 
 // hasUnreadBytes reports whether received bytes wait in the system.
