--- /dev/null
+++ b/internal/inbound/headers.go
@@ -0,0 +1,109 @@
+package inbound
+
+import (
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"keelusher/policy"
+)
+
+// MaxBudget is the longest time that a client may grant for a response.
+const MaxBudget = time.Hour
+
+var (
+	errNoRequestID  = errors.New("X-Call-Id is missing")
+	errUnknownClass = errors.New("X-Call-Class is missing or unknown")
+	errBudgetSyntax = errors.New("want a number and m or u")
+	errBudgetRange  = errors.New("out of range")
+)
+
+// ParseHeaders reads from the headers of a request what the policy needs to know of it, and the budget. The methods are
+// those of the known classes. It fails with a *Rejection.
+func ParseHeaders(r *http.Request, methods map[string]string) (meta policy.Request, budget time.Duration, err error) {
+	meta.ID = r.Header.Get("X-Call-Id")
+	meta.Class = r.Header.Get("X-Call-Class")
+	meta.Tenant = r.Header.Get("X-Caller")
+	meta.IsRetry = r.Header.Get("X-Again") == "1"
+	if meta.ID == "" {
+		return meta, 0, Reject(http.StatusBadRequest, errNoRequestID)
+	}
+	// Servers fail requests of unknown classes, and the policy would take that for a fault of theirs.
+	method := methods[meta.Class]
+	if method == "" {
+		return meta, 0, Reject(http.StatusBadRequest, errUnknownClass)
+	}
+	if method != r.Method {
+		rejection := Reject(http.StatusMethodNotAllowed, fmt.Errorf("the method of this class is %s", method))
+		rejection.Allow = method
+		return meta, 0, rejection
+	}
+	budget, err = ParseBudget(r.Header.Get("X-Budget"))
+	if err != nil {
+		return meta, 0, Reject(http.StatusBadRequest, fmt.Errorf("X-Budget: %w", err))
+	}
+	if key := r.Header.Get("X-Route-Hash"); key != "" {
+		meta.Key, meta.HasKey = hashKey(key), true
+	}
+	return meta, budget, nil
+}
+
+// hashKey is the form of a key that the policy compares.
+func hashKey(key string) uint64 {
+	sum := fnv.New64a()
+	sum.Write([]byte(key))
+	return sum.Sum64()
+}
+
+// ParseBudget reads a time as a number and its unit: m for milliseconds or u for microseconds.
+func ParseBudget(s string) (time.Duration, error) {
+	unit := time.Millisecond
+	number, ok := strings.CutSuffix(s, "m")
+	if !ok {
+		unit = time.Microsecond
+		if number, ok = strings.CutSuffix(s, "u"); !ok {
+			return 0, errBudgetSyntax
+		}
+	}
+	value, err := strconv.ParseFloat(number, 64)
+	if err != nil {
+		return 0, errBudgetSyntax
+	}
+	value *= float64(unit)
+	inRange := value > 0 && value <= float64(MaxBudget) // false for NaN too
+	if !inRange {
+		return 0, errBudgetRange
+	}
+	return time.Duration(value), nil
+}
+
+// connectionHeaders concern a single connection, or are set anew by the node.
+var connectionHeaders = []string{
+	"Connection",
+	"Keep-Alive",
+	"Proxy-Connection",
+	"Te",
+	"Trailer",
+	"Transfer-Encoding",
+	"Upgrade",
+	"Expect",
+	"X-Budget",
+}
+
+// ForwardableHeaders are the headers of a request that are sent to a server.
+func ForwardableHeaders(h http.Header) http.Header {
+	forwarded := h.Clone()
+	for _, value := range h.Values("Connection") {
+		for name := range strings.SplitSeq(value, ",") {
+			forwarded.Del(strings.TrimSpace(name))
+		}
+	}
+	for _, name := range connectionHeaders {
+		forwarded.Del(name)
+	}
+	return forwarded
+}
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -94,7 +94,7 @@
 // writeFailed is the outcome of an attempt whose last byte was not written, so that its request cannot have run.
 func writeFailed(att *attempt, err error) attemptOutcome {
 	outcome := attemptOutcome{attempt: att, result: policy.ConnectFailed, err: err}
-	if att.request.bodyStream != nil && att.request.bodyStream.failure() != nil {
+	if att.request.bodyStream != nil && att.request.bodyStream.Failure() != nil {
 		outcome.result = policy.NotSent // the client did not send the last byte
 	}
 	return outcome
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -10,6 +10,7 @@
 	"os"
 	"time"
 
+	"keelusher/internal/inbound"
 	"keelusher/policy/guard"
 )
 
@@ -31,7 +32,7 @@
 	listener *limitedListener
 
 	acceptedAt time.Time
-	head       requestHead // of the request that is being read
+	head       inbound.Head // of the request that is being read
 
 	// Guarded by listener.mu.
 	state          clientConnState
@@ -73,7 +74,7 @@
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	expired = c.state == clientConnExpired
-	if c.awaitsHead() && c.head.partial() {
+	if c.awaitsHead() && c.head.Partial() {
 		c.listener.metrics.update(func(c *counters) { c.incompleteHeads++ })
 	}
 	c.transition(closeStarted)
@@ -104,7 +105,7 @@
 // response to the one before. An unknown connection, nil, may have been idle for any time.
 func (c *clientConn) idleFor() time.Duration {
 	if c == nil {
-		return maxBudget
+		return inbound.MaxBudget
 	}
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -147,7 +148,7 @@
 				continue
 			}
 		}
-		c.head.add(b[:n])
+		c.head.Add(b[:n])
 		return n, err
 	}
 }
@@ -161,7 +162,7 @@
 	if c.state == clientConnClosed {
 		return 0, false, net.ErrClosed
 	}
-	idle := c.awaitsHead() && !c.head.started()
+	idle := c.awaitsHead() && !c.head.Started()
 	evicted := c.listener.evicting == c
 	requestComplete := len(b) == backgroundReadSize
 	if requestComplete {
@@ -203,10 +204,10 @@
 // headTimeLeft is how much longer a head may take that has started to arrive on a reused connection, whose idle time
 // may end before. The caller holds the lock.
 func (c *clientConn) headTimeLeft() time.Duration {
-	if !c.reused || !c.awaitsHead() || !c.head.started() {
+	if !c.reused || !c.awaitsHead() || !c.head.Started() {
 		return 0
 	}
-	return headTimeout - c.head.age()
+	return headTimeout - c.head.Age()
 }
 
 // closeCause is why the reader ends the connection. The caller holds the lock.
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -176,7 +176,8 @@
 			eventually(t, "it is out", func() bool { return b.got("left") == 1 })
 			l.leave(t, c)
 			eventually(t, "it has disconnected", c.node.disconnected)
-			n.loop.endpointUpdates <- watchEvent{list: endpointList{Version: 2, Endpoints: []listedEndpoint{inService("s-1", other.addr())}}}
+			moved := []listedEndpoint{inService("s-1", other.addr())}
+			n.loop.endpointUpdates <- watchEvent{list: endpointList{Version: 2, Endpoints: moved}}
 			release()
 			eventually(t, "all is over", n.idle)
 			if got := other.requests(); got != 0 {
--- a/internal/node/client_handler.go
+++ b/internal/node/client_handler.go
@@ -10,12 +10,13 @@
 	"strconv"
 	"time"
 
+	"keelusher/internal/inbound"
 	"keelusher/policy"
 	"keelusher/policy/guard"
 )
 
-// A well-behaved client takes up to 2 s for a head and sends its body at minBodyRate at least; a peer that sends no
-// whole request is owed an error or a close within 3 s of connecting.
+// A well-behaved client takes up to 2 s for a head and sends its body at 64 kB a second at least; a peer that
+// sends no whole request is owed an error or a close within 3 s of connecting.
 const (
 	headTimeout          = 2500 * time.Millisecond // from connecting on
 	firstBodyByteTimeout = 2 * time.Second
@@ -45,17 +46,17 @@
 	if !recordHeadRead(r) {
 		h.abortEvicted()
 	}
-	if status, err := checkFraming(r); err != nil {
-		h.rejectMalformed(w, status, err)
+	if err := inbound.CheckFraming(r, headOf(r)); err != nil {
+		h.reject(w, err)
 		return
 	}
 	if r.URL.Path == "/ready" {
 		h.serveReadiness(w, r)
 		return
 	}
-	c, status, err := h.parseRequest(w, r)
+	c, err := h.parseRequest(w, r)
 	if err != nil {
-		h.rejectMalformed(w, status, err)
+		h.reject(w, err)
 		return
 	}
 	if !recordRequestRead(r) {
@@ -110,7 +111,7 @@
 // client could read that closed only its sending.
 func (h *clientHandler) abort(c *clientRequest) {
 	if c.bodyStream != nil {
-		c.bodyStream.stop()
+		c.bodyStream.Stop()
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -123,18 +124,27 @@
 	panic(http.ErrAbortHandler)
 }
 
-// rejectMalformed answers a request that does not reach the loop, and closes its connection: the body may not have
-// been read to its end, and what follows on the connection need not be a request.
-func (h *clientHandler) rejectMalformed(w http.ResponseWriter, status int, err error) {
-	h.metrics.countInvalidRequest(err.Error())
+// reject answers a request that does not reach the loop, and closes its connection: the body may not have been read to
+// its end, and what follows on the connection need not be a request. An error that is no *inbound.Rejection counts as
+// the client's.
+func (h *clientHandler) reject(w http.ResponseWriter, reason error) {
+	status := http.StatusBadRequest
+	var rejection *inbound.Rejection
+	if errors.As(reason, &rejection) {
+		status = rejection.Status
+		if rejection.Allow != "" {
+			w.Header().Set("Allow", rejection.Allow)
+		}
+	}
+	h.metrics.countInvalidRequest(reason.Error())
 	w.Header().Set("Connection", "close")
-	http.Error(w, err.Error(), status)
+	http.Error(w, reason.Error(), status)
 }
 
 // beginResponse prepares the connection for its next request, or for its close after this response.
 func (h *clientHandler) beginResponse(w http.ResponseWriter, r *http.Request) {
 	if c := clientConnOf(r); c != nil {
-		c.head.reset()
+		c.head.Reset()
 	}
 	if h.closeConnections() {
 		w.Header().Set("Connection", "close")
@@ -148,7 +158,7 @@
 	defer final.bodyMemory.release()
 	_ = controller.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	h.beginResponse(w, r)
-	bodyUnread := c.bodyStream != nil && !c.bodyStream.stop()
+	bodyUnread := c.bodyStream != nil && !c.bodyStream.Stop()
 	if bodyUnread {
 		w.Header().Set("Connection", "close")
 	}
@@ -167,7 +177,7 @@
 	}
 	if bodyUnread {
 		_ = controller.Flush()
-		c.bodyStream.discard()
+		c.bodyStream.Discard()
 	}
 }
 
--- a/internal/node/client_handler_test.go
+++ b/internal/node/client_handler_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"keelusher/internal/inbound"
 )
 
 func TestRequestIsForwarded(t *testing.T) {
@@ -27,7 +29,7 @@
 		got.Header.Get("Idempotency-Key") != "k-id-1" || got.Header.Get("X-Hop") != "" {
 		t.Errorf("the server got %s %q %v", got.RequestURI, b.body[0], got.Header)
 	}
-	if left, err := parseBudget(got.Header.Get("X-Budget")); err != nil || left > 30*time.Second {
+	if left, err := inbound.ParseBudget(got.Header.Get("X-Budget")); err != nil || left > 30*time.Second {
 		t.Errorf("X-Budget %v, %v", left, err)
 	}
 }
--- a/internal/node/client_listener.go
+++ b/internal/node/client_listener.go
@@ -9,6 +9,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"keelusher/internal/inbound"
 )
 
 // limitedListener admits a limited number of connections at once. At the limit a further connection evicts the one
@@ -164,6 +166,14 @@
 	return c
 }
 
+// headOf is the head of a request as its connection read it; nil: not known.
+func headOf(r *http.Request) *inbound.Head {
+	if c := clientConnOf(r); c != nil {
+		return &c.head
+	}
+	return nil
+}
+
 // recordHeadRead records that the head of a request has been read. It reports whether the connection is still open: the
 // connection may have been evicted since the read, and the request could not be answered.
 func recordHeadRead(r *http.Request) (open bool) { return recordProgress(r, headRead) }
--- a/internal/node/connection_race_test.go
+++ b/internal/node/connection_race_test.go
@@ -121,8 +121,9 @@
 	if got := b.requests(); got != sent+2 {
 		t.Errorf("servers got %d requests, want 2", got-sent)
 	}
-	if crossed := n.loop.metrics.snapshot().requestsAfterClose; crossed != 0 || len(n.loop.decisions.violations.nonZero()) > 0 {
-		t.Errorf("%d were dropped, violations %v", crossed, n.loop.decisions.violations.nonZero())
+	dropped, violations := n.loop.metrics.snapshot().requestsAfterClose, n.loop.decisions.violations.nonZero()
+	if dropped != 0 || len(violations) > 0 {
+		t.Errorf("%d were dropped, violations %v", dropped, violations)
 	}
 }
 
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"keelusher/internal/inbound"
 	"keelusher/policy"
 )
 
@@ -248,7 +249,7 @@
 		r.Header.Get("X-Call-Id") != "1" || r.Header.Get("Idempotency-Key") != "k" {
 		t.Errorf("got %s %s %q %v", r.RequestURI, r.Host, body, r.Header)
 	}
-	if left, err := parseBudget(r.Header.Get("X-Budget")); err != nil || left <= 0 || left > 400*time.Millisecond {
+	if left, err := inbound.ParseBudget(r.Header.Get("X-Budget")); err != nil || left <= 0 || left > 400*time.Millisecond {
 		t.Errorf("X-Budget %v, %v", left, err)
 	}
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -8,6 +8,7 @@
 	"sync/atomic"
 	"time"
 
+	"keelusher/internal/inbound"
 	"keelusher/policy"
 	"keelusher/policy/guard"
 )
@@ -21,7 +22,7 @@
 	header        http.Header
 	body          []byte             // complete, or what was read before the request was accepted
 	bodyMemory    *memoryReservation // for body
-	bodyStream    *requestStream     // what follows body; nil: nothing
+	bodyStream    *inbound.Body      // what follows body; nil: nothing
 	contentLength int64              // of body and bodyStream together; -1: not known
 	budget        time.Duration
 	deadline      time.Duration
@@ -51,7 +52,7 @@
 func (r response) discard() {
 	r.bodyMemory.release()
 	if r.bodyStream != nil {
-		r.bodyStream.finish(errBodyUnwanted, true)
+		r.bodyStream.finish(inbound.ErrBodyUnwanted, true)
 	}
 }
 
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -175,8 +175,8 @@
 	if request.bodyStream == nil || request.finished.Load() {
 		return false
 	}
-	consumed = request.bodyStream.consumed.Load()
-	if request.bodyStream.failure() != nil {
+	consumed = request.bodyStream.Consumed()
+	if request.bodyStream.Failure() != nil {
 		l.disconnect(request)
 		request.responses <- response{status: http.StatusRequestTimeout}
 	}
--- a/internal/node/retry_window_test.go
+++ b/internal/node/retry_window_test.go
@@ -55,11 +55,19 @@
 // guard had allowed it before, as in a process that is suspended between its check and its write.
 func TestViolationsAreCounted(t *testing.T) {
 	for want, delay := range map[guard.Verdict]func(now time.Duration, att *attempt){
-		guard.Allowed:                 func(time.Duration, *attempt) {},
-		guard.DeduplicationWindowOver: func(now time.Duration, att *attempt) { att.retryBefore = now },
-		guard.ClientDisconnected:      func(now time.Duration, att *attempt) { att.request.disconnectedAt.set(now - time.Second) },
-		guard.EndpointRemoved:         func(now time.Duration, att *attempt) { att.endpoint.removedAt.set(now - 4*time.Second) },
-		guard.TimeoutTooLong:          func(now time.Duration, att *attempt) { att.request.deadline = now + time.Second },
+		guard.Allowed: func(time.Duration, *attempt) {},
+		guard.DeduplicationWindowOver: func(now time.Duration, att *attempt) {
+			att.retryBefore = now
+		},
+		guard.ClientDisconnected: func(now time.Duration, att *attempt) {
+			att.request.disconnectedAt.set(now - time.Second)
+		},
+		guard.EndpointRemoved: func(now time.Duration, att *attempt) {
+			att.endpoint.removedAt.set(now - 4*time.Second)
+		},
+		guard.TimeoutTooLong: func(now time.Duration, att *attempt) {
+			att.request.deadline = now + time.Second
+		},
 	} {
 		t.Run(want.String(), func(t *testing.T) {
 			p := testPool(t)
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -12,6 +12,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"keelusher/internal/inbound"
 )
 
 // readinessPollInterval is between two looks at whether a successor can serve.
@@ -135,7 +137,7 @@
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, clientConnKey{}, c)
 		},
-		MaxHeaderBytes: maxRequestHead,
+		MaxHeaderBytes: inbound.MaxHead,
 		ErrorLog:       slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
 	}
 }
