--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -106,7 +106,7 @@
 	eventually(t, "the connection limit is reached", func() bool {
 		n.inbound.mu.Lock()
 		defer n.inbound.mu.Unlock()
-		return n.inbound.taken == limit && n.inbound.waiting.Len() == 0
+		return n.inbound.admitted == limit && n.inbound.awaitingHead.Len() == 0
 	})
 	for i := range 2 * adminMaxConnections {
 		_, _ = io.WriteString(dialAdmin(t, n), "GET /control"[:i%2*12]) // it may be evicted already
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -129,8 +129,8 @@
 	young := process(t, cfg)
 	eventually(t, "the old one knows", old.handover.SuccessorServes)
 	half := cfg.clientConnectionLimit(cfg.Sockets / 2)
-	if old.inbound.most != half || young.inbound.most != half {
-		t.Errorf("%d and %d connections, want %d each", old.inbound.most, young.inbound.most, half)
+	if old.inbound.limit != half || young.inbound.limit != half {
+		t.Errorf("%d and %d connections, want %d each", old.inbound.limit, young.inbound.limit, half)
 	}
 	old.stopAndWait(t)
 	before := served(young)
@@ -138,7 +138,7 @@
 	eventually(t, "it has all connections", func() bool {
 		young.inbound.mu.Lock()
 		defer young.inbound.mu.Unlock()
-		return young.inbound.most == cfg.clientConnectionLimit(cfg.Sockets)
+		return young.inbound.limit == cfg.clientConnectionLimit(cfg.Sockets)
 	})
 	third := process(t, cfg) // and so on
 	young.stopAndWait(t)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -35,7 +35,7 @@
 	n.buffers.responses.rescale(before, processes)
 	descriptors := n.cfg.Sockets / processes
 	clientConnections := max(minConnections, n.cfg.clientConnectionLimit(descriptors))
-	n.inbound.resize(clientConnections)
+	n.inbound.setLimit(clientConnections)
 	n.pool.setLimit(max(minConnections, descriptors-n.cfg.reservedDescriptors()-clientConnections))
 	if n.cfg.ProcessesChanged != nil {
 		n.cfg.ProcessesChanged(processes)
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -35,7 +35,7 @@
 		status = http.StatusServiceUnavailable
 	}
 	l.metrics.countInvalidRequest("X-Call-Id is in use")
-	request.bodyMemory.shrink(0)
+	request.bodyMemory.release()
 	request.responses <- response{status: status}
 }
 
@@ -141,7 +141,7 @@
 		return
 	}
 	delete(l.openRequests, request.meta.ID)
-	request.bodyMemory.shrink(0)
+	request.bodyMemory.release()
 }
 
 // handleAttemptResult notifies the policy of an attempt that ended, and answers the client if it can.
@@ -175,8 +175,8 @@
 	if request.bodyStream == nil || request.finished.Load() {
 		return false
 	}
-	consumed = request.bodyStream.touched.Load()
-	if request.bodyStream.failed() != nil {
+	consumed = request.bodyStream.Consumed()
+	if request.bodyStream.Failure() != nil {
 		l.disconnect(request)
 		request.responses <- response{status: http.StatusRequestTimeout}
 	}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"keelusher/internal/handover"
+	"keelusher/internal/inbound"
 	"keelusher/internal/lifecycle"
 )
 
@@ -125,26 +126,26 @@
 // newClientServer is the HTTP server of the clients.
 func (n *Node) newClientServer(suspension *lifecycle.SuspensionDetector) *http.Server {
 	return &http.Server{
-		Handler: &callers{
-			clock:      n.loop.clock,
-			arrivals:   n.loop.requests,
-			gone:       n.loop.disconnects,
-			stopped:    n.loop.stop,
-			stats:      n.loop.metrics,
-			decisions:  n.loop.decisions,
-			buffers:    n.buffers,
-			suspension: suspension,
-			methods:    methods(n.cfg.Settings.Classes),
-			ready:      n.ready,
-			closing:    n.closing,
+		Handler: &clientHandler{
+			clock:            n.loop.clock,
+			arrivals:         n.loop.requests,
+			disconnects:      n.loop.disconnects,
+			stopped:          n.loop.stop,
+			metrics:          n.loop.metrics,
+			decisions:        n.loop.decisions,
+			buffers:          n.buffers,
+			suspension:       suspension,
+			methods:          methodsByClass(n.cfg.Settings.Classes),
+			ready:            n.ready,
+			closeConnections: n.closing,
 		},
-		ReadHeaderTimeout: headTime,
-		IdleTimeout:       idleTime,
-		ConnState:         n.inbound.track,
+		ReadHeaderTimeout: headTimeout,
+		IdleTimeout:       clientIdleTimeout,
+		ConnState:         n.inbound.connStateChanged,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, clientConnKey{}, c)
 		},
-		MaxHeaderBytes: maxHead,
+		MaxHeaderBytes: inbound.MaxHead,
 		ErrorLog:       slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
 	}
 }
@@ -229,7 +230,7 @@
 // closeServers closes the clients' connections, then the admin endpoint, which answers during the shutdown. That
 // closing a listener or a connection fails changes nothing, for the process ends.
 func (s *session) closeServers() {
-	s.node.inbound.cut.Store(true)
+	s.node.inbound.aborting.Store(true)
 	_ = s.clients.Close()
 	if s.admin != nil {
 		_ = s.admin.Close()
