--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -107,7 +107,9 @@
 		n.membership.Store(joined)
 		defer joined.Close()
 	}
-	before, err := RetryOnShortage(ctx, func() (*handover.Predecessor, error) { return handover.Connect(n.cfg.handoverSocket) })
+	before, err := RetryOnShortage(ctx, func() (*handover.Predecessor, error) {
+		return handover.Connect(n.cfg.handoverSocket)
+	})
 	if err != nil {
 		n.log.Warn("nothing was handed over", "err", err)
 	}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -55,13 +55,7 @@
 	defer firstList.Stop()
 
 	n.inbound = newLimitedListener(listener, n.cfg.clientConnectionLimit(n.cfg.Sockets), n.loop.metrics, n.loop.decisions)
-	n.handover = handover.NewServer(handover.Config{
-		Path:            n.cfg.handoverSocket,
-		Log:             n.log,
-		Listener:        listener.(syscall.Conn),
-		Phase:           n.lifecycle.Current,
-		ChangeProcesses: n.changeProcesses,
-	})
+	n.handover = n.newHandoverServer(listener.(syscall.Conn))
 	s.clients = n.newClientServer(suspension)
 	if before == nil {
 		close(s.acceptClients)
@@ -150,6 +144,16 @@
 	}
 }
 
+func (n *Node) newHandoverServer(listener syscall.Conn) *handover.Server {
+	return handover.NewServer(handover.Config{
+		Path:            n.cfg.handoverSocket,
+		Log:             n.log,
+		Listener:        listener,
+		Phase:           n.lifecycle.Current,
+		ChangeProcesses: n.changeProcesses,
+	})
+}
+
 // takeOver follows the predecessor until it exits, and lets clients be accepted once this process can serve.
 func (s *session) takeOver(ctx context.Context) {
 	n := s.node
