--- a/internal/node/decisions.go
+++ b/internal/metrics/decisions.go
@@ -1,6 +1,6 @@
 // The decision log: what was decided against a request, an attempt or a connection, counted and logged by reason.
 
-package node
+package metrics
 
 import (
 	"context"
@@ -34,27 +34,35 @@
 	return counts
 }
 
-// closeCause is why the node closed a client connection that had no request in progress.
-type closeCause int
+// CloseCause is why the node closed a client connection that had no request in progress.
+type CloseCause int
 
+// The causes.
 const (
-	closeIdle     closeCause = iota // no request within the idle timeout
-	closeSlowHead                   // the head of a request was not complete in time
-	closeEvicted                    // the connection limit is reached, and this one has been without a request for longest
-	closeShutdown                   // the node is draining or shutting down
+	CloseIdle     CloseCause = iota // no request within the idle timeout
+	CloseSlowHead                   // the head of a request was not complete in time
+	CloseEvicted                    // the connection limit is reached, and this one has been without a request for longest
+	CloseShutdown                   // the node is draining or shutting down
 	numberOfCloseCauses
 )
 
 var closeCauseNames = [numberOfCloseCauses]string{
-	closeIdle:     "rested",
-	closeSlowHead: "slow_head",
-	closeEvicted:  "makes_room",
-	closeShutdown: "leaving",
+	CloseIdle:     "rested",
+	CloseSlowHead: "slow_head",
+	CloseEvicted:  "makes_room",
+	CloseShutdown: "leaving",
 }
 
-// decisions is the one place where decisions are counted and logged. The counters run from the start of the process.
+// Attempt names an attempt in the log.
+type Attempt struct {
+	RequestID string
+	Number    int
+	Endpoint  string
+}
+
+// Decisions is the one place where Decisions are counted and logged. The counters run from the start of the process.
 // It is safe for concurrent use.
-type decisions struct {
+type Decisions struct {
 	log            *slog.Logger
 	decisionLimit  *rate.Limiter
 	violationLimit *rate.Limiter // of its own, so that no other lines displace a violation
@@ -68,8 +76,9 @@
 	suppressedLines   atomic.Int64 // log lines over the limits
 }
 
-func newDecisions(log *slog.Logger) *decisions {
-	return &decisions{
+// NewDecisions makes counters at zero, which log to log.
+func NewDecisions(log *slog.Logger) *Decisions {
+	return &Decisions{
 		log:            log,
 		decisionLimit:  rate.NewLimiter(decisionLinesPerSecond, logLineBurst),
 		violationLimit: rate.NewLimiter(violationLinesPerSecond, logLineBurst),
@@ -77,7 +86,7 @@
 }
 
 // logLimited logs a line unless the limit is reached.
-func (d *decisions) logLimited(limit *rate.Limiter, level slog.Level, message string, args ...any) {
+func (d *Decisions) logLimited(limit *rate.Limiter, level slog.Level, message string, args ...any) {
 	if !limit.Allow() {
 		d.suppressedLines.Add(1)
 		return
@@ -85,46 +94,52 @@
 	d.log.Log(context.Background(), level, message, args...)
 }
 
-// attemptNotSent counts an attempt that the guard prevented.
-func (d *decisions) attemptNotSent(att *attempt, why guard.Verdict) {
+// AttemptNotSent counts an attempt that the guard prevented.
+func (d *Decisions) AttemptNotSent(attempt Attempt, why guard.Verdict) {
 	d.attemptsNotSent.add(why)
 	d.logLimited(d.decisionLimit, slog.LevelInfo, "attempt not sent",
-		"id", att.request.meta.ID, "attempt", att.number, "server", att.endpoint.id, "reason", why.String())
+		"id", attempt.RequestID, "attempt", attempt.Number, "server", attempt.Endpoint, "reason", why.String())
 }
 
-// requestRejected counts a request that the policy rejected or failed.
-func (d *decisions) requestRejected(id string, status, attempts int, why guard.Verdict) {
+// RequestRejected counts a request that the policy rejected or failed.
+func (d *Decisions) RequestRejected(id string, status, attempts int, why guard.Verdict) {
 	d.requestsRejected.add(why)
 	d.logLimited(d.decisionLimit, slog.LevelInfo, "request turned away",
 		"id", id, "status", status, "attempts", attempts, "reason", why.String())
 }
 
-// attemptWritten checks an attempt again after its last byte was written.
-func (d *decisions) attemptWritten(att *attempt, sent guard.Sent) {
+// AttemptWritten checks an attempt again after its last byte was written.
+func (d *Decisions) AttemptWritten(attempt Attempt, sent guard.Sent) {
 	if verdict := sent.Violation(); verdict != guard.Allowed {
-		d.violation(verdict, "id", att.request.meta.ID, "attempt", att.number, "server", att.endpoint.id,
+		d.Violation(verdict, "id", attempt.RequestID, "attempt", attempt.Number, "server", attempt.Endpoint,
 			"told", sent.Timeout, "left", sent.ClientDeadline-sent.Now)
 	}
 }
 
-// violation counts a guarantee that the node did not keep.
-func (d *decisions) violation(verdict guard.Verdict, args ...any) {
+// Violation counts a guarantee that the node did not keep.
+func (d *Decisions) Violation(verdict guard.Verdict, args ...any) {
 	d.violations.add(verdict)
 	args = append([]any{"reason", verdict.String()}, args...)
 	d.logLimited(d.violationLimit, slog.LevelWarn, "violation", args...)
 }
 
-// acceptFailed counts an accept that failed, of a client's or an operator's connection.
-func (d *decisions) acceptFailed(err error) {
+// ReadinessRefused counts a negative answer to the front.
+func (d *Decisions) ReadinessRefused(why guard.Verdict) { d.readinessRefused.add(why) }
+
+// Violations are the violations so far, by name.
+func (d *Decisions) Violations() map[string]int64 { return d.violations.nonZero() }
+
+// AcceptFailed counts an accept that failed, of a client's or an operator's connection.
+func (d *Decisions) AcceptFailed(err error) {
 	d.failedAccepts.Add(1)
 	d.logLimited(d.decisionLimit, slog.LevelWarn, "accept failed", "err", err)
 }
 
-// connectionClosed counts a client connection that the node closed.
-func (d *decisions) connectionClosed(cause closeCause) { d.closedConnections[cause].Add(1) }
+// ConnectionClosed counts a client connection that the node closed.
+func (d *Decisions) ConnectionClosed(cause CloseCause) { d.closedConnections[cause].Add(1) }
 
-// decisionsPage is the JSON of the decisions that operators read.
-type decisionsPage struct {
+// DecisionsPage is the JSON of the decisions that operators read.
+type DecisionsPage struct {
 	AttemptsNotSent   map[string]int64 `json:"attempts_not_sent"`
 	RequestsRejected  map[string]int64 `json:"requests_turned_away"`
 	ReadinessRefused  map[string]int64 `json:"not_ready"`
@@ -134,8 +149,9 @@
 	SuppressedLines   int64            `json:"log_lines_left_out"`
 }
 
-func (d *decisions) page() decisionsPage {
-	page := decisionsPage{
+// Page is the decisions so far.
+func (d *Decisions) Page() DecisionsPage {
+	page := DecisionsPage{
 		AttemptsNotSent:   d.attemptsNotSent.nonZero(),
 		RequestsRejected:  d.requestsRejected.nonZero(),
 		ReadinessRefused:  d.readinessRefused.nonZero(),
--- a/internal/node/metrics_test.go
+++ b/internal/metrics/recorder_test.go
@@ -1,4 +1,4 @@
-package node
+package metrics
 
 import (
 	"errors"
@@ -14,25 +14,25 @@
 func TestCountsLineOnlyAfterActivity(t *testing.T) {
 	var out strings.Builder
 	log := slog.New(slog.NewTextHandler(&out, nil))
-	s := newMetrics([]policy.Class{{Name: "a"}, {Name: "b"}})
-	s.logReport(log, 0)
+	s := NewRecorder([]policy.Class{{Name: "a"}, {Name: "b"}})
+	s.LogReport(log, 0)
 	if out.Len() > 0 {
 		t.Errorf("nothing happened, yet it said %q", out.String())
 	}
 	happen := func() {
-		s.update(func(c *counters) { c.requests += 4 })
-		s.countAnswer("a", 200, 1)
-		s.countAnswer("a", 503, 0)
-		s.countAnswer("b", 502, 2)
-		s.countAttemptResult("s-1", policy.Success, time.Second, nil)
-		s.countAttemptResult("s-1", policy.TimedOut, 2*time.Second, errors.New("late"))
-		s.countInvalidRequest("odd")
+		s.Update(func(c *Counters) { c.Requests += 4 })
+		s.CountResponse("a", 200, 1)
+		s.CountResponse("a", 503, 0)
+		s.CountResponse("b", 502, 2)
+		s.CountAttemptResult("s-1", policy.Success, time.Second, nil)
+		s.CountAttemptResult("s-1", policy.TimedOut, 2*time.Second, errors.New("late"))
+		s.CountInvalidRequest("odd")
 	}
 	happen()
-	s.logReport(log, 5)
-	s.logReport(log, 5)
+	s.LogReport(log, 5)
+	s.LogReport(log, 5)
 	happen()
-	s.logReport(log, 5)
+	s.LogReport(log, 5)
 	for _, want := range []string{"taken=4 served=1 refused=1 failed=1 left=0 unsent=1 open=1 out=5",
 		"taken=4 served=1 refused=1 failed=1 left=0 unsent=1 open=2 out=5"} {
 		if strings.Count(out.String(), want) != 1 {
--- a/internal/node/accept_faults_test.go
+++ b/internal/node/accept_faults_test.go
@@ -12,6 +12,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"keelusher/internal/metrics"
 )
 
 // faultyListener fails its first calls of Accept with system errors, then accepts.
@@ -101,12 +103,13 @@
 
 // An unusable listener ends the accepting, and so does a close during the backoff after an error.
 func TestAcceptingEnds(t *testing.T) {
-	broken := newLimitedListener(newFaultyListener(t, syscall.EBADF), 1, newMetrics(nil), newDecisions(quiet()))
+	faulty := newFaultyListener(t, syscall.EBADF)
+	broken := newLimitedListener(faulty, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
 	if _, err := broken.Accept(); !errors.Is(err, syscall.EBADF) {
 		t.Errorf("a listener without a descriptor: %v", err)
 	}
 	failing := newFaultyListener(t, slices.Repeat([]syscall.Errno{syscall.ENOMEM}, 10_000)...)
-	closed := newLimitedListener(failing, 1, newMetrics(nil), newDecisions(quiet()))
+	closed := newLimitedListener(failing, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
 	ended := make(chan error, 1)
 	go func() {
 		_, err := closed.Accept()
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"keelusher/internal/lifecycle"
+	"keelusher/internal/metrics"
 )
 
 const (
@@ -116,10 +117,10 @@
 
 // serveCounters answers with the counters as they are now.
 func (a *adminEndpoint) serveCounters(w http.ResponseWriter, _ *http.Request) {
-	var page countersPage
+	var page metrics.CountersPage
 	ok := a.loop.runTask(func() {
 		listed, avoided := a.loop.balancer.EndpointCounts(a.loop.clock.now())
-		page = a.loop.metrics.page(listed, avoided)
+		page = a.loop.metrics.Page(listed, avoided)
 	})
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -130,7 +131,7 @@
 
 // serveDecisions answers with what was decided since the start, by reason.
 func (a *adminEndpoint) serveDecisions(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, a.loop.decisions.page())
+	writeJSON(w, a.loop.decisions.Page())
 }
 
 // serveMembers answers with the members as this node sees them; 404 without a membership.
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -12,6 +12,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"keelusher/internal/metrics"
+	"keelusher/policy/guard"
 )
 
 // ask makes one call to the admin endpoint on a connection of its own.
@@ -233,7 +236,7 @@
 		return respond(c, "200 OK", "done")
 	})
 	n := startWith(t, good)
-	read := func() (f countersPage) {
+	read := func() (f metrics.CountersPage) {
 		t.Helper()
 		status, text := n.ask(t, "GET", "/control/counters")
 		if err := json.Unmarshal([]byte(text), &f); status != http.StatusOK || err != nil {
@@ -252,10 +255,10 @@
 		held <- true
 	}()
 	eventually(t, "it is out", func() bool { return good.requests() == 6 })
-	want := countersPage{
-		Succeeded:        countByName{"unsafe": 2, "keyed": 1, "safe": 0},
-		Rejected:         countByName{"unsafe": 1, "keyed": 0, "safe": 0},
-		Failed:           countByName{"unsafe": 1, "keyed": 0, "safe": 0},
+	want := metrics.CountersPage{
+		Succeeded:        metrics.CountByName{"unsafe": 2, "keyed": 1, "safe": 0},
+		Rejected:         metrics.CountByName{"unsafe": 1, "keyed": 0, "safe": 0},
+		Failed:           metrics.CountByName{"unsafe": 1, "keyed": 0, "safe": 0},
 		AttemptsWritten:  6,
 		InFlight:         1,
 		EndpointsListed:  1,
@@ -269,7 +272,23 @@
 	if got := read(); got.InFlight != 0 || got.Succeeded["unsafe"] != 3 {
 		t.Errorf("after the last answer %+v", got)
 	}
-	if c := n.loop.metrics.snapshot(); c.succeeded.sum() != 4 || c.attemptsWritten != 6 {
+	if c := n.loop.metrics.Snapshot(); c.Succeeded.Sum() != 4 || c.AttemptsWritten != 6 {
 		t.Errorf("the log would say %+v", c)
 	}
 }
+
+// The admin endpoint shows decisions.
+func TestDecisionsAtAdminEndpoint(t *testing.T) {
+	n := startWith(t, newBackend(t, ok))
+	n.loop.decisions.Violation(guard.TimeoutTooLong)
+	resp, err := http.Get("http://" + n.adminAddress + "/control/decisions")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	var f metrics.DecisionsPage
+	if err = errors.Join(err, json.Unmarshal(text, &f)); err != nil || f.Violations["told_too_much_time"] != 1 {
+		t.Errorf("%v: %s", err, text)
+	}
+}
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -14,6 +14,7 @@
 	"strconv"
 	"time"
 
+	"keelusher/internal/metrics"
 	"keelusher/policy"
 	"keelusher/policy/guard"
 )
@@ -87,7 +88,7 @@
 
 // notSent is the outcome of an attempt that the guard does not allow.
 func (p *pool) notSent(att *attempt, reason guard.Verdict) attemptOutcome {
-	p.decisions.attemptNotSent(att, reason)
+	p.decisions.AttemptNotSent(att.logName(), reason)
 	return attemptOutcome{attempt: att, result: policy.NotSent, notSentReason: reason}
 }
 
@@ -236,8 +237,8 @@
 
 // recordWritten counts an attempt that was written completely, and checks afterwards that it was allowed.
 func (p *pool) recordWritten(att *attempt, clientDeadline time.Duration) {
-	p.metrics.update(func(c *counters) { c.attemptsWritten++ })
-	p.decisions.attemptWritten(att, guard.Sent{
+	p.metrics.Update(func(c *metrics.Counters) { c.AttemptsWritten++ })
+	p.decisions.AttemptWritten(att.logName(), guard.Sent{
 		Now:            p.clock.now(),
 		ClientDeadline: clientDeadline,
 		Timeout:        att.budgetSent,
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -90,8 +90,8 @@
 			t.Errorf("%s: looked complete", name)
 		}
 		eventually(t, "it is counted", func() bool {
-			c := n.loop.metrics.snapshot()
-			return c.failed["unsafe"] == 1 && c.succeeded["unsafe"] == 0 && c.inFlight() == 0
+			c := n.loop.metrics.Snapshot()
+			return c.Failed["unsafe"] == 1 && c.Succeeded["unsafe"] == 0 && c.InFlight() == 0
 		})
 	}
 }
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"keelusher/internal/inbound"
+	"keelusher/internal/metrics"
 	"keelusher/policy/guard"
 )
 
@@ -75,7 +76,7 @@
 	defer c.listener.mu.Unlock()
 	expired = c.state == clientConnExpired
 	if c.awaitsHead() && c.head.Partial() {
-		c.listener.metrics.update(func(c *counters) { c.incompleteHeads++ })
+		c.listener.metrics.Update(func(c *metrics.Counters) { c.IncompleteHeads++ })
 	}
 	c.transition(closeStarted)
 	return expired
@@ -191,7 +192,7 @@
 	}
 	if c.awaitsHead() {
 		c.transition(readExpired)
-		c.listener.decisions.connectionClosed(c.closeCause(evicted, idle))
+		c.listener.decisions.ConnectionClosed(c.closeCause(evicted, idle))
 	}
 	return 0, false, timeout
 }
@@ -211,16 +212,16 @@
 }
 
 // closeCause is why the reader ends the connection. The caller holds the lock.
-func (c *clientConn) closeCause(evicted, idle bool) closeCause {
+func (c *clientConn) closeCause(evicted, idle bool) metrics.CloseCause {
 	switch {
 	case evicted:
-		return closeEvicted
+		return metrics.CloseEvicted
 	case c.closeRequested:
-		return closeShutdown
+		return metrics.CloseShutdown
 	case idle && c.reused:
-		return closeIdle
+		return metrics.CloseIdle
 	}
-	return closeSlowHead
+	return metrics.CloseSlowHead
 }
 
 // clientState tells whether the client has closed the connection. A client that only ended its sending cannot be told
--- a/internal/node/client_conn_state_test.go
+++ b/internal/node/client_conn_state_test.go
@@ -5,12 +5,14 @@
 	"net"
 	"testing"
 	"time"
+
+	"keelusher/internal/metrics"
 )
 
 // newListedConn is a connection in a state, beside another one in each list.
 func newListedConn(t *testing.T, state clientConnState) *clientConn {
 	t.Helper()
-	l := newLimitedListener(nil, 1, newMetrics(nil), newDecisions(quiet()))
+	l := newLimitedListener(nil, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	newPipeConn(t, l)
--- a/internal/node/client_handler.go
+++ b/internal/node/client_handler.go
@@ -12,6 +12,7 @@
 
 	"keelusher/internal/inbound"
 	"keelusher/internal/lifecycle"
+	"keelusher/internal/metrics"
 	"keelusher/policy"
 	"keelusher/policy/guard"
 )
@@ -32,8 +33,8 @@
 	arrivals    chan<- *clientRequest
 	disconnects chan<- *clientRequest
 	stopped     <-chan struct{} // closed when the loop has ended
-	metrics     *metrics
-	decisions   *decisions
+	metrics     *metrics.Recorder
+	decisions   *metrics.Decisions
 	buffers     buffers
 	methods     map[string]string             // by class; other classes are unknown
 	suspension  *lifecycle.SuspensionDetector // nil: suspensions of the process are not noticed
@@ -120,8 +121,8 @@
 // abortEvicted ends the handling of a request whose connection the node has closed. Its client retries, so that
 // forwarding it would run it twice.
 func (h *clientHandler) abortEvicted() {
-	h.metrics.update(func(c *counters) { c.requestsAfterClose++ })
-	h.decisions.violation(guard.RequestRead)
+	h.metrics.Update(func(c *metrics.Counters) { c.RequestsAfterClose++ })
+	h.decisions.Violation(guard.RequestRead)
 	panic(http.ErrAbortHandler)
 }
 
@@ -137,7 +138,7 @@
 			w.Header().Set("Allow", rejection.Allow)
 		}
 	}
-	h.metrics.countInvalidRequest(reason.Error())
+	h.metrics.CountInvalidRequest(reason.Error())
 	w.Header().Set("Connection", "close")
 	http.Error(w, reason.Error(), status)
 }
--- a/internal/node/client_listener.go
+++ b/internal/node/client_listener.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"keelusher/internal/inbound"
+	"keelusher/internal/metrics"
 )
 
 // limitedListener admits a limited number of connections at once. At the limit a further connection evicts the one
@@ -20,8 +21,8 @@
 // connection is evicted. The listener is safe for concurrent use.
 type limitedListener struct {
 	net.Listener
-	metrics   *metrics
-	decisions *decisions
+	metrics   *metrics.Recorder
+	decisions *metrics.Decisions
 	closing   chan struct{} // closed by Close
 	aborting  atomic.Bool   // the node ends: open connections are closed at once
 
@@ -35,7 +36,7 @@
 	evicting     *clientConn // its reader is to end it; nil: none
 }
 
-func newLimitedListener(ln net.Listener, limit int, m *metrics, d *decisions) *limitedListener {
+func newLimitedListener(ln net.Listener, limit int, m *metrics.Recorder, d *metrics.Decisions) *limitedListener {
 	l := &limitedListener{
 		Listener:     ln,
 		metrics:      m,
@@ -56,7 +57,7 @@
 		return nil, err
 	}
 	acceptedAt := time.Now()
-	l.metrics.update(func(c *counters) { c.acceptedConnections++ })
+	l.metrics.Update(func(c *metrics.Counters) { c.AcceptedConnections++ })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.admitted >= l.limit && !l.closed {
@@ -76,7 +77,7 @@
 		if err == nil || endsListener(err) {
 			return accepted, err
 		}
-		l.decisions.acceptFailed(err)
+		l.decisions.AcceptFailed(err)
 		if !isShortage(err) { // it concerns that connection only
 			backoff = minAcceptBackoff
 		}
@@ -98,7 +99,7 @@
 	if oldest == nil || l.evicting != nil {
 		return
 	}
-	l.metrics.update(func(c *counters) { c.evictedConnections++ })
+	l.metrics.Update(func(c *metrics.Counters) { c.EvictedConnections++ })
 	l.evicting = oldest.Value.(*clientConn)
 	l.evicting.interruptRead()
 }
--- a/internal/node/client_listener_test.go
+++ b/internal/node/client_listener_test.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"os"
 	"testing"
+
+	"keelusher/internal/metrics"
 )
 
 // accepting passes on what a listener with a limit of one accepts; dial opens a connection to it.
@@ -16,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b = newLimitedListener(ln, 1, newMetrics(nil), newDecisions(quiet()))
+	b = newLimitedListener(ln, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
 	out := make(chan net.Conn)
 	go func() {
 		defer close(out)
--- a/internal/node/connection_race_test.go
+++ b/internal/node/connection_race_test.go
@@ -121,7 +121,7 @@
 	if got := b.requests(); got != sent+2 {
 		t.Errorf("servers got %d requests, want 2", got-sent)
 	}
-	dropped, violations := n.loop.metrics.snapshot().requestsAfterClose, n.loop.decisions.violations.nonZero()
+	dropped, violations := n.loop.metrics.Snapshot().RequestsAfterClose, n.loop.decisions.Violations()
 	if dropped != 0 || len(violations) > 0 {
 		t.Errorf("%d were dropped, violations %v", dropped, violations)
 	}
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -13,6 +13,7 @@
 	"sync/atomic"
 	"time"
 
+	"keelusher/internal/metrics"
 	"keelusher/policy"
 
 	"golang.org/x/time/rate"
@@ -40,8 +41,8 @@
 	sender         attemptSender
 	watchEndpoints func()            // requests a watch of the endpoint list; must not block
 	staleness      *stalenessMonitor // of the endpoint list; nil: there is none
-	metrics        *metrics
-	decisions      *decisions
+	metrics        *metrics.Recorder
+	decisions      *metrics.Decisions
 
 	// Messages to the loop, which alone receives them. Senders may have to wait, the loop never does.
 	endpointUpdates  chan watchEvent           // from discovery
@@ -70,13 +71,13 @@
 	hasReadyEndpoint atomic.Bool // read by other goroutines
 }
 
-func newEventLoop(ck clock, log *slog.Logger, balancer *policy.Balancer, m *metrics) *eventLoop {
+func newEventLoop(ck clock, log *slog.Logger, balancer *policy.Balancer, m *metrics.Recorder) *eventLoop {
 	return &eventLoop{
 		clock:               ck,
 		log:                 log,
 		balancer:            balancer,
 		metrics:             m,
-		decisions:           newDecisions(log),
+		decisions:           metrics.NewDecisions(log),
 		endpointUpdates:     make(chan watchEvent),
 		requests:            make(chan *clientRequest),
 		disconnects:         make(chan *clientRequest),
@@ -99,7 +100,7 @@
 func (l *eventLoop) run() {
 	timer := time.NewTimer(noTimer)
 	defer timer.Stop()
-	report := time.NewTicker(reportInterval)
+	report := time.NewTicker(metrics.ReportInterval)
 	defer report.Stop()
 	for {
 		if l.handlePendingUpdate() {
@@ -128,9 +129,9 @@
 			task()
 		case <-timer.C:
 		case <-report.C:
-			l.metrics.logReport(l.log, l.attemptsOut)
+			l.metrics.LogReport(l.log, l.attemptsOut)
 		case <-l.stop:
-			l.metrics.logReport(l.log, l.attemptsOut)
+			l.metrics.LogReport(l.log, l.attemptsOut)
 			return
 		}
 	}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -122,8 +122,8 @@
 		}()
 	}
 	served := func(r *running) int {
-		c := r.loop.metrics.snapshot()
-		return c.succeeded.sum()
+		c := r.loop.metrics.Snapshot()
+		return c.Succeeded.Sum()
 	}
 	eventually(t, "the old one serves", func() bool { return served(old) > 20 })
 	young := process(t, cfg)
--- a/internal/node/memory_reservation_test.go
+++ b/internal/node/memory_reservation_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"keelusher/internal/metrics"
 	"keelusher/policy"
 )
 
@@ -21,7 +22,7 @@
 		arrivals:         arrivals,
 		disconnects:      disconnects,
 		stopped:          make(chan struct{}),
-		metrics:          newMetrics(nil),
+		metrics:          metrics.NewRecorder(nil),
 		buffers:          newBuffers(64, 8),
 		methods:          map[string]string{"safe": http.MethodGet},
 		ready:            func() bool { return true },
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,6 +12,7 @@
 	"keelusher/internal/handover"
 	"keelusher/internal/lifecycle"
 	"keelusher/internal/membership"
+	"keelusher/internal/metrics"
 	"keelusher/policy"
 )
 
@@ -55,7 +56,7 @@
 	n := &Node{
 		cfg:                    cfg,
 		log:                    logger,
-		loop:                   newEventLoop(newClock(), logger, balancer, newMetrics(cfg.Settings.Classes)),
+		loop:                   newEventLoop(newClock(), logger, balancer, metrics.NewRecorder(cfg.Settings.Classes)),
 		buffers:                newBuffers(cfg.MemoryMB, clientConnections),
 		phaseChanges:           make(chan struct{}, 1),
 		membershipPhaseChanges: make(chan struct{}, 1),
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -11,6 +11,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"keelusher/internal/metrics"
 )
 
 const (
@@ -47,11 +49,11 @@
 	results          chan<- attemptOutcome
 	requestsWritten  chan<- requestWritten
 	responsesStarted chan<- responseStarted
-	metrics          *metrics
+	metrics          *metrics.Recorder
 	staleness        *stalenessMonitor // of discovery
 	buffers          buffers
 
-	decisions    *decisions
+	decisions    *metrics.Decisions
 	removalGrace time.Duration // for so long after its removal is known, an endpoint may still get attempts
 
 	mu      sync.Mutex
@@ -137,7 +139,7 @@
 		if c.state != serverConnClosed && c.claimForReuse() {
 			return c
 		}
-		p.metrics.update(func(c *counters) { c.staleConnections++ })
+		p.metrics.Update(func(c *metrics.Counters) { c.StaleConnections++ })
 		c.transition(serverConnDropped) // nothing of this attempt was written on it
 	}
 	return nil
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -12,12 +12,13 @@
 	"time"
 
 	"keelusher/internal/inbound"
+	"keelusher/internal/metrics"
 	"keelusher/policy"
 )
 
 func testPool(t *testing.T) *pool {
 	cfg := testConfig(t, "pushed")
-	p := newPool(cfg, 8, newEventLoop(newClock(), quiet(), nil, newMetrics(nil)), newBuffers(cfg.MemoryMB, 8))
+	p := newPool(cfg, 8, newEventLoop(newClock(), quiet(), nil, metrics.NewRecorder(nil)), newBuffers(cfg.MemoryMB, 8))
 	t.Cleanup(p.shutdown)
 	return p
 }
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"keelusher/internal/metrics"
 	"keelusher/policy"
 	"keelusher/policy/guard"
 )
@@ -34,7 +35,7 @@
 	if open.finished.Load() && request.method == http.MethodGet {
 		status = http.StatusServiceUnavailable
 	}
-	l.metrics.countInvalidRequest("X-Call-Id is in use")
+	l.metrics.CountInvalidRequest("X-Call-Id is in use")
 	request.bodyMemory.release()
 	request.responses <- response{status: status}
 }
@@ -45,7 +46,7 @@
 		return
 	}
 	request.counted = true
-	l.metrics.update(func(c *counters) { c.requests++ })
+	l.metrics.Update(func(c *metrics.Counters) { c.Requests++ })
 }
 
 // handleDisconnect handles the disconnect of a client that waits for its response.
@@ -62,7 +63,7 @@
 	}
 	request.disconnectedAt.set(l.clock.now())
 	if request.counted {
-		l.metrics.update(func(c *counters) { c.clientDisconnects++ })
+		l.metrics.Update(func(c *metrics.Counters) { c.ClientDisconnects++ })
 	}
 	l.handle(policy.ClientDisconnected{ID: request.meta.ID})
 	return true
@@ -128,10 +129,10 @@
 	if request == nil || request.finished.Swap(true) {
 		return
 	}
-	l.decisions.requestRejected(id, final.status, request.attemptCount, why)
+	l.decisions.RequestRejected(id, final.status, request.attemptCount, why)
 	request.responses <- final
 	l.countRequest(request)
-	l.metrics.countAnswer(request.meta.Class, final.status, request.attemptCount)
+	l.metrics.CountResponse(request.meta.Class, final.status, request.attemptCount)
 	l.forget(request)
 }
 
@@ -144,13 +145,18 @@
 	request.bodyMemory.release()
 }
 
+// logName names an attempt in the log of decisions.
+func (att *attempt) logName() metrics.Attempt {
+	return metrics.Attempt{RequestID: att.request.meta.ID, Number: att.number, Endpoint: att.endpoint.id}
+}
+
 // handleAttemptResult notifies the policy of an attempt that ended, and answers the client if it can.
 func (l *eventLoop) handleAttemptResult(outcome attemptOutcome) {
 	l.awaitOverdueUpdates()
 	att, request := outcome.attempt, outcome.attempt.request
 	request.inFlight--
 	l.attemptsOut--
-	l.metrics.countAttemptResult(att.endpoint.id, outcome.result, l.clock.now()-att.startedAt, outcome.err)
+	l.metrics.CountAttemptResult(att.endpoint.id, outcome.result, l.clock.now()-att.startedAt, outcome.err)
 	if outcome.notSentReason == guard.ClientDisconnected && l.disconnect(request) {
 		request.responses <- abortResponse
 	}
@@ -188,10 +194,10 @@
 	switch {
 	case outcome.streamed: // the client has it already
 		l.countRequest(request)
-		l.metrics.countAnswer(request.meta.Class, outcome.response.status, request.attemptCount)
+		l.metrics.CountResponse(request.meta.Class, outcome.response.status, request.attemptCount)
 	case outcome.result == policy.Success && !request.finished.Swap(true):
 		l.countRequest(request)
-		l.metrics.countAnswer(request.meta.Class, http.StatusOK, request.attemptCount)
+		l.metrics.CountResponse(request.meta.Class, http.StatusOK, request.attemptCount)
 		request.responses <- outcome.response
 	default:
 		outcome.response.discard()
--- a/internal/node/retry_window_test.go
+++ b/internal/node/retry_window_test.go
@@ -84,7 +84,7 @@
 			if r, err := p.roundTrip(c, att); err != nil || r.err != nil {
 				t.Fatal(err, r.err)
 			}
-			got := p.decisions.violations.nonZero()
+			got := p.decisions.Violations()
 			if want == guard.Allowed && len(got) > 0 || want != guard.Allowed && (got[want.String()] != 1 || len(got) > 1) {
 				t.Errorf("counted %v", got)
 			}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -16,6 +16,7 @@
 	"keelusher/internal/handover"
 	"keelusher/internal/inbound"
 	"keelusher/internal/lifecycle"
+	"keelusher/internal/metrics"
 )
 
 // readinessPollInterval is between two looks at whether a successor can serve.
@@ -224,7 +225,7 @@
 		canServe:    func() bool { return n.accepting.Load() && n.loop.hasReadyEndpoint.Load() },
 	}, n.log)
 	s.run(func() {
-		limited := newLimitedListener(listener, adminMaxConnections, newMetrics(nil), n.loop.decisions)
+		limited := newLimitedListener(listener, adminMaxConnections, metrics.NewRecorder(nil), n.loop.decisions)
 		if err := s.admin.Serve(limited); !errors.Is(err, http.ErrServerClosed) {
 			n.log.Error("admin endpoint failed; clients are still served", "err", err)
 		}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -44,7 +44,7 @@
 		EndpointKnown:   n.loop.hasReadyEndpoint.Load(),
 	}.Verdict()
 	if verdict != guard.Allowed {
-		n.loop.decisions.readinessRefused.add(verdict)
+		n.loop.decisions.ReadinessRefused(verdict)
 	}
 	return verdict == guard.Allowed
 }
