--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"keelusher/internal/admin"
 	"keelusher/internal/metrics"
 	"keelusher/policy/guard"
 )
@@ -111,14 +112,14 @@
 		defer n.inbound.mu.Unlock()
 		return n.inbound.admitted == limit && n.inbound.awaitingHead.Len() == 0
 	})
-	for i := range 2 * adminMaxConnections {
+	for i := range 2 * admin.MaxConnections {
 		_, _ = io.WriteString(dialAdmin(t, n), "GET /control"[:i%2*12]) // it may be evicted already
 	}
 	begin := time.Now()
 	if status, _ := n.ask(t, "GET", "/control/ready"); status != http.StatusOK {
 		t.Errorf("answered %d", status)
 	}
-	if took := time.Since(begin); took > adminCallTimeout/2 { // so the call did not wait for a silent peer's timeout
+	if took := time.Since(begin); took > admin.CallTimeout/2 { // so the call did not wait for a silent peer's timeout
 		t.Errorf("answered after %v", took)
 	}
 	close(release)
@@ -136,7 +137,7 @@
 	if _, err := io.WriteString(c, "GET /control/ready HTTP/1.1\r\nHost"); err != nil {
 		t.Fatal(err)
 	}
-	setReadTimeout(t, c, 2*adminCallTimeout)
+	setReadTimeout(t, c, 2*admin.CallTimeout)
 	if _, err := io.Copy(io.Discard, c); err != nil && strings.Contains(err.Error(), "timeout") {
 		t.Error("left open")
 	}
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -212,7 +212,7 @@
 	for _, f := range adjust {
 		f(n)
 	}
-	admin, err := net.Listen("tcp", "127.0.0.1:0")
+	adminListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,14 +220,14 @@
 	r := &running{
 		Node:         n,
 		url:          "http://" + ln.Addr().String(),
-		adminAddress: admin.Addr().String(),
+		adminAddress: adminListener.Addr().String(),
 		stop:         cancel,
 		done:         make(chan error, 1),
 	}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		r.done <- n.serve(ctx, ln, admin, nil)
+		r.done <- n.serve(ctx, ln, adminListener, nil)
 	}()
 	t.Cleanup(func() {
 		cancel()
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -2,11 +2,14 @@
 
 package node
 
-import "keelusher/internal/membership"
+import (
+	"keelusher/internal/admin"
+	"keelusher/internal/membership"
+)
 
 const (
 	// reservedDescriptors are for the listeners, discovery, logs, the runtime and the admin endpoint.
-	reservedDescriptors    = 24 + adminMaxConnections
+	reservedDescriptors    = 24 + admin.MaxConnections
 	defaultDescriptorLimit = 1024 // where the configuration sets none
 	minConnections         = 4    // to clients and to servers, however many processes share the limit
 )
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"keelusher/internal/admin"
 	"keelusher/internal/handover"
 	"keelusher/internal/lifecycle"
 	"keelusher/internal/membership"
@@ -96,7 +97,7 @@
 // Run serves until ctx ends, then shuts down gracefully: it accepts what still comes until the front has noticed,
 // answers what it has and returns nil.
 func (n *Node) Run(ctx context.Context) error {
-	adminListener, err := RetryOnShortage(ctx, func() (net.Listener, error) { return listenAdmin(n.cfg.Control) })
+	adminListener, err := RetryOnShortage(ctx, func() (net.Listener, error) { return admin.Listen(n.cfg.Control) })
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
--- a/internal/node/admin_overrides.go
+++ b/internal/node/overrides_endpoint.go
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
+	"keelusher/internal/admin"
 	"keelusher/internal/overrides"
 )
 
 const (
-	overridesPath      = "/control/overrides"
 	leaderReplyTimeout = 800 * time.Millisecond // the admin endpoint answers within a second
 	maxOverrideBody    = 4 << 10                // bytes
 )
@@ -21,13 +21,9 @@
 // leaderTimeoutBody is the answer where the leader's does not come in time.
 const leaderTimeoutBody = `{"error":"the leader does not answer; ask again, the id makes it safe"}`
 
-func isOverridesPath(path string) bool {
-	return path == overridesPath || strings.HasPrefix(path, overridesPath+"/")
-}
-
 // ServeHTTP answers /control/overrides and /control/overrides/ID.
 func (o *overridesHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	id := strings.Trim(strings.TrimPrefix(r.URL.Path, overridesPath), "/")
+	id := strings.Trim(strings.TrimPrefix(r.URL.Path, admin.OverridesPath), "/")
 	answers := make(chan overrideAnswer, 1)
 	task := o.newTask(r, id, answers)
 	if task == nil {
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -13,6 +13,7 @@
 	"syscall"
 	"time"
 
+	"keelusher/internal/admin"
 	"keelusher/internal/handover"
 	"keelusher/internal/inbound"
 	"keelusher/internal/lifecycle"
@@ -217,15 +218,9 @@
 // startAdmin serves operators until the server is closed.
 func (s *session) startAdmin(listener net.Listener) {
 	n := s.node
-	s.admin = newAdminServer(&adminEndpoint{
-		membersPage: n.membersPage,
-		overrides:   &n.overrides,
-		lifecycle:   n.lifecycle,
-		loop:        n.loop,
-		canServe:    func() bool { return n.accepting.Load() && n.loop.hasReadyEndpoint.Load() },
-	}, n.log)
+	s.admin = admin.NewServer(operatorView{n}, n.log)
 	s.run(func() {
-		limited := newLimitedListener(listener, adminMaxConnections, metrics.NewRecorder(nil), n.loop.decisions)
+		limited := newLimitedListener(listener, admin.MaxConnections, metrics.NewRecorder(nil), n.loop.decisions)
 		if err := s.admin.Serve(limited); !errors.Is(err, http.ErrServerClosed) {
 			n.log.Error("admin endpoint failed; clients are still served", "err", err)
 		}
