--- /dev/null
+++ b/internal/node/endpoint_events_test.go
@@ -0,0 +1,125 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+)
+
+// A draining server gets nothing new, a server with a new address is reached there, and one that a snapshot does not
+// name is removed.
+func TestEndpointListChangesApply(t *testing.T) {
+	a, addr := newAgent(t)
+	first, second := newBackend(t, ok), newBackend(t, ok)
+	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
+	cfg.Discovery = addr
+	events := make(chan struct{}, 10)
+	n := start(t, cfg, func(n *Node) {
+		deliver := n.discovery.deliver
+		n.discovery.deliver = func(ctx context.Context, w watchEvent) error {
+			err := deliver(ctx, w)
+			events <- struct{}{}
+			return err
+		}
+	})
+	id := 0
+	send := func() {
+		t.Helper()
+		for range 10 {
+			id++
+			if status, _, _ := do(t, newRequest(t, n.url, "keyed", fmt.Sprint(id), "x")); status != http.StatusOK {
+				t.Fatalf("request %d was answered %d", id, status)
+			}
+		}
+	}
+	// update writes a line and waits until the event loop has handled it.
+	update := func(line string) {
+		t.Helper()
+		a.lines <- line
+		<-events
+		n.loop.endpointUpdates <- watchEvent{} // is taken only when the one before has been handled
+	}
+	entry := func(host, dial, health string) string {
+		return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","health":%q,"born_ms":0}`, host, dial, health)
+	}
+	send()
+	if first.requests() == 0 || second.requests() == 0 {
+		t.Fatalf("not both servers were used: %d and %d", first.requests(), second.requests())
+	}
+	update(`{"seq":2,"hosts":[` + entry("s-2", second.addr(), "terminating") + `]}`)
+	before := second.requests()
+	send()
+	if got := second.requests(); got != before {
+		t.Errorf("a draining server got %d new requests", got-before)
+	}
+	moved := newBackend(t, ok)
+	update(`{"seq":3,"hosts":[` + entry("s-1", moved.addr(), "in_service") + `]}`)
+	before = first.requests()
+	send()
+	if first.requests() != before || moved.requests() != 10 {
+		t.Errorf("after the move the old address got %d, the new one %d", first.requests()-before, moved.requests())
+	}
+	third := newBackend(t, ok)
+	update(`{"seq":4,"whole":true,"hosts":[` + entry("s-3", third.addr(), "in_service") + `]}`)
+	send()
+	if moved.requests() != 10 || third.requests() != 10 {
+		t.Errorf("after the snapshot the absent server got %d, the listed one %d",
+			moved.requests()-10, third.requests())
+	}
+}
+
+// A list with unknown states, a server twice, entries without a name or with a huge one, or ten thousand of them does
+// the node no harm: it takes what it can, serves on, and takes the next list.
+func TestUnusualLists(t *testing.T) {
+	b := newBackend(t, ok)
+	entry := func(id, addr, health string) string {
+		return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","health":%q}`, id, addr, health)
+	}
+	many := make([]string, 10000)
+	for i := range many {
+		many[i] = entry(fmt.Sprintf("s-%05d", i), "127.0.0.1:1", "terminating")
+	}
+	good := entry("s-1", b.addr(), "in_service")
+	for name, hosts := range map[string]string{
+		"an unknown state": entry("s-2", "127.0.0.1:1", "resting") + "," + good,
+		"a server twice":   entry("s-1", "127.0.0.1:1", "terminating") + "," + good,
+		"an empty entry":   "{}," + good,
+		"a huge name":      entry(strings.Repeat("x", 1<<20), "127.0.0.1:1", "terminating") + "," + good,
+		"ten thousand":     strings.Join(many, ",") + "," + good,
+		"nonsensical numbers": `{"host":"s-3","dial":":::","site":"z","health":"terminating",` +
+			`"block":-7,"born_ms":-1e300},` + good,
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			other, next := newBackend(t, ok), make(chan struct{})
+			cfg := testConfig(t, "pushed", inService("s-0", "127.0.0.1:1"))
+			cfg.Discovery = newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) { // the same on each watch
+				writeFlushed(w, `{"seq":5,"whole":true,"hosts":[`+hosts+`]}`+"\n")
+				select {
+				case <-next:
+					writeFlushed(w, `{"seq":6,"whole":true,"hosts":[`+entry("s-9", other.addr(), "in_service")+`]}`+"\n")
+					<-r.Context().Done()
+				case <-r.Context().Done():
+				}
+			})
+			n := start(t, cfg)
+			attempts := 0
+			ask := func() bool {
+				attempts++
+				r := newRequest(t, n.url, "unsafe", fmt.Sprint(len(name), ".", attempts), "x")
+				status, _, _ := do(t, r)
+				return status == http.StatusOK
+			}
+			eventually(t, "the node has the list", ask)
+			for range 3 {
+				if !ask() {
+					t.Error("a request is not served")
+				}
+			}
+			close(next)
+			eventually(t, "the node has the next list", func() bool { return ask() && other.requests() > 0 })
+		})
+	}
+}
