--- a/cmd/balancer/reload.go
+++ b/cmd/balancer/reload.go
@@ -8,43 +8,52 @@
 )
 
 const (
-	reloadAgain = 250 * time.Millisecond // after a configuration that could not be read
-	reloadFor   = 20 * time.Second       // from the signal on
+	reloadRetryInterval = 250 * time.Millisecond
+	reloadRetryPeriod   = 20 * time.Second // from the signal on
 )
 
-// reloader reads the configuration again after a signal. A file that cannot be read, or is half written, is tried again
-// for a while: the discovery of before takes no calls any more, so to stay with it would mean to hear of nothing.
+// reloader loads the configuration after a signal. It retries a file that cannot be read or is incomplete, because the
+// node would otherwise stay with a discovery service that may no longer answer.
 type reloader struct {
 	path  string
 	log   *slog.Logger
 	apply func(node.Config)
 
-	until time.Time        // tries go on until then
-	again <-chan time.Time // the next one is due; nil: none is
-	said  string           // the last error that was logged
+	retryUntil  time.Time
+	retry       <-chan time.Time // nil: no retry is due
+	loggedError string           // the last one since the signal
 }
 
-// signalled reads the configuration now.
-func (r *reloader) signalled() {
-	r.until, r.said = time.Now().Add(reloadFor), ""
-	r.try()
+func newReloader(path string, log *slog.Logger, apply func(node.Config)) *reloader {
+	return &reloader{
+		path:  path,
+		log:   log,
+		apply: apply,
+	}
+}
+
+// handleSignal loads the configuration now.
+func (r *reloader) handleSignal() {
+	r.retryUntil = time.Now().Add(reloadRetryPeriod)
+	r.loggedError = ""
+	r.load()
 }
 
-// try reads the configuration, and plans another try where that fails.
-func (r *reloader) try() {
-	r.again = nil
-	cfg, err := node.LoadConfig(r.path)
+// load applies the configuration, and schedules a retry if it cannot be loaded.
+func (r *reloader) load() {
+	r.retry = nil
+	config, err := node.LoadConfig(r.path)
 	if err == nil {
-		r.apply(cfg)
+		r.apply(config)
 		return
 	}
-	if err.Error() != r.said { // once for each cause
-		r.log.Error("the new configuration is of no use, the old one stays", "err", err)
-		r.said = err.Error()
+	if err.Error() != r.loggedError { // once for each cause
+		r.log.Error("the new configuration is invalid, the previous one stays in use", "err", err)
+		r.loggedError = err.Error()
 	}
-	if time.Now().Before(r.until) {
-		r.again = time.After(reloadAgain)
+	if time.Now().Before(r.retryUntil) {
+		r.retry = time.After(reloadRetryInterval)
 		return
 	}
-	r.log.Error("the new configuration is given up; signal again when it is mended")
+	r.log.Error("the new configuration is not retried any more; send SIGHUP once it is valid")
 }
