--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -33,7 +33,7 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP) // before anything else: unhandled, it would end the program
 	path := os.Getenv("ROUTER_CONFIG")
-	config, err := node.Patiently(context.Background(), func() (node.Config, error) { return node.LoadConfig(path) })
+	config, err := node.RetryOnShortage(context.Background(), func() (node.Config, error) { return node.LoadConfig(path) })
 	if err != nil {
 		return err
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -95,26 +95,26 @@
 // Run serves until ctx ends, then shuts down gracefully: it accepts what still comes until the front has noticed,
 // answers what it has and returns nil.
 func (n *Node) Run(ctx context.Context) error {
-	adminListener, err := Patiently(ctx, func() (net.Listener, error) { return listenAdmin(n.cfg.Control) })
+	adminListener, err := RetryOnShortage(ctx, func() (net.Listener, error) { return listenAdmin(n.cfg.Control) })
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
 	if n.cfg.hasMembership() {
-		joined, err := Patiently(ctx, n.joinMembership)
+		joined, err := RetryOnShortage(ctx, n.joinMembership)
 		if err != nil {
 			return fmt.Errorf("%w (mesh.listen of the fleet configuration)", err)
 		}
 		n.membership.Store(joined)
 		defer joined.Close()
 	}
-	before, err := Patiently(ctx, func() (*handover.Predecessor, error) { return handover.Connect(n.cfg.handoverSocket) })
+	before, err := RetryOnShortage(ctx, func() (*handover.Predecessor, error) { return handover.Connect(n.cfg.handoverSocket) })
 	if err != nil {
 		n.log.Warn("nothing was handed over", "err", err)
 	}
 	if before != nil {
 		return n.serve(ctx, before.Listener, adminListener, before)
 	}
-	listener, err := Patiently(ctx, func() (net.Listener, error) { return handover.Listen(n.cfg.Listen) })
+	listener, err := RetryOnShortage(ctx, func() (net.Listener, error) { return handover.Listen(n.cfg.Listen) })
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -72,7 +72,7 @@
 		case <-n.phaseChanges:
 		case <-ticker.C:
 			if n.lifecycle.DrainedFor() >= frontNoticeDelay+closingAnswersTime {
-				n.inbound.closeWaiting(closingAnswersTime)
+				n.inbound.closeIdle(closingAnswersTime)
 			}
 		case <-ctx.Done():
 			return
@@ -94,7 +94,7 @@
 	time.Sleep(frontNoticeDelay + closingAnswersTime)
 	closeSocket(n.inbound)
 	<-ended
-	for open := n.inbound.open(); open > 0; open = n.inbound.open() {
+	for open := n.inbound.openConnections(); open > 0; open = n.inbound.openConnections() {
 		now := time.Now()
 		if now.After(end) {
 			n.log.Warn("connections left open", "n", open) // all of their requests have been answered
