--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -13,7 +13,7 @@
 // ErrInvalidName is the error of a configuration without a usable fleet or member name.
 var ErrInvalidName = errors.New("a fleet and a name without " + idSeparator + " are needed")
 
-// Config says who this process is and where it meets others.
+// Config is the identity of this process, and the addresses of its fleet.
 type Config struct {
 	Fleet   string // processes of other fleets are ignored
 	Name    string // of the member that this process is
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -92,7 +92,7 @@
 }
 
 // detectorLog writes the lines of memberlist's own log at the debug level. Memberlist reports a probe without an answer
-// in no other way; a test holds it to its words.
+// in no other way; a test fails where that line changes.
 type detectorLog struct{ mesh *Mesh }
 
 var failedProbe = regexp.MustCompile(`Suspect (\S+) has failed, no acks received`)
@@ -140,26 +140,23 @@
 // takeProbeResults takes over who answered the failure detector's probes. It costs as much as there are suspects,
 // however large the fleet.
 func (m *Mesh) takeProbeResults() {
-	m.probes.mu.Lock()
-	defer m.probes.mu.Unlock()
-	for id := range m.probes.answered {
+	for _, id := range m.probes.takeAnswered() {
 		if p := m.processes.byID[id]; p != nil {
 			m.recordAnswer(p)
 		}
-		delete(m.probes.answered, id)
 	}
-	for id := range m.probes.unanswered {
+	for _, id := range m.probes.failures() {
 		p := m.processes.byID[id]
 		switch {
 		case p == nil || !p.isLive():
-			delete(m.probes.unanswered, id)
+			m.probes.dropFailure(id)
 		case p.state == Alive:
 			m.setState(p, Suspect)
 			m.suspected[id] = true
 		}
 	}
 	for id := range m.suspected {
-		if m.probes.unanswered[id] {
+		if m.probes.hasFailed(id) {
 			continue
 		}
 		p := m.processes.byID[id]
--- a/internal/membership/drops.go
+++ b/internal/membership/drops.go
@@ -17,7 +17,7 @@
 	Streams   atomic.Int64 // beyond the bound of open streams
 }
 
-// count counts a dropped frame by the error that says why.
+// count counts a dropped frame by the reason that its error is.
 func (d *DropCounters) count(err error) {
 	switch {
 	case errors.Is(err, errVersion):
--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -5,7 +5,7 @@
 // election is what a process that leads, or wants to, knows of the others' votes for it.
 type election struct {
 	votes        map[string]receivedVote  // by name, the last of each
-	grantedUntil map[string]time.Duration // by name, when its claim by this process's word has ended at the latest
+	grantedUntil map[string]time.Duration // by name, when the majority granted to it has run out at the latest
 }
 
 // receivedVote is a member's vote for this process.
@@ -53,18 +53,18 @@
 	return v.expiry
 }
 
-// grant notes that a member may claim the majority by this process's word.
+// grant notes that a member may claim the majority of this process until a time.
 func (e *election) grant(name string, until time.Duration) {
 	e.grantedUntil[name] = max(e.grantedUntil[name], until)
 }
 
-// withdraw notes that a member claims the majority by this process's word no more, and reports whether it was the last.
+// withdraw notes that a member claims this process's majority no more, and reports whether it was the last one.
 func (e *election) withdraw(name string) (last bool) {
 	delete(e.grantedUntil, name)
 	return len(e.grantedUntil) == 0
 }
 
-// claimants are the members that may claim the majority by this process's word.
+// claimants are the members that may claim this process's majority.
 func (e *election) claimants(now time.Duration) []string {
 	var names []string
 	for name, until := range e.grantedUntil {
--- a/internal/membership/local.go
+++ b/internal/membership/local.go
@@ -30,32 +30,3 @@
 	}
 	return l.metadata.Incarnation, raised
 }
-
-// probeResults are the results of the failure detector's probes by this process, since they were taken last. Its
-// methods are safe for concurrent use: memberlist's goroutines write them.
-type probeResults struct {
-	mu         sync.Mutex
-	answered   map[string]bool // by process ID, since the last tick
-	unanswered map[string]bool // by process ID: the last probe got no answer
-}
-
-func newProbeResults() probeResults {
-	return probeResults{
-		answered:   map[string]bool{},
-		unanswered: map[string]bool{},
-	}
-}
-
-func (r *probeResults) recordAnswer(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.unanswered, id)
-	r.answered[id] = true
-}
-
-// recordFailure notes a probe without an answer. Memberlist probes members only: there are no more names than these.
-func (r *probeResults) recordFailure(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.unanswered[id] = true
-}
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -30,7 +30,7 @@
 	Subject       string          `json:"a,omitempty"` // of a probe: the process, by its name within memberlist
 }
 
-// messageKind says what a message is. The numbers are part of the protocol.
+// messageKind is the kind of a message. The numbers are part of the protocol.
 type messageKind int
 
 const (
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -16,11 +16,10 @@
 
 // recordAnswer takes a round trip with a process. One that was confirmed dead without a report is back.
 func (m *Mesh) recordAnswer(p *process) {
-	if m.reachability.unreported[p.id] && p.state == Dead {
+	unreported := m.reachability.recordAnswer(p.id, m.now())
+	if unreported && p.state == Dead {
 		m.setState(p, Alive)
 	}
-	delete(m.reachability.unreported, p.id)
-	m.reachability.recordAnswer(p.id, m.now())
 }
 
 // setState lets a process enter a state; a change shows in the next view.
@@ -53,10 +52,10 @@
 	for id := range m.suspected {
 		m.reachability.inquire(id, now)
 	}
-	if m.reachability.silence(now) > silenceThreshold || len(m.reachability.inquiries) > 1 {
+	if m.reachability.silence(now) > silenceThreshold || m.reachability.openInquiries() > 1 {
 		m.inquireAll(now) // it is this process that is cut off, or many are dead
 	}
-	for id := range m.reachability.inquiries {
+	for _, id := range m.reachability.inquired() {
 		m.conclude(id, now, disconnected)
 	}
 	m.sendProbes()
@@ -65,7 +64,7 @@
 // inquireAll begins to probe live processes of which nothing is known lately, up to the bound.
 func (m *Mesh) inquireAll(now time.Duration) {
 	for id, p := range m.processes.byID {
-		if len(m.reachability.inquiries) >= maxInquiries {
+		if m.reachability.openInquiries() >= maxInquiries {
 			return
 		}
 		if p.isLive() && now-m.reachability.reachableAt(id) > answerValidity/2 {
@@ -83,14 +82,14 @@
 	}
 	switch m.reachability.assess(id, now, disconnected) {
 	case assessmentReachable:
-		delete(m.reachability.inquiries, id)
+		m.reachability.closeInquiry(id)
 	case assessmentSuspect:
 		m.setState(p, Suspect)
 	case assessmentDead:
 		reported := m.reachability.isReportedDead(id)
 		m.confirmDead(p)
 		if !reported {
-			m.reachability.unreported[id] = true
+			m.reachability.markUnreported(id)
 		}
 	case assessmentOpen:
 	}
@@ -101,7 +100,7 @@
 		return
 	}
 	for _, id := range m.reachability.longestUnknown() {
-		m.reachability.inquiries[id].probes++
+		m.reachability.recordProbe(id)
 		m.probe(id)
 	}
 }
@@ -116,7 +115,7 @@
 		if asked == indirectProbes {
 			return
 		}
-		if other != id && p.isLive() && m.reachability.inquiries[other] == nil {
+		if other != id && p.isLive() && !m.reachability.isInquired(other) {
 			m.sendTo(p, probe)
 			asked++
 		}
@@ -148,7 +147,7 @@
 	if p == nil || !p.isLive() {
 		return
 	}
-	if len(m.reachability.inquiries) < maxInquiries && m.processes.liveCount() <= maxVerifiedFleet {
+	if m.reachability.openInquiries() < maxInquiries && m.processes.liveCount() <= maxVerifiedFleet {
 		m.reachability.inquire(id, now)
 	}
 }
@@ -161,12 +160,12 @@
 	}
 }
 
-// handleIndirectAck takes the word of a process that another one has answered it. The word itself is an answer, too.
+// handleIndirectAck takes a process's report that another one has answered it. The report itself is an answer, too.
 func (m *Mesh) handleIndirectAck(msg message) {
 	if m.processes.byID[msg.Subject] == nil || msg.TargetProcess != m.process {
 		return
 	}
-	m.reachability.indirectAt[msg.Subject] = m.now()
+	m.reachability.recordIndirect(msg.Subject, m.now())
 	if p := m.processes.find(msg.From, msg.Process); p != nil {
 		m.recordAnswer(p)
 	}
--- a/internal/membership/quorum.go
+++ b/internal/membership/quorum.go
@@ -50,7 +50,7 @@
 	until time.Duration
 }
 
-// majorityClaim is until when this process may claim to be with the majority, and by the word of which process.
+// majorityClaim is until when this process may claim to be with the majority, and which process has granted it.
 type majorityClaim struct {
 	leader   uint64
 	until    time.Duration
@@ -119,6 +119,28 @@
 	return count.majorityUntil()
 }
 
+// quorumStatus is what the view shows of the quorum.
+type quorumStatus struct {
+	epoch      Epoch
+	memberList []string
+	settled    bool // no change of the member list is under way
+	side       PartitionSide
+	leader     uint64
+	claimUntil time.Duration
+}
+
+func (q *quorum) status(now time.Duration) quorumStatus {
+	side, leader := q.side(now)
+	return quorumStatus{
+		epoch:      q.list.epoch,
+		memberList: q.list.names,
+		settled:    q.list.previous == nil,
+		side:       side,
+		leader:     leader,
+		claimUntil: q.claim.until,
+	}
+}
+
 // side is on which side of a partition this process is, and under which leading process it knows so.
 func (q *quorum) side(now time.Duration) (side PartitionSide, leader uint64) {
 	switch {
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -32,7 +32,7 @@
 // confirms nobody dead and leads nobody, until an answer comes or 20 s are over.
 type reachability struct {
 	answeredAt   map[string]time.Duration // by process ID: its last answer to this process
-	indirectAt   map[string]time.Duration // its last answer to another process that said so
+	indirectAt   map[string]time.Duration // its last answer to another process that reported so
 	inquiries    map[string]*inquiry
 	reportedDead map[string]time.Duration // by the failure detector, and not confirmed yet
 	unreported   map[string]bool          // confirmed dead without a report: the detector will not report a return either
@@ -65,14 +65,23 @@
 	}
 }
 
-// recordAnswer notes a round trip with a process.
-func (r *reachability) recordAnswer(id string, now time.Duration) {
+// recordAnswer notes a round trip with a process, and reports whether it was confirmed dead without a report.
+func (r *reachability) recordAnswer(id string, now time.Duration) (unreported bool) {
+	unreported = r.unreported[id]
+	delete(r.unreported, id)
 	r.answeredAt[id] = now
 	r.lastAnswer = now
-	delete(r.inquiries, id)
+	r.closeInquiry(id)
+	return unreported
 }
 
-// reachableAt is when a process last answered this one, or another that said so; -1: never.
+// recordIndirect notes that a process has answered another one.
+func (r *reachability) recordIndirect(id string, now time.Duration) { r.indirectAt[id] = now }
+
+// markUnreported notes that a process was confirmed dead without a report.
+func (r *reachability) markUnreported(id string) { r.unreported[id] = true }
+
+// reachableAt is when a process last answered this one, or another that reported so; -1: never.
 func (r *reachability) reachableAt(id string) time.Duration {
 	at := time.Duration(-1)
 	if answered, ok := r.answeredAt[id]; ok {
@@ -106,6 +115,18 @@
 	}
 }
 
+func (r *reachability) closeInquiry(id string) { delete(r.inquiries, id) }
+
+func (r *reachability) isInquired(id string) bool { return r.inquiries[id] != nil }
+
+// recordProbe counts a probe of an open inquiry.
+func (r *reachability) recordProbe(id string) { r.inquiries[id].probes++ }
+
+// inquired are the processes with an open inquiry.
+func (r *reachability) inquired() []string { return slices.Collect(maps.Keys(r.inquiries)) }
+
+func (r *reachability) openInquiries() int { return len(r.inquiries) }
+
 // reportDead takes the failure detector's report.
 func (r *reachability) reportDead(id string, now time.Duration) {
 	r.inquire(id, now)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -1,6 +1,6 @@
 package membership
 
-// State is what a member is to the others. The words of its String are part of the operators' interface.
+// State is what a member is to the others. The texts of its String are part of the operators' interface.
 type State int
 
 // States of a member.
@@ -9,7 +9,7 @@
 //	Alive     serves
 //	Suspect   has not answered this process's probe, or is called dead by the failure detector, and may answer yet
 //	Dead      is confirmed dead
-//	Left      said that it leaves
+//	Left      has announced that it leaves
 //	Conflict  two live processes claim its name
 const (
 	Joining State = iota
@@ -20,7 +20,7 @@
 	Conflict
 )
 
-// String is the state's word in logs and JSON.
+// String is the state's name in logs and JSON.
 func (s State) String() string {
 	return [...]string{"joining", "alive", "suspect", "gone", "left", "conflict"}[s]
 }
@@ -28,7 +28,7 @@
 // MarshalText makes a state readable in JSON.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// PartitionSide says on which side of a partition a process is. The words of its String are part of the operators'
+// PartitionSide is the side of a partition that a process is on. The texts of its String are part of the operators'
 // interface.
 type PartitionSide int
 
@@ -46,7 +46,7 @@
 	Complete
 )
 
-// String is the side's word in logs and JSON.
+// String is the side's name in logs and JSON.
 func (s PartitionSide) String() string {
 	return [...]string{"alone", "minority", "majority", "whole"}[s]
 }
--- a/internal/membership/stepdown.go
+++ b/internal/membership/stepdown.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// stepDown is how leaders end, as far as this process knows: whether it has given up leading, and which process has
-// told it so last.
+// stepDown is which leaders have stepped down: whether this process has, and the last one that has notified it.
 type stepDown struct {
 	started bool   // this process leads no more, and never again
 	last    uint64 // the process whose step down came last
@@ -13,7 +12,7 @@
 func (s *stepDown) sentBefore(heartbeat message) bool { return heartbeat.Process == s.last }
 
 // giveUpLead ends this process's leadership, as it leaves, so that the next leader need not wait for the votes to run
-// out: all that claim the majority by this process's word give it up and confirm that, then the votes are free. It
+// out: all that claim this process's majority give it up and confirm that, then the votes are free. It
 // returns the messages to send; done reports that no more follow. A member that does not confirm claims the majority no
 // longer than the votes last, and all wait for that.
 func (q *quorum) giveUpLead(now time.Duration, digest uint64) (out map[string]message, done bool) {
@@ -44,7 +43,7 @@
 	return out
 }
 
-// handleStepDown gives up what this process claims by the sender's word, and confirms it.
+// handleStepDown gives up the claim that the sender granted to this process, and confirms that.
 func (q *quorum) handleStepDown(m message, reply *message) {
 	q.stepDown.last = m.Process
 	if q.claim.leader == m.Process {
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -25,7 +25,7 @@
 // MaxDescriptors is how many file descriptors a mesh uses at most.
 const MaxDescriptors = 2 + maxInboundStreams + maxOutboundStreams
 
-// transportConfig says what a transport is of.
+// transportConfig is what a transport is opened with.
 type transportConfig struct {
 	address  string // for both sockets
 	fleet    uint64
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -36,12 +36,13 @@
 		m.viewStale = false
 		view.Members = m.rebuildMembers(now)
 	}
-	if rebuild || view.Epoch != m.quorum.list.epoch {
-		view.Epoch = m.quorum.list.epoch
-		view.MemberListSize = len(m.quorum.list.names)
+	status := m.quorum.status(now)
+	if rebuild || view.Epoch != status.epoch {
+		view.Epoch = status.epoch
+		view.MemberListSize = len(status.memberList)
 		view.Digest = viewDigest(view.Epoch, view.Members)
 	}
-	m.updateSide(view, before, now)
+	m.updateSide(view, before, status)
 	m.view.Store(view)
 	changed := before == nil || before.Side != view.Side || before.Epoch != view.Epoch
 	if changed {
@@ -58,11 +59,12 @@
 
 // updateSide takes the side and the member list of the quorum. A process that has stepped out, or left, has no part in
 // the fleet.
-func (m *Mesh) updateSide(view, before *View, now time.Duration) {
-	view.Side, view.LeaderProcess = m.quorum.side(now)
-	view.claimUntil = m.quorum.claim.until
-	view.MemberListSettled = m.quorum.list.previous == nil
-	view.MemberList = m.quorum.list.names
+func (m *Mesh) updateSide(view, before *View, status quorumStatus) {
+	view.Side = status.side
+	view.LeaderProcess = status.leader
+	view.claimUntil = status.claimUntil
+	view.MemberListSettled = status.settled
+	view.MemberList = status.memberList
 	if m.conflict.outsideUntil != 0 || m.members[m.cfg.Name].State == Left {
 		view.Side = Isolated
 		view.LeaderProcess = 0
