--- /dev/null
+++ b/internal/node/request_parsing.go
@@ -0,0 +1,85 @@
+// The step from an HTTP request to a request for the loop.
+
+package node
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+
+	"keelusher/internal/inbound"
+)
+
+// Reasons to reject a request. Their texts are sent to the client.
+var (
+	errBudgetUsedSuspended = errors.New("the process stood still for longer than the request's time")
+	errBodyOverLimit       = fmt.Errorf("the body is over %d bytes", maxStreamedBody)
+	errBodyUnreadable      = errors.New("the body could not be read")
+)
+
+// parseRequest turns an HTTP request into a request for the loop. It fails with an *inbound.Rejection.
+func (h *clientHandler) parseRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
+	meta, budget, err := inbound.ParseHeaders(r, h.methods)
+	if err != nil {
+		return nil, err
+	}
+	c := &clientRequest{
+		meta:       meta,
+		method:     r.Method,
+		url:        r.URL,
+		host:       r.Host,
+		responses:  make(chan response, 1),
+		connection: clientConnOf(r),
+	}
+	if err := h.readBody(w, r, c); err != nil {
+		return nil, err
+	}
+	c.header = inbound.ForwardableHeaders(r.Header)
+	// A request that waited for a suspended process has used up a part of its time.
+	c.budget = budget - min(h.suspension.TimeQueued(), c.connection.idleFor())
+	if c.budget <= 0 {
+		return nil, inbound.Reject(http.StatusServiceUnavailable, errBudgetUsedSuspended)
+	}
+	c.deadline = h.clock.now() + c.budget
+	c.meta.Deadline = c.deadline
+	c.meta.BodyIncomplete = c.bodyStream != nil
+	return c, nil
+}
+
+// readBody reads a short body completely, and of a long one as much as memory is available for. The remainder is
+// streamed later. A peer that sends only the head of a request with a long body thus takes no server's time. It fails
+// with an *inbound.Rejection.
+func (h *clientHandler) readBody(w http.ResponseWriter, r *http.Request, c *clientRequest) error {
+	if r.ContentLength > maxStreamedBody {
+		return inbound.Reject(http.StatusRequestEntityTooLarge, errBodyOverLimit)
+	}
+	c.contentLength = r.ContentLength
+	if c.contentLength == 0 {
+		return nil
+	}
+	stream := inbound.NewBody(w, r, firstBodyByteDue(r))
+	// The maximum, if the length is not known: -1 is then the greatest unsigned number.
+	c.bodyMemory = h.buffers.requests.reserve(int(min(uint64(c.contentLength), maxBufferedBody)))
+	if c.bodyMemory == nil {
+		c.bodyStream = stream
+		return nil
+	}
+	var complete bool
+	var err error
+	c.body, complete, err = stream.Buffer(c.bodyMemory.size, c.contentLength)
+	if err != nil {
+		c.bodyMemory.release()
+		return inbound.Reject(http.StatusBadRequest, errBodyUnreadable)
+	}
+	if complete {
+		c.contentLength = int64(len(c.body))
+		c.bodyMemory.shrinkTo(len(c.body))
+	} else {
+		c.bodyStream = stream
+	}
+	if r.Method == http.MethodGet && len(c.body) > 0 {
+		c.bodyMemory.release()
+		return inbound.Reject(http.StatusBadRequest, inbound.ErrBodyOnGet)
+	}
+	return nil
+}
