--- a/cmd/balancer-testbed/capacity.go
+++ b/cmd/balancer-testbed/capacity.go
@@ -55,11 +55,11 @@
 	if err := errors.Join(w.Fill(), load.Fill(&w)); err != nil {
 		return usageError{err}
 	}
-	l, err := testbed.Open(ctx, w)
+	tb, err := testbed.Open(ctx, w)
 	if err != nil {
 		return err
 	}
-	defer l.Close()
+	defer tb.Close()
 	day := testbed.Draw(&w, &load, length, 1)
 	const most = int64(time.Minute / time.Microsecond)
 	latency, late := hdrhistogram.New(1, most, 3), hdrhistogram.New(1, most, 3)
@@ -76,7 +76,7 @@
 	}()
 	cpu, began := ownCPU(), time.Now()
 	var served atomic.Int64
-	l.Drive(ctx, &load, day, func(s testbed.Served) {
+	tb.Drive(ctx, &load, day, func(s testbed.Served) {
 		if s.End == "served" {
 			served.Add(1)
 		}
@@ -91,8 +91,8 @@
 	fmt.Printf("latency from the drawn arrival: p50=%.3f ms p99=%.3f ms; lateness of the lab: p50=%.3f ms p99=%.3f ms p99.9=%.3f ms\n",
 		at(latency, 50), at(latency, 99), at(late, 50), at(late, 99), at(late, 99.9))
 	fmt.Printf("processor time of the lab: %.2f cores, %.0f%% of %d\n", spent.Seconds()/took.Seconds(), 100*spent.Seconds()/took.Seconds()/float64(cores), cores)
-	a := l.Referee().Account()
-	_, broken := l.Findings()
+	a := tb.Checker().Account()
+	_, broken := tb.Findings()
 	fmt.Printf("referee: taken %d = answered %d + left %d + cut off %d + lost %d; broken %v\n", a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, broken)
 	return ctx.Err()
 }
--- a/internal/testbed/referee.go
+++ b/internal/testbed/checker.go
@@ -15,22 +15,22 @@
 
 // The rules of the platform, and what ends a run.
 const (
-	Lost       Rule = "lost"             // a request taken got no whole answer in time
-	Twice      Rule = "answered twice"   // a second answer to one request
-	Foreign    Rule = "foreign answer"   // served with something that no server made for it
-	UnsafeRun  Rule = "unsafe run twice" // a copy of what may have run, of a class that must not
-	Drained    Rule = "sent to drained"  // something new to a draining or gone server too late
-	ColdPushed Rule = "cold pushed over" // a cold server sent more than it bears
-	UnknownID  Rule = "unknown id"       // a request that no client sent
-	TooMany    Rule = "too many attempts"
-	Crash      Rule = "crash"                 // a node ended by itself
-	LateSend   Rule = "sent after leave"      // an attempt that began too long after its client had gone
-	LateRepeat Rule = "repeat too late"       // a copy of a keyed request after the window in which servers discard it
-	Overtold   Rule = "told too much time"    // a server was told more time than the client had left
-	KeptPeer   Rule = "improper client kept"  // it got neither an error nor a close in time
-	RanUnread  Rule = "ran though given back" // a request whose connection its node closed unanswered was sent on
-	Admitted   Rule = "own violation"         // a node counted a broken promise of its own
-	Differs    Rule = "counters differ"       // what a node counted is not what the servers saw
+	Lost                  Rule = "lost"             // a request taken got no whole answer in time
+	AnsweredTwice         Rule = "answered twice"   // a second answer to one request
+	ForeignAnswer         Rule = "foreign answer"   // served with something that no server made for it
+	DuplicateExecution    Rule = "unsafe run twice" // a copy of what may have run, of a class that must not
+	SentToDraining        Rule = "sent to drained"  // something new to a draining or gone server too late
+	ColdServerOverloaded  Rule = "cold pushed over" // a cold server sent more than it bears
+	UnknownID             Rule = "unknown id"       // a request that no client sent
+	TooManyAttempts       Rule = "too many attempts"
+	Crash                 Rule = "crash"                 // a node ended by itself
+	SentAfterDisconnect   Rule = "sent after leave"      // an attempt that began too long after its client had gone
+	RetryAfterWindow      Rule = "repeat too late"       // a copy of a keyed request after the window in which servers discard it
+	BudgetTooLong         Rule = "told too much time"    // a server was told more time than the client had left
+	ImproperClientKept    Rule = "improper client kept"  // it got neither an error nor a close in time
+	ForwardedUnread       Rule = "ran though given back" // a request whose connection its node closed unanswered was sent on
+	SelfReportedViolation Rule = "own violation"         // a node counted a broken promise of its own
+	CountersDiffer        Rule = "counters differ"       // what a node counted is not what the servers saw
 )
 
 // Finding is one broken rule.
@@ -49,14 +49,14 @@
 
 // Slacks of the rules on late sends and on the time that servers are told.
 const (
-	lateSendMost = 100 * time.Millisecond
-	overtoldMost = 150 * time.Millisecond
+	lateSendTolerance = 100 * time.Millisecond
+	budgetTolerance   = 150 * time.Millisecond
 )
 
 const (
-	shards    = 64
-	mostFound = 1000            // findings kept; more are counted
-	keepLinks = 2 * time.Second // what a faulty link delays comes so soon after
+	shards             = 64
+	maxFindings        = 1000            // findings kept; more are counted
+	linkFaultCarryOver = 2 * time.Second // what a faulty link delays comes so soon after
 )
 
 // Account says what became of the requests that nodes took: Taken = Answered + Left + CutOff + Lost.
@@ -71,7 +71,7 @@
 }
 
 // Referee keeps one record for each request id, of clients and of servers calling on, and checks the rules.
-type Referee struct {
+type Checker struct {
 	now      func() time.Duration
 	spans    *spans
 	unsafe   map[string]bool          // by class
@@ -109,8 +109,8 @@
 	leftAt   time.Duration // when the client went away; 0: it has not
 }
 
-func newReferee(w *World, now func() time.Duration, s *spans) *Referee {
-	r := &Referee{now: now, spans: s, unsafe: map[string]bool{}, windows: map[string]time.Duration{}, attempts: w.Limits.MaxAttempts, salt: w.Seed ^ 0x9e3779b97f4a7c15,
+func newChecker(w *World, now func() time.Duration, s *spans) *Checker {
+	r := &Checker{now: now, spans: s, unsafe: map[string]bool{}, windows: map[string]time.Duration{}, attempts: w.Limits.MaxAttempts, salt: w.Seed ^ 0x9e3779b97f4a7c15,
 		counts: map[Rule]int{}, told: map[[2]string]time.Duration{}}
 	for _, c := range w.Classes {
 		r.unsafe[c.Name] = c.Effect == "non_idempotent"
@@ -125,7 +125,7 @@
 }
 
 // with calls f on the record of an id with its shard locked. It says whether there is one.
-func (r *Referee) with(id string, f func(*record)) bool {
+func (r *Checker) withRecord(id string, f func(*record)) bool {
 	s := &r.shard[xxhash.Sum64String(id)%shards]
 	s.Lock()
 	defer s.Unlock()
@@ -136,24 +136,24 @@
 	return rec != nil
 }
 
-func (r *Referee) find(rule Rule, id, node, detail string) {
+func (r *Checker) addFinding(rule Rule, id, node, detail string) {
 	at := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[rule]++
-	if len(r.found) < mostFound {
+	if len(r.found) < maxFindings {
 		r.found = append(r.found, Finding{At: at, Rule: rule, ID: id, Node: node, Detail: detail})
 	}
 }
 
-func (r *Referee) count(f func(*Account)) {
+func (r *Checker) updateAccount(f func(*Account)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.account)
 }
 
 // begin makes an id known, before its first byte is written.
-func (r *Referee) begin(id, class string, deadline time.Duration) {
+func (r *Checker) begin(id, class string, deadline time.Duration) {
 	s := &r.shard[xxhash.Sum64String(id)%shards]
 	s.Lock()
 	defer s.Unlock()
@@ -161,8 +161,8 @@
 }
 
 // heading says which node a request is about to be written to, and returns the number of that writing.
-func (r *Referee) heading(id, node string) (writing int) {
-	r.with(id, func(rec *record) {
+func (r *Checker) beginWrite(id, node string) (writing int) {
+	r.withRecord(id, func(rec *record) {
 		rec.node = node
 		rec.writing++
 		writing = rec.writing
@@ -171,55 +171,55 @@
 }
 
 // wrote says that a request is whole at a node's connection: the node has taken it.
-func (r *Referee) wrote(id string, at time.Duration) {
-	r.with(id, func(rec *record) { rec.written = at })
-	r.count(func(a *Account) { a.Taken++ })
+func (r *Checker) recordWritten(id string, at time.Duration) {
+	r.withRecord(id, func(rec *record) { rec.written = at })
+	r.updateAccount(func(a *Account) { a.Taken++ })
 }
 
 // unread takes a request back: its connection ended with nothing said, as it crossed the node's close. It says whether
 // that can be; if some server has it, or the node's system has given its bytes away, the node had read it.
-func (r *Referee) unread(id string, taken bool) (can bool) {
-	r.with(id, func(rec *record) {
+func (r *Checker) retractUnread(id string, taken bool) (can bool) {
+	r.withRecord(id, func(rec *record) {
 		if can = rec.attempts == 0 && !taken; can {
 			rec.written, rec.back, rec.backAt = 0, rec.writing, r.now()
 		}
 	})
 	if can {
-		r.count(func(a *Account) { a.Taken--; a.Unread++ })
+		r.updateAccount(func(a *Account) { a.Taken--; a.Unread++ })
 	}
 	return can
 }
 
 // answered says that a request got its answer. A 200 must carry what a server made.
-func (r *Referee) answered(id string, status int, body string, checkBody bool) {
+func (r *Checker) recordAnswer(id string, status int, body string, checkBody bool) {
 	var foreign, node string
-	r.with(id, func(rec *record) {
+	r.withRecord(id, func(rec *record) {
 		rec.ended, node = true, rec.node
-		if status == 200 && checkBody && (rec.served == 0 || body != r.answer(id)) {
+		if status == 200 && checkBody && (rec.served == 0 || body != r.expectedBody(id)) {
 			foreign = fmt.Sprintf("%d servers served it, the body is %.60q", rec.served, body)
 		}
 	})
-	r.count(func(a *Account) { a.Answered++ })
+	r.updateAccount(func(a *Account) { a.Answered++ })
 	if foreign != "" {
-		r.find(Foreign, id, node, foreign)
+		r.addFinding(ForeignAnswer, id, node, foreign)
 	}
 }
 
 // left says that the client of a taken request went away first.
-func (r *Referee) left(id string) {
-	r.with(id, func(rec *record) { rec.ended, rec.leftAt = true, r.now() })
-	r.count(func(a *Account) { a.Left++ })
+func (r *Checker) recordDisconnect(id string) {
+	r.withRecord(id, func(rec *record) { rec.ended, rec.leftAt = true, r.now() })
+	r.updateAccount(func(a *Account) { a.Left++ })
 }
 
 // unanswered says that a taken request will get no answer: its connection broke, or its time and the slack are over.
 // It returns whether the lab itself is the cause.
-func (r *Referee) unanswered(id, caller, how string) bool {
+func (r *Checker) recordUnanswered(id, caller, how string) bool {
 	var rec record
-	r.with(id, func(p *record) { p.ended = true; rec = *p })
+	r.withRecord(id, func(p *record) { p.ended = true; rec = *p })
 	now := r.now()
 	excused := r.spans.overlap(rec.node, rec.written-slack, now) || r.spans.overlap(caller+"->"+rec.node, rec.written-slack, now) ||
 		r.spans.overlap(rec.node+"->"+caller, rec.written-slack, now) || r.spans.overlap(caller, rec.written-slack, now)
-	r.count(func(a *Account) {
+	r.updateAccount(func(a *Account) {
 		if excused {
 			a.CutOff++
 		} else {
@@ -227,14 +227,14 @@
 		}
 	})
 	if !excused {
-		r.find(Lost, id, rec.node, fmt.Sprintf("%s, %.0f ms after it was written, deadline %.3fs", how, ms(now-rec.written), rec.deadline.Seconds()))
+		r.addFinding(Lost, id, rec.node, fmt.Sprintf("%s, %.0f ms after it was written, deadline %.3fs", how, ms(now-rec.written), rec.deadline.Seconds()))
 	}
 	return excused
 }
 
 // stray says that a node answered a request that had its answer.
-func (r *Referee) stray(id, node, what string) {
-	r.find(Twice, id, node, "an answer came when none was owed: "+what)
+func (r *Checker) recordUnexpectedAnswer(id, node, what string) {
+	r.addFinding(AnsweredTwice, id, node, "an answer came when none was owed: "+what)
 }
 
 // verdict says what a server does with an attempt.
@@ -248,10 +248,10 @@
 
 // arrived records an attempt that came whole to a server; first is when its first byte came. It returns what to do
 // with it, which node has sent it and which attempt of the request it is.
-func (r *Referee) arrived(id, server string, from sender, first, given time.Duration) (v verdict, node string, attempt int) {
+func (r *Checker) recordAttempt(id, server string, from sender, first, given time.Duration) (v verdict, node string, attempt int) {
 	var rec record
 	lateRepeat := false
-	known := r.with(id, func(p *record) {
+	known := r.withRecord(id, func(p *record) {
 		p.attempts++
 		if p.ran > 0 && r.unsafe[p.class] {
 			v = duplicate
@@ -266,23 +266,23 @@
 		rec = *p
 	})
 	if known && from.writing != 0 && from.writing <= rec.back && !r.spans.overlap(from.node, rec.backAt-slack, rec.backAt+slack) {
-		r.find(RanUnread, id, from.node, fmt.Sprintf("came to %s, though its connection was closed with no answer", server))
+		r.addFinding(ForwardedUnread, id, from.node, fmt.Sprintf("came to %s, though its connection was closed with no answer", server))
 	}
 	if known && from.node != "" {
 		rec.node = from.node
 	}
 	switch {
 	case !known:
-		r.find(UnknownID, id, "", "came to "+server)
+		r.addFinding(UnknownID, id, "", "came to "+server)
 		return unknown, "", 0
 	case v == duplicate:
-		r.find(UnsafeRun, id, rec.node, fmt.Sprintf("attempt %d of a %s came to %s after one that may have run", rec.attempts, rec.class, server))
+		r.addFinding(DuplicateExecution, id, rec.node, fmt.Sprintf("attempt %d of a %s came to %s after one that may have run", rec.attempts, rec.class, server))
 	}
 	if known {
-		r.timely(id, server, &rec, first, given, lateRepeat)
+		r.checkTiming(id, server, &rec, first, given, lateRepeat)
 	}
 	if rec.attempts > r.attempts {
-		r.find(TooMany, id, rec.node, fmt.Sprintf("attempt %d came to %s", rec.attempts, server))
+		r.addFinding(TooManyAttempts, id, rec.node, fmt.Sprintf("attempt %d came to %s", rec.attempts, server))
 	}
 	r.mu.Lock()
 	at, told := r.told[[2]string{rec.node, server}]
@@ -291,30 +291,30 @@
 	// A node that was stopped is not excused: what came meanwhile it has to read before it sends.
 	if told && late > drainWithin+slack &&
 		!r.spans.overlap(rec.node+"->"+server, at, first) && !r.spans.overlap(server, at, first) {
-		r.find(Drained, id, rec.node, fmt.Sprintf("came to %s %.2f s after the node was told", server, late.Seconds()))
+		r.addFinding(SentToDraining, id, rec.node, fmt.Sprintf("came to %s %.2f s after the node was told", server, late.Seconds()))
 	}
 	return v, rec.node, rec.attempts
 }
 
 // Report adds what was found outside of the requests' records.
-func (r *Referee) Report(rule Rule, node, detail string) { r.find(rule, "", node, detail) }
+func (r *Checker) Report(rule Rule, node, detail string) { r.addFinding(rule, "", node, detail) }
 
 // neverRan takes an attempt back that its server turned away.
-func (r *Referee) neverRan(id string) { r.with(id, func(rec *record) { rec.ran-- }) }
+func (r *Checker) recordNotRun(id string) { r.withRecord(id, func(rec *record) { rec.ran-- }) }
 
 // served says that a server made an answer; it returns the answer's body.
-func (r *Referee) serve(id string) string {
-	r.with(id, func(rec *record) { rec.served++ })
-	return r.answer(id)
+func (r *Checker) recordServed(id string) string {
+	r.withRecord(id, func(rec *record) { rec.served++ })
+	return r.expectedBody(id)
 }
 
-func (r *Referee) answer(id string) string {
+func (r *Checker) expectedBody(id string) string {
 	return fmt.Sprintf("%s %016x", id, xxhash.Sum64String(id)^r.salt)
 }
 
 // tell records when a node counts as told, which may be yet to come, that a server drains or is gone; or that it is in
 // service. The earliest counts.
-func (r *Referee) tell(node, server string, inService bool, at time.Duration) {
+func (r *Checker) recordNotification(node, server string, inService bool, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := [2]string{node, server}
@@ -326,7 +326,7 @@
 }
 
 // forget lets a node's news go: a process that starts afresh has been told nothing.
-func (r *Referee) forget(node string) {
+func (r *Checker) forgetNotifications(node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for key := range r.told {
@@ -337,7 +337,7 @@
 }
 
 // Account returns what became of the requests so far.
-func (r *Referee) Account() Account {
+func (r *Checker) Account() Account {
 	open := 0
 	for i := range r.shard {
 		s := &r.shard[i]
@@ -357,7 +357,7 @@
 }
 
 // Findings returns what broke a rule, in order, and the count by rule.
-func (r *Referee) Findings() ([]Finding, map[Rule]int) {
+func (r *Checker) Findings() ([]Finding, map[Rule]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	counts := map[Rule]int{}
--- a/internal/testbed/caller.go
+++ b/internal/testbed/client.go
@@ -59,7 +59,7 @@
 // caller keeps connections to nodes and makes calls on them, one at a time on each, as the protocol's clients do. It
 // opens more when all are busy.
 type caller struct {
-	lab       *Lab
+	testbed   *Testbed
 	name      string
 	dial      func(context.Context) (net.Conn, string, error) // to some node, with its name
 	checkBody bool                                            // answers must be what a server made
@@ -112,14 +112,14 @@
 		if err != nil {
 			r.err = err
 			r.some = errors.Is(err, io.ErrUnexpectedEOF) && br.Buffered() > 0
-			r.taken = errors.Is(err, io.ErrUnexpectedEOF) && !r.some && cc.owes() && !c.lab.linked(c.name, cc.node) && allTaken(cc.Conn)
+			r.taken = errors.Is(err, io.ErrUnexpectedEOF) && !r.some && cc.owes() && !c.testbed.linked(c.name, cc.node) && allTaken(cc.Conn)
 		} else {
 			body, err := io.ReadAll(io.LimitReader(resp.Body, mostBody))
 			resp.Body.Close()
 			r = reply{status: resp.StatusCode, retryAfter: resp.Header.Get("Retry-After"), body: string(body), closing: resp.Close,
 				some: true, err: err}
 		}
-		r.at = c.lab.now()
+		r.at = c.testbed.now()
 		cc.mu.Lock()
 		owed := cc.owed
 		last := cc.last
@@ -130,7 +130,7 @@
 		if owed != "" {
 			cc.answers <- r // one is owed, one fits
 		} else if r.err == nil {
-			c.lab.referee.stray(last, cc.node, fmt.Sprintf("%d %.60q, closing %t", r.status, r.body, r.closing))
+			c.testbed.checker.recordUnexpectedAnswer(last, cc.node, fmt.Sprintf("%d %.60q, closing %t", r.status, r.body, r.closing))
 		}
 		if r.err != nil || r.closing {
 			cc.Conn.Close()
@@ -146,7 +146,7 @@
 		c.mu.Unlock()
 		return nil, net.ErrClosed
 	}
-	now := c.lab.now()
+	now := c.testbed.now()
 	for n := len(c.idle); n > 0 && !fresh; n = len(c.idle) {
 		cc := c.idle[n-1]
 		c.idle = c.idle[:n-1]
@@ -175,7 +175,7 @@
 func (c *caller) put(cc *callerConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cc.free = c.lab.now()
+	cc.free = c.testbed.now()
 	if c.closed || len(c.idle) >= mostIdle {
 		cc.Conn.Close()
 		return
@@ -196,12 +196,12 @@
 
 // do makes one call and returns its end, no later than its deadline and the slack.
 func (c *caller) do(ctx context.Context, q call) answer {
-	c.lab.referee.begin(q.id, q.class.Name, q.deadline)
+	c.testbed.checker.begin(q.id, q.class.Name, q.deadline)
 	until := q.deadline + slack
 	if q.leaves != 0 {
 		until = min(until, q.leaves)
 	}
-	ctx, cancel := context.WithDeadline(ctx, c.lab.began.Add(until))
+	ctx, cancel := context.WithDeadline(ctx, c.testbed.began.Add(until))
 	defer cancel()
 	for fresh := false; ; fresh = true {
 		a, again := c.try(ctx, q, fresh)
@@ -219,17 +219,17 @@
 		if ctx.Err() != nil {
 			a.end = leftEnd
 		}
-		a.at = c.lab.now()
+		a.at = c.testbed.now()
 		return a, false
 	}
 	a.node = cc.node
-	writing := c.lab.referee.heading(q.id, cc.node)
+	writing := c.testbed.checker.beginWrite(q.id, cc.node)
 	cc.mu.Lock()
 	cc.owed = q.id
 	cc.mu.Unlock()
 	head := c.format(q, sender{cc.node, writing})
 	if _, err := cc.Write(head); err == nil {
-		c.lab.referee.wrote(q.id, c.lab.now())
+		c.testbed.checker.recordWritten(q.id, c.testbed.now())
 		select {
 		case r := <-cc.answers:
 			return c.answered(cc, q, r)
@@ -239,12 +239,12 @@
 			return c.answered(cc, q, r)
 		}
 		cc.Close()
-		a.at, a.end = c.lab.now(), leftEnd
+		a.at, a.end = c.testbed.now(), leftEnd
 		if a.at < q.deadline+slack {
-			c.lab.referee.left(q.id)
+			c.testbed.checker.recordDisconnect(q.id)
 		} else {
 			a.end = failedEnd
-			c.lab.referee.unanswered(q.id, c.name, "no answer in time")
+			c.testbed.checker.recordUnanswered(q.id, c.name, "no answer in time")
 		}
 		return a, false
 	}
@@ -252,14 +252,14 @@
 	if cc.used && ctx.Err() == nil {
 		return a, true
 	}
-	a.at, a.end = c.lab.now(), failedEnd
+	a.at, a.end = c.testbed.now(), failedEnd
 	return a, false
 }
 
 // lateAnswer waits on for the answer of a node that was held up: one that comes up to half a second late is no loss.
 func (c *caller) lateAnswer(cc *callerConn, q call) (r reply, late bool) {
 	over := q.deadline + slack
-	if c.lab.now() < over || !c.lab.spans.overlap(heldUp(cc.node), over-heldMost, over) {
+	if c.testbed.now() < over || !c.testbed.spans.overlap(heldUp(cc.node), over-heldMost, over) {
 		return r, false
 	}
 	select {
@@ -276,29 +276,29 @@
 	if r.err != nil {
 		cc.Close()
 		switch {
-		case !r.some && cc.used && c.lab.referee.unread(q.id, r.taken):
+		case !r.some && cc.used && c.testbed.checker.retractUnread(q.id, r.taken):
 			return a, true // the close crossed the request
-		case !r.some && !cc.used && c.lab.referee.unread(q.id, r.taken):
+		case !r.some && !cc.used && c.testbed.checker.retractUnread(q.id, r.taken):
 			// a new connection closed with no answer: failed, and not lost
 		default:
-			c.lab.referee.unanswered(q.id, c.name, fmt.Sprintf("the connection ended: %v (all was read: %t)", r.err, r.taken))
+			c.testbed.checker.recordUnanswered(q.id, c.name, fmt.Sprintf("the connection ended: %v (all was read: %t)", r.err, r.taken))
 		}
 		return a, false
 	}
 	if before, _, _ := strings.Cut(r.body, " "); c.checkBody && before != "" && before == cc.prev {
-		c.lab.referee.stray(before, cc.node, "that of the request before") // the connection is one answer behind from here on
-		c.lab.referee.left(q.id)
+		c.testbed.checker.recordUnexpectedAnswer(before, cc.node, "that of the request before") // the connection is one answer behind from here on
+		c.testbed.checker.recordDisconnect(q.id)
 		cc.Close()
 		return a, false
 	}
-	c.lab.referee.answered(q.id, r.status, r.body, c.checkBody)
+	c.testbed.checker.recordAnswer(q.id, r.status, r.body, c.checkBody)
 	switch r.status {
 	case http.StatusOK:
 		a.end = servedEnd
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		a.end = refusedEnd
 		if s, err := strconv.ParseFloat(r.retryAfter, 64); err == nil && s > 0 {
-			a.retryAfter = min(time.Duration(s*float64(time.Second)), c.lab.world.Limits.MaxRetryAfter)
+			a.retryAfter = min(time.Duration(s*float64(time.Second)), c.testbed.world.Limits.MaxRetryAfter)
 		}
 	}
 	if !r.closing {
@@ -319,7 +319,7 @@
 	}
 	b := make([]byte, 0, 320)
 	b = fmt.Appendf(b, "%s /api HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %dm\r\n%s: %s %d\r\n",
-		method, q.id, q.class.Name, max(1, (q.deadline-c.lab.now()).Milliseconds()), senderHeader, to.node, to.writing)
+		method, q.id, q.class.Name, max(1, (q.deadline-c.testbed.now()).Milliseconds()), senderHeader, to.node, to.writing)
 	if q.tenant != "" {
 		b = fmt.Appendf(b, "X-Caller: %s\r\n", q.tenant)
 	}
--- a/internal/testbed/spoil.go
+++ b/internal/testbed/corrupt_response.go
@@ -20,14 +20,14 @@
 	if !ok {
 		return
 	}
-	body := s.lab.referee.serve(id)
+	body := s.testbed.checker.recordServed(id)
 	c, _, err := h.Hijack()
 	if err != nil {
 		return
 	}
 	defer c.Close()
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	draw := s.lab.drawn(id, "how it is spoilt")
+	draw := s.testbed.drawn(id, "how it is spoilt")
 	switch {
 	case draw < 1.0/3:
 		fmt.Fprint(c, whole)
@@ -41,6 +41,6 @@
 		}
 	default:
 		fmt.Fprint(c, whole)
-		time.Sleep(time.Duration(s.lab.drawn(id, "end") * float64(idleEndMost)))
+		time.Sleep(time.Duration(s.testbed.drawn(id, "end") * float64(idleEndMost)))
 	}
 }
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -29,8 +29,8 @@
 // discovery keeps a list for each tier and answers each node at an address of the node's own, since the servers'
 // addresses may differ between nodes. Its news are late by the world's figure.
 type discovery struct {
-	lab  *Lab
-	turn chan struct{} // calls are handled one at a time
+	testbed *Testbed
+	turn    chan struct{} // calls are handled one at a time
 
 	mu     sync.Mutex
 	outage Outage
@@ -60,9 +60,9 @@
 	host listed
 }
 
-func newDiscovery(l *Lab) *discovery {
-	d := &discovery{lab: l, turn: make(chan struct{}, 1), late: l.world.Discovery.Late, ears: map[*Node]*ear{}, of: map[*Node]*gate{}}
-	for range l.world.Tiers {
+func newDiscovery(tb *Testbed) *discovery {
+	d := &discovery{testbed: tb, turn: make(chan struct{}, 1), late: tb.world.Discovery.Late, ears: map[*Node]*ear{}, of: map[*Node]*gate{}}
+	for range tb.world.Tiers {
 		d.tiers = append(d.tiers, &tierList{hosts: map[string]listed{}, changed: make(chan struct{})})
 	}
 	return d
@@ -93,9 +93,9 @@
 		}
 		t.log = append(t.log, change{t.seq, h})
 		if h.Health != "in_service" {
-			for _, n := range d.lab.order {
+			for _, n := range d.testbed.order {
 				if n.tier == tier {
-					d.lab.referee.tell(n.name, h.Host, false, d.heed(n))
+					d.testbed.checker.recordNotification(n.name, h.Host, false, d.heed(n))
 				}
 			}
 		}
@@ -144,19 +144,19 @@
 // addressed gives the servers the addresses that a node dials.
 func (d *discovery) addressed(n *Node, news rosterNews) rosterNews {
 	for i := range news.Hosts {
-		news.Hosts[i].Dial = d.lab.serverAddr(n, news.Hosts[i].Host)
+		news.Hosts[i].Dial = d.testbed.serverAddr(n, news.Hosts[i].Host)
 	}
 	return news
 }
 
 // serve opens the address at which a node asks.
 func (d *discovery) serve(n *Node) (addr string, err error) {
-	g, err := newGate(d.lab.discoveryIP() + ":0")
+	g, err := newGate(d.testbed.discoveryIP() + ":0")
 	if err != nil {
 		return "", err
 	}
-	server := &http.Server{ErrorLog: d.lab.discard, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(n, w, r) })}
-	d.lab.own(func() { server.Serve(g) }) // ends with the gate
+	server := &http.Server{ErrorLog: d.testbed.discard, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(n, w, r) })}
+	d.testbed.own(func() { server.Serve(g) }) // ends with the gate
 	d.mu.Lock()
 	d.gates = append(d.gates, g)
 	d.of[n] = g
@@ -174,7 +174,7 @@
 func (d *discovery) state() (Outage, time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.outage, d.lab.world.Discovery.Call + d.outage.Slow
+	return d.outage, d.testbed.world.Discovery.Call + d.outage.Slow
 }
 
 func (d *discovery) answer(n *Node, w http.ResponseWriter, r *http.Request) {
@@ -182,7 +182,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	wait := time.NewTimer(d.lab.world.Discovery.MaxLag)
+	wait := time.NewTimer(d.testbed.world.Discovery.MaxLag)
 	defer wait.Stop()
 	select {
 	case d.turn <- struct{}{}:
@@ -220,7 +220,7 @@
 		return
 	}
 	e := d.hear(n, func(e *ear) { e.watches++ })
-	defer d.hear(n, func(e *ear) { e.called, e.watches, e.silent = d.lab.now(), e.watches-1, 0 })
+	defer d.hear(n, func(e *ear) { e.called, e.watches, e.silent = d.testbed.now(), e.watches-1, 0 })
 	d.watch(n, w, r, from, e)
 }
 
@@ -239,7 +239,7 @@
 		news = d.addressed(n, news)
 		mute := o.Dumb || d.mutes > mutes
 		if (mute || o.Trickle) && e.silent == 0 {
-			e.silent = d.lab.now()
+			e.silent = d.testbed.now()
 		}
 		d.mu.Unlock()
 		switch {
@@ -271,7 +271,7 @@
 			}
 		case <-r.Context().Done():
 			return
-		case <-d.lab.done:
+		case <-d.testbed.done:
 			return
 		}
 	}
--- a/internal/testbed/outage.go
+++ b/internal/testbed/discovery_fault.go
@@ -53,7 +53,7 @@
 func (d *discovery) silent(r *http.Request) {
 	select {
 	case <-r.Context().Done():
-	case <-d.lab.done:
+	case <-d.testbed.done:
 	}
 }
 
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -107,14 +107,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	arrived := map[uint64]map[string]int{3: {}, 4: {}}
+	recordAttempt := map[uint64]map[string]int{3: {}, 4: {}}
 	for _, s := range r.Summaries {
-		arrived[s.Seed][s.Variant] = s.Arrived
+		recordAttempt[s.Seed][s.Variant] = s.Arrived
 		if a := s.Account; a.Taken == 0 || a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || len(s.Marks) != 2 || s.Binary == "" {
 			t.Errorf("seed %d %s: account %+v, marks %v, binary %q", s.Seed, s.Variant, a, s.Marks, s.Binary)
 		}
 	}
-	if a := arrived; a[3]["off"] == 0 || a[3]["off"] != a[3]["on"] || a[4]["off"] != a[4]["on"] || a[3]["on"] == a[4]["on"] {
+	if a := recordAttempt; a[3]["off"] == 0 || a[3]["off"] != a[3]["on"] || a[4]["off"] != a[4]["on"] || a[3]["on"] == a[4]["on"] {
 		t.Errorf("arrivals by seed and variant: %v", a)
 	}
 	if len(r.Windows) != 4*4 {
--- a/internal/testbed/experiment/play.go
+++ b/internal/testbed/experiment/runner.go
@@ -83,9 +83,9 @@
 }
 
 const (
-	mostFound  = 20
-	mostMarks  = 500
-	mostMillis = 120_000
+	maxFindings = 20
+	mostMarks   = 500
+	mostMillis  = 120_000
 )
 
 // Runner plays an experiment.
@@ -222,29 +222,29 @@
 	}
 	day := testbed.Draw(&w, &f.Load, f.Length, seed)
 	r.progress("%s seed %d: starting", v.Name, seed)
-	l, err := testbed.Open(ctx, w)
+	tb, err := testbed.Open(ctx, w)
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close()
+	defer tb.Close()
 	b := newBook(f, key)
-	began := l.Now()
+	began := tb.Now()
 	playing, stop := context.WithCancel(ctx)
 	var side sync.WaitGroup
 	side.Add(2)
 	go func() {
 		defer side.Done()
-		l.Play(playing, steps, b.mark)
+		tb.Play(playing, steps, b.mark)
 	}()
 	go func() {
 		defer side.Done()
-		r.sample(playing, l, b, began, v.Name)
+		r.sample(playing, tb, b, began, v.Name)
 	}()
-	l.Drive(ctx, &f.Load, day, func(s testbed.Served) { b.add(f, s) })
-	took := l.Now() - began
+	tb.Drive(ctx, &f.Load, day, func(s testbed.Served) { b.add(f, s) })
+	took := tb.Now() - began
 	stop()
 	side.Wait()
-	s := b.summary(f, key, l, began)
+	s := b.summary(f, key, tb, began)
 	s.Seconds, s.Interrupted = took.Seconds(), ctx.Err() != nil
 	for _, w := range b.windows {
 		if err := r.write(w); err != nil {
@@ -264,14 +264,14 @@
 }
 
 // sample reads at each window's end what the nodes took of the machine in it.
-func (r *Runner) sample(ctx context.Context, l *testbed.Lab, b *book, began time.Duration, variant string) {
+func (r *Runner) sample(ctx context.Context, tb *testbed.Testbed, b *book, began time.Duration, variant string) {
 	tick := time.NewTicker(r.File.Window)
 	defer tick.Stop()
 	before := map[*testbed.Node]testbed.Usage{}
-	for _, n := range l.Nodes() {
+	for _, n := range tb.Nodes() {
 		before[n] = n.Usage()
 	}
-	attempts, crossed := l.Attempts()
+	attempts, crossed := tb.Attempts()
 	for i := 0; i < len(b.windows); i++ {
 		select {
 		case <-tick.C:
@@ -281,14 +281,14 @@
 		var all, most time.Duration
 		var rss int64
 		files := 0
-		for _, n := range l.Nodes() {
+		for _, n := range tb.Nodes() {
 			u := n.Usage()
 			spent := u.CPU - before[n].CPU
 			before[n] = u
 			all += spent
 			most, rss, files = max(most, spent), max(rss, u.RSS), max(files, u.Files)
 		}
-		a, c := l.Attempts()
+		a, c := tb.Attempts()
 		b.mu.Lock()
 		w := &b.windows[i]
 		w.CPU, w.MostCPU = all.Seconds()/r.File.Window.Seconds(), most.Seconds()/r.File.Window.Seconds()
@@ -297,23 +297,23 @@
 		attempts, crossed = a, c
 		ended, served := b.ended, w.Ends["served"]
 		b.mu.Unlock()
-		r.progress("%s: %3.0f of %.0f s, %d ended, %d served in the last window", variant, (l.Now() - began).Seconds(),
+		r.progress("%s: %3.0f of %.0f s, %d ended, %d served in the last window", variant, (tb.Now() - began).Seconds(),
 			r.File.Length.Seconds(), ended, served)
 	}
 	<-ctx.Done()
 }
 
 // summary closes the windows and sums them up.
-func (b *book) summary(f *File, key Key, l *testbed.Lab, began time.Duration) *Summary {
+func (b *book) summary(f *File, key Key, tb *testbed.Testbed, began time.Duration) *Summary {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := &Summary{Kind: "summary", Key: key, Ends: map[string]int{}, Worst: 1, Account: l.Referee().Account(), Marks: b.marks}
+	s := &Summary{Kind: "summary", Key: key, Ends: map[string]int{}, Worst: 1, Account: tb.Checker().Account(), Marks: b.marks}
 	var worth, earned float64
 	for i := range b.windows {
 		w := &b.windows[i]
 		from, to := began+time.Duration(w.From*1e9), began+time.Duration(w.To*1e9)
-		w.Lateness = max(w.Lateness, float64(l.Lateness(from, to))/1e6)
-		w.Void = w.Void || l.Void(from, to)
+		w.Lateness = max(w.Lateness, float64(tb.Lateness(from, to))/1e6)
+		w.Void = w.Void || tb.Void(from, to)
 		w.P50, w.P99 = quantile(b.hists[i], 50), quantile(b.hists[i], 99)
 		s.Arrived += w.Arrived
 		for end, n := range w.Ends {
@@ -337,9 +337,9 @@
 		s.Served = earned / worth
 	}
 	s.P50, s.P90, s.P99, s.P999 = quantile(b.whole, 50), quantile(b.whole, 90), quantile(b.whole, 99), quantile(b.whole, 99.9)
-	s.Uneven = l.Uneven()
-	s.Found, s.Broken = l.Findings()
-	s.Found = slices.Clip(s.Found[:min(mostFound, len(s.Found))])
+	s.Uneven = tb.Uneven()
+	s.Found, s.Broken = tb.Findings()
+	s.Found = slices.Clip(s.Found[:min(maxFindings, len(s.Found))])
 	return s
 }
 
--- a/internal/testbed/apply.go
+++ b/internal/testbed/fault_handlers.go
@@ -11,29 +11,29 @@
 
 // Play carries out steps at their times, counted from now. told hears of each, and of what went wrong. It returns when
 // the last is done, or once ctx ends.
-func (l *Lab) Play(ctx context.Context, steps []Step, told func(at time.Duration, what string)) {
-	began := l.now()
+func (tb *Testbed) Play(ctx context.Context, steps []Step, told func(at time.Duration, what string)) {
+	began := tb.now()
 	var late sync.WaitGroup
 	defer late.Wait()
 	for _, s := range steps {
-		if !sleepUntil(l.began.Add(began+s.At), ctx.Done()) {
+		if !sleepUntil(tb.began.Add(began+s.At), ctx.Done()) {
 			return
 		}
-		told(l.now()-began, s.String())
+		told(tb.now()-began, s.String())
 		late.Add(1)
 		go func() { // some take a while: a node that is to be ready again
 			defer late.Done()
-			if err := l.Apply(ctx, s); err != nil && ctx.Err() == nil {
-				told(l.now()-began, fmt.Sprintf("%s: %v", s, err))
+			if err := tb.Apply(ctx, s); err != nil && ctx.Err() == nil {
+				told(tb.now()-began, fmt.Sprintf("%s: %v", s, err))
 			}
 		}()
 	}
 }
 
 // Apply carries out one step now.
-func (l *Lab) Apply(ctx context.Context, s Step) error {
+func (tb *Testbed) Apply(ctx context.Context, s Step) error {
 	f := s.Fault
-	node, server := l.nodes[s.Target], l.servers[s.Target]
+	node, server := tb.nodes[s.Target], tb.servers[s.Target]
 	switch f.Kind {
 	case "kill":
 		if !s.Ends {
@@ -43,7 +43,7 @@
 		return node.restart(ctx)
 	case "term":
 		if node.Terminate() {
-			l.referee.find(Crash, "", node.name, "did not end in time after SIGTERM")
+			tb.checker.addFinding(Crash, "", node.name, "did not end in time after SIGTERM")
 		}
 		if !sleep(ctx, f.For) {
 			return nil
@@ -59,7 +59,7 @@
 			server.crash()
 			return nil
 		}
-		return l.revive(ctx, server)
+		return tb.revive(ctx, server)
 	case "hold":
 		for range max(1, f.Pick) {
 			if err := node.Hold(f.For); err != nil || !sleep(ctx, f.For) {
@@ -69,7 +69,7 @@
 	case "reload":
 		return node.Reload()
 	case "peers":
-		l.improperPeers(ctx, node, f.Pick)
+		tb.improperPeers(ctx, node, f.Pick)
 	case "slow", "errors", "hang", "spoil":
 		t := Trouble{}
 		if !s.Ends {
@@ -84,20 +84,20 @@
 	case "silent":
 		server.silence(!s.Ends)
 	case "drain":
-		l.Drain(server, f.For)
+		tb.Drain(server, f.For)
 	case "replace":
 		if !s.Ends {
-			l.Drain(server, 0)
+			tb.Drain(server, 0)
 			return nil
 		}
 		server.crash()
-		return l.revive(ctx, server)
+		return tb.revive(ctx, server)
 	case "zone":
-		return l.zone(ctx, s)
+		return tb.zone(ctx, s)
 	case "cut", "split", "link":
-		return l.linkFault(s)
+		return tb.linkFault(s)
 	case "reset":
-		if l.ResetLink(f.From, f.To) == 0 {
+		if tb.ResetLink(f.From, f.To) == 0 {
 			return errNoLink
 		}
 	case "disc_down", "disc_fail", "disc_slow", "disc_dumb", "disc_trickle", "disc_cut", "disc_indent":
@@ -106,26 +106,26 @@
 			o = Outage{Down: f.Kind == "disc_down", Fail: f.Kind == "disc_fail", Slow: f.Delay, Dumb: f.Kind == "disc_dumb",
 				Trickle: f.Kind == "disc_trickle", Cut: f.Kind == "disc_cut", Indent: f.Kind == "disc_indent"}
 		}
-		l.Discovery(o)
+		tb.Discovery(o)
 	case "disc_mute":
-		l.disc.mute()
+		tb.disc.mute()
 	case "disc_renumber":
-		l.disc.renumber(f.Factor > 1)
+		tb.disc.renumber(f.Factor > 1)
 	}
 	return nil
 }
 
 var errNoLink = fmt.Errorf("no link of the world matches")
 
-func (l *Lab) linkFault(s Step) error {
+func (tb *Testbed) linkFault(s Step) error {
 	f := s.Fault
 	c := Cond{Delay: f.Delay, Jitter: f.Jittered, Loss: f.Loss, Dup: f.Dup, Reorder: f.Reorder, Rate: f.Rate, Cut: f.Kind != "link"}
 	if s.Ends {
 		c = Cond{}
 	}
-	n := l.SetLink(f.From, f.To, c)
+	n := tb.SetLink(f.From, f.To, c)
 	if f.Kind == "split" {
-		n += l.SetLink(f.To, f.From, c)
+		n += tb.SetLink(f.To, f.From, c)
 	}
 	if n == 0 {
 		return errNoLink
@@ -142,7 +142,7 @@
 }
 
 // revive starts a crashed server again, and lists it once its node is ready.
-func (l *Lab) revive(ctx context.Context, s *Server) error {
+func (tb *Testbed) revive(ctx context.Context, s *Server) error {
 	if err := s.restart(); err != nil {
 		return err
 	}
@@ -151,19 +151,19 @@
 			return err
 		}
 	}
-	l.disc.publish(s.tier, s.entry(), -1)
+	tb.disc.publish(s.tier, s.entry(), -1)
 	return nil
 }
 
 // zone takes a whole zone away, or brings it back cold.
-func (l *Lab) zone(ctx context.Context, s Step) error {
+func (tb *Testbed) zone(ctx context.Context, s Step) error {
 	var inside []*Server
-	for _, server := range l.servers {
+	for _, server := range tb.servers {
 		if server.zone == s.Target {
 			inside = append(inside, server)
 		}
 	}
-	for _, n := range l.front.nodes {
+	for _, n := range tb.front.nodes {
 		if n.zone != s.Target || !s.Fault.Nodes {
 			continue
 		}
@@ -177,7 +177,7 @@
 		if err := n.Start(); err != nil {
 			return err
 		}
-		l.own(func() { n.Up(ctx) }) // the front sees it anyway
+		tb.own(func() { n.Up(ctx) }) // the front sees it anyway
 	}
 	for _, server := range inside {
 		if !s.Ends {
@@ -187,7 +187,7 @@
 			}
 			gone := server.entry()
 			gone.Health = "terminated"
-			l.disc.publish(server.tier, gone, s.Fault.Late+l.disc.late)
+			tb.disc.publish(server.tier, gone, s.Fault.Late+tb.disc.late)
 		}
 	}
 	if !s.Ends {
@@ -199,7 +199,7 @@
 		go func() {
 			defer all.Done()
 			server.crash()
-			l.revive(ctx, server) // a node that does not come back is a finding of its own
+			tb.revive(ctx, server) // a node that does not come back is a finding of its own
 		}()
 	}
 	all.Wait()
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -18,10 +18,10 @@
 // front spreads the clients' connections over the nodes of their zone, and over all nodes when their zone has none. It
 // takes a node in once /ready answered 200, out shortly after another answer, and out late when it stops answering.
 type front struct {
-	lab   *Lab
-	nodes []*Node
-	stop  context.CancelFunc
-	owned sync.WaitGroup
+	testbed *Testbed
+	nodes   []*Node
+	stop    context.CancelFunc
+	owned   sync.WaitGroup
 
 	mu    sync.Mutex
 	in    map[*Node]bool
@@ -29,8 +29,8 @@
 	moved chan struct{}  // closed when a node comes in or goes out
 }
 
-func newFront(l *Lab, nodes []*Node) *front {
-	return &front{lab: l, nodes: nodes, in: map[*Node]bool{}, next: map[string]int{}, moved: make(chan struct{})}
+func newFront(tb *Testbed, nodes []*Node) *front {
+	return &front{testbed: tb, nodes: nodes, in: map[*Node]bool{}, next: map[string]int{}, moved: make(chan struct{})}
 }
 
 func (f *front) start() {
@@ -58,7 +58,7 @@
 	defer tick.Stop()
 	var noSince, deadSince time.Time
 	for {
-		yes, heard := ready(ctx, client, f.lab.nodeAddr(clientsOf(n.zone), n))
+		yes, heard := ready(ctx, client, f.testbed.nodeAddr(clientsOf(n.zone), n))
 		now := time.Now()
 		if yes {
 			noSince, deadSince = time.Time{}, time.Time{}
@@ -75,7 +75,7 @@
 			if deadSince.IsZero() {
 				deadSince = now
 			}
-			if now.Sub(deadSince) >= f.lab.world.Notice {
+			if now.Sub(deadSince) >= f.testbed.world.Notice {
 				f.turn(n, false)
 			}
 		}
@@ -146,7 +146,7 @@
 		if err != nil {
 			return nil, "", err
 		}
-		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", f.lab.nodeAddr(clientsOf(zone), n))
+		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", f.testbed.nodeAddr(clientsOf(zone), n))
 		return c, n.name, err
 	}
 }
--- a/internal/testbed/hard_test.go
+++ b/internal/testbed/hard_test.go
@@ -20,27 +20,27 @@
 func TestStoppedNodeComesBackToOldRequests(t *testing.T) {
 	w := small(2, 2)
 	w.Zones = []string{"a"}
-	l := Start(t, w)
-	load, day := draw(t, &l.world, Load{Rate: 60, Retries: 1}, 4*time.Second)
+	tb := Start(t, w)
+	load, day := draw(t, &tb.world, Load{Rate: 60, Retries: 1}, 4*time.Second)
 	go func() {
-		n := l.Node("n1")
-		Until(t, "n1 has requests", func() bool { return l.Referee().Account().Taken > 20 })
+		n := tb.Node("n1")
+		Until(t, "n1 has requests", func() bool { return tb.Checker().Account().Taken > 20 })
 		n.Stop()
-		Until(t, "a client gave up", func() bool { return l.Referee().Account().CutOff > 0 })
+		Until(t, "a client gave up", func() bool { return tb.Checker().Account().CutOff > 0 })
 		n.Continue()
 	}()
 	var got tally
-	l.Drive(context.Background(), &load, day, got.add)
-	clean(t, l)
-	if a := l.Referee().Account(); a.CutOff == 0 {
+	tb.Drive(context.Background(), &load, day, got.add)
+	clean(t, tb)
+	if a := tb.Checker().Account(); a.CutOff == 0 {
 		t.Errorf("nothing was cut off: %+v", a)
 	}
-	Until(t, "n1 serves again", func() bool { return l.Node("n1").Ready(context.Background()) })
+	Until(t, "n1 serves again", func() bool { return tb.Node("n1").Ready(context.Background()) })
 }
 
 func TestKilledNodeRestartsUnderItsName(t *testing.T) {
-	l := Start(t, small(2, 2))
-	n := l.Node("n1")
+	tb := Start(t, small(2, 2))
+	n := tb.Node("n1")
 	before, cpu := n.process.cmd.Process.Pid, n.Usage()
 	n.Kill()
 	if u := n.Usage(); u.RSS != 0 || u.CPU < cpu.CPU {
@@ -55,22 +55,22 @@
 	if n.Terminate() {
 		t.Error("SIGKILL was needed after SIGTERM")
 	}
-	clean(t, l)
+	clean(t, tb)
 }
 
 func TestCrashIsAFindingWithTheLastLogLines(t *testing.T) {
-	l := Start(t, wellDouble(1))
-	l.Node("n1").process.cmd.Process.Signal(syscall.SIGQUIT) // not through the lab: nobody wished for it
-	Until(t, "the end is found", func() bool { _, c := l.Findings(); return c[Crash] == 1 })
-	found, _ := l.Findings()
+	tb := Start(t, healthyStubs(1))
+	tb.Node("n1").process.cmd.Process.Signal(syscall.SIGQUIT) // not through the lab: nobody wished for it
+	Until(t, "the end is found", func() bool { _, c := tb.Findings(); return c[Crash] == 1 })
+	found, _ := tb.Findings()
 	if found[0].Node != "n1" || !strings.Contains(found[0].Detail, "exit") || len(found[0].Detail) < 60 {
 		t.Errorf("found %v, want n1, its exit and its last words", found[0])
 	}
 }
 
 func TestPortTakenByAnotherProcess(t *testing.T) {
-	l := Start(t, wellDouble(1))
-	n := l.Node("n1")
+	tb := Start(t, healthyStubs(1))
+	n := tb.Node("n1")
 	n.Kill()
 	other, err := net.Listen("tcp", n.Listen())
 	if err != nil {
@@ -80,11 +80,11 @@
 	if err := n.Start(); err == nil || !strings.Contains(err.Error(), "the address of n1 is taken") {
 		t.Errorf("started with %v, want its address taken", err)
 	}
-	clean(t, l)
+	clean(t, tb)
 }
 
 func TestNodeThatNeverBecomesReady(t *testing.T) {
-	w := wellDouble(1)
+	w := healthyStubs(1)
 	w.Env, w.Ready = []string{"LAB_TEST_AS=mute"}, 300*time.Millisecond
 	_, err := Open(context.Background(), w)
 	if err == nil || !strings.Contains(err.Error(), "n1 never became ready") || !strings.Contains(err.Error(), "mute as planted") {
@@ -123,21 +123,21 @@
 
 // While the node stands still arrivals go on at their drawn times, and a request's time counts from then.
 func TestArrivalsStayOpenLoopWhileTheSystemStalls(t *testing.T) {
-	w := wellDouble(1)
-	l := Start(t, w)
-	load, day := draw(t, &l.world, Load{Rate: 100}, 2*time.Second)
+	w := healthyStubs(1)
+	tb := Start(t, w)
+	load, day := draw(t, &tb.world, Load{Rate: 100}, 2*time.Second)
 	const stall, until = 500 * time.Millisecond, 1300 * time.Millisecond
-	n, began := l.Node("n1"), l.now()
+	n, began := tb.Node("n1"), tb.now()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		sleepUntil(l.began.Add(began+stall), l.done)
+		sleepUntil(tb.began.Add(began+stall), tb.done)
 		n.Stop()
-		sleepUntil(l.began.Add(began+until), l.done)
+		sleepUntil(tb.began.Add(began+until), tb.done)
 		n.Continue()
 	}()
 	var got tally
-	l.Drive(context.Background(), &load, day, got.add)
+	tb.Drive(context.Background(), &load, day, got.add)
 	<-done
 	stalled, inTime := 0, 0
 	for _, s := range got.all {
@@ -156,20 +156,20 @@
 		t.Errorf("%d arrivals of %d, %d in the stall, %d of them sent in time", len(got.all), len(day), stalled, inTime)
 	}
 	const late = 300 * time.Millisecond // of the lab itself
-	if s := l.client(context.Background(), &load, l.now()-late, Arrival{ID: "late", Patience: 1, Tenant: -1}); s.Latency < late || s.Late < late {
+	if s := tb.client(context.Background(), &load, tb.now()-late, Arrival{ID: "late", Patience: 1, Tenant: -1}); s.Latency < late || s.Late < late {
 		t.Errorf("sent %v late it took %v and was %v late", late, s.Latency, s.Late)
 	}
 }
 
 func TestSlowMachineVoidsFindings(t *testing.T) {
-	l := Start(t, wellDouble(1))
-	Until(t, "a second in time", func() bool { return l.now() > 3*time.Second && !l.Void(l.now()-2*time.Second, l.now()) })
-	l.referee.find(Lost, "x", "n1", "planted")
-	if _, counts := l.Findings(); counts[Lost] != 1 {
+	tb := Start(t, healthyStubs(1))
+	Until(t, "a second in time", func() bool { return tb.now() > 3*time.Second && !tb.Void(tb.now()-2*time.Second, tb.now()) })
+	tb.checker.addFinding(Lost, "x", "n1", "planted")
+	if _, counts := tb.Findings(); counts[Lost] != 1 {
 		t.Errorf("in time: %v, want it counted", counts)
 	}
-	l.lateness.note(l.now(), 2*tooLate)
-	found, counts := l.Findings()
+	tb.lateness.note(tb.now(), 2*tooLate)
+	found, counts := tb.Findings()
 	if len(counts) != 0 || !found[0].Void {
 		t.Errorf("too late: %v and %v, want it void", counts, found)
 	}
@@ -365,9 +365,9 @@
 }
 
 func TestColdServerFallsOver(t *testing.T) {
-	l := Start(t, wellDouble(1))
-	s := l.Server("front-1")
-	c := l.world.Cold
+	tb := Start(t, healthyStubs(1))
+	s := tb.Server("front-1")
+	c := tb.world.Cold
 	for _, times := range []float64{0.9, 1.1} { // of what it bears
 		s.born, s.recent = time.Second, nil
 		bore := true
@@ -383,16 +383,16 @@
 
 // A server with too many connections turns requests away, and says that they never ran.
 func TestServerHoldsSoManyConnections(t *testing.T) {
-	w := wellDouble(1)
+	w := healthyStubs(1)
 	w.Tiers[0].Conns = 2
-	l := Start(t, w)
-	s := l.Server("front-1")
+	tb := Start(t, w)
+	s := tb.Server("front-1")
 	var last net.Conn
 	for i := range 3 {
 		last = dial(t, s.gate.addr)
 		Until(t, "it is counted", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conns == i+1 })
 	}
-	l.referee.begin("x", "view", l.now()+time.Second)
+	tb.checker.begin("x", "view", tb.now()+time.Second)
 	fmt.Fprint(last, "GET /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: x\r\nX-Call-Class: view\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(last), nil)
 	if err != nil {
@@ -402,19 +402,19 @@
 		t.Errorf("answered %s, X-Rejected %q", resp.Status, resp.Header.Get("X-Rejected"))
 	}
 	Until(t, "its end makes room", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conns == 2 })
-	clean(t, l)
+	clean(t, tb)
 }
 
 // Servers of a lost zone say nothing and come back cold; discovery drops them late.
 func TestZoneLostAndBack(t *testing.T) {
 	w := small(2, 4)
 	w.Discovery.Late = 10 * time.Millisecond
-	l := Start(t, w)
+	tb := Start(t, w)
 	step := Step{Fault: Fault{Kind: "zone", Target: "b", Late: 50 * time.Millisecond}, Target: "b"}
-	if err := l.Apply(context.Background(), step); err != nil {
+	if err := tb.Apply(context.Background(), step); err != nil {
 		t.Fatal(err)
 	}
-	n, s := l.Node("n1"), l.Server("front-3")
+	n, s := tb.Node("n1"), tb.Server("front-3")
 	if s.zone != "b" {
 		t.Fatalf("front-3 is in %s", s.zone)
 	}
@@ -422,14 +422,14 @@
 		c.Close()
 		t.Error("a connection to the lost zone came up")
 	}
-	Until(t, "discovery drops the zone", func() bool { return len(l.disc.known(n).Hosts) == 2 })
+	Until(t, "discovery drops the zone", func() bool { return len(tb.disc.known(n).Hosts) == 2 })
 	step.Ends = true
-	if err := l.Apply(context.Background(), step); err != nil {
+	if err := tb.Apply(context.Background(), step); err != nil {
 		t.Fatal(err)
 	}
-	Until(t, "discovery lists the zone", func() bool { return len(l.disc.known(n).Hosts) == 4 })
+	Until(t, "discovery lists the zone", func() bool { return len(tb.disc.known(n).Hosts) == 4 })
 	s.mu.Lock()
-	warm := s.warmth(l.now())
+	warm := s.warmth(tb.now())
 	s.mu.Unlock()
 	if warm > 0.6 {
 		t.Errorf("it came back with %.2f of its capacity", warm)
--- a/internal/testbed/peers.go
+++ b/internal/testbed/improper_clients.go
@@ -43,15 +43,15 @@
 }
 
 // improperPeers lets so many improper clients come to a node, a moment after each other, and waits for their ends.
-func (l *Lab) improperPeers(ctx context.Context, n *Node, count int) {
-	kinds := improperKinds(l.world.Classes[len(l.world.Classes)-1].Name)
+func (tb *Testbed) improperPeers(ctx context.Context, n *Node, count int) {
+	kinds := improperKinds(tb.world.Classes[len(tb.world.Classes)-1].Name)
 	var all sync.WaitGroup
 	defer all.Wait()
 	for i := range count {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			l.improperPeer(n, kinds[i%len(kinds)])
+			tb.improperPeer(n, kinds[i%len(kinds)])
 		}()
 		if !sleep(ctx, peerSpacing) {
 			return
@@ -60,8 +60,8 @@
 }
 
 // improperPeer is one such client. A node that the lab stops or ends meanwhile owes it nothing.
-func (l *Lab) improperPeer(n *Node, kind improperKind) {
-	from := l.now()
+func (tb *Testbed) improperPeer(n *Node, kind improperKind) {
+	from := tb.now()
 	c, err := net.DialTimeout("tcp", n.Listen(), time.Second)
 	if err != nil {
 		return
@@ -72,14 +72,14 @@
 	if err != nil || !kind.stays {
 		return
 	}
-	stopped := l.now()
+	stopped := tb.now()
 	owed := peerOwed + 2*slack
-	if _, shimmed := l.world.Shims[n.name]; shimmed {
+	if _, shimmed := tb.world.Shims[n.name]; shimmed {
 		owed += shimSlows
 	}
 	c.SetReadDeadline(time.Now().Add(owed))
 	_, err = c.Read(make([]byte, 1))
-	if errors.Is(err, os.ErrDeadlineExceeded) && !l.spans.overlap(n.name, from, l.now()) {
-		l.referee.Report(KeptPeer, n.name, fmt.Sprintf("%s: neither an error nor a close %.0f ms after it stopped", kind.name, ms(l.now()-stopped)))
+	if errors.Is(err, os.ErrDeadlineExceeded) && !tb.spans.overlap(n.name, from, tb.now()) {
+		tb.checker.Report(ImproperClientKept, n.name, fmt.Sprintf("%s: neither an error nor a close %.0f ms after it stopped", kind.name, ms(tb.now()-stopped)))
 	}
 }
--- a/internal/testbed/lateness.go
+++ b/internal/testbed/lateness.go
@@ -23,19 +23,19 @@
 }
 
 // run beats until the lab closes.
-func (x *lateness) run(l *Lab) {
+func (x *lateness) run(tb *Testbed) {
 	x.worst = map[int64]time.Duration{}
-	l.own(func() {
+	tb.own(func() {
 		tick := time.NewTicker(beat)
 		defer tick.Stop()
-		last := l.now()
+		last := tb.now()
 		for {
 			select {
 			case <-tick.C:
-			case <-l.done:
+			case <-tb.done:
 				return
 			}
-			now := l.now()
+			now := tb.now()
 			x.note(now, now-last-beat)
 			last = now
 		}
@@ -52,8 +52,8 @@
 }
 
 // Lateness is the worst lateness of the lab itself from one time to another, by whole seconds around them.
-func (l *Lab) Lateness(from, to time.Duration) (worst time.Duration) {
-	x := &l.lateness
+func (tb *Testbed) Lateness(from, to time.Duration) (worst time.Duration) {
+	x := &tb.lateness
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for s := int64(from / time.Second); s <= int64(to/time.Second); s++ {
@@ -63,15 +63,15 @@
 }
 
 // Void says that the lab was too late from one time to another to hold anything against a node.
-func (l *Lab) Void(from, to time.Duration) bool { return l.Lateness(from, to) > tooLate }
+func (tb *Testbed) Void(from, to time.Duration) bool { return tb.Lateness(from, to) > tooLate }
 
 // Findings returns what broke a rule. Those in a time when the lab itself was too late are marked void; the counts are
 // of the others.
-func (l *Lab) Findings() (found []Finding, counts map[Rule]int) {
-	found, _ = l.referee.Findings()
+func (tb *Testbed) Findings() (found []Finding, counts map[Rule]int) {
+	found, _ = tb.checker.Findings()
 	counts = map[Rule]int{}
 	for i, f := range found {
-		if f.Rule != Crash && l.Void(f.At-2*time.Second, f.At) {
+		if f.Rule != Crash && tb.Void(f.At-2*time.Second, f.At) {
 			found[i].Void = true
 			continue
 		}
--- a/internal/testbed/ways.go
+++ b/internal/testbed/links.go
@@ -8,23 +8,23 @@
 )
 
 // way returns the direction from one part to another.
-func (l *Lab) way(from, to string) *way {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.wayLocked(from, to)
+func (tb *Testbed) way(from, to string) *way {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return tb.wayLocked(from, to)
 }
 
-func (l *Lab) wayLocked(from, to string) *way {
+func (tb *Testbed) wayLocked(from, to string) *way {
 	key := from + "->" + to
-	if l.ways[key] == nil {
-		l.ways[key] = newWay()
+	if tb.ways[key] == nil {
+		tb.ways[key] = newWay()
 	}
-	return l.ways[key]
+	return tb.ways[key]
 }
 
 // linked says whether a link is to have a proxy.
-func (l *Lab) linked(from, to string) bool {
-	for _, p := range l.world.Links {
+func (tb *Testbed) linked(from, to string) bool {
+	for _, p := range tb.world.Links {
 		a, b, _ := strings.Cut(p, "->")
 		if matches(a, from) && matches(b, to) || matches(a, to) && matches(b, from) {
 			return true
@@ -39,39 +39,41 @@
 }
 
 // linkAddr is the address at which one part dials another, whose own address is target.
-func (l *Lab) linkAddr(from, to, target string) string {
-	if !l.linked(from, to) {
+func (tb *Testbed) linkAddr(from, to, target string) string {
+	if !tb.linked(from, to) {
 		return target
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
 	key := from + "->" + to
-	if l.links[key] == nil {
-		link, err := newTCPLink(l.linkIP()+":0", target, l.wayLocked(from, to), l.wayLocked(to, from))
+	if tb.links[key] == nil {
+		link, err := newTCPLink(tb.linkIP()+":0", target, tb.wayLocked(from, to), tb.wayLocked(to, from))
 		if err != nil {
 			return target // out of ports or descriptors: the fault then finds no link, and says so
 		}
-		l.links[key] = link
+		tb.links[key] = link
 	}
-	return l.links[key].gate.addr
+	return tb.links[key].gate.addr
 }
 
-func (l *Lab) nodeAddr(from string, n *Node) string { return l.linkAddr(from, n.name, n.Listen()) }
+func (tb *Testbed) nodeAddr(from string, n *Node) string {
+	return tb.linkAddr(from, n.name, n.Listen())
+}
 
-func (l *Lab) serverAddr(n *Node, name string) string {
-	return l.linkAddr(n.name, name, l.servers[name].gate.addr)
+func (tb *Testbed) serverAddr(n *Node, name string) string {
+	return tb.linkAddr(n.name, name, tb.servers[name].gate.addr)
 }
 
 // linksTo makes all links to a part meet new connections as the part does.
-func (l *Lab) linksTo(name string, mode gateMode) {
-	l.mu.Lock()
+func (tb *Testbed) linksTo(name string, mode gateMode) {
+	tb.mu.Lock()
 	var to []*tcpLink
-	for key, link := range l.links {
+	for key, link := range tb.links {
 		if _, b, _ := strings.Cut(key, "->"); b == name {
 			to = append(to, link)
 		}
 	}
-	l.mu.Unlock()
+	tb.mu.Unlock()
 	for _, link := range to {
 		link.follow(mode)
 	}
@@ -79,31 +81,31 @@
 
 // SetLink changes the direction from one part to another, both path patterns as in "n*" or "rooms-?", on every link of
 // the world that has a proxy. It returns how many directions that were.
-func (l *Lab) SetLink(from, to string, c Cond) (n int) {
-	l.mu.Lock()
+func (tb *Testbed) SetLink(from, to string, c Cond) (n int) {
+	tb.mu.Lock()
 	touched := map[string]*way{}
-	for key := range l.links {
+	for key := range tb.links {
 		a, b, _ := strings.Cut(key, "->")
 		for _, d := range [][2]string{{a, b}, {b, a}} {
 			if matches(from, d[0]) && matches(to, d[1]) {
-				touched[d[0]+"->"+d[1]] = l.wayLocked(d[0], d[1])
+				touched[d[0]+"->"+d[1]] = tb.wayLocked(d[0], d[1])
 			}
 		}
 	}
 	var links []*tcpLink
-	for key, link := range l.links {
+	for key, link := range tb.links {
 		a, b, _ := strings.Cut(key, "->")
 		if touched[a+"->"+b] != nil || touched[b+"->"+a] != nil {
 			links = append(links, link)
 		}
 	}
-	l.mu.Unlock()
+	tb.mu.Unlock()
 	for key, p := range touched {
 		p.set(c)
 		if (c == Cond{}) {
-			l.spans.end(key, l.now())
+			tb.spans.end(key, tb.now())
 		} else {
-			l.spans.begin(key, l.now())
+			tb.spans.begin(key, tb.now())
 		}
 	}
 	for _, link := range links {
@@ -113,16 +115,16 @@
 }
 
 // ResetLink resets every connection on the links from one part to another.
-func (l *Lab) ResetLink(from, to string) (n int) {
-	l.mu.Lock()
+func (tb *Testbed) ResetLink(from, to string) (n int) {
+	tb.mu.Lock()
 	var hit []*tcpLink
-	for key, link := range l.links {
+	for key, link := range tb.links {
 		if a, b, _ := strings.Cut(key, "->"); matches(from, a) && matches(to, b) {
 			hit = append(hit, link)
-			l.spans.touch(key, l.now())
+			tb.spans.touch(key, tb.now())
 		}
 	}
-	l.mu.Unlock()
+	tb.mu.Unlock()
 	for _, link := range hit {
 		link.gate.reset()
 	}
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -160,13 +160,13 @@
 
 // Drive plays a drawn day and calls done, from several goroutines, with what became of each arrival. It returns once
 // every arrival has ended, or soon after ctx ends.
-func (l *Lab) Drive(ctx context.Context, load *Load, day []Arrival, done func(Served)) {
-	began := l.now()
+func (tb *Testbed) Drive(ctx context.Context, load *Load, day []Arrival, done func(Served)) {
+	began := tb.now()
 	var flight sync.WaitGroup
 	defer flight.Wait()
 	places := make(chan struct{}, load.MostFlight)
 	for _, a := range day {
-		if !sleepUntil(l.began.Add(began+a.At), ctx.Done()) {
+		if !sleepUntil(tb.began.Add(began+a.At), ctx.Done()) {
 			return
 		}
 		select {
@@ -179,24 +179,24 @@
 		go func() {
 			defer flight.Done()
 			defer func() { <-places }()
-			done(l.client(ctx, load, began, a))
+			done(tb.client(ctx, load, began, a))
 		}()
 	}
 }
 
 // client is one client from its first try to its end.
-func (l *Lab) client(ctx context.Context, load *Load, began time.Duration, a Arrival) Served {
-	class := &l.world.Classes[a.Class]
+func (tb *Testbed) client(ctx context.Context, load *Load, began time.Duration, a Arrival) Served {
+	class := &tb.world.Classes[a.Class]
 	from := began + a.At
-	s := Served{Arrival: a, Late: l.now() - from, Worth: class.Worth}
-	l.lateness.note(l.now(), s.Late)
+	s := Served{Arrival: a, Late: tb.now() - from, Worth: class.Worth}
+	tb.lateness.note(tb.now(), s.Late)
 	if a.Over {
-		s.Worth *= l.world.OverWorth
+		s.Worth *= tb.world.OverWorth
 	}
 	end := from + class.Deadline
 	q := call{id: a.ID, class: class}
 	if a.Tenant >= 0 {
-		q.tenant = l.world.Tenants[a.Tenant].Name
+		q.tenant = tb.world.Tenants[a.Tenant].Name
 	}
 	if a.Leaves > 0 {
 		q.leaves = from + time.Duration(a.Leaves*float64(class.Deadline))
@@ -204,7 +204,7 @@
 	start := from
 	for try := 0; ; try++ {
 		q.deadline = min(end, start+time.Duration(a.Patience*float64(class.Deadline)))
-		ans := l.clients[a.Zone].do(ctx, q)
+		ans := tb.clients[a.Zone].do(ctx, q)
 		s.Tries++
 		s.Latency, s.Node, s.End = ans.at-from, ans.node, ans.end.String()
 		if ans.end == servedEnd && s.Latency > class.Aim {
@@ -213,9 +213,9 @@
 		if ans.end == servedEnd || ans.end == leftEnd || try >= load.Retries || ctx.Err() != nil {
 			return s
 		}
-		wait := time.Duration((0.5 + l.drawn(a.ID, "backoff"+strconv.Itoa(try))) * float64(load.Backoff))
+		wait := time.Duration((0.5 + tb.drawn(a.ID, "backoff"+strconv.Itoa(try))) * float64(load.Backoff))
 		start = ans.at + max(wait, ans.retryAfter)
-		if start >= end || q.leaves != 0 && start >= q.leaves || !sleepUntil(l.began.Add(start), ctx.Done()) {
+		if start >= end || q.leaves != 0 && start >= q.leaves || !sleepUntil(tb.began.Add(start), ctx.Done()) {
 			return s
 		}
 		q.id, q.again = subID(a.ID, -1-try), true
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -19,25 +19,25 @@
 
 // writeFleet writes a node's fleet configuration and returns its path; empty: there is none. The world's tables are as
 // they are; to [mesh] the lab adds addresses: the node's own, the seeds', and its own links to peers.
-func (l *Lab) writeFleet(n *Node) (string, error) {
-	if len(l.world.Fleet) == 0 {
+func (tb *Testbed) writeFleet(n *Node) (string, error) {
+	if len(tb.world.Fleet) == 0 {
 		return "", nil
 	}
-	all := maps.Clone(l.world.Fleet)
+	all := maps.Clone(tb.world.Fleet)
 	if all["name"] == nil {
 		all["name"] = "lab"
 	}
 	if given, ok := all["mesh"].(map[string]any); ok {
 		mesh := maps.Clone(given)
 		seeds, dial := []string{}, map[string]string{}
-		for _, s := range l.front.nodes[:min(l.world.Seeds, len(l.front.nodes))] {
+		for _, s := range tb.front.nodes[:min(tb.world.Seeds, len(tb.front.nodes))] {
 			seeds = append(seeds, s.name+"="+s.meshListen())
 		}
-		for _, o := range l.order {
-			if o == n || !l.linked(n.name, o.name) {
+		for _, o := range tb.order {
+			if o == n || !tb.linked(n.name, o.name) {
 				continue
 			}
-			addr, err := l.meshLink(n, o)
+			addr, err := tb.meshLink(n, o)
 			if err != nil {
 				return "", err
 			}
@@ -55,20 +55,20 @@
 }
 
 // meshLink is the address of the link from one node's mesh to another's, for both protocols.
-func (l *Lab) meshLink(n, o *Node) (string, error) {
-	addr := l.linkAddr(n.name, o.name, o.meshListen())
+func (tb *Testbed) meshLink(n, o *Node) (string, error) {
+	addr := tb.linkAddr(n.name, o.name, o.meshListen())
 	key := n.name + "->" + o.name
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.links[key] == nil {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	if tb.links[key] == nil {
 		return "", fmt.Errorf("no link %s", key)
 	}
-	if l.udp[key] == nil {
-		u, err := newUDPLink(addr, o.meshListen(), l.wayLocked(n.name, o.name), l.wayLocked(o.name, n.name))
+	if tb.udp[key] == nil {
+		u, err := newUDPLink(addr, o.meshListen(), tb.wayLocked(n.name, o.name), tb.wayLocked(o.name, n.name))
 		if err != nil {
 			return "", err
 		}
-		l.udp[key] = u
+		tb.udp[key] = u
 	}
 	return addr, nil
 }
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -16,7 +16,7 @@
 	return w
 }
 
-func sides(l *Lab, nodes []*Node) (all []string) {
+func sides(tb *Testbed, nodes []*Node) (all []string) {
 	for _, n := range nodes {
 		v, err := n.Fleet(context.Background())
 		if err != nil {
@@ -28,11 +28,11 @@
 	return all
 }
 
-func untilAgreed(t *testing.T, l *Lab, nodes []*Node, side string) {
+func untilAgreed(t *testing.T, tb *Testbed, nodes []*Node, side string) {
 	t.Helper()
 	defer func() {
 		if t.Failed() {
-			t.Log(sides(l, nodes))
+			t.Log(sides(tb, nodes))
 		}
 	}()
 	Until(t, fmt.Sprintf("%d nodes agree on %s", len(nodes), side), func() bool { return Agree(context.Background(), nodes, side) })
@@ -52,50 +52,50 @@
 // restarted one for the same member; clients are served all the while.
 func TestMeshOfProcesses(t *testing.T) {
 	t.Parallel()
-	l := Start(t, meshed(5))
-	nodes := l.Nodes()
-	untilAgreed(t, l, nodes, "whole")
-	load, day := draw(t, &l.world, Load{Rate: 50, Retries: 1}, 12*time.Second)
+	tb := Start(t, meshed(5))
+	nodes := tb.Nodes()
+	untilAgreed(t, tb, nodes, "whole")
+	load, day := draw(t, &tb.world, Load{Rate: 50, Retries: 1}, 12*time.Second)
 	driven := make(chan struct{})
 	var got tally
 	go func() {
 		defer close(driven)
-		l.Drive(context.Background(), &load, day, got.add)
+		tb.Drive(context.Background(), &load, day, got.add)
 	}()
 	nodes[4].Kill()
 	untilSeen(t, nodes[:4], "n5", "gone")
-	untilAgreed(t, l, nodes[:4], "majority")
+	untilAgreed(t, tb, nodes[:4], "majority")
 	if err := nodes[4].restart(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	untilAgreed(t, l, nodes, "whole")
+	untilAgreed(t, tb, nodes, "whole")
 	nodes[2].Stop()
 	untilSeen(t, append(nodes[:2:2], nodes[3:]...), "n3", "gone")
 	nodes[2].Continue()
-	untilAgreed(t, l, nodes, "whole")
+	untilAgreed(t, tb, nodes, "whole")
 	nodes[3].Terminate()
 	untilSeen(t, append(nodes[:3:3], nodes[4]), "n4", "left")
-	untilAgreed(t, l, append(nodes[:3:3], nodes[4]), "whole")
+	untilAgreed(t, tb, append(nodes[:3:3], nodes[4]), "whole")
 	<-driven
-	clean(t, l)
+	clean(t, tb)
 }
 
 // A split leaves one majority; the others know that they have none, and all find each other when it ends.
 func TestMeshSplitAndHealed(t *testing.T) {
 	t.Parallel()
-	l := Start(t, meshed(5))
-	nodes := l.Nodes()
-	untilAgreed(t, l, nodes, "whole")
+	tb := Start(t, meshed(5))
+	nodes := tb.Nodes()
+	untilAgreed(t, tb, nodes, "whole")
 	for _, from := range []string{"n1", "n2"} {
 		for _, to := range []string{"n3", "n4", "n5"} {
-			l.SetLink(from, to, Cond{Cut: true})
-			l.SetLink(to, from, Cond{Cut: true})
+			tb.SetLink(from, to, Cond{Cut: true})
+			tb.SetLink(to, from, Cond{Cut: true})
 		}
 	}
-	untilAgreed(t, l, nodes[2:], "majority")
-	untilAgreed(t, l, nodes[:2], "minority")
-	l.SetLink("n*", "n*", Cond{})
-	untilAgreed(t, l, nodes, "whole")
+	untilAgreed(t, tb, nodes[2:], "majority")
+	untilAgreed(t, tb, nodes[:2], "minority")
+	tb.SetLink("n*", "n*", Cond{})
+	untilAgreed(t, tb, nodes, "whole")
 }
 
 // One node that cannot be heard by one other stays a member for all: its word gets there through the others.
@@ -103,11 +103,11 @@
 	t.Parallel()
 	w := meshed(4)
 	w.Fleet = Tables{"mesh": map[string]any{"probe": "500ms"}} // a busy machine must not pass for a loss
-	l := Start(t, w)
-	nodes := l.Nodes()
-	untilAgreed(t, l, nodes, "whole")
-	l.SetLink("n4", "n3", Cond{Cut: true})
-	from := l.Now()
+	tb := Start(t, w)
+	nodes := tb.Nodes()
+	untilAgreed(t, tb, nodes, "whole")
+	tb.SetLink("n4", "n3", Cond{Cut: true})
+	from := tb.Now()
 	Until(t, "some time has passed", func() bool {
 		for _, n := range nodes {
 			v, err := n.Fleet(context.Background())
@@ -120,7 +120,7 @@
 				}
 			}
 		}
-		return l.Now()-from > 5*time.Second
+		return tb.Now()-from > 5*time.Second
 	})
 }
 
@@ -128,8 +128,8 @@
 func TestNoMeshWithoutAFleetConfiguration(t *testing.T) {
 	w := meshed(1)
 	w.Fleet = nil
-	l := Start(t, w)
-	if v, err := l.Nodes()[0].Fleet(context.Background()); err == nil {
+	tb := Start(t, w)
+	if v, err := tb.Nodes()[0].Fleet(context.Background()); err == nil {
 		t.Errorf("the door says %+v", v)
 	}
 }
@@ -150,7 +150,7 @@
 
 // Beside a program that has one of its addresses a lab takes another block.
 func TestLabTakesAnotherBlock(t *testing.T) {
-	first := Start(t, wellDouble(1))
+	first := Start(t, healthyStubs(1))
 	n := first.Node("n1")
 	n.Kill()
 	other, err := net.Listen("tcp", n.Listen())
@@ -159,12 +159,12 @@
 	}
 	defer other.Close()
 	first.lock.Close() // the next lab may take the same block, beside the other program
-	l, err := openFrom(context.Background(), wellDouble(1), first.net-firstBlock)
+	tb, err := openFrom(context.Background(), healthyStubs(1), first.net-firstBlock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	if l.net == first.net {
+	defer tb.Close()
+	if tb.net == first.net {
 		t.Error("the block is the taken one")
 	}
 }
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -27,7 +27,7 @@
 	called     string // the name that the process is told; its own, but for a twin's
 	tier       int
 	self       int
-	lab        *Lab
+	testbed    *Testbed
 	ip         string
 	discovery  string
 	process    *process
@@ -50,37 +50,37 @@
 // NodeOf names the node that belongs to a server and calls the next tier for it.
 func NodeOf(server string) string { return "n@" + server }
 
-func (l *Lab) newNode(name, zone string, tier, self int) (*Node, error) {
-	i := len(l.order)
+func (tb *Testbed) newNode(name, zone string, tier, self int) (*Node, error) {
+	i := len(tb.order)
 	if i >= mostNodes {
 		return nil, fmt.Errorf("more than %d nodes", mostNodes)
 	}
-	n := &Node{name: name, called: name, zone: zone, tier: tier, self: self, lab: l, ip: fmt.Sprintf("127.%d.1.%d", l.net, 10+i)}
+	n := &Node{name: name, called: name, zone: zone, tier: tier, self: self, testbed: tb, ip: fmt.Sprintf("127.%d.1.%d", tb.net, 10+i)}
 	var err error
-	if n.discovery, err = l.disc.serve(n); err != nil {
+	if n.discovery, err = tb.disc.serve(n); err != nil {
 		return nil, err
 	}
-	n.discovery = l.linkAddr(name, "discovery", n.discovery)
-	dir := filepath.Join(l.dir, strings.ReplaceAll(name, "@", "-"))
+	n.discovery = tb.linkAddr(name, "discovery", n.discovery)
+	dir := filepath.Join(tb.dir, strings.ReplaceAll(name, "@", "-"))
 	if err := os.MkdirAll(filepath.Join(dir, "tmp"), 0o700); err != nil {
 		return nil, err
 	}
-	n.process = &process{name: name, dir: dir, spawner: l.spawner, ended: n.ended, command: func() *exec.Cmd {
-		c := exec.Command(l.world.Binary, l.world.Args...)
-		spec, shimmed := l.world.Shims[name]
+	n.process = &process{name: name, dir: dir, spawner: tb.spawner, ended: n.ended, command: func() *exec.Cmd {
+		c := exec.Command(tb.world.Binary, tb.world.Args...)
+		spec, shimmed := tb.world.Shims[name]
 		if shimmed {
-			c = exec.Command(l.world.Shim[0], append(slices.Clone(l.world.Shim[1:]), l.world.Binary)...)
+			c = exec.Command(tb.world.Shim[0], append(slices.Clone(tb.world.Shim[1:]), tb.world.Binary)...)
 		}
 		c.Dir = dir
-		c.Env = append(append(os.Environ(), l.world.Env...), "ROUTER_NAME="+n.called, "ROUTER_LISTEN="+n.Listen(),
+		c.Env = append(append(os.Environ(), tb.world.Env...), "ROUTER_NAME="+n.called, "ROUTER_LISTEN="+n.Listen(),
 			"ROUTER_DISCOVERY="+n.discovery, "ROUTER_CONFIG="+filepath.Join(dir, "config.json"), "TMPDIR="+filepath.Join(dir, "tmp"))
 		if shimmed {
 			c.Env = append(c.Env, shimEnv+"="+n.shimSpec(spec))
 		}
 		return c
 	}}
-	l.nodes[name] = n
-	l.order = append(l.order, n)
+	tb.nodes[name] = n
+	tb.order = append(tb.order, n)
 	return n, nil
 }
 
@@ -114,8 +114,8 @@
 }
 
 func (n *Node) writeConfig() error {
-	w := &n.lab.world
-	path, err := n.lab.writeFleet(n)
+	w := &n.testbed.world
+	path, err := n.testbed.writeFleet(n)
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 		"name":  n.called, "listen": n.Listen(), "control": n.Control(), "discovery": n.discovery,
 		"seed":     fmt.Sprintf("%016x", xxhash.Sum64String(n.name)^w.Seed^uint64(n.starts)<<32),
 		"limits":   map[string]any{"cores": w.Limits.Cores, "memory_mb": w.Limits.MemoryMB, "sockets": w.Limits.Sockets},
-		"known":    n.lab.disc.known(n),
+		"known":    n.testbed.disc.known(n),
 		"settings": w.settings(n.tier, n.self, n.zone),
 	})
 	if err != nil {
@@ -143,13 +143,13 @@
 	if err := n.configure(); err != nil {
 		return err
 	}
-	n.lab.referee.forget(n.name)
+	n.testbed.checker.forgetNotifications(n.name)
 	return n.process.start()
 }
 
 // Kill ends the process at once, with SIGKILL.
 func (n *Node) Kill() {
-	n.lab.spans.begin(n.name, n.lab.now())
+	n.testbed.spans.begin(n.name, n.testbed.now())
 	n.process.kill()
 }
 
@@ -157,7 +157,7 @@
 // says whether that was needed.
 func (n *Node) Terminate() (killed bool) {
 	longest := 3 * time.Second
-	for _, c := range n.lab.world.Classes {
+	for _, c := range n.testbed.world.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	n.process.signal(syscall.SIGTERM) // fails only where it has ended
@@ -170,7 +170,7 @@
 		}
 	}
 	if killed {
-		n.lab.spans.begin(n.name, n.lab.now())
+		n.testbed.spans.begin(n.name, n.testbed.now())
 	}
 	return killed
 }
@@ -192,8 +192,8 @@
 // Reload moves the node's discovery to another address, writes that into its configuration and sends SIGHUP. The old
 // address takes no new connection, and ends those that it has a moment later.
 func (n *Node) Reload() error {
-	before := n.lab.disc.gateOf(n)
-	addr, err := n.lab.disc.serve(n)
+	before := n.testbed.disc.gateOf(n)
+	addr, err := n.testbed.disc.serve(n)
 	if err != nil {
 		return err
 	}
@@ -209,8 +209,8 @@
 // Hold stops the process for a moment, as a busy machine may. Nothing that it does then is excused by that.
 func (n *Node) Hold(d time.Duration) error {
 	n.held.Store(true)
-	n.lab.spans.begin(heldUp(n.name), n.lab.now())
-	defer func() { n.lab.spans.end(heldUp(n.name), n.lab.now()) }()
+	n.testbed.spans.begin(heldUp(n.name), n.testbed.now())
+	defer func() { n.testbed.spans.end(heldUp(n.name), n.testbed.now()) }()
 	if err := n.process.signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -224,14 +224,14 @@
 // Stop halts the process with SIGSTOP, and Continue lets it go on.
 func (n *Node) Stop() error {
 	n.held.Store(true)
-	n.lab.spans.begin(n.name, n.lab.now())
+	n.testbed.spans.begin(n.name, n.testbed.now())
 	return n.process.signal(syscall.SIGSTOP)
 }
 
 // Continue ends a Stop.
 func (n *Node) Continue() error {
 	err := n.process.signal(syscall.SIGCONT)
-	n.lab.spans.end(n.name, n.lab.now())
+	n.testbed.spans.end(n.name, n.testbed.now())
 	return err
 }
 
@@ -247,29 +247,29 @@
 // ended is told of each end of the process. One that ended by itself after SIGTERM owes an answer to all that it took, so
 // that its end excuses nothing.
 func (n *Node) ended(crash string, clean bool) {
-	n.lab.linksTo(n.name, gateRefuse)
+	n.testbed.linksTo(n.name, gateRefuse)
 	select {
-	case <-n.lab.done:
+	case <-n.testbed.done:
 		return
 	default:
 	}
 	if !clean {
-		n.lab.spans.begin(n.name, n.lab.now())
+		n.testbed.spans.begin(n.name, n.testbed.now())
 	}
 	if crash != "" {
-		n.lab.referee.find(Crash, "", n.name, crash)
+		n.testbed.checker.addFinding(Crash, "", n.name, crash)
 	}
 }
 
 // Up waits until the process answers that clients may come; the front may take a moment longer.
 func (n *Node) Up(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, n.lab.world.Ready)
+	ctx, cancel := context.WithTimeout(ctx, n.testbed.world.Ready)
 	defer cancel()
 	for look := time.NewTicker(20 * time.Millisecond); ; {
 		if n.Ready(ctx) {
 			look.Stop()
-			n.lab.linksTo(n.name, gateOpen)
-			n.lab.spans.end(n.name, n.lab.now())
+			n.testbed.linksTo(n.name, gateOpen)
+			n.testbed.spans.end(n.name, n.testbed.now())
 			return nil
 		}
 		if running, _ := n.process.running(); !running {
--- a/internal/testbed/earshot.go
+++ b/internal/testbed/notification_times.go
@@ -15,7 +15,7 @@
 
 // heed says when a node counts as told of what changes now, if nothing is written to it before; d.mu is held.
 func (d *discovery) heed(n *Node) time.Duration {
-	now, e := d.lab.now(), d.ears[n]
+	now, e := d.testbed.now(), d.ears[n]
 	switch {
 	case e == nil: // it has never asked
 		return now + askWithin
@@ -23,7 +23,7 @@
 		return max(now, e.silent+silentTold)
 	case e.watches > 0:
 		return now + silentTold
-	case d.lab.world.Discovery.Asked || d.outage.Down || d.outage.Fail:
+	case d.testbed.world.Discovery.Asked || d.outage.Down || d.outage.Fail:
 		return max(now, e.called+askWithin)
 	}
 	return now // the agent has it, and the node has no watch
@@ -44,13 +44,13 @@
 func (d *discovery) told(n *Node, news rosterNews) {
 	listedNow := map[string]bool{}
 	for _, h := range news.Hosts {
-		d.lab.referee.tell(n.name, h.Host, h.Health == "in_service", d.lab.now())
+		d.testbed.checker.recordNotification(n.name, h.Host, h.Health == "in_service", d.testbed.now())
 		listedNow[h.Host] = true
 	}
 	if news.Whole {
-		for name, s := range d.lab.servers {
+		for name, s := range d.testbed.servers {
 			if s.tier == n.tier && !listedNow[name] {
-				d.lab.referee.tell(n.name, name, false, d.lab.now())
+				d.testbed.checker.recordNotification(n.name, name, false, d.testbed.now())
 			}
 		}
 	}
--- a/internal/testbed/listclock_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -26,9 +26,9 @@
 				w.Classes[i].Aim, w.Classes[i].Deadline = 2500*time.Millisecond, 8*time.Second
 			}
 			w.Zones, w.Discovery.Late, w.Discovery.Asked = []string{"a"}, 50*time.Millisecond, true
-			l := Start(t, w)
-			load, day := draw(t, &l.world, Load{Rate: 100}, c.load)
-			steps, err := Schedule(&l.world, []Fault{
+			tb := Start(t, w)
+			load, day := draw(t, &tb.world, Load{Rate: 100}, c.load)
+			steps, err := Schedule(&tb.world, []Fault{
 				{Kind: c.fault, Target: "n1", At: c.from, For: c.length},
 				{Kind: "drain", Target: "front-2", At: drain, For: time.Minute}}, 1)
 			if err != nil {
@@ -37,18 +37,18 @@
 			played := make(chan struct{})
 			go func() {
 				defer close(played)
-				l.Play(context.Background(), steps, func(at time.Duration, what string) { t.Logf("%.2fs %s", at.Seconds(), what) })
+				tb.Play(context.Background(), steps, func(at time.Duration, what string) { t.Logf("%.2fs %s", at.Seconds(), what) })
 			}()
 			var got tally
-			l.Drive(context.Background(), &load, day, got.add)
+			tb.Drive(context.Background(), &load, day, got.add)
 			<-played
-			clean(t, l)
+			clean(t, tb)
 			if got.count("served") < len(day)/3 {
 				t.Errorf("served %d of %d", got.count("served"), len(day))
 			}
-			l.referee.mu.Lock()
-			defer l.referee.mu.Unlock()
-			if at, told := l.referee.told[[2]string{"n1", "front-2"}]; !told || at > l.now()-drainWithin-slack {
+			tb.checker.mu.Lock()
+			defer tb.checker.mu.Unlock()
+			if at, told := tb.checker.told[[2]string{"n1", "front-2"}]; !told || at > tb.now()-drainWithin-slack {
 				t.Errorf("told %v, at %v: the drain was not held to within the day", told, at)
 			}
 		})
--- a/internal/testbed/onesided.go
+++ b/internal/testbed/one_sided_scenarios.go
@@ -12,11 +12,11 @@
 
 // bursts loses everything for 300 ms in each 1.5 s, and a tenth in between, for 30 s.
 func (s *study) bursts(ctx context.Context) error {
-	at := s.lab.now()
-	for s.lab.now()-at < 30*time.Second {
-		s.lab.SetLink("n*", "n*", Cond{Loss: 1})
+	at := s.testbed.now()
+	for s.testbed.now()-at < 30*time.Second {
+		s.testbed.SetLink("n*", "n*", Cond{Loss: 1})
 		sleep(ctx, 300*time.Millisecond)
-		s.lab.SetLink("n*", "n*", Cond{Loss: 0.1})
+		s.testbed.SetLink("n*", "n*", Cond{Loss: 0.1})
 		if !sleep(ctx, 1200*time.Millisecond) {
 			return ctx.Err()
 		}
@@ -26,7 +26,7 @@
 
 // healed ends the conditions of some links and books until all agree, and who was taken for gone since.
 func (s *study) healed(ctx context.Context, from, to string, since time.Duration, names ...string) error {
-	s.lab.SetLink(from, to, Cond{})
+	s.testbed.SetLink(from, to, Cond{})
 	took, err := s.agreed(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
 	return errors.Join(err, s.wronglyGone(since, names...))
@@ -44,7 +44,7 @@
 
 // oneSided makes the leader deaf, or mute, for 15 s. Of the others nobody is gone, in anybody's view.
 func (s *study) oneSided(ctx context.Context, deaf bool) error {
-	at, rest := s.lab.now(), s.nodes[1:]
+	at, rest := s.testbed.now(), s.nodes[1:]
 	v, err := s.nodes[0].Fleet(ctx)
 	if err != nil {
 		return err
@@ -53,11 +53,11 @@
 	if deaf {
 		from, to = to, from
 	}
-	s.lab.SetLink(from, to, Cond{Cut: true})
+	s.testbed.SetLink(from, to, Cond{Cut: true})
 	if err := s.replaced(ctx, rest, v.Under); err != nil {
 		return err
 	}
-	if !sleep(ctx, 15*time.Second-(s.lab.now()-at)) {
+	if !sleep(ctx, 15*time.Second-(s.testbed.now()-at)) {
 		return ctx.Err()
 	}
 	return s.healed(ctx, from, to, at, names(rest)...)
@@ -65,8 +65,8 @@
 
 // deafMember lets the last node hear nobody for 15 s; its accusations are heard.
 func (s *study) deafMember(ctx context.Context) error {
-	at, last := s.lab.now(), s.nodes[len(s.nodes)-1]
-	s.lab.SetLink("n*", last.name, Cond{Cut: true})
+	at, last := s.testbed.now(), s.nodes[len(s.nodes)-1]
+	s.testbed.SetLink("n*", last.name, Cond{Cut: true})
 	sleep(ctx, 15*time.Second)
 	return s.healed(ctx, "n*", last.name, at, names(s.nodes[:len(s.nodes)-1])...)
 }
@@ -76,12 +76,12 @@
 	for i, a := range s.nodes {
 		for j, b := range s.nodes {
 			if i != j && j != (i+len(s.nodes)-1)%len(s.nodes) {
-				s.lab.SetLink(a.name, b.name, Cond{Cut: true})
+				s.testbed.SetLink(a.name, b.name, Cond{Cut: true})
 			}
 		}
 	}
 	sleep(ctx, 15*time.Second)
-	s.lab.SetLink("n*", "n*", Cond{})
+	s.testbed.SetLink("n*", "n*", Cond{})
 	took, err := s.agreed(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
 	return err
@@ -89,7 +89,7 @@
 
 // halfStopped stops the upper half for 4 s. Nobody of the lower half is gone.
 func (s *study) halfStopped(ctx context.Context) error {
-	at, half := s.lab.now(), len(s.nodes)/2
+	at, half := s.testbed.now(), len(s.nodes)/2
 	for _, n := range s.nodes[half:] {
 		if err := n.Stop(); err != nil {
 			return err
@@ -106,7 +106,7 @@
 
 // leaderStopped stops the leader while its vote is live.
 func (s *study) leaderStopped(ctx context.Context, d time.Duration) error {
-	at, leader := s.lab.now(), s.nodes[0]
+	at, leader := s.testbed.now(), s.nodes[0]
 	if err := leader.Stop(); err != nil {
 		return err
 	}
@@ -122,9 +122,9 @@
 
 // tenthInTurn gives each process a tenth of a processor for 3 s.
 func (s *study) tenthInTurn(ctx context.Context) error {
-	at := s.lab.now()
+	at := s.testbed.now()
 	for _, n := range s.nodes {
-		for from := s.lab.now(); s.lab.now()-from < 3*time.Second; {
+		for from := s.testbed.now(); s.testbed.now()-from < 3*time.Second; {
 			if err := n.process.signal(syscall.SIGSTOP); err != nil {
 				return err
 			}
@@ -143,11 +143,11 @@
 // joinedByOne leaves only n4 in reach of both n1 to n3 and n5 to n8, for 20 s. Nobody counts more than one majority, and
 // n4 is never gone.
 func (s *study) joinedByOne(ctx context.Context) error {
-	at := s.lab.now()
+	at := s.testbed.now()
 	for _, a := range s.nodes[:3] {
 		for _, b := range s.nodes[4:] {
-			s.lab.SetLink(a.name, b.name, Cond{Cut: true})
-			s.lab.SetLink(b.name, a.name, Cond{Cut: true})
+			s.testbed.SetLink(a.name, b.name, Cond{Cut: true})
+			s.testbed.SetLink(b.name, a.name, Cond{Cut: true})
 		}
 	}
 	sleep(ctx, 20*time.Second)
@@ -156,15 +156,15 @@
 
 // killedAccuser cuts n7 off from n8 for a moment, and kills it when it has begun to suspect.
 func (s *study) killedAccuser(ctx context.Context) error {
-	at, n7, n8 := s.lab.now(), s.nodes[6], s.nodes[7]
-	s.lab.SetLink(n7.name, "n*", Cond{Loss: 0.8})
+	at, n7, n8 := s.testbed.now(), s.nodes[6], s.nodes[7]
+	s.testbed.SetLink(n7.name, "n*", Cond{Loss: 0.8})
 	s.until(ctx, "n7 suspects somebody", func() bool {
 		all, err := s.changes(n7)
 		return err != nil || slices.ContainsFunc(all, func(c memberChange) bool { return c.at >= at && c.is == "suspect" })
 	})
 	n7.Kill()
-	killed := s.lab.now()
-	s.lab.SetLink(n7.name, "n*", Cond{})
+	killed := s.testbed.now()
+	s.testbed.SetLink(n7.name, "n*", Cond{})
 	rest := append(slices.Clone(s.nodes[:6]), n8)
 	if err := s.heard(ctx, rest, n7.name, "gone", "gone", killed); err != nil {
 		return err
--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -58,7 +58,7 @@
 // issue orders until some door takes it, and returns when the last call that did was made.
 func (s *study) issue(ctx context.Context, by *Node, id, body string) (at time.Duration, err error) {
 	_, err = s.until(ctx, id+" is taken", func() bool {
-		at = s.lab.now()
+		at = s.testbed.now()
 		status, err := by.Order(ctx, http.MethodPut, id, body)
 		return err == nil && status == http.StatusOK
 	})
@@ -68,7 +68,7 @@
 // revoke ends an override through a node, and returns when the last call that did was made.
 func (s *study) revoke(ctx context.Context, by *Node, id string) (at time.Duration, err error) {
 	_, err = s.until(ctx, "the revocation is taken", func() bool {
-		at = s.lab.now()
+		at = s.testbed.now()
 		status, err := by.Order(ctx, http.MethodDelete, id, "")
 		return err == nil && (status == http.StatusOK || status == http.StatusNotFound)
 	})
@@ -86,7 +86,7 @@
 			return err
 		}
 		if figure != "" {
-			s.times[figure] = append(s.times[figure], s.lab.now()-from)
+			s.times[figure] = append(s.times[figure], s.testbed.now()-from)
 		}
 	}
 	return nil
@@ -98,7 +98,7 @@
 	const lasts = 6 * time.Second
 	last := len(s.nodes) - 1
 	lone, asleep, rest := s.nodes[last], s.nodes[last-1], s.nodes[:last-1]
-	s.lab.SetLink("n*", "n*", c)
+	s.testbed.SetLink("n*", "n*", c)
 	for round := range 2 {
 		by := rest[(int(s.seed)+round)%len(rest)]
 		id := fmt.Sprint("revoked-", round)
@@ -124,15 +124,15 @@
 	if err != nil {
 		return err
 	}
-	s.lab.SetLink("n*", lone.name, Cond{Cut: true})
-	s.lab.SetLink(lone.name, "n*", Cond{Cut: true})
+	s.testbed.SetLink("n*", lone.name, Cond{Cut: true})
+	s.testbed.SetLink(lone.name, "n*", Cond{Cut: true})
 	if err := asleep.Stop(); err != nil {
 		return err
 	}
 	ended := map[*Node]bool{}
-	for s.lab.now()-at < lasts+time.Second {
+	for s.testbed.now()-at < lasts+time.Second {
 		for _, n := range append(rest[:len(rest):len(rest)], lone) {
-			asked := s.lab.now()
+			asked := s.testbed.now()
 			all, err := n.InForce(ctx)
 			_, is := all["ends"]
 			switch {
@@ -141,7 +141,7 @@
 				s.count["acts past its end"]++
 			case !is && !ended[n]:
 				ended[n] = true
-				s.times["ended early by"] = append(s.times["ended early by"], max(0, lasts-(s.lab.now()-at)))
+				s.times["ended early by"] = append(s.times["ended early by"], max(0, lasts-(s.testbed.now()-at)))
 			}
 		}
 		if !sleep(ctx, 20*time.Millisecond) {
@@ -155,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	woken := s.lab.now()
+	woken := s.testbed.now()
 	if err := asleep.Continue(); err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 			s.count["acts past its end"]++
 		}
 	}
-	s.lab.SetLink("n*", "n*", c)
+	s.testbed.SetLink("n*", "n*", c)
 	if err := s.acts(ctx, []*Node{asleep}, "missed", true, "woken: reconciled", woken); err != nil {
 		return err
 	}
--- a/internal/testbed/restarts.go
+++ b/internal/testbed/restart_scenarios.go
@@ -14,7 +14,7 @@
 
 func (s *study) leaveOne(ctx context.Context) error {
 	n := s.nodes[len(s.nodes)-1]
-	at := s.lab.now()
+	at := s.testbed.now()
 	n.Terminate()
 	return s.heard(ctx, s.nodes[:len(s.nodes)-1], n.name, "left", "left", at)
 }
@@ -28,7 +28,7 @@
 		leader.Terminate()
 	}()
 	defer func() { <-ended }()
-	without, before := time.Duration(0), s.lab.now()
+	without, before := time.Duration(0), s.testbed.now()
 	for from := before; before-from < 5*time.Second; {
 		lacks := false
 		for _, n := range rest {
@@ -39,7 +39,7 @@
 		if !sleep(ctx, 10*time.Millisecond) {
 			return ctx.Err()
 		}
-		if now := s.lab.now(); lacks {
+		if now := s.testbed.now(); lacks {
 			without, before = without+now-before, now
 		} else {
 			before = now
@@ -65,14 +65,14 @@
 				}
 				for _, a := range g {
 					for _, b := range h {
-						s.lab.SetLink(a.name, b.name, c)
+						s.testbed.SetLink(a.name, b.name, c)
 					}
 				}
 			}
 		}
 	}
 	set(Cond{Cut: true})
-	until := s.lab.now() + 20*time.Second
+	until := s.testbed.now() + 20*time.Second
 	if rolling {
 		for _, n := range []*Node{s.nodes[0], s.nodes[4], s.nodes[6]} {
 			n.Terminate()
@@ -81,7 +81,7 @@
 			}
 		}
 	}
-	sleepUntil(s.lab.began.Add(until), ctx.Done())
+	sleepUntil(s.testbed.began.Add(until), ctx.Done())
 	for i, g := range groups {
 		for _, n := range g {
 			if v, err := n.Fleet(ctx); err == nil {
@@ -97,7 +97,7 @@
 
 // restartOne kills a node and starts it again at once: within the time in which it is suspected.
 func (s *study) restartOne(ctx context.Context) error {
-	n, at := s.nodes[len(s.nodes)-1], s.lab.now()
+	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	n.Kill()
 	if err := n.restart(ctx); err != nil {
 		return err
@@ -128,7 +128,7 @@
 
 // seedsDead kills all, starts those that are no seeds, and only later the seeds.
 func (s *study) seedsDead(ctx context.Context) error {
-	seeds := min(s.lab.world.Seeds, len(s.nodes))
+	seeds := min(s.testbed.world.Seeds, len(s.nodes))
 	for _, n := range s.nodes {
 		n.Kill()
 	}
@@ -152,14 +152,14 @@
 
 // flood sends one node junk as fast as one sender can, for 10 s, and books how long it takes to answer meanwhile.
 func (s *study) flood(ctx context.Context) error {
-	n, at := s.nodes[len(s.nodes)-1], s.lab.now()
+	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	to, err := net.Dial("udp4", n.meshListen())
 	if err != nil {
 		return err
 	}
 	defer to.Close()
 	ended := make(chan int)
-	until := s.lab.began.Add(at + 10*time.Second)
+	until := s.testbed.began.Add(at + 10*time.Second)
 	go func() {
 		junk, sent := make([]byte, 200), 0
 		for ; time.Now().Before(until) && ctx.Err() == nil; sent++ {
@@ -168,9 +168,9 @@
 		ended <- sent
 	}()
 	for time.Now().Before(until) && sleep(ctx, 10*time.Millisecond) {
-		from := s.lab.now()
+		from := s.testbed.now()
 		if n.Ready(ctx) {
-			s.times["an answer of the flooded"] = append(s.times["an answer of the flooded"], s.lab.now()-from)
+			s.times["an answer of the flooded"] = append(s.times["an answer of the flooded"], s.testbed.now()-from)
 		} else {
 			s.count["no answer"]++
 		}
@@ -181,8 +181,8 @@
 
 // halfProcessor lets one node run for half of every tenth of a second.
 func (s *study) halfProcessor(ctx context.Context) error {
-	n, at := s.nodes[len(s.nodes)-1], s.lab.now()
-	for s.lab.now()-at < 30*time.Second {
+	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
+	for s.testbed.now()-at < 30*time.Second {
 		if err := n.process.signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
@@ -203,7 +203,7 @@
 // one has stepped out of the mesh.
 func (s *study) twoOfOneName(ctx context.Context) error {
 	older := s.nodes[len(s.nodes)-1]
-	twin, err := s.lab.newNode("twin", older.zone, older.tier, older.self)
+	twin, err := s.testbed.newNode("twin", older.zone, older.tier, older.self)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/study.go
+++ b/internal/testbed/scenario_run.go
@@ -14,11 +14,11 @@
 
 // study is one play of a scenario.
 type study struct {
-	lab   *Lab
-	nodes []*Node
-	times map[string][]time.Duration // figures by name
-	count map[string]int
-	seed  uint64
+	testbed *Testbed
+	nodes   []*Node
+	times   map[string][]time.Duration // figures by name
+	count   map[string]int
+	seed    uint64
 }
 
 // Study is what one play of a scenario showed.
@@ -41,12 +41,12 @@
 	if sc.Bare {
 		w.Links = nil
 	}
-	l, err := Open(ctx, w)
+	tb, err := Open(ctx, w)
 	if err != nil {
 		return Study{}, err
 	}
-	defer l.Close()
-	s := &study{lab: l, nodes: l.Nodes(), times: map[string][]time.Duration{}, count: map[string]int{}, seed: seed}
+	defer tb.Close()
+	s := &study{testbed: tb, nodes: tb.Nodes(), times: map[string][]time.Duration{}, count: map[string]int{}, seed: seed}
 	watching, stop := context.WithCancel(ctx)
 	var watched sync.WaitGroup
 	watched.Add(1)
@@ -78,16 +78,16 @@
 
 // until waits for a condition, and returns how long that took.
 func (s *study) until(ctx context.Context, what string, is func() bool) (time.Duration, error) {
-	from := s.lab.now()
+	from := s.testbed.now()
 	for !is() {
 		if !sleep(ctx, 20*time.Millisecond) {
 			return 0, ctx.Err()
 		}
-		if s.lab.now()-from > studyWait {
+		if s.testbed.now()-from > studyWait {
 			return 0, fmt.Errorf("not within %v: %s", studyWait, what)
 		}
 	}
-	return s.lab.now() - from, nil
+	return s.testbed.now() - from, nil
 }
 
 // majorities asks all doors over and over which process proves their majority. Two answers in one round are a finding
@@ -118,9 +118,9 @@
 				break
 			}
 			if slices.Equal(before, seen) {
-				s.lab.referee.mu.Lock()
+				s.testbed.checker.mu.Lock()
 				s.count["two majorities"]++
-				s.lab.referee.mu.Unlock()
+				s.testbed.checker.mu.Unlock()
 			}
 			before = seen
 		}
@@ -154,7 +154,7 @@
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, memberChange{at.Sub(s.lab.began.Round(0)), fields["name"], fields["is"]})
+		all = append(all, memberChange{at.Sub(s.testbed.began.Round(0)), fields["name"], fields["is"]})
 	}
 	return all, nil
 }
@@ -173,7 +173,7 @@
 					found = true
 				}
 			}
-			if !found && (!sleep(ctx, 20*time.Millisecond) || s.lab.now()-after > studyWait) {
+			if !found && (!sleep(ctx, 20*time.Millisecond) || s.testbed.now()-after > studyWait) {
 				return errors.Join(ctx.Err(), fmt.Errorf("%s did not see %s as %s within %v", n.name, name, is, studyWait))
 			}
 		}
@@ -206,7 +206,7 @@
 
 func (s *study) kill(ctx context.Context, k int) error {
 	sleep(ctx, time.Duration(s.seed%7)*100*time.Millisecond) // another moment within the probes
-	at := s.lab.now()
+	at := s.testbed.now()
 	rest, dead := s.nodes[:len(s.nodes)-k], s.nodes[len(s.nodes)-k:]
 	for _, n := range dead {
 		n.Kill()
@@ -226,7 +226,7 @@
 }
 
 func (s *study) stand(ctx context.Context, d time.Duration) error {
-	n, at := s.nodes[len(s.nodes)-1], s.lab.now()
+	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	if err := n.Stop(); err != nil {
 		return err
 	}
@@ -245,10 +245,10 @@
 
 // quiet sets a condition under which nobody may be taken for gone.
 func (s *study) quiet(ctx context.Context, from, to string, c Cond, d time.Duration) error {
-	at := s.lab.now()
-	s.lab.SetLink(from, to, c)
+	at := s.testbed.now()
+	s.testbed.SetLink(from, to, c)
 	sleep(ctx, d)
-	s.lab.SetLink(from, to, Cond{})
+	s.testbed.SetLink(from, to, Cond{})
 	took, err := s.agreed(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
 	return errors.Join(err, s.wronglyGone(at))
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -28,7 +28,7 @@
 	name, zone string
 	tier       int
 	spec       Tier
-	lab        *Lab
+	testbed    *Testbed
 	gate       *gate
 	http       *http.Server
 	own        *Node   // its node for the next tier; nil in the last
@@ -59,16 +59,16 @@
 	work time.Duration
 }
 
-func newServer(l *Lab, name, zone string, tier int) (*Server, error) {
-	g, err := newGate(l.serverIP() + ":0")
+func newServer(tb *Testbed, name, zone string, tier int) (*Server, error) {
+	g, err := newGate(tb.serverIP() + ":0")
 	if err != nil {
 		return nil, err
 	}
-	spec := l.world.Tiers[tier]
-	s := &Server{name: name, zone: zone, tier: tier, spec: spec, lab: l, gate: g, health: "in_service",
+	spec := tb.world.Tiers[tier]
+	s := &Server{name: name, zone: zone, tier: tier, spec: spec, testbed: tb, gate: g, health: "in_service",
 		cores: make(chan struct{}, spec.Cores), slots: make(chan struct{}, spec.Slots)}
-	s.http = &http.Server{Handler: s, IdleTimeout: l.world.Limits.ConnIdle, ErrorLog: l.discard, ConnState: s.track}
-	l.own(func() { s.http.Serve(g) }) // ends with the gate
+	s.http = &http.Server{Handler: s, IdleTimeout: tb.world.Limits.ConnIdle, ErrorLog: tb.discard, ConnState: s.track}
+	tb.own(func() { s.http.Serve(g) }) // ends with the gate
 	return s, nil
 }
 
@@ -107,7 +107,7 @@
 
 // ServeHTTP handles one attempt.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	first := s.lab.now()
+	first := s.testbed.now()
 	id := r.Header.Get("X-Call-Id")
 	if _, err := io.Copy(io.Discard, r.Body); err != nil || r.Context().Err() != nil {
 		return // its last byte never came
@@ -117,9 +117,9 @@
 		return
 	}
 	budget := parseBudget(r.Header.Get("X-Budget"))
-	v, from, attempt := s.lab.referee.arrived(id, s.name, senderOf(r), first, budget)
-	s.lab.count(from, s)
-	class := s.lab.classes[r.Header.Get("X-Call-Class")]
+	v, from, attempt := s.testbed.checker.recordAttempt(id, s.name, senderOf(r), first, budget)
+	s.testbed.count(from, s)
+	class := s.testbed.classes[r.Header.Get("X-Call-Class")]
 	if v == unknown || class == nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -133,7 +133,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), budget)
 	defer cancel()
-	work := s.lab.workOf(class, s.tier, id)
+	work := s.testbed.workOf(class, s.tier, id)
 	if !s.bears(first, work) {
 		s.fall()
 		return
@@ -145,7 +145,7 @@
 	case t.Hang:
 		<-r.Context().Done()
 		return
-	case t.Errors > 0 && s.lab.drawn(id, s.name) < t.Errors:
+	case t.Errors > 0 && s.testbed.drawn(id, s.name) < t.Errors:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -153,7 +153,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if crowded || !s.slot(ctx) {
-		s.lab.referee.neverRan(id)
+		s.testbed.checker.recordNotRun(id)
 		w.Header().Set("X-Rejected", "1")
 		if ctx.Err() != nil {
 			w.WriteHeader(http.StatusGatewayTimeout)
@@ -170,11 +170,11 @@
 	s.mu.Lock()
 	s.served++
 	s.mu.Unlock()
-	if t.Spoil > 0 && s.lab.drawn(id, "spoil "+s.name) < t.Spoil {
+	if t.Spoil > 0 && s.testbed.drawn(id, "spoil "+s.name) < t.Spoil {
 		s.spoil(w, id)
 		return
 	}
-	io.WriteString(w, s.lab.referee.serve(id))
+	io.WriteString(w, s.testbed.checker.recordServed(id))
 }
 
 // senderOf reads what a caller has added to its request for the referee.
@@ -217,7 +217,7 @@
 	if s.next == nil {
 		return true
 	}
-	for i := range s.lab.callsOf(s.spec.Calls, id) {
+	for i := range s.testbed.callsOf(s.spec.Calls, id) {
 		a := s.next.do(ctx, call{id: subID(id, i), class: class, tenant: tenant, deadline: deadline})
 		if a.end != servedEnd {
 			return false
@@ -254,7 +254,7 @@
 	was := s.down
 	s.mu.Unlock()
 	if !was {
-		s.lab.referee.find(ColdPushed, "", "", s.name+" was sent more than it bears over "+s.lab.world.Cold.Fall.String())
+		s.testbed.checker.addFinding(ColdServerOverloaded, "", "", s.name+" was sent more than it bears over "+s.testbed.world.Cold.Fall.String())
 		go s.crash() // not from here: it ends this connection too
 	}
 }
@@ -264,7 +264,7 @@
 	s.mu.Lock()
 	s.down = true
 	s.mu.Unlock()
-	s.lab.spans.begin(s.name, s.lab.now())
+	s.testbed.spans.begin(s.name, s.testbed.now())
 	s.reachable()
 	s.gate.reset()
 	if s.own != nil {
@@ -281,10 +281,10 @@
 	}
 	s.mu.Lock()
 	s.down, s.silent, s.choked, s.recent = false, false, false, nil
-	s.born, s.health = s.lab.now(), "in_service"
+	s.born, s.health = s.testbed.now(), "in_service"
 	s.mu.Unlock()
 	s.reachable()
-	s.lab.spans.end(s.name, s.lab.now())
+	s.testbed.spans.end(s.name, s.testbed.now())
 	return nil
 }
 
@@ -294,9 +294,9 @@
 	s.silent = on
 	s.mu.Unlock()
 	if on {
-		s.lab.spans.begin(s.name, s.lab.now())
+		s.testbed.spans.begin(s.name, s.testbed.now())
 	} else {
-		s.lab.spans.end(s.name, s.lab.now())
+		s.testbed.spans.end(s.name, s.testbed.now())
 	}
 	s.reachable()
 }
@@ -313,5 +313,5 @@
 	}
 	s.mu.Unlock()
 	s.gate.set(mode)
-	s.lab.linksTo(s.name, mode)
+	s.testbed.linksTo(s.name, mode)
 }
--- a/internal/testbed/work.go
+++ b/internal/testbed/server_work.go
@@ -12,7 +12,7 @@
 
 // warmth is the share of its capacity that the server has; s.mu is held.
 func (s *Server) warmth(now time.Duration) float64 {
-	c := s.lab.world.Cold
+	c := s.testbed.world.Cold
 	if s.born == 0 || now-s.born >= c.Warm {
 		return 1
 	}
@@ -23,7 +23,7 @@
 func (s *Server) bears(now, work time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.lab.world.Cold
+	c := s.testbed.world.Cold
 	if s.born == 0 || now-s.born >= c.Warm {
 		s.recent = nil
 		return true
@@ -45,7 +45,7 @@
 
 // choke follows how many wait for a core; s.mu is held.
 func (s *Server) choke(now time.Duration) {
-	c := s.lab.world.Choke
+	c := s.testbed.world.Choke
 	if c.Factor == 0 {
 		return
 	}
@@ -75,7 +75,7 @@
 	}
 	s.mu.Lock()
 	s.waiting++
-	s.choke(s.lab.now())
+	s.choke(s.testbed.now())
 	s.mu.Unlock()
 	var got bool
 	select {
@@ -85,7 +85,7 @@
 	}
 	s.mu.Lock()
 	s.waiting--
-	now := s.lab.now()
+	now := s.testbed.now()
 	took := float64(w) / s.warmth(now)
 	if s.trouble.Slow > 1 {
 		took *= s.trouble.Slow
@@ -95,7 +95,7 @@
 	}
 	s.choke(now)
 	if s.choked {
-		took *= s.lab.world.Choke.Factor
+		took *= s.testbed.world.Choke.Factor
 	}
 	s.mu.Unlock()
 	if !got {
@@ -105,28 +105,28 @@
 	<-s.cores
 	s.mu.Lock()
 	s.busy--
-	s.choke(s.lab.now())
+	s.choke(s.testbed.now())
 	s.mu.Unlock()
 	return done
 }
 
 // drawn gives the same number from 0 to 1 for the same id and purpose, so that a request costs the same in each variant.
-func (l *Lab) drawn(id, what string) float64 {
-	h := xxhash.Sum64String(id+"/"+what) ^ l.world.Seed
+func (tb *Testbed) drawn(id, what string) float64 {
+	h := xxhash.Sum64String(id+"/"+what) ^ tb.world.Seed
 	h *= 0x9e3779b97f4a7c15
 	h ^= h >> 32
 	return float64(h>>11) / (1 << 53)
 }
 
 // workOf is a request's work at a tier: around the mean of its class, evenly from a half to one and a half of it.
-func (l *Lab) workOf(c *Class, tier int, id string) time.Duration {
-	return time.Duration((0.5 + l.drawn(id, "work")) * float64(c.Work[tier]))
+func (tb *Testbed) workOf(c *Class, tier int, id string) time.Duration {
+	return time.Duration((0.5 + tb.drawn(id, "work")) * float64(c.Work[tier]))
 }
 
 // callsOf is how many calls a request makes on the next tier: the mean, rounded up or down.
-func (l *Lab) callsOf(mean float64, id string) int {
+func (tb *Testbed) callsOf(mean float64, id string) int {
 	n := math.Floor(mean)
-	if l.drawn(id, "calls") < mean-n {
+	if tb.drawn(id, "calls") < mean-n {
 		n++
 	}
 	return int(n)
--- a/internal/testbed/soak/play.go
+++ b/internal/testbed/soak/run.go
@@ -48,46 +48,46 @@
 	if err != nil {
 		return nil, err
 	}
-	l, err := testbed.Open(ctx, w)
+	tb, err := testbed.Open(ctx, w)
 	if err != nil {
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
-	defer l.Close()
+	defer tb.Close()
 	r := &Result{Seed: p.Seed, Ends: map[string]int{}, Violations: map[string]int64{}, NotSent: map[string]int64{}, TurnedAway: map[string]int64{}}
 	for _, f := range p.Faults {
 		r.Faults = append(r.Faults, fmt.Sprintf("%s %s%s->%s at %v for %v", f.Kind, f.Target, f.From, f.To, f.At.Round(time.Millisecond), f.For))
 	}
-	r.drive(ctx, l, p, steps, testbed.Draw(&w, &p.Load, length, p.Seed))
+	r.drive(ctx, tb, p, steps, testbed.Draw(&w, &p.Load, length, p.Seed))
 	select {
 	case <-time.After(quietAfter):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	for _, n := range l.Nodes() {
+	for _, n := range tb.Nodes() {
 		if n.Running() { // the nodes of servers that are gone are not
-			r.compare(ctx, l, n)
+			r.compare(ctx, tb, n)
 		}
 	}
-	r.Found, r.Broken = l.Findings()
-	r.Account = l.Referee().Account()
-	r.Lateness = l.Lateness(0, l.Now())
+	r.Found, r.Broken = tb.Findings()
+	r.Account = tb.Checker().Account()
+	r.Lateness = tb.Lateness(0, tb.Now())
 	return r, r.write(w.Dir)
 }
 
 // drive plays load and faults side by side.
-func (r *Result) drive(ctx context.Context, l *testbed.Lab, p *Plan, steps []testbed.Step, day []testbed.Arrival) {
+func (r *Result) drive(ctx context.Context, tb *testbed.Testbed, p *Plan, steps []testbed.Step, day []testbed.Arrival) {
 	var mu sync.Mutex
 	var both sync.WaitGroup
 	both.Add(1)
 	go func() {
 		defer both.Done()
-		l.Play(ctx, steps, func(at time.Duration, what string) {
+		tb.Play(ctx, steps, func(at time.Duration, what string) {
 			mu.Lock()
 			defer mu.Unlock()
 			r.Story = append(r.Story, fmt.Sprintf("%.3f %s", at.Seconds(), what))
 		})
 	}()
-	l.Drive(ctx, &p.Load, day, func(s testbed.Served) {
+	tb.Drive(ctx, &p.Load, day, func(s testbed.Served) {
 		mu.Lock()
 		defer mu.Unlock()
 		r.Ends[s.End]++
@@ -124,7 +124,7 @@
 
 // compare holds a node's own counters against what the lab saw of it. A violation that a node counts for itself is one,
 // unless the lab has held the process up: it may have been between its write and its second look.
-func (r *Result) compare(ctx context.Context, l *testbed.Lab, n *testbed.Node) {
+func (r *Result) compare(ctx context.Context, tb *testbed.Testbed, n *testbed.Node) {
 	var counters struct {
 		Written  int64 `json:"backend_calls"`
 		Inflight int64 `json:"inflight"`
@@ -135,24 +135,24 @@
 		Violations map[string]int64 `json:"violations"`
 	}
 	if err := ask(ctx, n, "/control/counters", &counters); err != nil {
-		l.Referee().Report(testbed.Differs, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
+		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
 		return
 	}
 	if err := ask(ctx, n, "/control/decisions", &decisions); err != nil {
-		l.Referee().Report(testbed.Differs, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
+		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
 		return
 	}
 	add(r.NotSent, decisions.NotSent)
 	add(r.TurnedAway, decisions.TurnedAway)
 	add(r.Violations, decisions.Violations)
 	if len(decisions.Violations) > 0 && !n.Held() {
-		l.Referee().Report(testbed.Admitted, n.Name(), fmt.Sprint(decisions.Violations))
+		tb.Checker().Report(testbed.SelfReportedViolation, n.Name(), fmt.Sprint(decisions.Violations))
 	}
 	if counters.Inflight != 0 {
-		l.Referee().Report(testbed.Differs, n.Name(), fmt.Sprintf("%d requests in flight after all have ended", counters.Inflight))
+		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("%d requests in flight after all have ended", counters.Inflight))
 	}
-	if arrived := l.AttemptsOf(n.Name()); n.Starts() == 1 && arrived > counters.Written {
-		l.Referee().Report(testbed.Differs, n.Name(), fmt.Sprintf("%d attempts came to servers, it counts %d", arrived, counters.Written))
+	if recordAttempt := tb.AttemptsOf(n.Name()); n.Starts() == 1 && recordAttempt > counters.Written {
+		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("%d attempts came to servers, it counts %d", recordAttempt, counters.Written))
 	}
 }
 
--- a/internal/testbed/start.go
+++ b/internal/testbed/start.go
@@ -19,23 +19,23 @@
 
 // Start opens a world for a test and closes it at the test's end. A test that has failed logs the end of what each
 // node said.
-func Start(t T, w World) *Lab {
+func Start(t T, w World) *Testbed {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), longEnough)
 	defer cancel()
-	l, err := Open(ctx, w)
+	tb, err := Open(ctx, w)
 	if err != nil {
 		t.Fatalf("lab: %v", err)
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			for _, n := range l.order {
+			for _, n := range tb.order {
 				t.Logf("%s said: %s", n.name, n.process.tail(4))
 			}
 		}
-		l.Close()
+		tb.Close()
 	})
-	return l
+	return tb
 }
 
 // Until waits for a condition, looking at it every 5 ms.
--- a/internal/testbed/double_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -23,12 +23,12 @@
 		os.Setenv("LAB_TEST_AS", "well")
 		w := small(2, 1)
 		w.Binary = os.Args[0]
-		l, err := Open(context.Background(), w)
+		tb, err := Open(context.Background(), w)
 		if err != nil {
 			fmt.Println("failed", err)
 			return
 		}
-		for _, n := range l.Nodes() {
+		for _, n := range tb.Nodes() {
 			fmt.Println(n.process.cmd.Process.Pid)
 		}
 		select {}
@@ -136,8 +136,8 @@
 // The referee finds each planted fault by its name, and nothing where none is planted. A play in which the lab itself was
 // late proves nothing, by its own rule, and is played again; one that was not must show the fault.
 func TestRefereeCatchesPlantedFaults(t *testing.T) {
-	for as, want := range map[string]Rule{"well": "", "twice": Twice, "resend": UnsafeRun, "lose": Lost, "drained": Drained,
-		"overtell": Overtold, "linger": LateSend, "repeat": LateRepeat, "swallow": Lost, "give back": RanUnread} {
+	for as, want := range map[string]Rule{"well": "", "twice": AnsweredTwice, "resend": DuplicateExecution, "lose": Lost, "drained": SentToDraining,
+		"overtell": BudgetTooLong, "linger": SentAfterDisconnect, "repeat": RetryAfterWindow, "swallow": Lost, "give back": ForwardedUnread} {
 		t.Run(as, func(t *testing.T) {
 			t.Parallel()
 			end := time.Now().Add(longEnough)
@@ -165,21 +165,21 @@
 	if as == "drained" {
 		length = drainWithin + 2*time.Second
 	}
-	l := Start(t, w)
-	load, day := draw(t, &l.world, Load{Rate: 40, Impatient: map[string]float64{"linger": 1}[as]}, length)
+	tb := Start(t, w)
+	load, day := draw(t, &tb.world, Load{Rate: 40, Impatient: map[string]float64{"linger": 1}[as]}, length)
 	if as == "drained" {
-		for _, s := range l.servers { // whichever the double knows first
-			l.Drain(s, 0)
+		for _, s := range tb.servers { // whichever the double knows first
+			tb.Drain(s, 0)
 		}
 	}
 	var got tally
-	l.Drive(context.Background(), &load, day, got.add)
-	found, counts := l.Findings()
+	tb.Drive(context.Background(), &load, day, got.add)
+	found, counts := tb.Findings()
 	switch {
 	case want == "":
-		clean(t, l)
-	case len(counts) == 0 && l.Void(0, l.now()):
-		t.Logf("the lab was %v late: %d findings are void", l.Lateness(0, l.now()), len(found))
+		clean(t, tb)
+	case len(counts) == 0 && tb.Void(0, tb.now()):
+		t.Logf("the lab was %v late: %d findings are void", tb.Lateness(0, tb.now()), len(found))
 		return true
 	case counts[want] == 0 || len(counts) > 1:
 		t.Errorf("found %v, want %q alone; ends %v", counts, want, got.ends)
@@ -197,15 +197,15 @@
 
 // An improper client that a node keeps is found.
 func TestRefereeCatchesKeptPeers(t *testing.T) {
-	l := Start(t, wellDouble(1)) // waits for whole heads for good
-	l.improperPeers(context.Background(), l.Node("n1"), 4)
-	if found, counts := l.Referee().Findings(); counts[KeptPeer] == 0 || len(counts) > 1 {
+	tb := Start(t, healthyStubs(1)) // waits for whole heads for good
+	tb.improperPeers(context.Background(), tb.Node("n1"), 4)
+	if found, counts := tb.Checker().Findings(); counts[ImproperClientKept] == 0 || len(counts) > 1 {
 		t.Errorf("found %v", found)
 	}
 }
 
 // wellDouble is a world of doubles without a fault.
-func wellDouble(nodes int) World {
+func healthyStubs(nodes int) World {
 	w := small(nodes, 2)
 	w.Binary, w.Env = os.Args[0], []string{"LAB_TEST_AS=well"}
 	return w
--- a/internal/testbed/lab.go
+++ b/internal/testbed/testbed.go
@@ -19,13 +19,13 @@
 const mostNodes = 240 // of one lab
 
 // Lab is a running world.
-type Lab struct {
+type Testbed struct {
 	world    World
 	dir      string
 	scratch  bool // dir is the lab's own
 	began    time.Time
 	spans    spans
-	referee  *Referee
+	checker  *Checker
 	spawner  *spawner
 	disc     *discovery
 	front    *front
@@ -62,58 +62,58 @@
 
 // Open builds a world and starts its processes. It returns once the front has taken in every node, and fails, with
 // nothing left running, when one does not come up. Beside a program that has one of its addresses it takes others.
-func Open(ctx context.Context, w World) (l *Lab, err error) {
+func Open(ctx context.Context, w World) (tb *Testbed, err error) {
 	return openFrom(ctx, w, rand.N(blocks))
 }
 
 // openFrom is Open that tries the blocks of addresses from one on.
-func openFrom(ctx context.Context, w World, block int) (l *Lab, err error) {
+func openFrom(ctx context.Context, w World, block int) (tb *Testbed, err error) {
 	for range mostBlocks {
-		if l, err = open(ctx, w, block); !errors.Is(err, errTaken) {
+		if tb, err = open(ctx, w, block); !errors.Is(err, errTaken) {
 			break
 		}
-		block = l.net - firstBlock + 1
+		block = tb.net - firstBlock + 1
 	}
-	return l, err
+	return tb, err
 }
 
-func open(ctx context.Context, w World, block int) (l *Lab, err error) {
+func open(ctx context.Context, w World, block int) (tb *Testbed, err error) {
 	if err := w.Fill(); err != nil {
 		return nil, err
 	}
 	if w.Binary == "" {
 		return nil, errors.New("no node program is named")
 	}
-	l = &Lab{world: w, dir: w.Dir, began: time.Now(), nodes: map[string]*Node{}, servers: map[string]*Server{},
+	tb = &Testbed{world: w, dir: w.Dir, began: time.Now(), nodes: map[string]*Node{}, servers: map[string]*Server{},
 		classes: map[string]*Class{}, discard: log.New(io.Discard, "", 0), done: make(chan struct{}), ways: map[string]*way{},
 		links: map[string]*tcpLink{}, udp: map[string]*udpLink{}}
-	l.spawner = newSpawner()
+	tb.spawner = newSpawner()
 	defer func() {
 		if err != nil {
-			l.Close()
+			tb.Close()
 		}
 	}()
-	if l.lock, l.net, err = claimNet(block); err != nil {
-		return l, err
+	if tb.lock, tb.net, err = claimNet(block); err != nil {
+		return tb, err
 	}
-	if l.dir == "" {
-		l.scratch = true
-		if l.dir, err = os.MkdirTemp("", "balancer-testbed-"); err != nil {
-			return l, err
+	if tb.dir == "" {
+		tb.scratch = true
+		if tb.dir, err = os.MkdirTemp("", "balancer-testbed-"); err != nil {
+			return tb, err
 		}
-	} else if err = os.MkdirAll(l.dir, 0o700); err != nil {
-		return l, err
+	} else if err = os.MkdirAll(tb.dir, 0o700); err != nil {
+		return tb, err
 	}
 	for i := range w.Classes {
-		l.classes[w.Classes[i].Name] = &l.world.Classes[i]
+		tb.classes[w.Classes[i].Name] = &tb.world.Classes[i]
 	}
-	l.referee = newReferee(&l.world, l.now, &l.spans)
-	l.lateness.run(l)
-	l.disc = newDiscovery(l)
-	if err = l.populate(); err != nil {
-		return l, err
+	tb.checker = newChecker(&tb.world, tb.now, &tb.spans)
+	tb.lateness.run(tb)
+	tb.disc = newDiscovery(tb)
+	if err = tb.populate(); err != nil {
+		return tb, err
 	}
-	return l, l.startAll(ctx)
+	return tb, tb.startAll(ctx)
 }
 
 // claimNet takes a part of the loopback range for itself alone, so that labs may run side by side.
@@ -127,30 +127,30 @@
 	return nil, 0, errors.New("no part of the loopback range is free")
 }
 
-func (l *Lab) serverIP() string    { return fmt.Sprintf("127.%d.0.2", l.net) }
-func (l *Lab) linkIP() string      { return fmt.Sprintf("127.%d.0.3", l.net) }
-func (l *Lab) discoveryIP() string { return fmt.Sprintf("127.%d.0.4", l.net) }
+func (tb *Testbed) serverIP() string    { return fmt.Sprintf("127.%d.0.2", tb.net) }
+func (tb *Testbed) linkIP() string      { return fmt.Sprintf("127.%d.0.3", tb.net) }
+func (tb *Testbed) discoveryIP() string { return fmt.Sprintf("127.%d.0.4", tb.net) }
 
 // populate makes the servers, the nodes' places, the front and the clients.
-func (l *Lab) populate() error {
-	w := &l.world
+func (tb *Testbed) populate() error {
+	w := &tb.world
 	for t, tier := range w.Tiers {
 		n := 0
 		for z, count := range tier.PerZone {
 			for range count {
 				n++
-				s, err := newServer(l, fmt.Sprintf("%s-%d", tier.Name, n), w.Zones[z], t)
+				s, err := newServer(tb, fmt.Sprintf("%s-%d", tier.Name, n), w.Zones[z], t)
 				if err != nil {
 					return err
 				}
-				l.servers[s.name] = s
-				l.disc.publish(t, s.entry(), 0)
+				tb.servers[s.name] = s
+				tb.disc.publish(t, s.entry(), 0)
 			}
 		}
 	}
 	var fronts []*Node
 	for i := range w.Tiers[0].Nodes {
-		n, err := l.newNode("n"+strconv.Itoa(i+1), w.Zones[i%len(w.Zones)], 0, i)
+		n, err := tb.newNode("n"+strconv.Itoa(i+1), w.Zones[i%len(w.Zones)], 0, i)
 		if err != nil {
 			return err
 		}
@@ -158,41 +158,41 @@
 	}
 	for t, tier := range w.Tiers[:len(w.Tiers)-1] {
 		for i := range tier.Servers {
-			s := l.servers[fmt.Sprintf("%s-%d", tier.Name, i+1)]
-			n, err := l.newNode(NodeOf(s.name), s.zone, t+1, i)
+			s := tb.servers[fmt.Sprintf("%s-%d", tier.Name, i+1)]
+			n, err := tb.newNode(NodeOf(s.name), s.zone, t+1, i)
 			if err != nil {
 				return err
 			}
 			s.own = n
-			s.next = &caller{lab: l, name: s.name, checkBody: true, dial: func(ctx context.Context) (net.Conn, string, error) {
-				c, err := (&net.Dialer{}).DialContext(ctx, "tcp", l.nodeAddr(s.name, n))
+			s.next = &caller{testbed: tb, name: s.name, checkBody: true, dial: func(ctx context.Context) (net.Conn, string, error) {
+				c, err := (&net.Dialer{}).DialContext(ctx, "tcp", tb.nodeAddr(s.name, n))
 				return c, n.name, err
 			}}
 		}
 	}
-	l.front = newFront(l, fronts)
+	tb.front = newFront(tb, fronts)
 	for _, z := range w.Zones {
-		l.clients = append(l.clients, &caller{lab: l, name: clientsOf(z), checkBody: !w.TrustNodes, dial: l.front.dial(z)})
+		tb.clients = append(tb.clients, &caller{testbed: tb, name: clientsOf(z), checkBody: !w.TrustNodes, dial: tb.front.dial(z)})
 	}
 	return nil
 }
 
 // startAll starts the last tier's nodes first, and waits until the front has all of its own.
-func (l *Lab) startAll(ctx context.Context) error {
-	for _, n := range l.order {
-		l.spans.begin(n.name, l.now())
+func (tb *Testbed) startAll(ctx context.Context) error {
+	for _, n := range tb.order {
+		tb.spans.begin(n.name, tb.now())
 		if err := n.Start(); err != nil {
 			return err
 		}
 	}
-	l.front.start()
-	for _, n := range l.order {
+	tb.front.start()
+	for _, n := range tb.order {
 		if err := n.Up(ctx); err != nil {
 			return err
 		}
 	}
-	for _, n := range l.front.nodes {
-		for in, moved := l.front.isIn(n); !in; in, moved = l.front.isIn(n) {
+	for _, n := range tb.front.nodes {
+		for in, moved := tb.front.isIn(n); !in; in, moved = tb.front.isIn(n) {
 			select {
 			case <-moved:
 			case <-ctx.Done():
@@ -204,48 +204,48 @@
 }
 
 // now is the lab's clock: the time since it began.
-func (l *Lab) now() time.Duration { return time.Since(l.began) }
+func (tb *Testbed) now() time.Duration { return time.Since(tb.began) }
 
 // Now is the time since the lab began, as findings have it.
-func (l *Lab) Now() time.Duration { return l.now() }
+func (tb *Testbed) Now() time.Duration { return tb.now() }
 
 // Referee is the lab's referee.
-func (l *Lab) Referee() *Referee { return l.referee }
+func (tb *Testbed) Checker() *Checker { return tb.checker }
 
 // Node returns a node by name; nil: there is none.
-func (l *Lab) Node(name string) *Node { return l.nodes[name] }
+func (tb *Testbed) Node(name string) *Node { return tb.nodes[name] }
 
 // Server returns a server by name; nil: there is none.
-func (l *Lab) Server(name string) *Server { return l.servers[name] }
+func (tb *Testbed) Server(name string) *Server { return tb.servers[name] }
 
 // Nodes returns all nodes, the front ones first.
-func (l *Lab) Nodes() []*Node { return l.order }
+func (tb *Testbed) Nodes() []*Node { return tb.order }
 
 // count books an attempt of a node that reached a server.
-func (l *Lab) count(from string, s *Server) {
-	l.attempts.Add(1)
-	n, _ := l.sent.LoadOrStore(from, new(atomic.Int64))
+func (tb *Testbed) count(from string, s *Server) {
+	tb.attempts.Add(1)
+	n, _ := tb.sent.LoadOrStore(from, new(atomic.Int64))
 	n.(*atomic.Int64).Add(1)
-	if n := l.nodes[from]; n != nil && n.zone != s.zone {
-		l.crossed.Add(1)
+	if n := tb.nodes[from]; n != nil && n.zone != s.zone {
+		tb.crossed.Add(1)
 	}
 }
 
 // Attempts is how many attempts have reached servers, at all tiers, and how many of them came from another zone.
-func (l *Lab) Attempts() (all, crossed int64) { return l.attempts.Load(), l.crossed.Load() }
+func (tb *Testbed) Attempts() (all, crossed int64) { return tb.attempts.Load(), tb.crossed.Load() }
 
 // AttemptsOf is how many attempts of a node have reached servers.
-func (l *Lab) AttemptsOf(node string) int64 {
-	if n, ok := l.sent.Load(node); ok {
+func (tb *Testbed) AttemptsOf(node string) int64 {
+	if n, ok := tb.sent.Load(node); ok {
 		return n.(*atomic.Int64).Load()
 	}
 	return 0
 }
 
 // Uneven is the number of answers that the busiest server of the first tier has made, over the mean.
-func (l *Lab) Uneven() float64 {
+func (tb *Testbed) Uneven() float64 {
 	sum, most, n := 0, 0, 0
-	for _, s := range l.servers {
+	for _, s := range tb.servers {
 		if s.tier == 0 {
 			served := s.Served()
 			sum, most, n = sum+served, max(most, served), n+1
@@ -258,10 +258,10 @@
 }
 
 // own runs f until it returns; Close waits for it.
-func (l *Lab) own(f func()) {
-	l.owned.Add(1)
+func (tb *Testbed) own(f func()) {
+	tb.owned.Add(1)
 	go func() {
-		defer l.owned.Done()
+		defer tb.owned.Done()
 		f()
 	}()
 }
@@ -272,87 +272,87 @@
 	defer s.mu.Unlock()
 	h := listed{Host: s.name, Site: s.zone, Class: "m2", Health: s.health, Share: 1}
 	if s.born != 0 {
-		h.Born = s.lab.began.Add(s.born).UnixMilli()
+		h.Born = s.testbed.began.Add(s.born).UnixMilli()
 	}
 	return h
 }
 
 // Drain makes discovery list a server as draining; after the time it is gone, and answers nobody.
-func (l *Lab) Drain(s *Server, goneAfter time.Duration) {
+func (tb *Testbed) Drain(s *Server, goneAfter time.Duration) {
 	s.mu.Lock()
 	s.health = "terminating"
 	s.mu.Unlock()
-	l.disc.publish(s.tier, s.entry(), -1)
+	tb.disc.publish(s.tier, s.entry(), -1)
 	if goneAfter <= 0 {
 		return
 	}
 	time.AfterFunc(goneAfter, func() {
 		select {
-		case <-l.done:
+		case <-tb.done:
 			return
 		default:
 		}
 		s.mu.Lock()
 		s.health = "terminated"
 		s.mu.Unlock()
-		l.disc.publish(s.tier, s.entry(), -1)
+		tb.disc.publish(s.tier, s.entry(), -1)
 		s.crash()
 	})
 }
 
 // Discovery changes how discovery fails.
-func (l *Lab) Discovery(o Outage) {
-	l.disc.set(o)
+func (tb *Testbed) Discovery(o Outage) {
+	tb.disc.set(o)
 	if (o == Outage{}) {
-		l.spans.end("discovery", l.now())
+		tb.spans.end("discovery", tb.now())
 	} else {
-		l.spans.begin("discovery", l.now())
+		tb.spans.begin("discovery", tb.now())
 	}
 }
 
 // Close ends every process and waits for all that the lab has started.
-func (l *Lab) Close() {
-	l.closing.Do(func() {
-		close(l.done)
-		for _, n := range l.order {
+func (tb *Testbed) Close() {
+	tb.closing.Do(func() {
+		close(tb.done)
+		for _, n := range tb.order {
 			n.process.signal(syscall.SIGCONT) // fails where it has ended
 			n.process.kill()
 		}
-		if l.front != nil && l.front.stop != nil {
-			l.front.close()
+		if tb.front != nil && tb.front.stop != nil {
+			tb.front.close()
 		}
-		for _, c := range l.clients {
+		for _, c := range tb.clients {
 			c.close()
 		}
-		if l.disc != nil {
-			l.disc.close()
+		if tb.disc != nil {
+			tb.disc.close()
 		}
-		for _, s := range l.servers {
+		for _, s := range tb.servers {
 			s.gate.Close()
 			s.http.Close()
 		}
-		for _, s := range l.servers {
+		for _, s := range tb.servers {
 			if s.next != nil {
 				s.next.close()
 			}
 		}
-		l.mu.Lock()
-		links, udp := l.links, l.udp
-		l.links, l.udp = map[string]*tcpLink{}, nil
-		l.mu.Unlock()
+		tb.mu.Lock()
+		links, udp := tb.links, tb.udp
+		tb.links, tb.udp = map[string]*tcpLink{}, nil
+		tb.mu.Unlock()
 		for _, link := range links {
 			link.close()
 		}
 		for _, link := range udp {
 			link.close()
 		}
-		l.owned.Wait()
-		close(l.spawner.done)
-		if l.lock != nil {
-			l.lock.Close()
+		tb.owned.Wait()
+		close(tb.spawner.done)
+		if tb.lock != nil {
+			tb.lock.Close()
 		}
-		if l.scratch {
-			os.RemoveAll(l.dir)
+		if tb.scratch {
+			os.RemoveAll(tb.dir)
 		}
 	})
 }
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/testbed_test.go
@@ -75,16 +75,16 @@
 	return l, Draw(w, &l, length, 7)
 }
 
-func clean(t *testing.T, l *Lab) {
+func clean(t *testing.T, tb *Testbed) {
 	t.Helper()
-	found, counts := l.Findings()
+	found, counts := tb.Findings()
 	if len(counts) > 0 {
 		t.Errorf("findings: %s", summary(counts))
 		for _, f := range found[:min(5, len(found))] {
 			t.Log(f)
 		}
 	}
-	a := l.Referee().Account()
+	a := tb.Checker().Account()
 	if a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || a.Open != 0 {
 		t.Errorf("the account does not add up: %+v", a)
 	}
@@ -92,15 +92,15 @@
 
 // Three tiers of the real program serve a drawn load, and every request is accounted for.
 func TestThreeTiersServe(t *testing.T) {
-	l := Start(t, small(2, 2, 2, 2))
-	load, day := draw(t, &l.world, Load{Rate: 100}, 2*time.Second)
+	tb := Start(t, small(2, 2, 2, 2))
+	load, day := draw(t, &tb.world, Load{Rate: 100}, 2*time.Second)
 	var got tally
-	l.Drive(context.Background(), &load, day, got.add)
+	tb.Drive(context.Background(), &load, day, got.add)
 	if got.count("served") < len(day)*95/100 {
 		t.Errorf("served %d of %d: %v", got.count("served"), len(day), got.ends)
 	}
-	clean(t, l)
-	if a := l.Referee().Account(); a.Taken < 3*len(day)*95/100 {
+	clean(t, tb)
+	if a := tb.Checker().Account(); a.Taken < 3*len(day)*95/100 {
 		t.Errorf("taken %d at three tiers for %d arrivals", a.Taken, len(day))
 	}
 }
