--- a/cmd/balancer-testbed/capacity.go
+++ b/cmd/balancer-testbed/capacity.go
@@ -47,7 +47,7 @@
 func capacity(ctx context.Context, self string, rate float64, length time.Duration, cores int, linked bool) error {
 	w := testbed.World{Binary: self, Args: []string{"stub"}, TrustNodes: true, Seed: 1,
 		Tiers:   []testbed.Tier{{Name: "front", Nodes: 4, Servers: 1}},
-		Classes: []testbed.Class{{Name: "view", Effect: "read_like", Share: 1, Work: make([]time.Duration, 1), Aim: time.Second, Deadline: 2 * time.Second}}}
+		Classes: []testbed.Class{{Name: "view", Effect: "read_like", Share: 1, Work: make([]time.Duration, 1), LatencyObjective: time.Second, Deadline: 2 * time.Second}}}
 	if linked {
 		w.Links = []string{"clients-*->n*"}
 	}
@@ -63,7 +63,7 @@
 	day := testbed.Draw(&w, &load, length, 1)
 	const most = int64(time.Minute / time.Microsecond)
 	latency, late := hdrhistogram.New(1, most, 3), hdrhistogram.New(1, most, 3)
-	ended := make(chan testbed.Served, 1024)
+	ended := make(chan testbed.ArrivalResult, 1024)
 	booked := make(chan struct{})
 	go func() {
 		defer close(booked)
@@ -76,7 +76,7 @@
 	}()
 	cpu, began := ownCPU(), time.Now()
 	var served atomic.Int64
-	tb.Drive(ctx, &load, day, func(s testbed.Served) {
+	tb.Drive(ctx, &load, day, func(s testbed.ArrivalResult) {
 		if s.End == "served" {
 			served.Add(1)
 		}
--- a/cmd/balancer-testbed/mesh.go
+++ b/cmd/balancer-testbed/mesh.go
@@ -71,8 +71,8 @@
 		for k, v := range s.Counts {
 			counts[k] += v
 		}
-		if s.Drawback != "" {
-			counts[s.Drawback]++
+		if s.Failure != "" {
+			counts[s.Failure]++
 			bad = true
 		}
 	}
--- a/internal/testbed/attempt_timing.go
+++ b/internal/testbed/attempt_timing.go
@@ -16,7 +16,7 @@
 
 // timely checks what an attempt owes to the time at which it came. What a faulty link has delayed is excused.
 func (r *Checker) checkTiming(id, server string, rec *record, first, given time.Duration, lateRepeat bool) {
-	if r.spans.overlap(rec.node+"->"+server, first-linkFaultCarryOver, first) || r.spans.overlap(server, first-linkFaultCarryOver, first) {
+	if r.intervals.overlap(rec.node+"->"+server, first-linkFaultCarryOver, first) || r.intervals.overlap(server, first-linkFaultCarryOver, first) {
 		return
 	}
 	if lateRepeat {
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -72,24 +72,23 @@
 
 // Referee keeps one record for each request id, of clients and of servers calling on, and checks the rules.
 type Checker struct {
-	now      func() time.Duration
-	spans    *spans
-	unsafe   map[string]bool          // by class
-	windows  map[string]time.Duration // by class that is keyed: how long repeats are discarded
-	attempts int                      // most for one id
-	salt     uint64
+	now       func() time.Duration
+	intervals *intervals
+	unsafe    map[string]bool          // by class
+	windows   map[string]time.Duration // by class that is keyed: how long repeats are discarded
+	attempts  int                      // most for one id
+	salt      uint64
 
 	shard [shards]struct {
 		sync.Mutex
-		of map[string]*record
+		records map[string]*record
 	}
 
-	mu      sync.Mutex
-	found   []Finding
-	counts  map[Rule]int
-	account Account
-	told    map[[2]string]time.Duration // by node and server: when it learned that it drains or is gone
-	last    time.Duration               // of the last sweep
+	mu         sync.Mutex
+	found      []Finding
+	counts     map[Rule]int
+	account    Account
+	notifiedAt map[[2]string]time.Duration // by node and server: when it learned that it drains or is gone
 }
 
 // record is what is known of one request id.
@@ -109,9 +108,9 @@
 	leftAt   time.Duration // when the client went away; 0: it has not
 }
 
-func newChecker(w *World, now func() time.Duration, s *spans) *Checker {
-	r := &Checker{now: now, spans: s, unsafe: map[string]bool{}, windows: map[string]time.Duration{}, attempts: w.Limits.MaxAttempts, salt: w.Seed ^ 0x9e3779b97f4a7c15,
-		counts: map[Rule]int{}, told: map[[2]string]time.Duration{}}
+func newChecker(w *World, now func() time.Duration, s *intervals) *Checker {
+	r := &Checker{now: now, intervals: s, unsafe: map[string]bool{}, windows: map[string]time.Duration{}, attempts: w.Limits.MaxAttempts, salt: w.Seed ^ 0x9e3779b97f4a7c15,
+		counts: map[Rule]int{}, notifiedAt: map[[2]string]time.Duration{}}
 	for _, c := range w.Classes {
 		r.unsafe[c.Name] = c.Effect == "non_idempotent"
 		if c.Effect == "idempotency_key" {
@@ -119,7 +118,7 @@
 		}
 	}
 	for i := range r.shard {
-		r.shard[i].of = map[string]*record{}
+		r.shard[i].records = map[string]*record{}
 	}
 	return r
 }
@@ -129,7 +128,7 @@
 	s := &r.shard[xxhash.Sum64String(id)%shards]
 	s.Lock()
 	defer s.Unlock()
-	rec := s.of[id]
+	rec := s.records[id]
 	if rec != nil {
 		f(rec)
 	}
@@ -157,7 +156,7 @@
 	s := &r.shard[xxhash.Sum64String(id)%shards]
 	s.Lock()
 	defer s.Unlock()
-	s.of[id] = &record{class: class, deadline: deadline}
+	s.records[id] = &record{class: class, deadline: deadline}
 }
 
 // heading says which node a request is about to be written to, and returns the number of that writing.
@@ -217,8 +216,8 @@
 	var rec record
 	r.withRecord(id, func(p *record) { p.ended = true; rec = *p })
 	now := r.now()
-	excused := r.spans.overlap(rec.node, rec.written-slack, now) || r.spans.overlap(caller+"->"+rec.node, rec.written-slack, now) ||
-		r.spans.overlap(rec.node+"->"+caller, rec.written-slack, now) || r.spans.overlap(caller, rec.written-slack, now)
+	excused := r.intervals.overlap(rec.node, rec.written-slack, now) || r.intervals.overlap(caller+"->"+rec.node, rec.written-slack, now) ||
+		r.intervals.overlap(rec.node+"->"+caller, rec.written-slack, now) || r.intervals.overlap(caller, rec.written-slack, now)
 	r.updateAccount(func(a *Account) {
 		if excused {
 			a.CutOff++
@@ -265,7 +264,7 @@
 		p.ran++ // until it turns out that it never ran
 		rec = *p
 	})
-	if known && from.writing != 0 && from.writing <= rec.back && !r.spans.overlap(from.node, rec.backAt-slack, rec.backAt+slack) {
+	if known && from.writing != 0 && from.writing <= rec.back && !r.intervals.overlap(from.node, rec.backAt-slack, rec.backAt+slack) {
 		r.addFinding(ForwardedUnread, id, from.node, fmt.Sprintf("came to %s, though its connection was closed with no answer", server))
 	}
 	if known && from.node != "" {
@@ -285,12 +284,12 @@
 		r.addFinding(TooManyAttempts, id, rec.node, fmt.Sprintf("attempt %d came to %s", rec.attempts, server))
 	}
 	r.mu.Lock()
-	at, told := r.told[[2]string{rec.node, server}]
+	at, notified := r.notifiedAt[[2]string{rec.node, server}]
 	r.mu.Unlock()
 	late := first - at
 	// A node that was stopped is not excused: what came meanwhile it has to read before it sends.
-	if told && late > drainWithin+slack &&
-		!r.spans.overlap(rec.node+"->"+server, at, first) && !r.spans.overlap(server, at, first) {
+	if notified && late > drainWithin+slack &&
+		!r.intervals.overlap(rec.node+"->"+server, at, first) && !r.intervals.overlap(server, at, first) {
 		r.addFinding(SentToDraining, id, rec.node, fmt.Sprintf("came to %s %.2f s after the node was told", server, late.Seconds()))
 	}
 	return v, rec.node, rec.attempts
@@ -319,9 +318,9 @@
 	defer r.mu.Unlock()
 	key := [2]string{node, server}
 	if inService {
-		delete(r.told, key)
-	} else if before, ok := r.told[key]; !ok || at < before {
-		r.told[key] = at
+		delete(r.notifiedAt, key)
+	} else if before, ok := r.notifiedAt[key]; !ok || at < before {
+		r.notifiedAt[key] = at
 	}
 }
 
@@ -329,9 +328,9 @@
 func (r *Checker) forgetNotifications(node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for key := range r.told {
+	for key := range r.notifiedAt {
 		if key[0] == node {
-			delete(r.told, key)
+			delete(r.notifiedAt, key)
 		}
 	}
 }
@@ -342,7 +341,7 @@
 	for i := range r.shard {
 		s := &r.shard[i]
 		s.Lock()
-		for _, rec := range s.of {
+		for _, rec := range s.records {
 			if rec.written != 0 && !rec.ended {
 				open++
 			}
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -30,12 +30,12 @@
 }
 
 const (
-	lateMost    = 500 * time.Millisecond // an answer that comes so late earns nothing, and is no loss
-	heldMost    = 500 * time.Millisecond // what a node that was held up owes comes so soon after
-	mostBody    = 64 << 10
-	mostIdle    = 256             // connections kept by one caller
-	idleMost    = 5 * time.Second // a caller closes what was idle for so long
-	callerDials = time.Second
+	maxAnswerDelay = 500 * time.Millisecond // an answer that comes so late earns nothing, and is no loss
+	pauseCarryOver = 500 * time.Millisecond // what a node that was held up owes comes so soon after
+	maxBodySize    = 64 << 10
+	maxIdleConns   = 256             // connections kept by one caller
+	maxIdleTime    = 5 * time.Second // a caller closes what was idle for so long
+	dialTimeout    = time.Second
 )
 
 // call is one request to a node.
@@ -114,7 +114,7 @@
 			r.some = errors.Is(err, io.ErrUnexpectedEOF) && br.Buffered() > 0
 			r.taken = errors.Is(err, io.ErrUnexpectedEOF) && !r.some && cc.owes() && !c.testbed.linked(c.name, cc.node) && allTaken(cc.Conn)
 		} else {
-			body, err := io.ReadAll(io.LimitReader(resp.Body, mostBody))
+			body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodySize))
 			resp.Body.Close()
 			r = reply{status: resp.StatusCode, retryAfter: resp.Header.Get("Retry-After"), body: string(body), closing: resp.Close,
 				some: true, err: err}
@@ -150,7 +150,7 @@
 	for n := len(c.idle); n > 0 && !fresh; n = len(c.idle) {
 		cc := c.idle[n-1]
 		c.idle = c.idle[:n-1]
-		if now-cc.free > idleMost {
+		if now-cc.free > maxIdleTime {
 			cc.Conn.Close()
 			continue
 		}
@@ -160,7 +160,7 @@
 	}
 	c.open.Add(1)
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, callerDials)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, node, err := c.dial(ctx)
 	if err != nil {
@@ -176,7 +176,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cc.free = c.testbed.now()
-	if c.closed || len(c.idle) >= mostIdle {
+	if c.closed || len(c.idle) >= maxIdleConns {
 		cc.Conn.Close()
 		return
 	}
@@ -259,13 +259,13 @@
 // lateAnswer waits on for the answer of a node that was held up: one that comes up to half a second late is no loss.
 func (c *caller) lateAnswer(cc *callerConn, q call) (r reply, late bool) {
 	over := q.deadline + slack
-	if c.testbed.now() < over || !c.testbed.spans.overlap(heldUp(cc.node), over-heldMost, over) {
+	if c.testbed.now() < over || !c.testbed.intervals.overlap(pausedPart(cc.node), over-pauseCarryOver, over) {
 		return r, false
 	}
 	select {
 	case r = <-cc.answers:
 		return r, true
-	case <-time.After(lateMost - slack):
+	case <-time.After(maxAnswerDelay - slack):
 		return r, false
 	}
 }
--- a/internal/testbed/corrupt_response.go
+++ b/internal/testbed/corrupt_response.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	secondAnswerAfter = 5 * time.Millisecond
-	idleEndMost       = 20 * time.Millisecond // a server ends the connection so long after its answer at most
+	secondAnswerDelay = 5 * time.Millisecond
+	maxCloseDelay     = 20 * time.Millisecond // a server ends the connection so long after its answer at most
 )
 
 // spoil writes one answer in a way that the draw for the request names: twice, cut off and without a length, or whole
 // with an end of the connection a moment later, as the next request may come. The connection is over in any case.
-func (s *Server) spoil(w http.ResponseWriter, id string) {
+func (s *Server) writeCorruptResponse(w http.ResponseWriter, id string) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
 		return
@@ -31,16 +31,16 @@
 	switch {
 	case draw < 1.0/3:
 		fmt.Fprint(c, whole)
-		time.Sleep(secondAnswerAfter)
+		time.Sleep(secondAnswerDelay)
 		fmt.Fprint(c, whole)
 	case draw < 2.0/3:
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", body[:len(body)/2])
-		time.Sleep(secondAnswerAfter) // the half is read before the reset
+		time.Sleep(secondAnswerDelay) // the half is read before the reset
 		if g, ok := c.(*gatedConn); ok {
 			reset(g.Conn)
 		}
 	default:
 		fmt.Fprint(c, whole)
-		time.Sleep(time.Duration(s.testbed.drawn(id, "end") * float64(idleEndMost)))
+		time.Sleep(time.Duration(s.testbed.drawn(id, "end") * float64(maxCloseDelay)))
 	}
 }
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -9,7 +9,7 @@
 )
 
 // listed is an entry of discovery's list, without the address, which is each node's own.
-type listed struct {
+type endpointEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -20,50 +20,50 @@
 	Born   int64   `json:"born_ms"`
 }
 
-type rosterNews struct {
-	Seq   int64    `json:"seq"`
-	Whole bool     `json:"whole"`
-	Hosts []listed `json:"hosts"`
+type endpointUpdate struct {
+	Seq      int64           `json:"seq"`
+	Snapshot bool            `json:"whole"`
+	Hosts    []endpointEntry `json:"hosts"`
 }
 
 // discovery keeps a list for each tier and answers each node at an address of the node's own, since the servers'
 // addresses may differ between nodes. Its news are late by the world's figure.
 type discovery struct {
-	testbed *Testbed
-	turn    chan struct{} // calls are handled one at a time
+	testbed  *Testbed
+	callSlot chan struct{} // calls are handled one at a time
 
-	mu     sync.Mutex
-	outage Outage
-	late   time.Duration
-	tiers  []*tierList
-	gates  []*gate
-	of     map[*Node]*gate // where each node asks
-	mutes  int             // so often have all open watches fallen silent
-	ears   map[*Node]*ear  // what each node can hear
+	mu          sync.Mutex
+	fault       DiscoveryFault
+	late        time.Duration
+	tiers       []*tierList
+	gates       []*gate
+	gateByNode  map[*Node]*gate       // where each node asks
+	mutes       int                   // so often have all open watches fallen silent
+	watchStates map[*Node]*watchState // what each node can hear
 }
 
 const (
-	silentTold = 6 * time.Second  // what a silent watch misses counts as told so long after it fell silent
-	askWithin  = 10 * time.Second // the list that a node without a watch has will do so long after its last call
+	silentWatchDelay = 6 * time.Second  // what a silent watch misses counts as told so long after it fell silent
+	maxPollInterval  = 10 * time.Second // the list that a node without a watch has will do so long after its last call
 )
 
 type tierList struct {
 	seq     int64
 	base    int64 // the first number that this discovery knows of
-	hosts   map[string]listed
+	hosts   map[string]endpointEntry
 	log     []change
 	changed chan struct{} // closed at the next change
 }
 
 type change struct {
 	seq  int64
-	host listed
+	host endpointEntry
 }
 
 func newDiscovery(tb *Testbed) *discovery {
-	d := &discovery{testbed: tb, turn: make(chan struct{}, 1), late: tb.world.Discovery.Late, ears: map[*Node]*ear{}, of: map[*Node]*gate{}}
+	d := &discovery{testbed: tb, callSlot: make(chan struct{}, 1), late: tb.world.Discovery.Late, watchStates: map[*Node]*watchState{}, gateByNode: map[*Node]*gate{}}
 	for range tb.world.Tiers {
-		d.tiers = append(d.tiers, &tierList{hosts: map[string]listed{}, changed: make(chan struct{})})
+		d.tiers = append(d.tiers, &tierList{hosts: map[string]endpointEntry{}, changed: make(chan struct{})})
 	}
 	return d
 }
@@ -77,7 +77,7 @@
 }
 
 // publish tells of a server after so long; the world's figure if late is negative.
-func (d *discovery) publish(tier int, h listed, late time.Duration) {
+func (d *discovery) publish(tier int, h endpointEntry, late time.Duration) {
 	if late < 0 {
 		late = d.late
 	}
@@ -93,9 +93,9 @@
 		}
 		t.log = append(t.log, change{t.seq, h})
 		if h.Health != "in_service" {
-			for _, n := range d.testbed.order {
+			for _, n := range d.testbed.nodeOrder {
 				if n.tier == tier {
-					d.testbed.checker.recordNotification(n.name, h.Host, false, d.heed(n))
+					d.testbed.checker.recordNotification(n.name, h.Host, false, d.notificationTime(n))
 				}
 			}
 		}
@@ -110,10 +110,10 @@
 }
 
 // since is what a node that has version from is told; d.mu is held.
-func (t *tierList) since(from int64) rosterNews {
-	n := rosterNews{Seq: t.seq, Hosts: []listed{}}
+func (t *tierList) since(from int64) endpointUpdate {
+	n := endpointUpdate{Seq: t.seq, Hosts: []endpointEntry{}}
 	if from <= 0 || from > t.seq || from < t.base {
-		n.Whole = true
+		n.Snapshot = true
 		for _, h := range t.hosts {
 			n.Hosts = append(n.Hosts, h)
 		}
@@ -135,18 +135,18 @@
 }
 
 // known is the whole list as it is now, for a node's configuration.
-func (d *discovery) known(n *Node) rosterNews {
+func (d *discovery) known(n *Node) endpointUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addressed(n, d.tiers[n.tier].since(0))
 }
 
 // addressed gives the servers the addresses that a node dials.
-func (d *discovery) addressed(n *Node, news rosterNews) rosterNews {
-	for i := range news.Hosts {
-		news.Hosts[i].Dial = d.testbed.serverAddr(n, news.Hosts[i].Host)
+func (d *discovery) addressed(n *Node, update endpointUpdate) endpointUpdate {
+	for i := range update.Hosts {
+		update.Hosts[i].Dial = d.testbed.serverAddr(n, update.Hosts[i].Host)
 	}
-	return news
+	return update
 }
 
 // serve opens the address at which a node asks.
@@ -159,7 +159,7 @@
 	d.testbed.own(func() { server.Serve(g) }) // ends with the gate
 	d.mu.Lock()
 	d.gates = append(d.gates, g)
-	d.of[n] = g
+	d.gateByNode[n] = g
 	d.mu.Unlock()
 	return g.addr, nil
 }
@@ -168,13 +168,13 @@
 func (d *discovery) gateOf(n *Node) *gate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.of[n]
+	return d.gateByNode[n]
 }
 
-func (d *discovery) state() (Outage, time.Duration) {
+func (d *discovery) state() (DiscoveryFault, time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.outage, d.testbed.world.Discovery.Call + d.outage.Slow
+	return d.fault, d.testbed.world.Discovery.Call + d.fault.Slow
 }
 
 func (d *discovery) answer(n *Node, w http.ResponseWriter, r *http.Request) {
@@ -185,10 +185,10 @@
 	wait := time.NewTimer(d.testbed.world.Discovery.MaxLag)
 	defer wait.Stop()
 	select {
-	case d.turn <- struct{}{}:
+	case d.callSlot <- struct{}{}:
 		_, takes := d.state()
 		ok := sleep(r.Context(), takes)
-		<-d.turn
+		<-d.callSlot
 		if !ok {
 			return
 		}
@@ -209,23 +209,23 @@
 	}
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if r.URL.Query().Get("watch") != "1" {
-		if o.Dumb {
+		if o.Unresponsive {
 			d.silent(r)
 			return
 		}
 		d.mu.Lock()
-		news := d.addressed(n, d.tiers[n.tier].since(0))
+		update := d.addressed(n, d.tiers[n.tier].since(0))
 		d.mu.Unlock()
-		d.write(n, w, news, o)
+		d.write(n, w, update, o)
 		return
 	}
-	e := d.hear(n, func(e *ear) { e.watches++ })
-	defer d.hear(n, func(e *ear) { e.called, e.watches, e.silent = d.testbed.now(), e.watches-1, 0 })
+	e := d.updateWatch(n, func(e *watchState) { e.watches++ })
+	defer d.updateWatch(n, func(e *watchState) { e.lastPoll, e.watches, e.silent = d.testbed.now(), e.watches-1, 0 })
 	d.watch(n, w, r, from, e)
 }
 
 // watch writes what changed, then each change as it comes, and an empty line every 2 s.
-func (d *discovery) watch(n *Node, w http.ResponseWriter, r *http.Request, from int64, e *ear) {
+func (d *discovery) watch(n *Node, w http.ResponseWriter, r *http.Request, from int64, e *watchState) {
 	flush := http.NewResponseController(w)
 	idle := time.NewTicker(2 * time.Second)
 	defer idle.Stop()
@@ -235,9 +235,9 @@
 	for first := true; ; first = false {
 		d.mu.Lock()
 		t := d.tiers[n.tier]
-		news, changed, o := t.since(from), t.changed, d.outage
-		news = d.addressed(n, news)
-		mute := o.Dumb || d.mutes > mutes
+		update, changed, o := t.since(from), t.changed, d.fault
+		update = d.addressed(n, update)
+		mute := o.Unresponsive || d.mutes > mutes
 		if (mute || o.Trickle) && e.silent == 0 {
 			e.silent = d.testbed.now()
 		}
@@ -257,12 +257,12 @@
 			}
 			return
 		}
-		if first || len(news.Hosts) > 0 {
-			if !d.write(n, w, news, o) || flush.Flush() != nil {
+		if first || len(update.Hosts) > 0 {
+			if !d.write(n, w, update, o) || flush.Flush() != nil {
 				return
 			}
 		}
-		from = max(news.Seq, 1) // 0 would ask for the whole list for ever
+		from = max(update.Seq, 1) // 0 would ask for the whole list for ever
 		select {
 		case <-changed:
 		case <-idle.C:
@@ -278,10 +278,10 @@
 }
 
 // write writes a list, in the form that the outage gives it. It says whether the node has all of it.
-func (d *discovery) write(n *Node, w http.ResponseWriter, news rosterNews, o Outage) bool {
-	text, err := json.Marshal(news)
+func (d *discovery) write(n *Node, w http.ResponseWriter, update endpointUpdate, o DiscoveryFault) bool {
+	text, err := json.Marshal(update)
 	if err == nil && o.Indent {
-		text, err = json.MarshalIndent(news, "", "  ")
+		text, err = json.MarshalIndent(update, "", "  ")
 	}
 	if err != nil {
 		panic(err) // plain values
@@ -293,7 +293,7 @@
 	if _, err := w.Write(append(text, '\n')); err != nil {
 		return false
 	}
-	d.told(n, news)
+	d.recordNotified(n, update)
 	return true
 }
 
--- a/internal/testbed/discovery_fault.go
+++ b/internal/testbed/discovery_fault.go
@@ -8,21 +8,21 @@
 )
 
 // Outage is how discovery fails. The zero value is a well one.
-type Outage struct {
+type DiscoveryFault struct {
 	Down bool          // watches end, calls are refused by a reset
 	Fail bool          // calls end in 503; watches go on
 	Slow time.Duration // each call takes so much longer, and they are handled in turn
 
-	Dumb    bool // calls are taken and answered with nothing at all; watches that are open fall silent
-	Trickle bool // in place of lines come spaces without an end of line
-	Cut     bool // each list ends in its middle, and with it the connection
-	Indent  bool // lists come in many lines
+	Unresponsive bool // calls are taken and answered with nothing at all; watches that are open fall silent
+	Trickle      bool // in place of lines come spaces without an end of line
+	Cut          bool // each list ends in its middle, and with it the connection
+	Indent       bool // lists come in many lines
 }
 
-func (d *discovery) set(o Outage) {
+func (d *discovery) set(o DiscoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.outage = o
+	d.fault = o
 	d.wake()
 }
 
@@ -44,9 +44,9 @@
 		}
 		t.base, t.log = t.seq, nil
 	}
-	d.outage.Down = true
+	d.fault.Down = true
 	d.wake()
-	time.AfterFunc(50*time.Millisecond, func() { d.set(Outage{}) })
+	time.AfterFunc(50*time.Millisecond, func() { d.set(DiscoveryFault{}) })
 }
 
 // silent says nothing until the caller leaves.
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -110,8 +110,8 @@
 	recordAttempt := map[uint64]map[string]int{3: {}, 4: {}}
 	for _, s := range r.Summaries {
 		recordAttempt[s.Seed][s.Variant] = s.Arrived
-		if a := s.Account; a.Taken == 0 || a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || len(s.Marks) != 2 || s.Binary == "" {
-			t.Errorf("seed %d %s: account %+v, marks %v, binary %q", s.Seed, s.Variant, a, s.Marks, s.Binary)
+		if a := s.Account; a.Taken == 0 || a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || len(s.Steps) != 2 || s.Binary == "" {
+			t.Errorf("seed %d %s: account %+v, marks %v, binary %q", s.Seed, s.Variant, a, s.Steps, s.Binary)
 		}
 	}
 	if a := recordAttempt; a[3]["off"] == 0 || a[3]["off"] != a[3]["on"] || a[4]["off"] != a[4]["on"] || a[3]["on"] == a[4]["on"] {
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -37,8 +37,8 @@
 }
 
 const (
-	mostLength = 2 * time.Hour
-	mostPlays  = 1000
+	maxLength = 2 * time.Hour
+	maxRuns   = 1000
 )
 
 // Load reads and checks an experiment. The error joins one tomlfile.Problem for each thing found wrong.
@@ -63,7 +63,7 @@
 	for _, err := range f.check() {
 		bad(err, "")
 	}
-	f.World.Links = append(f.World.Links, testbed.FaultLinks(f.Faults)...)
+	f.World.Links = append(f.World.Links, testbed.LinksOfFaults(f.Faults)...)
 	if err := f.World.Fill(); err != nil {
 		bad(err, "world.")
 	} else {
@@ -83,8 +83,8 @@
 	if f.Name == "" {
 		bad("name", "is empty")
 	}
-	if f.Length <= 0 || f.Length > mostLength {
-		bad("length", "must be above 0 and at most %v", mostLength)
+	if f.Length <= 0 || f.Length > maxLength {
+		bad("length", "must be above 0 and at most %v", maxLength)
 	}
 	if f.Window == 0 {
 		f.Window = time.Second
@@ -101,8 +101,8 @@
 	if len(f.Variants) == 0 {
 		f.Variants = []Variant{{Name: "base"}}
 	}
-	if n := len(f.Seeds) * f.Repeat * len(f.Variants); f.Repeat < 0 || n > mostPlays {
-		bad("repeat", "%d plays, at most %d", n, mostPlays)
+	if n := len(f.Seeds) * f.Repeat * len(f.Variants); f.Repeat < 0 || n > maxRuns {
+		bad("repeat", "%d plays, at most %d", n, maxRuns)
 	}
 	seen := map[string]bool{}
 	for i, v := range f.Variants {
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -26,7 +26,7 @@
 	Summaries []Summary
 }
 
-const mostLine = 4 << 20
+const maxLineSize = 4 << 20
 
 // Read reads a results file. A last line that was cut off is passed over; any other unreadable line is an error that
 // names it.
@@ -38,7 +38,7 @@
 	defer f.Close()
 	r := &Results{}
 	in := bufio.NewScanner(f)
-	in.Buffer(nil, mostLine)
+	in.Buffer(nil, maxLineSize)
 	var failed error
 	for n := 1; in.Scan(); n++ {
 		if failed != nil {
@@ -94,11 +94,11 @@
 	{"99th percentile, ms", "%.0f", false, func(s *Summary) float64 { return s.P99 }},
 	{"99.9th percentile, ms", "%.0f", false, func(s *Summary) float64 { return s.P999 }},
 	{"attempts for each arrival", "%.3f", false, func(s *Summary) float64 { return float64(s.Attempts) / float64(max(1, s.Arrived)) }},
-	{"of them between zones", "%.4f", false, func(s *Summary) float64 { return float64(s.Crossed) / float64(max(1, s.Attempts)) }},
-	{"calls a server, most over mean", "%.2f", false, func(s *Summary) float64 { return s.Uneven }},
+	{"of them between zones", "%.4f", false, func(s *Summary) float64 { return float64(s.CrossZone) / float64(max(1, s.Attempts)) }},
+	{"calls a server, most over mean", "%.2f", false, func(s *Summary) float64 { return s.Imbalance }},
 	{"processor, all nodes, cores", "%.3f", false, func(s *Summary) float64 { return s.CPU }},
-	{"memory, largest node, MB", "%.1f", false, func(s *Summary) float64 { return s.MostRSS }},
-	{"descriptors, most of a node", "%.0f", false, func(s *Summary) float64 { return float64(s.MostFiles) }},
+	{"memory, largest node, MB", "%.1f", false, func(s *Summary) float64 { return s.MaxRSS }},
+	{"descriptors, most of a node", "%.0f", false, func(s *Summary) float64 { return float64(s.MaxFiles) }},
 }
 
 // variants returns the summaries by variant, in order of appearance.
@@ -174,13 +174,13 @@
 		fmt.Fprintf(&b, "\n## `%s` over time\n\nMeans over the plays; grey lines are the steps of the first play's schedule.\n\n", n)
 		for what, draw := range map[string]func(*plot.Plot, string) error{"ends": r.plotEnds, "latency": r.plotLatency} {
 			name := fmt.Sprintf("%s-%s.svg", what, n)
-			if err := r.save(filepath.Join(dir, name), n, by[n][0].Marks, draw); err != nil {
+			if err := r.save(filepath.Join(dir, name), n, by[n][0].Steps, draw); err != nil {
 				return err
 			}
 		}
 		fmt.Fprintf(&b, "![ends over time](ends-%s.svg)\n\n![latency over time](latency-%s.svg)\n\n", n, n)
 		table(&b, []string{"at", "step"}, func(row func(...any)) {
-			for _, m := range by[n][0].Marks {
+			for _, m := range by[n][0].Steps {
 				row(fmt.Sprintf("%.2f s", m.At), m.What)
 			}
 		})
@@ -288,7 +288,7 @@
 	return r.line(p, variant, "99th percentile", 2, func(w Window) (float64, bool) { return w.P99, w.P99 > 0 })
 }
 
-func (r *Results) save(path, variant string, marks []Mark, draw func(*plot.Plot, string) error) error {
+func (r *Results) save(path, variant string, marks []ExecutedStep, draw func(*plot.Plot, string) error) error {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
 	p.Y.Min = 0
--- a/internal/testbed/experiment/runner.go
+++ b/internal/testbed/experiment/runner.go
@@ -31,22 +31,22 @@
 type Window struct {
 	Kind string `json:"kind"` // "window"
 	Key
-	From      float64        `json:"from"` // seconds since the load began
-	To        float64        `json:"to"`
-	Void      bool           `json:"void,omitempty"` // the lab was too late: proves nothing
-	Lateness  float64        `json:"lateness_ms"`
-	Arrived   int            `json:"arrived"`
-	Ends      map[string]int `json:"ends"`
-	Worth     float64        `json:"worth"`  // asked for
-	Earned    float64        `json:"earned"` // of it, served within the aim
-	P50       float64        `json:"p50_ms"` // of what was served, from the drawn arrival
-	P99       float64        `json:"p99_ms"`
-	Attempts  int64          `json:"attempts"` // that reached servers, at all tiers
-	Crossed   int64          `json:"crossed"`  // of them, between zones
-	CPU       float64        `json:"cpu"`      // cores, all nodes together
-	MostCPU   float64        `json:"most_cpu"` // cores, the busiest node
-	MostRSS   float64        `json:"most_rss_mb"`
-	MostFiles int            `json:"most_files"`
+	From           float64        `json:"from"` // seconds since the load began
+	To             float64        `json:"to"`
+	Void           bool           `json:"void,omitempty"` // the lab was too late: proves nothing
+	Lateness       float64        `json:"lateness_ms"`
+	Arrived        int            `json:"arrived"`
+	Ends           map[string]int `json:"ends"`
+	PriorityWeight float64        `json:"worth"`  // asked for
+	Earned         float64        `json:"earned"` // of it, served within the aim
+	P50            float64        `json:"p50_ms"` // of what was served, from the drawn arrival
+	P99            float64        `json:"p99_ms"`
+	Attempts       int64          `json:"attempts"` // that reached servers, at all tiers
+	CrossZone      int64          `json:"crossed"`  // of them, between zones
+	CPU            float64        `json:"cpu"`      // cores, all nodes together
+	MaxCPU         float64        `json:"most_cpu"` // cores, the busiest node
+	MaxRSS         float64        `json:"most_rss_mb"`
+	MaxFiles       int            `json:"most_files"`
 }
 
 // Summary is one play as a whole.
@@ -65,27 +65,27 @@
 	P99         float64              `json:"p99_ms"`
 	P999        float64              `json:"p999_ms"`
 	Attempts    int64                `json:"attempts"`
-	Crossed     int64                `json:"crossed"`
-	Uneven      float64              `json:"uneven"` // answers of the busiest server over the mean, first tier
+	CrossZone   int64                `json:"crossed"`
+	Imbalance   float64              `json:"uneven"` // answers of the busiest server over the mean, first tier
 	CPU         float64              `json:"cpu"`
-	MostRSS     float64              `json:"most_rss_mb"`
-	MostFiles   int                  `json:"most_files"`
+	MaxRSS      float64              `json:"most_rss_mb"`
+	MaxFiles    int                  `json:"most_files"`
 	Account     testbed.Account      `json:"account"`
 	Broken      map[testbed.Rule]int `json:"broken"`
-	Marks       []Mark               `json:"marks"`
+	Steps       []ExecutedStep       `json:"marks"`
 	Found       []testbed.Finding    `json:"found,omitempty"` // the first ones
 }
 
 // Mark is a step of the schedule as it was carried out.
-type Mark struct {
+type ExecutedStep struct {
 	At   float64 `json:"at"`
 	What string  `json:"what"`
 }
 
 const (
-	maxFindings = 20
-	mostMarks   = 500
-	mostMillis  = 120_000
+	maxFindings      = 20
+	maxSteps         = 500
+	maxLatencyMillis = 120_000
 )
 
 // Runner plays an experiment.
@@ -150,35 +150,35 @@
 	windows []Window
 	hists   []*hdrhistogram.Histogram
 	whole   *hdrhistogram.Histogram
-	marks   []Mark
+	marks   []ExecutedStep
 	ended   int
 }
 
 func newBook(f *File, key Key) *book {
-	b := &book{whole: hdrhistogram.New(1, mostMillis*1000, 3)}
+	b := &book{whole: hdrhistogram.New(1, maxLatencyMillis*1000, 3)}
 	for at := time.Duration(0); at < f.Length; at += f.Window {
 		b.windows = append(b.windows, Window{Kind: "window", Key: key, From: at.Seconds(), To: min(at+f.Window, f.Length).Seconds(), Ends: map[string]int{}})
-		b.hists = append(b.hists, hdrhistogram.New(1, mostMillis*1000, 3))
+		b.hists = append(b.hists, hdrhistogram.New(1, maxLatencyMillis*1000, 3))
 	}
 	return b
 }
 
 // add books what became of an arrival in the window of its drawn time.
-func (b *book) add(f *File, s testbed.Served) {
+func (b *book) add(f *File, s testbed.ArrivalResult) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	i := min(int(s.Arrival.At/f.Window), len(b.windows)-1)
 	w := &b.windows[i]
 	w.Arrived++
 	w.Ends[s.End]++
-	w.Worth += s.Worth
+	w.PriorityWeight += s.PriorityWeight
 	w.Lateness = max(w.Lateness, float64(s.Late)/1e6)
 	b.ended++
 	if s.End == "served" {
-		w.Earned += s.Worth
+		w.Earned += s.PriorityWeight
 	}
 	if s.End == "served" || s.End == "late" {
-		us := min(max(s.Latency.Microseconds(), 1), mostMillis*1000)
+		us := min(max(s.Latency.Microseconds(), 1), maxLatencyMillis*1000)
 		b.hists[i].RecordValue(us) // in range
 		b.whole.RecordValue(us)
 	}
@@ -190,8 +190,8 @@
 func (b *book) mark(at time.Duration, what string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.marks) < mostMarks {
-		b.marks = append(b.marks, Mark{at.Seconds(), what})
+	if len(b.marks) < maxSteps {
+		b.marks = append(b.marks, ExecutedStep{at.Seconds(), what})
 	}
 }
 
@@ -240,7 +240,7 @@
 		defer side.Done()
 		r.sample(playing, tb, b, began, v.Name)
 	}()
-	tb.Drive(ctx, &f.Load, day, func(s testbed.Served) { b.add(f, s) })
+	tb.Drive(ctx, &f.Load, day, func(s testbed.ArrivalResult) { b.add(f, s) })
 	took := tb.Now() - began
 	stop()
 	side.Wait()
@@ -271,7 +271,7 @@
 	for _, n := range tb.Nodes() {
 		before[n] = n.Usage()
 	}
-	attempts, crossed := tb.Attempts()
+	attempts, crossZone := tb.Attempts()
 	for i := 0; i < len(b.windows); i++ {
 		select {
 		case <-tick.C:
@@ -291,10 +291,10 @@
 		a, c := tb.Attempts()
 		b.mu.Lock()
 		w := &b.windows[i]
-		w.CPU, w.MostCPU = all.Seconds()/r.File.Window.Seconds(), most.Seconds()/r.File.Window.Seconds()
-		w.MostRSS, w.MostFiles = float64(rss)/(1<<20), files
-		w.Attempts, w.Crossed = a-attempts, c-crossed
-		attempts, crossed = a, c
+		w.CPU, w.MaxCPU = all.Seconds()/r.File.Window.Seconds(), most.Seconds()/r.File.Window.Seconds()
+		w.MaxRSS, w.MaxFiles = float64(rss)/(1<<20), files
+		w.Attempts, w.CrossZone = a-attempts, c-crossZone
+		attempts, crossZone = a, c
 		ended, served := b.ended, w.Ends["served"]
 		b.mu.Unlock()
 		r.progress("%s: %3.0f of %.0f s, %d ended, %d served in the last window", variant, (tb.Now() - began).Seconds(),
@@ -307,7 +307,7 @@
 func (b *book) summary(f *File, key Key, tb *testbed.Testbed, began time.Duration) *Summary {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := &Summary{Kind: "summary", Key: key, Ends: map[string]int{}, Worst: 1, Account: tb.Checker().Account(), Marks: b.marks}
+	s := &Summary{Kind: "summary", Key: key, Ends: map[string]int{}, Worst: 1, Account: tb.Checker().Account(), Steps: b.marks}
 	var worth, earned float64
 	for i := range b.windows {
 		w := &b.windows[i]
@@ -320,24 +320,24 @@
 			s.Ends[end] += n
 		}
 		s.Attempts += w.Attempts
-		s.Crossed += w.Crossed
+		s.CrossZone += w.CrossZone
 		s.CPU += w.CPU / float64(len(b.windows))
-		s.MostRSS, s.MostFiles = max(s.MostRSS, w.MostRSS), max(s.MostFiles, w.MostFiles)
+		s.MaxRSS, s.MaxFiles = max(s.MaxRSS, w.MaxRSS), max(s.MaxFiles, w.MaxFiles)
 		if w.Void {
 			s.VoidWindows++
 			continue
 		}
-		worth += w.Worth
+		worth += w.PriorityWeight
 		earned += w.Earned
-		if w.Worth > 0 {
-			s.Worst = min(s.Worst, w.Earned/w.Worth)
+		if w.PriorityWeight > 0 {
+			s.Worst = min(s.Worst, w.Earned/w.PriorityWeight)
 		}
 	}
 	if worth > 0 {
 		s.Served = earned / worth
 	}
 	s.P50, s.P90, s.P99, s.P999 = quantile(b.whole, 50), quantile(b.whole, 90), quantile(b.whole, 99), quantile(b.whole, 99.9)
-	s.Uneven = tb.Uneven()
+	s.Imbalance = tb.Imbalance()
 	s.Found, s.Broken = tb.Findings()
 	s.Found = slices.Clip(s.Found[:min(maxFindings, len(s.Found))])
 	return s
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -225,7 +225,7 @@
 }
 
 // FaultLinks returns the link patterns that the faults need a proxy for.
-func FaultLinks(faults []Fault) (links []string) {
+func LinksOfFaults(faults []Fault) (links []string) {
 	for _, f := range faults {
 		if f.From != "" {
 			links = append(links, f.From+"->"+f.To)
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -11,7 +11,7 @@
 
 // Play carries out steps at their times, counted from now. told hears of each, and of what went wrong. It returns when
 // the last is done, or once ctx ends.
-func (tb *Testbed) Play(ctx context.Context, steps []Step, told func(at time.Duration, what string)) {
+func (tb *Testbed) Play(ctx context.Context, steps []Step, report func(at time.Duration, what string)) {
 	began := tb.now()
 	var late sync.WaitGroup
 	defer late.Wait()
@@ -19,12 +19,12 @@
 		if !sleepUntil(tb.began.Add(began+s.At), ctx.Done()) {
 			return
 		}
-		told(tb.now()-began, s.String())
+		report(tb.now()-began, s.String())
 		late.Add(1)
 		go func() { // some take a while: a node that is to be ready again
 			defer late.Done()
 			if err := tb.Apply(ctx, s); err != nil && ctx.Err() == nil {
-				told(tb.now()-began, fmt.Sprintf("%s: %v", s, err))
+				report(tb.now()-began, fmt.Sprintf("%s: %v", s, err))
 			}
 		}()
 	}
@@ -62,20 +62,20 @@
 		return tb.revive(ctx, server)
 	case "hold":
 		for range max(1, f.Pick) {
-			if err := node.Hold(f.For); err != nil || !sleep(ctx, f.For) {
+			if err := node.Pause(f.For); err != nil || !sleep(ctx, f.For) {
 				return nil // it has ended meanwhile
 			}
 		}
 	case "reload":
 		return node.Reload()
 	case "peers":
-		tb.improperPeers(ctx, node, f.Pick)
+		tb.runImproperClients(ctx, node, f.Pick)
 	case "slow", "errors", "hang", "spoil":
-		t := Trouble{}
+		t := ServerFault{}
 		if !s.Ends {
-			t = Trouble{Slow: f.Factor, Hang: f.Kind == "hang"}
+			t = ServerFault{Slow: f.Factor, Hang: f.Kind == "hang"}
 			if f.Kind == "spoil" {
-				t.Spoil = f.Share
+				t.CorruptResponses = f.Share
 			} else {
 				t.Errors = f.Share
 			}
@@ -101,9 +101,9 @@
 			return errNoLink
 		}
 	case "disc_down", "disc_fail", "disc_slow", "disc_dumb", "disc_trickle", "disc_cut", "disc_indent":
-		o := Outage{}
+		o := DiscoveryFault{}
 		if !s.Ends {
-			o = Outage{Down: f.Kind == "disc_down", Fail: f.Kind == "disc_fail", Slow: f.Delay, Dumb: f.Kind == "disc_dumb",
+			o = DiscoveryFault{Down: f.Kind == "disc_down", Fail: f.Kind == "disc_fail", Slow: f.Delay, Unresponsive: f.Kind == "disc_dumb",
 				Trickle: f.Kind == "disc_trickle", Cut: f.Kind == "disc_cut", Indent: f.Kind == "disc_indent"}
 		}
 		tb.Discovery(o)
@@ -119,9 +119,9 @@
 
 func (tb *Testbed) linkFault(s Step) error {
 	f := s.Fault
-	c := Cond{Delay: f.Delay, Jitter: f.Jittered, Loss: f.Loss, Dup: f.Dup, Reorder: f.Reorder, Rate: f.Rate, Cut: f.Kind != "link"}
+	c := LinkCondition{Delay: f.Delay, Jitter: f.Jittered, Loss: f.Loss, Dup: f.Dup, Reorder: f.Reorder, Rate: f.Rate, Cut: f.Kind != "link"}
 	if s.Ends {
-		c = Cond{}
+		c = LinkCondition{}
 	}
 	n := tb.SetLink(f.From, f.To, c)
 	if f.Kind == "split" {
@@ -185,9 +185,9 @@
 			if server.own != nil {
 				server.own.Stop() // fails where it has ended
 			}
-			gone := server.entry()
-			gone.Health = "terminated"
-			tb.disc.publish(server.tier, gone, s.Fault.Late+tb.disc.late)
+			removed := server.entry()
+			removed.Health = "terminated"
+			tb.disc.publish(server.tier, removed, s.Fault.Late+tb.disc.late)
 		}
 	}
 	if !s.Ends {
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -58,12 +58,12 @@
 	defer tick.Stop()
 	var noSince, deadSince time.Time
 	for {
-		yes, heard := ready(ctx, client, f.testbed.nodeAddr(clientsOf(n.zone), n))
+		yes, waitForState := ready(ctx, client, f.testbed.nodeAddr(clientsOf(n.zone), n))
 		now := time.Now()
 		if yes {
 			noSince, deadSince = time.Time{}, time.Time{}
 			f.turn(n, true)
-		} else if heard {
+		} else if waitForState {
 			deadSince = time.Time{}
 			if noSince.IsZero() {
 				noSince = now
@@ -88,7 +88,7 @@
 }
 
 // ready asks a node whether clients may come; heard says that it answered at all.
-func ready(ctx context.Context, client *http.Client, addr string) (yes, heard bool) {
+func ready(ctx context.Context, client *http.Client, addr string) (yes, waitForState bool) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/ready", nil)
 	if err != nil {
 		return false, false
@@ -112,7 +112,7 @@
 }
 
 // isIn says whether the front deals connections to a node, and gives what closes at the next change.
-func (f *front) isIn(n *Node) (bool, <-chan struct{}) {
+func (f *front) isReady(n *Node) (bool, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.in[n], f.moved
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -233,8 +233,8 @@
 
 func (c *gatedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if held := c.hold(); held != nil {
-		return 0, held
+	if err := c.hold(); err != nil {
+		return 0, err
 	}
 	return n, err
 }
--- a/internal/testbed/hard_test.go
+++ b/internal/testbed/hard_test.go
@@ -148,7 +148,7 @@
 		if s.End == "served" && s.Latency < until-s.Arrival.At {
 			t.Errorf("an arrival at %v took %v, but nothing was served before %v", s.Arrival.At, s.Latency, until)
 		}
-		if s.Late <= tooLate {
+		if s.Late <= voidLateness {
 			inTime++
 		}
 	}
@@ -168,7 +168,7 @@
 	if _, counts := tb.Findings(); counts[Lost] != 1 {
 		t.Errorf("in time: %v, want it counted", counts)
 	}
-	tb.lateness.note(tb.now(), 2*tooLate)
+	tb.lateness.note(tb.now(), 2*voidLateness)
 	found, counts := tb.Findings()
 	if len(counts) != 0 || !found[0].Void {
 		t.Errorf("too late: %v and %v, want it void", counts, found)
@@ -198,9 +198,9 @@
 	return ln.Addr().String()
 }
 
-func newLink(t *testing.T) (l *tcpLink, there, back *way) {
+func newLink(t *testing.T) (l *tcpLink, there, back *direction) {
 	t.Helper()
-	there, back = newWay(), newWay()
+	there, back = newDirection(), newDirection()
 	l, err := newTCPLink("127.0.0.1:0", echo(t), there, back)
 	if err != nil {
 		t.Fatal(err)
@@ -222,7 +222,7 @@
 func TestLinkResetInMidBody(t *testing.T) {
 	l, _, back := newLink(t)
 	c := dial(t, l.gate.addr)
-	back.set(Cond{Rate: 100_000})
+	back.set(LinkCondition{Rate: 100_000})
 	c.Write(make([]byte, 100_000)) // taken at once; a second at that rate comes back
 	if _, err := io.ReadFull(c, make([]byte, 1000)); err != nil {
 		t.Fatal(err)
@@ -231,7 +231,7 @@
 	if _, err := io.Copy(io.Discard, c); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the reader got %v, want a reset", err)
 	}
-	back.set(Cond{})
+	back.set(LinkCondition{})
 	c = dial(t, l.gate.addr)
 	fmt.Fprint(c, "hello")
 	if _, err := io.ReadFull(c, make([]byte, 5)); err != nil {
@@ -243,7 +243,7 @@
 func TestLinkCutOneWay(t *testing.T) {
 	l, _, back := newLink(t)
 	c := dial(t, l.gate.addr)
-	back.set(Cond{Cut: true})
+	back.set(LinkCondition{Cut: true})
 	l.pathsChanged()
 	fmt.Fprint(c, "hello")
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
@@ -254,7 +254,7 @@
 		c.Close()
 		t.Error("a connection came up through the cut")
 	}
-	back.set(Cond{})
+	back.set(LinkCondition{})
 	l.pathsChanged()
 	c.SetReadDeadline(time.Now().Add(longEnough))
 	got := make([]byte, 5)
@@ -306,8 +306,8 @@
 		t.Fatal(err)
 	}
 	defer far.Close()
-	there := newWay()
-	l, err := newUDPLink("127.0.0.1:0", far.LocalAddr().String(), there, newWay())
+	there := newDirection()
+	l, err := newUDPLink("127.0.0.1:0", far.LocalAddr().String(), there, newDirection())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -329,7 +329,7 @@
 	if k, err := near.Read(buf); err != nil || string(buf[:k]) != "pong" {
 		t.Fatalf("back came %q, %v", buf[:k], err)
 	}
-	there.set(Cond{Loss: loss, Dup: dup, Reorder: reorder})
+	there.set(LinkCondition{Loss: loss, Dup: dup, Reorder: reorder})
 	seen, twice, disorder, last := map[int]int{}, 0, 0, -1
 	for i := range n {
 		fmt.Fprintf(near, "%d", i)
@@ -367,13 +367,13 @@
 func TestColdServerFallsOver(t *testing.T) {
 	tb := Start(t, healthyStubs(1))
 	s := tb.Server("front-1")
-	c := tb.world.Cold
+	c := tb.world.SlowStart
 	for _, times := range []float64{0.9, 1.1} { // of what it bears
 		s.born, s.recent = time.Second, nil
 		bore := true
-		can := c.Multiple * float64(s.spec.Cores) * (s.warmth(time.Second+c.Fall/2) + s.warmth(time.Second+3*c.Fall/2)) / 2
-		for at := time.Second + c.Fall/2; at < time.Second+3*c.Fall/2; at += 50 * time.Millisecond {
-			bore = s.bears(at, time.Duration(times*can*float64(50*time.Millisecond))) && bore
+		can := c.OverloadFactor * float64(s.spec.Cores) * (s.capacityShare(time.Second+c.OverloadWindow/2) + s.capacityShare(time.Second+3*c.OverloadWindow/2)) / 2
+		for at := time.Second + c.OverloadWindow/2; at < time.Second+3*c.OverloadWindow/2; at += 50 * time.Millisecond {
+			bore = s.withinCapacity(at, time.Duration(times*can*float64(50*time.Millisecond))) && bore
 		}
 		if bore != (times < 1) {
 			t.Errorf("%.1f of what it bears: bore %v", times, bore)
@@ -429,7 +429,7 @@
 	}
 	Until(t, "discovery lists the zone", func() bool { return len(tb.disc.known(n).Hosts) == 4 })
 	s.mu.Lock()
-	warm := s.warmth(tb.now())
+	warm := s.capacityShare(tb.now())
 	s.mu.Unlock()
 	if warm > 0.6 {
 		t.Errorf("it came back with %.2f of its capacity", warm)
--- a/internal/testbed/improper_clients.go
+++ b/internal/testbed/improper_clients.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	peerOwed    = 3 * time.Second // an improper client gets an error or a close so long after it stopped
-	peerSpacing = 2 * time.Millisecond
-	shimSlows   = time.Second // a process whose every call is traced takes connections up so much later, by the lab's doing
+	improperClientTimeout = 3 * time.Second // an improper client gets an error or a close so long after it stopped
+	improperClientSpacing = 2 * time.Millisecond
+	shimDelay             = time.Second // a process whose every call is traced takes connections up so much later, by the lab's doing
 )
 
 // improperKind is one way to be an improper client: what is sent, and whether the client then stays.
-type improperKind struct {
+type improperRequest struct {
 	name  string
 	text  string
 	stays bool
 }
 
 // improperKinds lists the ways. None is a whole request: nothing of them may reach a server.
-func improperKinds(class string) []improperKind {
+func improperRequests(class string) []improperRequest {
 	head := "POST /api HTTP/1.1\r\nHost: s\r\nX-Call-Id: improper\r\nX-Call-Class: " + class + "\r\nX-Budget: 5000m\r\n"
-	return []improperKind{
+	return []improperRequest{
 		{"nothing", "", true},
 		{"half a line", "POST /a", true},
 		{"half a head", head, true},
@@ -43,43 +43,43 @@
 }
 
 // improperPeers lets so many improper clients come to a node, a moment after each other, and waits for their ends.
-func (tb *Testbed) improperPeers(ctx context.Context, n *Node, count int) {
-	kinds := improperKinds(tb.world.Classes[len(tb.world.Classes)-1].Name)
+func (tb *Testbed) runImproperClients(ctx context.Context, n *Node, count int) {
+	kinds := improperRequests(tb.world.Classes[len(tb.world.Classes)-1].Name)
 	var all sync.WaitGroup
 	defer all.Wait()
 	for i := range count {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			tb.improperPeer(n, kinds[i%len(kinds)])
+			tb.runImproperClient(n, kinds[i%len(kinds)])
 		}()
-		if !sleep(ctx, peerSpacing) {
+		if !sleep(ctx, improperClientSpacing) {
 			return
 		}
 	}
 }
 
 // improperPeer is one such client. A node that the lab stops or ends meanwhile owes it nothing.
-func (tb *Testbed) improperPeer(n *Node, kind improperKind) {
+func (tb *Testbed) runImproperClient(n *Node, kind improperRequest) {
 	from := tb.now()
 	c, err := net.DialTimeout("tcp", n.Listen(), time.Second)
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	c.SetWriteDeadline(time.Now().Add(peerOwed))
+	c.SetWriteDeadline(time.Now().Add(improperClientTimeout))
 	_, err = c.Write([]byte(kind.text))
 	if err != nil || !kind.stays {
 		return
 	}
 	stopped := tb.now()
-	owed := peerOwed + 2*slack
+	owed := improperClientTimeout + 2*slack
 	if _, shimmed := tb.world.Shims[n.name]; shimmed {
-		owed += shimSlows
+		owed += shimDelay
 	}
 	c.SetReadDeadline(time.Now().Add(owed))
 	_, err = c.Read(make([]byte, 1))
-	if errors.Is(err, os.ErrDeadlineExceeded) && !tb.spans.overlap(n.name, from, tb.now()) {
+	if errors.Is(err, os.ErrDeadlineExceeded) && !tb.intervals.overlap(n.name, from, tb.now()) {
 		tb.checker.Report(ImproperClientKept, n.name, fmt.Sprintf("%s: neither an error nor a close %.0f ms after it stopped", kind.name, ms(tb.now()-stopped)))
 	}
 }
--- a/internal/testbed/intervals.go
+++ b/internal/testbed/intervals.go
@@ -7,35 +7,35 @@
 
 // spans remembers when each part of the world was out of order by the lab's own doing, so that the referee does not
 // blame a node for it. Parts are named as in faults; a link is FROM->TO.
-type spans struct {
-	mu sync.Mutex
-	of map[string][]span
+type intervals struct {
+	mu     sync.Mutex
+	byPart map[string][]interval
 }
 
-type span struct{ from, to time.Duration } // to 0: still open
+type interval struct{ from, to time.Duration } // to 0: still open
 
 // begin opens a span of a part; an open one stays open.
-func (s *spans) begin(part string, at time.Duration) {
+func (s *intervals) begin(part string, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.of == nil {
-		s.of = map[string][]span{}
+	if s.byPart == nil {
+		s.byPart = map[string][]interval{}
 	}
-	if l := s.of[part]; len(l) == 0 || l[len(l)-1].to != 0 {
-		s.of[part] = append(l, span{from: at})
+	if l := s.byPart[part]; len(l) == 0 || l[len(l)-1].to != 0 {
+		s.byPart[part] = append(l, interval{from: at})
 	}
 }
 
-func (s *spans) end(part string, at time.Duration) {
+func (s *intervals) end(part string, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.of[part]; len(l) > 0 && l[len(l)-1].to == 0 {
+	if l := s.byPart[part]; len(l) > 0 && l[len(l)-1].to == 0 {
 		l[len(l)-1].to = at
 	}
 }
 
 // touch says that a part was out of order for a moment.
-func (s *spans) touch(part string, at time.Duration) {
+func (s *intervals) touch(part string, at time.Duration) {
 	if s.overlap(part, at, at) { // a longer trouble goes on
 		return
 	}
@@ -44,10 +44,10 @@
 }
 
 // overlap says whether a part was out of order at any time from from to to.
-func (s *spans) overlap(part string, from, to time.Duration) bool {
+func (s *intervals) overlap(part string, from, to time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range s.of[part] {
+	for _, x := range s.byPart[part] {
 		if x.from <= to && (x.to == 0 || x.to >= from) {
 			return true
 		}
--- a/internal/testbed/intervals_test.go
+++ b/internal/testbed/intervals_test.go
@@ -7,7 +7,7 @@
 
 // A trouble of a moment, such as a reset, does not end one that lasts.
 func TestTouchWithinASpan(t *testing.T) {
-	var s spans
+	var s intervals
 	s.begin("a->b", time.Second)
 	s.touch("a->b", 2*time.Second)
 	if !s.overlap("a->b", 3*time.Second, 3*time.Second) {
--- a/internal/testbed/lateness.go
+++ b/internal/testbed/lateness.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	beat    = 10 * time.Millisecond
-	tooLate = 25 * time.Millisecond // half of the rules' slack: a lab this late proves nothing
+	heartbeat    = 10 * time.Millisecond
+	voidLateness = 25 * time.Millisecond // half of the rules' slack: a lab this late proves nothing
 )
 
 // asker asks nodes whether they are ready.
-var asker = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
+var readinessClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 
 // lateness watches how late this process itself is: a timer every 10 ms, and the arrivals as they are sent.
@@ -26,7 +26,7 @@
 func (x *lateness) run(tb *Testbed) {
 	x.worst = map[int64]time.Duration{}
 	tb.own(func() {
-		tick := time.NewTicker(beat)
+		tick := time.NewTicker(heartbeat)
 		defer tick.Stop()
 		last := tb.now()
 		for {
@@ -36,7 +36,7 @@
 				return
 			}
 			now := tb.now()
-			x.note(now, now-last-beat)
+			x.note(now, now-last-heartbeat)
 			last = now
 		}
 	})
@@ -63,7 +63,7 @@
 }
 
 // Void says that the lab was too late from one time to another to hold anything against a node.
-func (tb *Testbed) Void(from, to time.Duration) bool { return tb.Lateness(from, to) > tooLate }
+func (tb *Testbed) Void(from, to time.Duration) bool { return tb.Lateness(from, to) > voidLateness }
 
 // Findings returns what broke a rule. Those in a time when the lab itself was too late are marked void; the counts are
 // of the others.
--- a/internal/testbed/leader_killed_scenario.go
+++ b/internal/testbed/leader_killed_scenario.go
@@ -7,30 +7,30 @@
 
 // overrideThroughLeaderKill issues an override, kills the leader while it is in force, and holds that the override stays in
 // force at all others until it is revoked through a member that has not led before.
-func (s *study) overrideThroughLeaderKill(ctx context.Context) error {
+func (s *scenarioRun) overrideThroughLeaderKill(ctx context.Context) error {
 	const id = "survives"
 	leader, others := s.nodes[0], s.nodes[1:]
 	view, err := leader.Fleet(ctx)
 	if err != nil {
 		return err
 	}
-	issued, err := s.issue(ctx, others[0], id, away("x", time.Minute))
+	issued, err := s.issueOverride(ctx, others[0], id, evacuationOverride("x", time.Minute))
 	if err != nil {
 		return err
 	}
-	if err := s.acts(ctx, s.nodes, id, true, "issued: in force", issued); err != nil {
+	if err := s.waitForOverride(ctx, s.nodes, id, true, "issued: in force", issued); err != nil {
 		return err
 	}
 	leader.Kill()
-	if err := s.replaced(ctx, others, view.Under); err != nil {
+	if err := s.waitForNewLeader(ctx, others, view.Under); err != nil {
 		return err
 	}
-	if err := s.acts(ctx, others, id, true, "", issued); err != nil {
+	if err := s.waitForOverride(ctx, others, id, true, "", issued); err != nil {
 		return err
 	}
-	revoked, err := s.revoke(ctx, others[len(others)-1], id)
+	revoked, err := s.revokeOverride(ctx, others[len(others)-1], id)
 	if err != nil {
 		return err
 	}
-	return s.acts(ctx, others, id, false, "revoked: out of force", revoked)
+	return s.waitForOverride(ctx, others, id, false, "revoked: out of force", revoked)
 }
--- a/internal/testbed/link.go
+++ b/internal/testbed/link.go
@@ -11,7 +11,7 @@
 )
 
 // Cond is the condition of one direction between two parts of the world.
-type Cond struct {
+type LinkCondition struct {
 	Delay   time.Duration
 	Jitter  time.Duration // added, evenly from 0
 	Loss    float64       // share of datagrams; on TCP a lost piece comes late by a retransmission
@@ -22,45 +22,45 @@
 }
 
 const (
-	retransmit  = 200 * time.Millisecond // what a lost piece on TCP costs
-	pieces      = 64                     // queued on one direction of a connection, as a window is
-	pieceSize   = 32 << 10
-	ratePieces  = 50 // pieces a second where the rate is limited
-	mostSources = 64 // senders that a UDP link keeps a way back for
-	sourceIdle  = 30 * time.Second
+	retransmit = 200 * time.Millisecond // what a lost piece on TCP costs
+	pieces     = 64                     // queued on one direction of a connection, as a window is
+	pieceSize  = 32 << 10
+	ratePieces = 50 // pieces a second where the rate is limited
+	maxSources = 64 // senders that a UDP link keeps a way back for
+	sourceIdle = 30 * time.Second
 )
 
 // way is one direction. Its condition can change at any time.
-type way struct {
+type direction struct {
 	mu      sync.Mutex
-	cond    Cond
+	cond    LinkCondition
 	changed chan struct{} // closed at the next change
 	plain   atomic.Bool   // the condition is zero
 }
 
-func newWay() *way {
-	p := &way{changed: make(chan struct{})}
+func newDirection() *direction {
+	p := &direction{changed: make(chan struct{})}
 	p.plain.Store(true)
 	return p
 }
 
-func (p *way) set(c Cond) {
+func (p *direction) set(c LinkCondition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cond = c
-	p.plain.Store(c == Cond{})
+	p.plain.Store(c == LinkCondition{})
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *way) get() (Cond, <-chan struct{}) {
+func (p *direction) get() (LinkCondition, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cond, p.changed
 }
 
 // open waits while the path is cut; it is false once done closes.
-func (p *way) open(done <-chan struct{}) bool {
+func (p *direction) open(done <-chan struct{}) bool {
 	for !p.plain.Load() {
 		c, changed := p.get()
 		if !c.Cut {
@@ -76,7 +76,7 @@
 }
 
 // due is when a piece that is sent now comes through, no earlier than the one before it.
-func (p *way) due(now, before time.Time, size int) time.Time {
+func (p *direction) due(now, before time.Time, size int) time.Time {
 	if p.plain.Load() {
 		return before
 	}
@@ -117,7 +117,7 @@
 type tcpLink struct {
 	gate        *gate
 	target      string
-	there, back *way
+	there, back *direction
 	done        chan struct{}
 	owned       sync.WaitGroup
 
@@ -125,7 +125,7 @@
 	wanted gateMode // what the far side is
 }
 
-func newTCPLink(listen, target string, there, back *way) (*tcpLink, error) {
+func newTCPLink(listen, target string, there, back *direction) (*tcpLink, error) {
 	g, err := newGate(listen)
 	if err != nil {
 		return nil, err
@@ -231,7 +231,7 @@
 
 // pump carries one direction. It returns true where the sender ended its sending and the receiver was told, and
 // false where the connection is to end; a reset is passed on as one.
-func pump(from, to net.Conn, p *way, over <-chan struct{}) bool {
+func pump(from, to net.Conn, p *direction, over <-chan struct{}) bool {
 	queue := make(chan piece, pieces)
 	gone := make(chan struct{}) // the writer has given up
 	go func() {
@@ -291,7 +291,7 @@
 
 // udpLink carries datagrams one way, and back to whoever sent them.
 type udpLink struct {
-	there, back *way
+	there, back *direction
 	conn        *net.UDPConn
 	target      *net.UDPAddr
 	done        chan struct{}
@@ -299,10 +299,10 @@
 
 	mu      sync.Mutex
 	sources map[string]*net.UDPConn
-	swap    map[*way]func() // sends a datagram that waits to come after the next
+	swap    map[*direction]func() // sends a datagram that waits to come after the next
 }
 
-func newUDPLink(listen, target string, there, back *way) (*udpLink, error) {
+func newUDPLink(listen, target string, there, back *direction) (*udpLink, error) {
 	to, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		return nil, err
@@ -316,7 +316,7 @@
 		return nil, err
 	}
 	l := &udpLink{there: there, back: back, conn: conn, target: to, done: make(chan struct{}),
-		sources: map[string]*net.UDPConn{}, swap: map[*way]func(){}}
+		sources: map[string]*net.UDPConn{}, swap: map[*direction]func(){}}
 	l.owned.Add(1)
 	go l.forward()
 	return l, nil
@@ -357,7 +357,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := l.sources[from.String()]
-	if out != nil || len(l.sources) >= mostSources {
+	if out != nil || len(l.sources) >= maxSources {
 		return out
 	}
 	out, err := net.DialUDP("udp", nil, l.target)
@@ -389,7 +389,7 @@
 }
 
 // carry sends one datagram as the path's condition has it.
-func (l *udpLink) carry(p *way, data []byte, send func([]byte)) {
+func (l *udpLink) carry(p *direction, data []byte, send func([]byte)) {
 	if p.plain.Load() {
 		send(data)
 		return
@@ -400,8 +400,8 @@
 	}
 	one := func() { send(data) }
 	l.mu.Lock()
-	held := l.swap[p]
-	if held == nil && rand.Float64() < c.Reorder {
+	delayed := l.swap[p]
+	if delayed == nil && rand.Float64() < c.Reorder {
 		l.swap[p] = one
 		l.mu.Unlock()
 		return
@@ -409,8 +409,8 @@
 	delete(l.swap, p)
 	l.mu.Unlock()
 	out := []func(){one}
-	if held != nil {
-		out = append(out, held)
+	if delayed != nil {
+		out = append(out, delayed)
 	}
 	if rand.Float64() < c.Dup {
 		out = append(out, one)
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -8,18 +8,18 @@
 )
 
 // way returns the direction from one part to another.
-func (tb *Testbed) way(from, to string) *way {
+func (tb *Testbed) direction(from, to string) *direction {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	return tb.wayLocked(from, to)
+	return tb.directionLocked(from, to)
 }
 
-func (tb *Testbed) wayLocked(from, to string) *way {
+func (tb *Testbed) directionLocked(from, to string) *direction {
 	key := from + "->" + to
-	if tb.ways[key] == nil {
-		tb.ways[key] = newWay()
+	if tb.directions[key] == nil {
+		tb.directions[key] = newDirection()
 	}
-	return tb.ways[key]
+	return tb.directions[key]
 }
 
 // linked says whether a link is to have a proxy.
@@ -47,7 +47,7 @@
 	defer tb.mu.Unlock()
 	key := from + "->" + to
 	if tb.links[key] == nil {
-		link, err := newTCPLink(tb.linkIP()+":0", target, tb.wayLocked(from, to), tb.wayLocked(to, from))
+		link, err := newTCPLink(tb.linkIP()+":0", target, tb.directionLocked(from, to), tb.directionLocked(to, from))
 		if err != nil {
 			return target // out of ports or descriptors: the fault then finds no link, and says so
 		}
@@ -81,14 +81,14 @@
 
 // SetLink changes the direction from one part to another, both path patterns as in "n*" or "rooms-?", on every link of
 // the world that has a proxy. It returns how many directions that were.
-func (tb *Testbed) SetLink(from, to string, c Cond) (n int) {
+func (tb *Testbed) SetLink(from, to string, c LinkCondition) (n int) {
 	tb.mu.Lock()
-	touched := map[string]*way{}
+	touched := map[string]*direction{}
 	for key := range tb.links {
 		a, b, _ := strings.Cut(key, "->")
 		for _, d := range [][2]string{{a, b}, {b, a}} {
 			if matches(from, d[0]) && matches(to, d[1]) {
-				touched[d[0]+"->"+d[1]] = tb.wayLocked(d[0], d[1])
+				touched[d[0]+"->"+d[1]] = tb.directionLocked(d[0], d[1])
 			}
 		}
 	}
@@ -102,10 +102,10 @@
 	tb.mu.Unlock()
 	for key, p := range touched {
 		p.set(c)
-		if (c == Cond{}) {
-			tb.spans.end(key, tb.now())
+		if (c == LinkCondition{}) {
+			tb.intervals.end(key, tb.now())
 		} else {
-			tb.spans.begin(key, tb.now())
+			tb.intervals.begin(key, tb.now())
 		}
 	}
 	for _, link := range links {
@@ -121,7 +121,7 @@
 	for key, link := range tb.links {
 		if a, b, _ := strings.Cut(key, "->"); matches(from, a) && matches(to, b) {
 			hit = append(hit, link)
-			tb.spans.touch(key, tb.now())
+			tb.intervals.touch(key, tb.now())
 		}
 	}
 	tb.mu.Unlock()
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -14,14 +14,14 @@
 
 // Load says what clients do. Arrivals are a Poisson process that does not wait for answers.
 type Load struct {
-	Rate       float64       `toml:"rate"`        // first tries a second over all zones
-	ByZone     []float64     `toml:"by_zone"`     // shares of the zones; default: even
-	Bursts     []Burst       `toml:"burst"`       // times at which the rate is another
-	Retries    int           `toml:"retries"`     // most tries after the first
-	Backoff    time.Duration `toml:"backoff"`     // before a retry, drawn evenly from a half to one and a half; default 200 ms
-	Patience   float64       `toml:"patience"`    // a try is given up after this share of the deadline at the least; default 0.7
-	Impatient  float64       `toml:"impatient"`   // share of clients that leave before their time is up
-	MostFlight int           `toml:"most_flight"` // requests of clients out at once; more are not sent and void the window; default 20,000
+	Rate        float64       `toml:"rate"`        // first tries a second over all zones
+	ByZone      []float64     `toml:"by_zone"`     // shares of the zones; default: even
+	Bursts      []Burst       `toml:"burst"`       // times at which the rate is another
+	Retries     int           `toml:"retries"`     // most tries after the first
+	Backoff     time.Duration `toml:"backoff"`     // before a retry, drawn evenly from a half to one and a half; default 200 ms
+	Patience    float64       `toml:"patience"`    // a try is given up after this share of the deadline at the least; default 0.7
+	Impatient   float64       `toml:"impatient"`   // share of clients that leave before their time is up
+	MaxInFlight int           `toml:"most_flight"` // requests of clients out at once; more are not sent and void the window; default 20,000
 }
 
 // Burst multiplies the rate for a while.
@@ -35,7 +35,7 @@
 func (l *Load) Fill(w *World) error {
 	orDefault(&l.Backoff, 200*time.Millisecond)
 	orDefault(&l.Patience, 0.7)
-	orDefault(&l.MostFlight, 20000)
+	orDefault(&l.MaxInFlight, 20000)
 	if l.ByZone == nil {
 		for range w.Zones {
 			l.ByZone = append(l.ByZone, 1)
@@ -148,23 +148,23 @@
 }
 
 // Served is what became of one arrival, with all its tries.
-type Served struct {
-	Arrival Arrival
-	End     string        // served, late, refused, failed, left, unreached or unsent
-	Latency time.Duration // from the drawn arrival to the last byte; coordinated omission cannot hide a stall
-	Late    time.Duration // how late the lab itself was with the first try
-	Tries   int
-	Node    string
-	Worth   float64 // of the request, whether earned or not
+type ArrivalResult struct {
+	Arrival        Arrival
+	End            string        // served, late, refused, failed, left, unreached or unsent
+	Latency        time.Duration // from the drawn arrival to the last byte; coordinated omission cannot hide a stall
+	Late           time.Duration // how late the lab itself was with the first try
+	Tries          int
+	Node           string
+	PriorityWeight float64 // of the request, whether earned or not
 }
 
 // Drive plays a drawn day and calls done, from several goroutines, with what became of each arrival. It returns once
 // every arrival has ended, or soon after ctx ends.
-func (tb *Testbed) Drive(ctx context.Context, load *Load, day []Arrival, done func(Served)) {
+func (tb *Testbed) Drive(ctx context.Context, load *Load, day []Arrival, done func(ArrivalResult)) {
 	began := tb.now()
 	var flight sync.WaitGroup
 	defer flight.Wait()
-	places := make(chan struct{}, load.MostFlight)
+	places := make(chan struct{}, load.MaxInFlight)
 	for _, a := range day {
 		if !sleepUntil(tb.began.Add(began+a.At), ctx.Done()) {
 			return
@@ -172,7 +172,7 @@
 		select {
 		case places <- struct{}{}:
 		default:
-			done(Served{Arrival: a, End: "unsent"})
+			done(ArrivalResult{Arrival: a, End: "unsent"})
 			continue
 		}
 		flight.Add(1)
@@ -185,13 +185,13 @@
 }
 
 // client is one client from its first try to its end.
-func (tb *Testbed) client(ctx context.Context, load *Load, began time.Duration, a Arrival) Served {
+func (tb *Testbed) client(ctx context.Context, load *Load, began time.Duration, a Arrival) ArrivalResult {
 	class := &tb.world.Classes[a.Class]
 	from := began + a.At
-	s := Served{Arrival: a, Late: tb.now() - from, Worth: class.Worth}
+	s := ArrivalResult{Arrival: a, Late: tb.now() - from, PriorityWeight: class.PriorityWeight}
 	tb.lateness.note(tb.now(), s.Late)
 	if a.Over {
-		s.Worth *= tb.world.OverWorth
+		s.PriorityWeight *= tb.world.OverQuotaWeight
 	}
 	end := from + class.Deadline
 	q := call{id: a.ID, class: class}
@@ -207,7 +207,7 @@
 		ans := tb.clients[a.Zone].do(ctx, q)
 		s.Tries++
 		s.Latency, s.Node, s.End = ans.at-from, ans.node, ans.end.String()
-		if ans.end == servedEnd && s.Latency > class.Aim {
+		if ans.end == servedEnd && s.Latency > class.LatencyObjective {
 			s.End = "late"
 		}
 		if ans.end == servedEnd || ans.end == leftEnd || try >= load.Retries || ctx.Err() != nil {
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -33,7 +33,7 @@
 		for _, s := range tb.front.nodes[:min(tb.world.Seeds, len(tb.front.nodes))] {
 			seeds = append(seeds, s.name+"="+s.meshListen())
 		}
-		for _, o := range tb.order {
+		for _, o := range tb.nodeOrder {
 			if o == n || !tb.linked(n.name, o.name) {
 				continue
 			}
@@ -64,7 +64,7 @@
 		return "", fmt.Errorf("no link %s", key)
 	}
 	if tb.udp[key] == nil {
-		u, err := newUDPLink(addr, o.meshListen(), tb.wayLocked(n.name, o.name), tb.wayLocked(o.name, n.name))
+		u, err := newUDPLink(addr, o.meshListen(), tb.directionLocked(n.name, o.name), tb.directionLocked(o.name, n.name))
 		if err != nil {
 			return "", err
 		}
@@ -86,7 +86,7 @@
 		Name  string `json:"name"`
 		State string `json:"state"`
 	} `json:"members"`
-	Figures struct {
+	Metrics struct {
 		PacketsOut int64            `json:"packets_out"`
 		BytesOut   int64            `json:"bytes_out"`
 		Dropped    map[string]int64 `json:"dropped"`
@@ -103,7 +103,7 @@
 	return ""
 }
 
-var doorCaller = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var adminClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // Fleet asks a node's door what it knows of the fleet.
 func (n *Node) Fleet(ctx context.Context) (*FleetView, error) {
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	resp, err := doorCaller.Do(r)
+	resp, err := adminClient.Do(r)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -88,13 +88,13 @@
 	untilAgreed(t, tb, nodes, "whole")
 	for _, from := range []string{"n1", "n2"} {
 		for _, to := range []string{"n3", "n4", "n5"} {
-			tb.SetLink(from, to, Cond{Cut: true})
-			tb.SetLink(to, from, Cond{Cut: true})
+			tb.SetLink(from, to, LinkCondition{Cut: true})
+			tb.SetLink(to, from, LinkCondition{Cut: true})
 		}
 	}
 	untilAgreed(t, tb, nodes[2:], "majority")
 	untilAgreed(t, tb, nodes[:2], "minority")
-	tb.SetLink("n*", "n*", Cond{})
+	tb.SetLink("n*", "n*", LinkCondition{})
 	untilAgreed(t, tb, nodes, "whole")
 }
 
@@ -106,7 +106,7 @@
 	tb := Start(t, w)
 	nodes := tb.Nodes()
 	untilAgreed(t, tb, nodes, "whole")
-	tb.SetLink("n4", "n3", Cond{Cut: true})
+	tb.SetLink("n4", "n3", LinkCondition{Cut: true})
 	from := tb.Now()
 	Until(t, "some time has passed", func() bool {
 		for _, n := range nodes {
@@ -142,8 +142,8 @@
 			continue
 		}
 		got, err := RunScenario(context.Background(), sc, binary, sc.Nodes, 1, 400*time.Millisecond)
-		if err != nil || got.Drawback != "" || got.Counts["wrongly gone"] > 0 || got.Counts["two majorities"] > 0 {
-			t.Errorf("%v %s: %v", err, got.Drawback, got.Counts)
+		if err != nil || got.Failure != "" || got.Counts["wrongly gone"] > 0 || got.Counts["two majorities"] > 0 {
+			t.Errorf("%v %s: %v", err, got.Failure, got.Counts)
 		}
 	}
 }
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -23,16 +23,16 @@
 
 // Node is one keelusher process, or the place of one.
 type Node struct {
-	name, zone string
-	called     string // the name that the process is told; its own, but for a twin's
-	tier       int
-	self       int
-	testbed    *Testbed
-	ip         string
-	discovery  string
-	process    *process
-	starts     int
-	held       atomic.Bool
+	name, zone     string
+	configuredName string // the name that the process is told; its own, but for a twin's
+	tier           int
+	self           int
+	testbed        *Testbed
+	ip             string
+	discovery      string
+	process        *process
+	starts         int
+	paused         atomic.Bool
 }
 
 // Name is the node's name, the same after a restart.
@@ -51,11 +51,11 @@
 func NodeOf(server string) string { return "n@" + server }
 
 func (tb *Testbed) newNode(name, zone string, tier, self int) (*Node, error) {
-	i := len(tb.order)
-	if i >= mostNodes {
-		return nil, fmt.Errorf("more than %d nodes", mostNodes)
+	i := len(tb.nodeOrder)
+	if i >= maxNodes {
+		return nil, fmt.Errorf("more than %d nodes", maxNodes)
 	}
-	n := &Node{name: name, called: name, zone: zone, tier: tier, self: self, testbed: tb, ip: fmt.Sprintf("127.%d.1.%d", tb.net, 10+i)}
+	n := &Node{name: name, configuredName: name, zone: zone, tier: tier, self: self, testbed: tb, ip: fmt.Sprintf("127.%d.1.%d", tb.net, 10+i)}
 	var err error
 	if n.discovery, err = tb.disc.serve(n); err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 			c = exec.Command(tb.world.Shim[0], append(slices.Clone(tb.world.Shim[1:]), tb.world.Binary)...)
 		}
 		c.Dir = dir
-		c.Env = append(append(os.Environ(), tb.world.Env...), "ROUTER_NAME="+n.called, "ROUTER_LISTEN="+n.Listen(),
+		c.Env = append(append(os.Environ(), tb.world.Env...), "ROUTER_NAME="+n.configuredName, "ROUTER_LISTEN="+n.Listen(),
 			"ROUTER_DISCOVERY="+n.discovery, "ROUTER_CONFIG="+filepath.Join(dir, "config.json"), "TMPDIR="+filepath.Join(dir, "tmp"))
 		if shimmed {
 			c.Env = append(c.Env, shimEnv+"="+n.shimSpec(spec))
@@ -80,7 +80,7 @@
 		return c
 	}}
 	tb.nodes[name] = n
-	tb.order = append(tb.order, n)
+	tb.nodeOrder = append(tb.nodeOrder, n)
 	return n, nil
 }
 
@@ -121,7 +121,7 @@
 	}
 	text, err := json.Marshal(map[string]any{
 		"fleet": path,
-		"name":  n.called, "listen": n.Listen(), "control": n.Control(), "discovery": n.discovery,
+		"name":  n.configuredName, "listen": n.Listen(), "control": n.Control(), "discovery": n.discovery,
 		"seed":     fmt.Sprintf("%016x", xxhash.Sum64String(n.name)^w.Seed^uint64(n.starts)<<32),
 		"limits":   map[string]any{"cores": w.Limits.Cores, "memory_mb": w.Limits.MemoryMB, "sockets": w.Limits.Sockets},
 		"known":    n.testbed.disc.known(n),
@@ -149,7 +149,7 @@
 
 // Kill ends the process at once, with SIGKILL.
 func (n *Node) Kill() {
-	n.testbed.spans.begin(n.name, n.testbed.now())
+	n.testbed.intervals.begin(n.name, n.testbed.now())
 	n.process.kill()
 }
 
@@ -170,7 +170,7 @@
 		}
 	}
 	if killed {
-		n.testbed.spans.begin(n.name, n.testbed.now())
+		n.testbed.intervals.begin(n.name, n.testbed.now())
 	}
 	return killed
 }
@@ -185,7 +185,7 @@
 func (n *Node) Starts() int { return n.starts }
 
 // Held says that the lab has stopped the process for a moment, or for longer.
-func (n *Node) Held() bool { return n.held.Load() }
+func (n *Node) Paused() bool { return n.paused.Load() }
 
 const oldDiscoveryFor = 1500 * time.Millisecond // the address of before closes its connections so long after a move
 
@@ -207,10 +207,10 @@
 }
 
 // Hold stops the process for a moment, as a busy machine may. Nothing that it does then is excused by that.
-func (n *Node) Hold(d time.Duration) error {
-	n.held.Store(true)
-	n.testbed.spans.begin(heldUp(n.name), n.testbed.now())
-	defer func() { n.testbed.spans.end(heldUp(n.name), n.testbed.now()) }()
+func (n *Node) Pause(d time.Duration) error {
+	n.paused.Store(true)
+	n.testbed.intervals.begin(pausedPart(n.name), n.testbed.now())
+	defer func() { n.testbed.intervals.end(pausedPart(n.name), n.testbed.now()) }()
 	if err := n.process.signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -219,19 +219,19 @@
 }
 
 // heldUp names the spans in which a node was held up.
-func heldUp(node string) string { return "held up " + node }
+func pausedPart(node string) string { return "held up " + node }
 
 // Stop halts the process with SIGSTOP, and Continue lets it go on.
 func (n *Node) Stop() error {
-	n.held.Store(true)
-	n.testbed.spans.begin(n.name, n.testbed.now())
+	n.paused.Store(true)
+	n.testbed.intervals.begin(n.name, n.testbed.now())
 	return n.process.signal(syscall.SIGSTOP)
 }
 
 // Continue ends a Stop.
 func (n *Node) Continue() error {
 	err := n.process.signal(syscall.SIGCONT)
-	n.testbed.spans.end(n.name, n.testbed.now())
+	n.testbed.intervals.end(n.name, n.testbed.now())
 	return err
 }
 
@@ -240,7 +240,7 @@
 
 // Ready asks the node whether clients may come.
 func (n *Node) Ready(ctx context.Context) bool {
-	yes, _ := ready(ctx, asker, n.Listen())
+	yes, _ := ready(ctx, readinessClient, n.Listen())
 	return yes
 }
 
@@ -254,7 +254,7 @@
 	default:
 	}
 	if !clean {
-		n.testbed.spans.begin(n.name, n.testbed.now())
+		n.testbed.intervals.begin(n.name, n.testbed.now())
 	}
 	if crash != "" {
 		n.testbed.checker.addFinding(Crash, "", n.name, crash)
@@ -269,7 +269,7 @@
 		if n.Ready(ctx) {
 			look.Stop()
 			n.testbed.linksTo(n.name, gateOpen)
-			n.testbed.spans.end(n.name, n.testbed.now())
+			n.testbed.intervals.end(n.name, n.testbed.now())
 			return nil
 		}
 		if running, _ := n.process.running(); !running {
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -23,7 +23,7 @@
 			t.Parallel()
 			w := small(2, 3)
 			for i := range w.Classes { // clients that still wait when a stopped node goes on
-				w.Classes[i].Aim, w.Classes[i].Deadline = 2500*time.Millisecond, 8*time.Second
+				w.Classes[i].LatencyObjective, w.Classes[i].Deadline = 2500*time.Millisecond, 8*time.Second
 			}
 			w.Zones, w.Discovery.Late, w.Discovery.Asked = []string{"a"}, 50*time.Millisecond, true
 			tb := Start(t, w)
@@ -48,8 +48,8 @@
 			}
 			tb.checker.mu.Lock()
 			defer tb.checker.mu.Unlock()
-			if at, told := tb.checker.told[[2]string{"n1", "front-2"}]; !told || at > tb.now()-drainWithin-slack {
-				t.Errorf("told %v, at %v: the drain was not held to within the day", told, at)
+			if at, notified := tb.checker.notifiedAt[[2]string{"n1", "front-2"}]; !notified || at > tb.now()-drainWithin-slack {
+				t.Errorf("told %v, at %v: the drain was not held to within the day", notified, at)
 			}
 		})
 	}
--- a/internal/testbed/one_sided_scenarios.go
+++ b/internal/testbed/one_sided_scenarios.go
@@ -11,30 +11,30 @@
 // Scenarios of one-sided cuts, stops and bursts of loss.
 
 // bursts loses everything for 300 ms in each 1.5 s, and a tenth in between, for 30 s.
-func (s *study) bursts(ctx context.Context) error {
+func (s *scenarioRun) bursts(ctx context.Context) error {
 	at := s.testbed.now()
 	for s.testbed.now()-at < 30*time.Second {
-		s.testbed.SetLink("n*", "n*", Cond{Loss: 1})
+		s.testbed.SetLink("n*", "n*", LinkCondition{Loss: 1})
 		sleep(ctx, 300*time.Millisecond)
-		s.testbed.SetLink("n*", "n*", Cond{Loss: 0.1})
+		s.testbed.SetLink("n*", "n*", LinkCondition{Loss: 0.1})
 		if !sleep(ctx, 1200*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
-	return s.healed(ctx, "n*", "n*", at)
+	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
 // healed ends the conditions of some links and books until all agree, and who was taken for gone since.
-func (s *study) healed(ctx context.Context, from, to string, since time.Duration, names ...string) error {
-	s.testbed.SetLink(from, to, Cond{})
-	took, err := s.agreed(ctx, s.nodes, "whole")
+func (s *scenarioRun) waitUntilHealed(ctx context.Context, from, to string, since time.Duration, names ...string) error {
+	s.testbed.SetLink(from, to, LinkCondition{})
+	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
-	return errors.Join(err, s.wronglyGone(since, names...))
+	return errors.Join(err, s.countWronglyRemoved(since, names...))
 }
 
 // replaced books how long it takes until some nodes know of a majority under another process than before.
-func (s *study) replaced(ctx context.Context, by []*Node, before string) error {
-	took, err := s.until(ctx, "another leader has the majority", func() bool {
+func (s *scenarioRun) waitForNewLeader(ctx context.Context, by []*Node, before string) error {
+	took, err := s.waitUntil(ctx, "another leader has the majority", func() bool {
 		v, err := by[0].Fleet(ctx)
 		return err == nil && v.Under != before && v.Side == "majority" && Agree(ctx, by, "majority")
 	})
@@ -43,7 +43,7 @@
 }
 
 // oneSided makes the leader deaf, or mute, for 15 s. Of the others nobody is gone, in anybody's view.
-func (s *study) oneSided(ctx context.Context, deaf bool) error {
+func (s *scenarioRun) leaderLinkFailure(ctx context.Context, deaf bool) error {
 	at, rest := s.testbed.now(), s.nodes[1:]
 	v, err := s.nodes[0].Fleet(ctx)
 	if err != nil {
@@ -53,42 +53,42 @@
 	if deaf {
 		from, to = to, from
 	}
-	s.testbed.SetLink(from, to, Cond{Cut: true})
-	if err := s.replaced(ctx, rest, v.Under); err != nil {
+	s.testbed.SetLink(from, to, LinkCondition{Cut: true})
+	if err := s.waitForNewLeader(ctx, rest, v.Under); err != nil {
 		return err
 	}
 	if !sleep(ctx, 15*time.Second-(s.testbed.now()-at)) {
 		return ctx.Err()
 	}
-	return s.healed(ctx, from, to, at, names(rest)...)
+	return s.waitUntilHealed(ctx, from, to, at, names(rest)...)
 }
 
 // deafMember lets the last node hear nobody for 15 s; its accusations are heard.
-func (s *study) deafMember(ctx context.Context) error {
+func (s *scenarioRun) memberReceiveFailure(ctx context.Context) error {
 	at, last := s.testbed.now(), s.nodes[len(s.nodes)-1]
-	s.testbed.SetLink("n*", last.name, Cond{Cut: true})
+	s.testbed.SetLink("n*", last.name, LinkCondition{Cut: true})
 	sleep(ctx, 15*time.Second)
-	return s.healed(ctx, "n*", last.name, at, names(s.nodes[:len(s.nodes)-1])...)
+	return s.waitUntilHealed(ctx, "n*", last.name, at, names(s.nodes[:len(s.nodes)-1])...)
 }
 
 // ring lets each hear only the next for 15 s.
-func (s *study) ring(ctx context.Context) error {
+func (s *scenarioRun) ring(ctx context.Context) error {
 	for i, a := range s.nodes {
 		for j, b := range s.nodes {
 			if i != j && j != (i+len(s.nodes)-1)%len(s.nodes) {
-				s.testbed.SetLink(a.name, b.name, Cond{Cut: true})
+				s.testbed.SetLink(a.name, b.name, LinkCondition{Cut: true})
 			}
 		}
 	}
 	sleep(ctx, 15*time.Second)
-	s.testbed.SetLink("n*", "n*", Cond{})
-	took, err := s.agreed(ctx, s.nodes, "whole")
+	s.testbed.SetLink("n*", "n*", LinkCondition{})
+	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
 	return err
 }
 
 // halfStopped stops the upper half for 4 s. Nobody of the lower half is gone.
-func (s *study) halfStopped(ctx context.Context) error {
+func (s *scenarioRun) halfStopped(ctx context.Context) error {
 	at, half := s.testbed.now(), len(s.nodes)/2
 	for _, n := range s.nodes[half:] {
 		if err := n.Stop(); err != nil {
@@ -101,11 +101,11 @@
 			return err
 		}
 	}
-	return s.healed(ctx, "n*", "n*", at, names(s.nodes[:half])...)
+	return s.waitUntilHealed(ctx, "n*", "n*", at, names(s.nodes[:half])...)
 }
 
 // leaderStopped stops the leader while its vote is live.
-func (s *study) leaderStopped(ctx context.Context, d time.Duration) error {
+func (s *scenarioRun) leaderStopped(ctx context.Context, d time.Duration) error {
 	at, leader := s.testbed.now(), s.nodes[0]
 	if err := leader.Stop(); err != nil {
 		return err
@@ -115,13 +115,13 @@
 		return err
 	}
 	if d > time.Second {
-		return s.healed(ctx, "n*", "n*", at, names(s.nodes[1:])...)
+		return s.waitUntilHealed(ctx, "n*", "n*", at, names(s.nodes[1:])...)
 	}
-	return s.healed(ctx, "n*", "n*", at)
+	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
 // tenthInTurn gives each process a tenth of a processor for 3 s.
-func (s *study) tenthInTurn(ctx context.Context) error {
+func (s *scenarioRun) slowOneByOne(ctx context.Context) error {
 	at := s.testbed.now()
 	for _, n := range s.nodes {
 		for from := s.testbed.now(); s.testbed.now()-from < 3*time.Second; {
@@ -137,37 +137,37 @@
 			}
 		}
 	}
-	return s.healed(ctx, "n*", "n*", at)
+	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
 // joinedByOne leaves only n4 in reach of both n1 to n3 and n5 to n8, for 20 s. Nobody counts more than one majority, and
 // n4 is never gone.
-func (s *study) joinedByOne(ctx context.Context) error {
+func (s *scenarioRun) splitWithBridge(ctx context.Context) error {
 	at := s.testbed.now()
 	for _, a := range s.nodes[:3] {
 		for _, b := range s.nodes[4:] {
-			s.testbed.SetLink(a.name, b.name, Cond{Cut: true})
-			s.testbed.SetLink(b.name, a.name, Cond{Cut: true})
+			s.testbed.SetLink(a.name, b.name, LinkCondition{Cut: true})
+			s.testbed.SetLink(b.name, a.name, LinkCondition{Cut: true})
 		}
 	}
 	sleep(ctx, 20*time.Second)
-	return s.healed(ctx, "n*", "n*", at, "n4")
+	return s.waitUntilHealed(ctx, "n*", "n*", at, "n4")
 }
 
 // killedAccuser cuts n7 off from n8 for a moment, and kills it when it has begun to suspect.
-func (s *study) killedAccuser(ctx context.Context) error {
+func (s *scenarioRun) killWhileSuspecting(ctx context.Context) error {
 	at, n7, n8 := s.testbed.now(), s.nodes[6], s.nodes[7]
-	s.testbed.SetLink(n7.name, "n*", Cond{Loss: 0.8})
-	s.until(ctx, "n7 suspects somebody", func() bool {
+	s.testbed.SetLink(n7.name, "n*", LinkCondition{Loss: 0.8})
+	s.waitUntil(ctx, "n7 suspects somebody", func() bool {
 		all, err := s.changes(n7)
 		return err != nil || slices.ContainsFunc(all, func(c memberChange) bool { return c.at >= at && c.is == "suspect" })
 	})
 	n7.Kill()
 	killed := s.testbed.now()
-	s.testbed.SetLink(n7.name, "n*", Cond{})
+	s.testbed.SetLink(n7.name, "n*", LinkCondition{})
 	rest := append(slices.Clone(s.nodes[:6]), n8)
-	if err := s.heard(ctx, rest, n7.name, "gone", "gone", killed); err != nil {
+	if err := s.waitForState(ctx, rest, n7.name, "gone", "gone", killed); err != nil {
 		return err
 	}
-	return s.wronglyGone(at, names(rest)...)
+	return s.countWronglyRemoved(at, names(rest)...)
 }
--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -11,12 +11,12 @@
 )
 
 // Order calls /control/overrides/ID at the node's door; body may be empty. It returns the answer's status.
-func (n *Node) Order(ctx context.Context, method, id, body string) (int, error) {
+func (n *Node) SendOverride(ctx context.Context, method, id, body string) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.Control()+"/control/overrides/"+id, strings.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
-	resp, err := asker.Do(req)
+	resp, err := readinessClient.Do(req)
 	if err != nil {
 		return 0, err
 	}
@@ -25,18 +25,18 @@
 }
 
 // InForce asks the node's door which overrides act there, and how long they have left.
-func (n *Node) InForce(ctx context.Context) (map[string]time.Duration, error) {
+func (n *Node) OverridesInForce(ctx context.Context) (map[string]time.Duration, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/control/overrides", nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := asker.Do(req)
+	resp, err := readinessClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
 	var v struct {
-		InForce []struct {
+		OverridesInForce []struct {
 			ID   string        `json:"id"`
 			Left time.Duration `json:"left"`
 		} `json:"in_force"`
@@ -45,41 +45,41 @@
 		return nil, errors.Join(err, fmt.Errorf("%s answered %s", n.name, resp.Status))
 	}
 	all := map[string]time.Duration{}
-	for _, f := range v.InForce {
+	for _, f := range v.OverridesInForce {
 		all[f.ID] = f.Left
 	}
 	return all, nil
 }
 
-func away(zone string, lasts time.Duration) string {
+func evacuationOverride(zone string, lasts time.Duration) string {
 	return fmt.Sprintf(`{"kind":"evacuate","scope":%q,"reason":"lab","author":"lab","for":%q}`, zone, lasts)
 }
 
 // issue orders until some door takes it, and returns when the last call that did was made.
-func (s *study) issue(ctx context.Context, by *Node, id, body string) (at time.Duration, err error) {
-	_, err = s.until(ctx, id+" is taken", func() bool {
+func (s *scenarioRun) issueOverride(ctx context.Context, by *Node, id, body string) (at time.Duration, err error) {
+	_, err = s.waitUntil(ctx, id+" is taken", func() bool {
 		at = s.testbed.now()
-		status, err := by.Order(ctx, http.MethodPut, id, body)
+		status, err := by.SendOverride(ctx, http.MethodPut, id, body)
 		return err == nil && status == http.StatusOK
 	})
 	return at, err
 }
 
 // revoke ends an override through a node, and returns when the last call that did was made.
-func (s *study) revoke(ctx context.Context, by *Node, id string) (at time.Duration, err error) {
-	_, err = s.until(ctx, "the revocation is taken", func() bool {
+func (s *scenarioRun) revokeOverride(ctx context.Context, by *Node, id string) (at time.Duration, err error) {
+	_, err = s.waitUntil(ctx, "the revocation is taken", func() bool {
 		at = s.testbed.now()
-		status, err := by.Order(ctx, http.MethodDelete, id, "")
+		status, err := by.SendOverride(ctx, http.MethodDelete, id, "")
 		return err == nil && (status == http.StatusOK || status == http.StatusNotFound)
 	})
 	return at, err
 }
 
 // acts waits until an override acts, or does not, on some nodes, and books how long that took from a time on.
-func (s *study) acts(ctx context.Context, on []*Node, id string, want bool, figure string, from time.Duration) error {
+func (s *scenarioRun) waitForOverride(ctx context.Context, on []*Node, id string, want bool, figure string, from time.Duration) error {
 	for _, n := range on {
-		if _, err := s.until(ctx, figure+" at "+n.name, func() bool {
-			all, err := n.InForce(ctx)
+		if _, err := s.waitUntil(ctx, figure+" at "+n.name, func() bool {
+			all, err := n.OverridesInForce(ctx)
 			_, is := all[id]
 			return err == nil && is == want
 		}); err != nil {
@@ -94,7 +94,7 @@
 
 // overrides issues overrides at any door under a condition of all links, revokes some, and lets the others end. One node is
 // cut off, and one stopped, across all of that.
-func (s *study) overrides(ctx context.Context, c Cond) error {
+func (s *scenarioRun) overrides(ctx context.Context, c LinkCondition) error {
 	const lasts = 6 * time.Second
 	last := len(s.nodes) - 1
 	lone, asleep, rest := s.nodes[last], s.nodes[last-1], s.nodes[:last-1]
@@ -102,30 +102,30 @@
 	for round := range 2 {
 		by := rest[(int(s.seed)+round)%len(rest)]
 		id := fmt.Sprint("revoked-", round)
-		at, err := s.issue(ctx, by, id, away("x", time.Minute))
+		at, err := s.issueOverride(ctx, by, id, evacuationOverride("x", time.Minute))
 		if err == nil {
-			err = s.acts(ctx, s.nodes, id, true, "issued: in force", at)
+			err = s.waitForOverride(ctx, s.nodes, id, true, "issued: in force", at)
 		}
 		if err != nil {
 			return err
 		}
-		revoked, err := s.revoke(ctx, by, id)
+		revoked, err := s.revokeOverride(ctx, by, id)
 		if err == nil {
-			err = s.acts(ctx, s.nodes, id, false, "revoked: out of force", revoked)
+			err = s.waitForOverride(ctx, s.nodes, id, false, "revoked: out of force", revoked)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	at, err := s.issue(ctx, rest[1], "ends", away("x", lasts))
+	at, err := s.issueOverride(ctx, rest[1], "ends", evacuationOverride("x", lasts))
 	if err == nil {
-		err = s.acts(ctx, s.nodes, "ends", true, "issued: in force", at)
+		err = s.waitForOverride(ctx, s.nodes, "ends", true, "issued: in force", at)
 	}
 	if err != nil {
 		return err
 	}
-	s.testbed.SetLink("n*", lone.name, Cond{Cut: true})
-	s.testbed.SetLink(lone.name, "n*", Cond{Cut: true})
+	s.testbed.SetLink("n*", lone.name, LinkCondition{Cut: true})
+	s.testbed.SetLink(lone.name, "n*", LinkCondition{Cut: true})
 	if err := asleep.Stop(); err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 	for s.testbed.now()-at < lasts+time.Second {
 		for _, n := range append(rest[:len(rest):len(rest)], lone) {
 			asked := s.testbed.now()
-			all, err := n.InForce(ctx)
+			all, err := n.OverridesInForce(ctx)
 			_, is := all["ends"]
 			switch {
 			case err != nil:
@@ -148,9 +148,9 @@
 			return ctx.Err()
 		}
 	}
-	at, err = s.issue(ctx, rest[0], "missed", away("y", time.Minute))
+	at, err = s.issueOverride(ctx, rest[0], "missed", evacuationOverride("y", time.Minute))
 	if err == nil {
-		err = s.acts(ctx, rest, "missed", true, "", at)
+		err = s.waitForOverride(ctx, rest, "missed", true, "", at)
 	}
 	if err != nil {
 		return err
@@ -159,16 +159,16 @@
 	if err := asleep.Continue(); err != nil {
 		return err
 	}
-	if all, err := asleep.InForce(ctx); err == nil {
+	if all, err := asleep.OverridesInForce(ctx); err == nil {
 		if _, is := all["ends"]; is {
 			s.count["acts past its end"]++
 		}
 	}
 	s.testbed.SetLink("n*", "n*", c)
-	if err := s.acts(ctx, []*Node{asleep}, "missed", true, "woken: reconciled", woken); err != nil {
+	if err := s.waitForOverride(ctx, []*Node{asleep}, "missed", true, "woken: reconciled", woken); err != nil {
 		return err
 	}
-	if err := s.acts(ctx, []*Node{lone}, "missed", true, "cut healed: reconciled", woken); err != nil {
+	if err := s.waitForOverride(ctx, []*Node{lone}, "missed", true, "cut healed: reconciled", woken); err != nil {
 		return err
 	}
 	if s.count["acts past its end"] > 0 {
--- a/internal/testbed/overrides_test.go
+++ b/internal/testbed/overrides_test.go
@@ -15,8 +15,8 @@
 			continue
 		}
 		got, err := RunScenario(context.Background(), sc, binary, sc.Nodes, 1, 400*time.Millisecond)
-		if err != nil || got.Drawback != "" || len(got.Times["ended early by"]) < sc.Nodes-1 {
-			t.Errorf("%v %s: %v, %v", err, got.Drawback, got.Counts, got.Times)
+		if err != nil || got.Failure != "" || len(got.Times["ended early by"]) < sc.Nodes-1 {
+			t.Errorf("%v %s: %v, %v", err, got.Failure, got.Counts, got.Times)
 		}
 	}
 }
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-func (s *study) leaveOne(ctx context.Context) error {
+func (s *scenarioRun) terminateOne(ctx context.Context) error {
 	n := s.nodes[len(s.nodes)-1]
 	at := s.testbed.now()
 	n.Terminate()
-	return s.heard(ctx, s.nodes[:len(s.nodes)-1], n.name, "left", "left", at)
+	return s.waitForState(ctx, s.nodes[:len(s.nodes)-1], n.name, "left", "left", at)
 }
 
 // leaderLeaves books for how long some of the others are without a majority after the planned end of the one that leads.
-func (s *study) leaderLeaves(ctx context.Context) error {
+func (s *scenarioRun) leaderLeaves(ctx context.Context) error {
 	leader, rest := s.nodes[0], s.nodes[1:]
 	ended := make(chan struct{})
 	go func() {
@@ -30,34 +30,34 @@
 	defer func() { <-ended }()
 	without, before := time.Duration(0), s.testbed.now()
 	for from := before; before-from < 5*time.Second; {
-		lacks := false
+		missing := false
 		for _, n := range rest {
 			if v, err := n.Fleet(ctx); err == nil && v.Side != "majority" && v.Side != "whole" {
-				lacks = true
+				missing = true
 			}
 		}
 		if !sleep(ctx, 10*time.Millisecond) {
 			return ctx.Err()
 		}
-		if now := s.testbed.now(); lacks {
+		if now := s.testbed.now(); missing {
 			without, before = without+now-before, now
 		} else {
 			before = now
 		}
 	}
 	s.times["some without a majority for"] = append(s.times["some without a majority for"], without)
-	_, err := s.agreed(ctx, rest, "whole")
+	_, err := s.waitForAgreement(ctx, rest, "whole")
 	return err
 }
 
 // split cuts the nodes into groups for 20 s.
-func (s *study) split(ctx context.Context, rolling bool, sizes ...int) error {
+func (s *scenarioRun) split(ctx context.Context, rolling bool, sizes ...int) error {
 	var groups [][]*Node
 	rest := s.nodes
 	for _, n := range sizes {
 		groups, rest = append(groups, rest[:n]), rest[n:]
 	}
-	set := func(c Cond) {
+	set := func(c LinkCondition) {
 		for i, g := range groups {
 			for j, h := range groups {
 				if i == j {
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	set(Cond{Cut: true})
+	set(LinkCondition{Cut: true})
 	until := s.testbed.now() + 20*time.Second
 	if rolling {
 		for _, n := range []*Node{s.nodes[0], s.nodes[4], s.nodes[6]} {
@@ -89,25 +89,25 @@
 			}
 		}
 	}
-	set(Cond{})
-	took, err := s.agreed(ctx, s.nodes, "whole")
+	set(LinkCondition{})
+	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["healed"] = append(s.times["healed"], took)
 	return err
 }
 
 // restartOne kills a node and starts it again at once: within the time in which it is suspected.
-func (s *study) restartOne(ctx context.Context) error {
+func (s *scenarioRun) restartOne(ctx context.Context) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	n.Kill()
 	if err := n.restart(ctx); err != nil {
 		return err
 	}
-	took, err := s.agreed(ctx, s.nodes, "whole")
+	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
-	return errors.Join(err, s.wronglyGone(at))
+	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
-func (s *study) restartAll(ctx context.Context) error {
+func (s *scenarioRun) restartAll(ctx context.Context) error {
 	for _, n := range s.nodes {
 		n.Kill()
 	}
@@ -121,13 +121,13 @@
 			return err
 		}
 	}
-	took, err := s.agreed(ctx, s.nodes, "whole")
+	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
 	return err
 }
 
 // seedsDead kills all, starts those that are no seeds, and only later the seeds.
-func (s *study) seedsDead(ctx context.Context) error {
+func (s *scenarioRun) seedsDead(ctx context.Context) error {
 	seeds := min(s.testbed.world.Seeds, len(s.nodes))
 	for _, n := range s.nodes {
 		n.Kill()
@@ -137,7 +137,7 @@
 			return err
 		}
 	}
-	if _, err := s.agreed(ctx, s.nodes[seeds:seeds+1], "alone"); err != nil {
+	if _, err := s.waitForAgreement(ctx, s.nodes[seeds:seeds+1], "alone"); err != nil {
 		return err
 	}
 	for _, n := range s.nodes[:seeds] {
@@ -145,13 +145,13 @@
 			return err
 		}
 	}
-	took, err := s.agreed(ctx, s.nodes, "whole")
+	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["whole after the seeds"] = append(s.times["whole after the seeds"], took)
 	return err
 }
 
 // flood sends one node junk as fast as one sender can, for 10 s, and books how long it takes to answer meanwhile.
-func (s *study) flood(ctx context.Context) error {
+func (s *scenarioRun) flood(ctx context.Context) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	to, err := net.Dial("udp4", n.meshListen())
 	if err != nil {
@@ -176,11 +176,11 @@
 		}
 	}
 	s.count["packets sent"] += <-ended
-	return errors.Join(ctx.Err(), s.wronglyGone(at))
+	return errors.Join(ctx.Err(), s.countWronglyRemoved(at))
 }
 
 // halfProcessor lets one node run for half of every tenth of a second.
-func (s *study) halfProcessor(ctx context.Context) error {
+func (s *scenarioRun) halfProcessorTime(ctx context.Context) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	for s.testbed.now()-at < 30*time.Second {
 		if err := n.process.signal(syscall.SIGSTOP); err != nil {
@@ -194,20 +194,20 @@
 			return ctx.Err()
 		}
 	}
-	took, err := s.agreed(ctx, s.nodes, "whole")
+	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
-	return errors.Join(err, s.wronglyGone(at))
+	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
 // twoOfOneName starts a second process with the last node's name, at an address of its own, and ends it once the older
 // one has stepped out of the mesh.
-func (s *study) twoOfOneName(ctx context.Context) error {
+func (s *scenarioRun) duplicateName(ctx context.Context) error {
 	older := s.nodes[len(s.nodes)-1]
 	twin, err := s.testbed.newNode("twin", older.zone, older.tier, older.self)
 	if err != nil {
 		return err
 	}
-	twin.called = older.name
+	twin.configuredName = older.name
 	if err := twin.restart(ctx); err != nil {
 		return err
 	}
@@ -221,7 +221,7 @@
 	note := func(figure, what string, is func() bool) {
 		if err == nil {
 			var took time.Duration
-			took, err = s.until(ctx, what, is)
+			took, err = s.waitUntil(ctx, what, is)
 			s.times[figure] = append(s.times[figure], took)
 		}
 	}
--- a/internal/testbed/scenario_run.go
+++ b/internal/testbed/scenario_run.go
@@ -13,7 +13,7 @@
 )
 
 // study is one play of a scenario.
-type study struct {
+type scenarioRun struct {
 	testbed *Testbed
 	nodes   []*Node
 	times   map[string][]time.Duration // figures by name
@@ -22,40 +22,40 @@
 }
 
 // Study is what one play of a scenario showed.
-type Study struct {
+type ScenarioResult struct {
 	Scenario string
 	Seed     uint64
 	Times    map[string][]time.Duration
 	Counts   map[string]int
-	Drawback string // why it could not be played to its end; empty: it was
+	Failure  string // why it could not be played to its end; empty: it was
 }
 
 // RunScenario plays a scenario once, with nodes that have links between any two.
-func RunScenario(ctx context.Context, sc Scenario, binary string, nodes int, seed uint64, probe time.Duration) (Study, error) {
+func RunScenario(ctx context.Context, sc Scenario, binary string, nodes int, seed uint64, probe time.Duration) (ScenarioResult, error) {
 	if sc.Nodes > 0 {
 		nodes = sc.Nodes
 	}
 	w := World{Binary: binary, Seed: seed, Links: []string{"n*->n*"}, Fleet: Tables{"mesh": map[string]any{"probe": probe.String()}, "orders": map[string]any{}},
 		Tiers:   []Tier{{Name: "front", Nodes: nodes, Servers: 1}},
-		Classes: []Class{{Name: "view", Effect: "read_like", Share: 1, Work: []time.Duration{time.Millisecond}, Aim: time.Second, Deadline: time.Second}}}
+		Classes: []Class{{Name: "view", Effect: "read_like", Share: 1, Work: []time.Duration{time.Millisecond}, LatencyObjective: time.Second, Deadline: time.Second}}}
 	if sc.Bare {
 		w.Links = nil
 	}
 	tb, err := Open(ctx, w)
 	if err != nil {
-		return Study{}, err
+		return ScenarioResult{}, err
 	}
 	defer tb.Close()
-	s := &study{testbed: tb, nodes: tb.Nodes(), times: map[string][]time.Duration{}, count: map[string]int{}, seed: seed}
+	s := &scenarioRun{testbed: tb, nodes: tb.Nodes(), times: map[string][]time.Duration{}, count: map[string]int{}, seed: seed}
 	watching, stop := context.WithCancel(ctx)
 	var watched sync.WaitGroup
 	watched.Add(1)
 	go func() {
 		defer watched.Done()
-		s.majorities(watching)
+		s.watchLeaders(watching)
 	}()
-	out := Study{Scenario: sc.Name, Seed: seed, Times: s.times, Counts: s.count}
-	if _, err = s.agreed(ctx, s.nodes, "whole"); err == nil {
+	out := ScenarioResult{Scenario: sc.Name, Seed: seed, Times: s.times, Counts: s.count}
+	if _, err = s.waitForAgreement(ctx, s.nodes, "whole"); err == nil {
 		err = sc.play(s, ctx)
 	}
 	stop()
@@ -64,27 +64,27 @@
 		return out, ctx.Err()
 	}
 	if err != nil {
-		out.Drawback = err.Error()
+		out.Failure = err.Error()
 	}
 	return out, nil
 }
 
-const studyWait = time.Minute
+const scenarioTimeout = time.Minute
 
 // agreed waits until some nodes are on a side with one digest, and returns how long that took.
-func (s *study) agreed(ctx context.Context, nodes []*Node, side string) (time.Duration, error) {
-	return s.until(ctx, fmt.Sprintf("%d nodes agree on %s", len(nodes), side), func() bool { return Agree(ctx, nodes, side) })
+func (s *scenarioRun) waitForAgreement(ctx context.Context, nodes []*Node, side string) (time.Duration, error) {
+	return s.waitUntil(ctx, fmt.Sprintf("%d nodes agree on %s", len(nodes), side), func() bool { return Agree(ctx, nodes, side) })
 }
 
 // until waits for a condition, and returns how long that took.
-func (s *study) until(ctx context.Context, what string, is func() bool) (time.Duration, error) {
+func (s *scenarioRun) waitUntil(ctx context.Context, what string, is func() bool) (time.Duration, error) {
 	from := s.testbed.now()
 	for !is() {
 		if !sleep(ctx, 20*time.Millisecond) {
 			return 0, ctx.Err()
 		}
-		if s.testbed.now()-from > studyWait {
-			return 0, fmt.Errorf("not within %v: %s", studyWait, what)
+		if s.testbed.now()-from > scenarioTimeout {
+			return 0, fmt.Errorf("not within %v: %s", scenarioTimeout, what)
 		}
 	}
 	return s.testbed.now() - from, nil
@@ -92,7 +92,7 @@
 
 // majorities asks all doors over and over which process proves their majority. Two answers in one round are a finding
 // where the next round, right after it, has the same two.
-func (s *study) majorities(ctx context.Context) {
+func (s *scenarioRun) watchLeaders(ctx context.Context) {
 	var before []string
 	for sleep(ctx, 50*time.Millisecond) {
 		for range 2 {
@@ -134,7 +134,7 @@
 }
 
 // changes reads what a node has logged about members.
-func (s *study) changes(n *Node) (all []memberChange, err error) {
+func (s *scenarioRun) changes(n *Node) (all []memberChange, err error) {
 	f, err := os.Open(n.Log())
 	if err != nil {
 		return nil, err
@@ -160,7 +160,7 @@
 }
 
 // heard waits until some nodes have logged a member's state after a time, and books how long after it that was.
-func (s *study) heard(ctx context.Context, by []*Node, name, is, figure string, after time.Duration) error {
+func (s *scenarioRun) waitForState(ctx context.Context, by []*Node, name, is, figure string, after time.Duration) error {
 	for _, n := range by {
 		for found := false; !found; {
 			all, err := s.changes(n)
@@ -173,8 +173,8 @@
 					found = true
 				}
 			}
-			if !found && (!sleep(ctx, 20*time.Millisecond) || s.testbed.now()-after > studyWait) {
-				return errors.Join(ctx.Err(), fmt.Errorf("%s did not see %s as %s within %v", n.name, name, is, studyWait))
+			if !found && (!sleep(ctx, 20*time.Millisecond) || s.testbed.now()-after > scenarioTimeout) {
+				return errors.Join(ctx.Err(), fmt.Errorf("%s did not see %s as %s within %v", n.name, name, is, scenarioTimeout))
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 }
 
 // wronglyGone counts the members of some names that nodes took for gone since a time.
-func (s *study) wronglyGone(after time.Duration, names ...string) error {
+func (s *scenarioRun) countWronglyRemoved(after time.Duration, names ...string) error {
 	for _, n := range s.nodes {
 		all, err := s.changes(n)
 		if err != nil {
@@ -204,7 +204,7 @@
 	return all
 }
 
-func (s *study) kill(ctx context.Context, k int) error {
+func (s *scenarioRun) kill(ctx context.Context, k int) error {
 	sleep(ctx, time.Duration(s.seed%7)*100*time.Millisecond) // another moment within the probes
 	at := s.testbed.now()
 	rest, dead := s.nodes[:len(s.nodes)-k], s.nodes[len(s.nodes)-k:]
@@ -212,7 +212,7 @@
 		n.Kill()
 	}
 	for _, n := range dead {
-		if err := s.heard(ctx, rest, n.name, "gone", "gone", at); err != nil {
+		if err := s.waitForState(ctx, rest, n.name, "gone", "gone", at); err != nil {
 			return err
 		}
 	}
@@ -220,12 +220,12 @@
 	if 2*k > len(s.nodes) {
 		side = "minority"
 	}
-	took, err := s.agreed(ctx, rest, side)
+	took, err := s.waitForAgreement(ctx, rest, side)
 	s.times["then agreed"] = append(s.times["then agreed"], took)
-	return errors.Join(err, s.wronglyGone(at, names(rest)...))
+	return errors.Join(err, s.countWronglyRemoved(at, names(rest)...))
 }
 
-func (s *study) stand(ctx context.Context, d time.Duration) error {
+func (s *scenarioRun) stopOne(ctx context.Context, d time.Duration) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	if err := n.Stop(); err != nil {
 		return err
@@ -234,22 +234,22 @@
 	if err := n.Continue(); err != nil {
 		return err
 	}
-	took, err := s.agreed(ctx, s.nodes, "whole")
+	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
 	if d > time.Second { // taken for gone, rightly; nobody else may be
-		return errors.Join(err, s.wronglyGone(at, names(s.nodes[:len(s.nodes)-1])...))
+		return errors.Join(err, s.countWronglyRemoved(at, names(s.nodes[:len(s.nodes)-1])...))
 	}
 	sleep(ctx, 3*time.Second) // a suspicion runs out by then
-	return errors.Join(err, s.wronglyGone(at))
+	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
 // quiet sets a condition under which nobody may be taken for gone.
-func (s *study) quiet(ctx context.Context, from, to string, c Cond, d time.Duration) error {
+func (s *scenarioRun) holdCondition(ctx context.Context, from, to string, c LinkCondition, d time.Duration) error {
 	at := s.testbed.now()
 	s.testbed.SetLink(from, to, c)
 	sleep(ctx, d)
-	s.testbed.SetLink(from, to, Cond{})
-	took, err := s.agreed(ctx, s.nodes, "whole")
+	s.testbed.SetLink(from, to, LinkCondition{})
+	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
-	return errors.Join(err, s.wronglyGone(at))
+	return errors.Join(err, s.countWronglyRemoved(at))
 }
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -15,11 +15,11 @@
 )
 
 // Trouble is what ails a server. The zero value is a well one.
-type Trouble struct {
-	Slow   float64 // work takes so many times longer; 0 and 1: as ever
-	Errors float64 // share of requests answered with 500
-	Hang   bool    // takes requests and answers none
-	Spoil  float64 // share of answers that are spoilt
+type ServerFault struct {
+	Slow             float64 // work takes so many times longer; 0 and 1: as ever
+	Errors           float64 // share of requests answered with 500
+	Hang             bool    // takes requests and answers none
+	CorruptResponses float64 // share of answers that are spoilt
 }
 
 // Server stands for one machine of a tier: cores that work, slots that hold requests, a queue before them. Work is time
@@ -38,7 +38,7 @@
 	slots chan struct{}
 
 	mu        sync.Mutex
-	trouble   Trouble
+	fault     ServerFault
 	health    string // as discovery has it
 	down      bool   // no process: refuses
 	silent    bool
@@ -88,10 +88,10 @@
 func (s *Server) Name() string { return s.name }
 
 // Set changes what ails the server.
-func (s *Server) Set(t Trouble) {
+func (s *Server) Set(t ServerFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
+	s.fault = t
 }
 
 // Served is how many answers it has made.
@@ -134,12 +134,12 @@
 	ctx, cancel := context.WithTimeout(r.Context(), budget)
 	defer cancel()
 	work := s.testbed.workOf(class, s.tier, id)
-	if !s.bears(first, work) {
-		s.fall()
+	if !s.withinCapacity(first, work) {
+		s.failOverloaded()
 		return
 	}
 	s.mu.Lock()
-	t, crowded := s.trouble, s.conns > s.spec.Conns
+	t, crowded := s.fault, s.conns > s.spec.Conns
 	s.mu.Unlock()
 	switch {
 	case t.Hang:
@@ -170,8 +170,8 @@
 	s.mu.Lock()
 	s.served++
 	s.mu.Unlock()
-	if t.Spoil > 0 && s.testbed.drawn(id, "spoil "+s.name) < t.Spoil {
-		s.spoil(w, id)
+	if t.CorruptResponses > 0 && s.testbed.drawn(id, "spoil "+s.name) < t.CorruptResponses {
+		s.writeCorruptResponse(w, id)
 		return
 	}
 	io.WriteString(w, s.testbed.checker.recordServed(id))
@@ -249,12 +249,12 @@
 }
 
 // fall takes a cold server down that was sent more than it bears. It stays down.
-func (s *Server) fall() {
+func (s *Server) failOverloaded() {
 	s.mu.Lock()
 	was := s.down
 	s.mu.Unlock()
 	if !was {
-		s.testbed.checker.addFinding(ColdServerOverloaded, "", "", s.name+" was sent more than it bears over "+s.testbed.world.Cold.Fall.String())
+		s.testbed.checker.addFinding(ColdServerOverloaded, "", "", s.name+" was sent more than it bears over "+s.testbed.world.SlowStart.OverloadWindow.String())
 		go s.crash() // not from here: it ends this connection too
 	}
 }
@@ -264,7 +264,7 @@
 	s.mu.Lock()
 	s.down = true
 	s.mu.Unlock()
-	s.testbed.spans.begin(s.name, s.testbed.now())
+	s.testbed.intervals.begin(s.name, s.testbed.now())
 	s.reachable()
 	s.gate.reset()
 	if s.own != nil {
@@ -284,7 +284,7 @@
 	s.born, s.health = s.testbed.now(), "in_service"
 	s.mu.Unlock()
 	s.reachable()
-	s.testbed.spans.end(s.name, s.testbed.now())
+	s.testbed.intervals.end(s.name, s.testbed.now())
 	return nil
 }
 
@@ -294,9 +294,9 @@
 	s.silent = on
 	s.mu.Unlock()
 	if on {
-		s.testbed.spans.begin(s.name, s.testbed.now())
+		s.testbed.intervals.begin(s.name, s.testbed.now())
 	} else {
-		s.testbed.spans.end(s.name, s.testbed.now())
+		s.testbed.intervals.end(s.name, s.testbed.now())
 	}
 	s.reachable()
 }
--- a/internal/testbed/server_work.go
+++ b/internal/testbed/server_work.go
@@ -11,36 +11,36 @@
 )
 
 // warmth is the share of its capacity that the server has; s.mu is held.
-func (s *Server) warmth(now time.Duration) float64 {
-	c := s.testbed.world.Cold
-	if s.born == 0 || now-s.born >= c.Warm {
+func (s *Server) capacityShare(now time.Duration) float64 {
+	c := s.testbed.world.SlowStart
+	if s.born == 0 || now-s.born >= c.Duration {
 		return 1
 	}
-	return c.From + (1-c.From)*float64(now-s.born)/float64(c.Warm)
+	return c.From + (1-c.From)*float64(now-s.born)/float64(c.Duration)
 }
 
 // bears adds work that came to a cold server and says whether the server stands it.
-func (s *Server) bears(now, work time.Duration) bool {
+func (s *Server) withinCapacity(now, work time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.testbed.world.Cold
-	if s.born == 0 || now-s.born >= c.Warm {
+	c := s.testbed.world.SlowStart
+	if s.born == 0 || now-s.born >= c.Duration {
 		s.recent = nil
 		return true
 	}
 	s.recent = append(s.recent, sentWork{now, work})
-	for len(s.recent) > 0 && s.recent[0].at < now-c.Fall {
+	for len(s.recent) > 0 && s.recent[0].at < now-c.OverloadWindow {
 		s.recent = s.recent[1:]
 	}
-	if now-s.born < c.Fall {
+	if now-s.born < c.OverloadWindow {
 		return true
 	}
 	var sent time.Duration
 	for _, w := range s.recent {
 		sent += w.work
 	}
-	can := float64(c.Fall) * float64(s.spec.Cores) * (s.warmth(now-c.Fall) + s.warmth(now)) / 2
-	return float64(sent) <= c.Multiple*can
+	can := float64(c.OverloadWindow) * float64(s.spec.Cores) * (s.capacityShare(now-c.OverloadWindow) + s.capacityShare(now)) / 2
+	return float64(sent) <= c.OverloadFactor*can
 }
 
 // choke follows how many wait for a core; s.mu is held.
@@ -86,9 +86,9 @@
 	s.mu.Lock()
 	s.waiting--
 	now := s.testbed.now()
-	took := float64(w) / s.warmth(now)
-	if s.trouble.Slow > 1 {
-		took *= s.trouble.Slow
+	took := float64(w) / s.capacityShare(now)
+	if s.fault.Slow > 1 {
+		took *= s.fault.Slow
 	}
 	if got {
 		s.busy++
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -34,7 +34,7 @@
 func Play(ctx context.Context, p *Plan, binary string, shim []string, dir string) (*Result, error) {
 	w := p.World
 	w.Binary, w.Shim, w.Dir = binary, shim, filepath.Join(dir, fmt.Sprint("seed-", p.Seed))
-	w.Links = testbed.FaultLinks(p.Faults)
+	w.Links = testbed.LinksOfFaults(p.Faults)
 	if err := os.RemoveAll(w.Dir); err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 			r.Story = append(r.Story, fmt.Sprintf("%.3f %s", at.Seconds(), what))
 		})
 	}()
-	tb.Drive(ctx, &p.Load, day, func(s testbed.Served) {
+	tb.Drive(ctx, &p.Load, day, func(s testbed.ArrivalResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		r.Ends[s.End]++
@@ -145,7 +145,7 @@
 	add(r.NotSent, decisions.NotSent)
 	add(r.TurnedAway, decisions.TurnedAway)
 	add(r.Violations, decisions.Violations)
-	if len(decisions.Violations) > 0 && !n.Held() {
+	if len(decisions.Violations) > 0 && !n.Paused() {
 		tb.Checker().Report(testbed.SelfReportedViolation, n.Name(), fmt.Sprint(decisions.Violations))
 	}
 	if counters.Inflight != 0 {
--- a/internal/testbed/start.go
+++ b/internal/testbed/start.go
@@ -29,7 +29,7 @@
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			for _, n := range tb.order {
+			for _, n := range tb.nodeOrder {
 				t.Logf("%s said: %s", n.name, n.process.tail(4))
 			}
 		}
--- a/internal/testbed/stub_node_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -35,7 +35,7 @@
 	}
 	var cfg struct {
 		Listen, Discovery string
-		Known             rosterNews
+		Known             endpointUpdate
 	}
 	text, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
 	if err == nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-func doubleServe(c net.Conn, as string, hosts []listed) {
+func doubleServe(c net.Conn, as string, hosts []endpointEntry) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -116,7 +116,7 @@
 	}
 }
 
-func forward(r *http.Request, h listed) string {
+func forward(r *http.Request, h endpointEntry) string {
 	out, err := http.NewRequest(r.Method, "http://"+h.Dial+"/api", nil)
 	if err != nil {
 		return ""
@@ -198,7 +198,7 @@
 // An improper client that a node keeps is found.
 func TestRefereeCatchesKeptPeers(t *testing.T) {
 	tb := Start(t, healthyStubs(1)) // waits for whole heads for good
-	tb.improperPeers(context.Background(), tb.Node("n1"), 4)
+	tb.runImproperClients(context.Background(), tb.Node("n1"), 4)
 	if found, counts := tb.Checker().Findings(); counts[ImproperClientKept] == 0 || len(counts) > 1 {
 		t.Errorf("found %v", found)
 	}
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -16,46 +16,46 @@
 	"time"
 )
 
-const mostNodes = 240 // of one lab
+const maxNodes = 240 // of one lab
 
 // Lab is a running world.
 type Testbed struct {
-	world    World
-	dir      string
-	scratch  bool // dir is the lab's own
-	began    time.Time
-	spans    spans
-	checker  *Checker
-	spawner  *spawner
-	disc     *discovery
-	front    *front
-	clients  []*caller // by zone
-	nodes    map[string]*Node
-	servers  map[string]*Server
-	order    []*Node // as started
-	classes  map[string]*Class
-	discard  *log.Logger
-	lock     net.Listener // holds this lab's loopback addresses
-	net      int          // 127.net.0.0/16 is this lab's
-	done     chan struct{}
-	owned    sync.WaitGroup
-	closing  sync.Once
-	lateness lateness
-	attempts atomic.Int64 // that reached servers
-	sent     sync.Map     // of them, by node: *atomic.Int64
-	crossed  atomic.Int64 // of them, from another zone
+	world     World
+	dir       string
+	scratch   bool // dir is the lab's own
+	began     time.Time
+	intervals intervals
+	checker   *Checker
+	spawner   *spawner
+	disc      *discovery
+	front     *front
+	clients   []*caller // by zone
+	nodes     map[string]*Node
+	servers   map[string]*Server
+	nodeOrder []*Node // as started
+	classes   map[string]*Class
+	discard   *log.Logger
+	lock      net.Listener // holds this lab's loopback addresses
+	net       int          // 127.net.0.0/16 is this lab's
+	done      chan struct{}
+	owned     sync.WaitGroup
+	closing   sync.Once
+	lateness  lateness
+	attempts  atomic.Int64 // that reached servers
+	sent      sync.Map     // of them, by node: *atomic.Int64
+	crossZone atomic.Int64 // of them, from another zone
 
-	mu    sync.Mutex
-	ways  map[string]*way
-	links map[string]*tcpLink // by FROM->TO
-	udp   map[string]*udpLink // beside some of them, at the same address
+	mu         sync.Mutex
+	directions map[string]*direction
+	links      map[string]*tcpLink // by FROM->TO
+	udp        map[string]*udpLink // beside some of them, at the same address
 }
 
 // Blocks of loopback addresses, 127.N.0.0/16 each.
 const (
 	firstBlock = 10
 	blocks     = 240
-	mostBlocks = 5 // that a lab tries
+	maxBlocks  = 5 // that a lab tries
 )
 
 var errTaken = errors.New("another program has it")
@@ -68,7 +68,7 @@
 
 // openFrom is Open that tries the blocks of addresses from one on.
 func openFrom(ctx context.Context, w World, block int) (tb *Testbed, err error) {
-	for range mostBlocks {
+	for range maxBlocks {
 		if tb, err = open(ctx, w, block); !errors.Is(err, errTaken) {
 			break
 		}
@@ -85,7 +85,7 @@
 		return nil, errors.New("no node program is named")
 	}
 	tb = &Testbed{world: w, dir: w.Dir, began: time.Now(), nodes: map[string]*Node{}, servers: map[string]*Server{},
-		classes: map[string]*Class{}, discard: log.New(io.Discard, "", 0), done: make(chan struct{}), ways: map[string]*way{},
+		classes: map[string]*Class{}, discard: log.New(io.Discard, "", 0), done: make(chan struct{}), directions: map[string]*direction{},
 		links: map[string]*tcpLink{}, udp: map[string]*udpLink{}}
 	tb.spawner = newSpawner()
 	defer func() {
@@ -107,7 +107,7 @@
 	for i := range w.Classes {
 		tb.classes[w.Classes[i].Name] = &tb.world.Classes[i]
 	}
-	tb.checker = newChecker(&tb.world, tb.now, &tb.spans)
+	tb.checker = newChecker(&tb.world, tb.now, &tb.intervals)
 	tb.lateness.run(tb)
 	tb.disc = newDiscovery(tb)
 	if err = tb.populate(); err != nil {
@@ -179,20 +179,20 @@
 
 // startAll starts the last tier's nodes first, and waits until the front has all of its own.
 func (tb *Testbed) startAll(ctx context.Context) error {
-	for _, n := range tb.order {
-		tb.spans.begin(n.name, tb.now())
+	for _, n := range tb.nodeOrder {
+		tb.intervals.begin(n.name, tb.now())
 		if err := n.Start(); err != nil {
 			return err
 		}
 	}
 	tb.front.start()
-	for _, n := range tb.order {
+	for _, n := range tb.nodeOrder {
 		if err := n.Up(ctx); err != nil {
 			return err
 		}
 	}
 	for _, n := range tb.front.nodes {
-		for in, moved := tb.front.isIn(n); !in; in, moved = tb.front.isIn(n) {
+		for in, moved := tb.front.isReady(n); !in; in, moved = tb.front.isReady(n) {
 			select {
 			case <-moved:
 			case <-ctx.Done():
@@ -219,7 +219,7 @@
 func (tb *Testbed) Server(name string) *Server { return tb.servers[name] }
 
 // Nodes returns all nodes, the front ones first.
-func (tb *Testbed) Nodes() []*Node { return tb.order }
+func (tb *Testbed) Nodes() []*Node { return tb.nodeOrder }
 
 // count books an attempt of a node that reached a server.
 func (tb *Testbed) count(from string, s *Server) {
@@ -227,12 +227,12 @@
 	n, _ := tb.sent.LoadOrStore(from, new(atomic.Int64))
 	n.(*atomic.Int64).Add(1)
 	if n := tb.nodes[from]; n != nil && n.zone != s.zone {
-		tb.crossed.Add(1)
+		tb.crossZone.Add(1)
 	}
 }
 
 // Attempts is how many attempts have reached servers, at all tiers, and how many of them came from another zone.
-func (tb *Testbed) Attempts() (all, crossed int64) { return tb.attempts.Load(), tb.crossed.Load() }
+func (tb *Testbed) Attempts() (all, crossZone int64) { return tb.attempts.Load(), tb.crossZone.Load() }
 
 // AttemptsOf is how many attempts of a node have reached servers.
 func (tb *Testbed) AttemptsOf(node string) int64 {
@@ -243,7 +243,7 @@
 }
 
 // Uneven is the number of answers that the busiest server of the first tier has made, over the mean.
-func (tb *Testbed) Uneven() float64 {
+func (tb *Testbed) Imbalance() float64 {
 	sum, most, n := 0, 0, 0
 	for _, s := range tb.servers {
 		if s.tier == 0 {
@@ -267,10 +267,10 @@
 }
 
 // entry is the server as discovery lists it.
-func (s *Server) entry() listed {
+func (s *Server) entry() endpointEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := listed{Host: s.name, Site: s.zone, Class: "m2", Health: s.health, Share: 1}
+	h := endpointEntry{Host: s.name, Site: s.zone, Class: "m2", Health: s.health, Share: 1}
 	if s.born != 0 {
 		h.Born = s.testbed.began.Add(s.born).UnixMilli()
 	}
@@ -301,12 +301,12 @@
 }
 
 // Discovery changes how discovery fails.
-func (tb *Testbed) Discovery(o Outage) {
+func (tb *Testbed) Discovery(o DiscoveryFault) {
 	tb.disc.set(o)
-	if (o == Outage{}) {
-		tb.spans.end("discovery", tb.now())
+	if (o == DiscoveryFault{}) {
+		tb.intervals.end("discovery", tb.now())
 	} else {
-		tb.spans.begin("discovery", tb.now())
+		tb.intervals.begin("discovery", tb.now())
 	}
 }
 
@@ -314,7 +314,7 @@
 func (tb *Testbed) Close() {
 	tb.closing.Do(func() {
 		close(tb.done)
-		for _, n := range tb.order {
+		for _, n := range tb.nodeOrder {
 			n.process.signal(syscall.SIGCONT) // fails where it has ended
 			n.process.kill()
 		}
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -24,8 +24,8 @@
 // small is a world of one tier, or two, with little work.
 func small(nodes int, servers ...int) World {
 	w := World{Binary: binary, Seed: 1, Zones: []string{"a", "b"}, Classes: []Class{
-		{Name: "view", Effect: "read_like", Share: 0.7, Aim: time.Second, Deadline: 2 * time.Second},
-		{Name: "booking", Effect: "non_idempotent", Share: 0.3, Aim: time.Second, Deadline: 2 * time.Second},
+		{Name: "view", Effect: "read_like", Share: 0.7, LatencyObjective: time.Second, Deadline: 2 * time.Second},
+		{Name: "booking", Effect: "non_idempotent", Share: 0.3, LatencyObjective: time.Second, Deadline: 2 * time.Second},
 	}}
 	names := []string{"front", "schedule", "rooms"}
 	for i, n := range servers {
@@ -48,10 +48,10 @@
 type tally struct {
 	mu   sync.Mutex
 	ends map[string]int
-	all  []Served
+	all  []ArrivalResult
 }
 
-func (x *tally) add(s Served) {
+func (x *tally) add(s ArrivalResult) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.ends == nil {
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -15,17 +15,17 @@
 
 // World describes the platform. The zero value of a field with a default, named beside it, means that default.
 type World struct {
-	Zones     []string      `toml:"zones"`
-	Tiers     []Tier        `toml:"tier"` // first the one that clients' nodes call
-	Classes   []Class       `toml:"class"`
-	Tenants   []Tenant      `toml:"tenant"`
-	OverWorth float64       `toml:"over_worth"` // what a request beyond its tenant's quota keeps of its worth
-	Limits    Limits        `toml:"limits"`
-	Cold      Cold          `toml:"cold"`
-	Choke     Choke         `toml:"choke"`
-	Discovery DiscoverySpec `toml:"discovery"`
-	Notice    time.Duration `toml:"front_notice"` // how late the front sees that a node has died; default 2 s
-	Links     []string      `toml:"links"`        // FROM->TO patterns of the links that get a proxy; faults add theirs
+	Zones           []string      `toml:"zones"`
+	Tiers           []Tier        `toml:"tier"` // first the one that clients' nodes call
+	Classes         []Class       `toml:"class"`
+	Tenants         []Tenant      `toml:"tenant"`
+	OverQuotaWeight float64       `toml:"over_worth"` // what a request beyond its tenant's quota keeps of its worth
+	Limits          Limits        `toml:"limits"`
+	SlowStart       SlowStart     `toml:"cold"`
+	Choke           Choke         `toml:"choke"`
+	Discovery       DiscoverySpec `toml:"discovery"`
+	Notice          time.Duration `toml:"front_notice"` // how late the front sees that a node has died; default 2 s
+	Links           []string      `toml:"links"`        // FROM->TO patterns of the links that get a proxy; faults add theirs
 
 	Fleet Tables `toml:"fleet"` // fleet configuration of all nodes; the lab adds addresses. Empty: none
 	Seeds int    `toml:"seeds"` // front nodes that are the mesh's seeds; default 3
@@ -71,15 +71,15 @@
 
 // Class is a class of requests. Work is time on a standard core, by tier; Wait is spent on others.
 type Class struct {
-	Name     string          `toml:"name"`
-	Effect   string          `toml:"effect"` // read_like, idempotency_key or non_idempotent
-	Share    float64         `toml:"share"`
-	Work     []time.Duration `toml:"work"`
-	Wait     time.Duration   `toml:"wait"`
-	Aim      time.Duration   `toml:"aim"`
-	Deadline time.Duration   `toml:"deadline"`
-	Worth    float64         `toml:"worth"`  // default 1
-	Window   time.Duration   `toml:"window"` // servers discard repeats of a keyed request for so long; default 5 s
+	Name             string          `toml:"name"`
+	Effect           string          `toml:"effect"` // read_like, idempotency_key or non_idempotent
+	Share            float64         `toml:"share"`
+	Work             []time.Duration `toml:"work"`
+	Wait             time.Duration   `toml:"wait"`
+	LatencyObjective time.Duration   `toml:"aim"`
+	Deadline         time.Duration   `toml:"deadline"`
+	PriorityWeight   float64         `toml:"worth"`  // default 1
+	Window           time.Duration   `toml:"window"` // servers discard repeats of a keyed request for so long; default 5 s
 }
 
 // Tenant is a customer. Share is its part of the traffic, Quota what it may send a second over the whole fleet.
@@ -102,11 +102,11 @@
 
 // Cold says how servers start: with From of their capacity, with all of it after Warm. One that is sent more than
 // Multiple times what it can do at that moment, over Fall, by all nodes together, falls over.
-type Cold struct {
-	From     float64       `toml:"from"`     // default 0.38
-	Warm     time.Duration `toml:"warm"`     // default 8.5 s
-	Multiple float64       `toml:"multiple"` // default 4
-	Fall     time.Duration `toml:"fall"`     // default 3 s
+type SlowStart struct {
+	From           float64       `toml:"from"`     // default 0.38
+	Duration       time.Duration `toml:"warm"`     // default 8.5 s
+	OverloadFactor float64       `toml:"multiple"` // default 4
+	OverloadWindow time.Duration `toml:"fall"`     // default 3 s
 }
 
 // Choke slows a server down Factor times once more than Waiting requests a core have waited for a core for After, until
@@ -148,10 +148,10 @@
 	orDefault(&w.Limits.ConnIdle, 10*time.Second)
 	orDefault(&w.Limits.MaxAttempts, 5)
 	orDefault(&w.Limits.MaxRetryAfter, 2*time.Second)
-	orDefault(&w.Cold.From, 0.38)
-	orDefault(&w.Cold.Warm, 8500*time.Millisecond)
-	orDefault(&w.Cold.Multiple, 4)
-	orDefault(&w.Cold.Fall, 3*time.Second)
+	orDefault(&w.SlowStart.From, 0.38)
+	orDefault(&w.SlowStart.Duration, 8500*time.Millisecond)
+	orDefault(&w.SlowStart.OverloadFactor, 4)
+	orDefault(&w.SlowStart.OverloadWindow, 3*time.Second)
 	orDefault(&w.Discovery.Late, time.Second)
 	orDefault(&w.Discovery.Call, time.Millisecond)
 	orDefault(&w.Discovery.MaxLag, time.Second)
@@ -174,7 +174,7 @@
 	}
 	for i := range w.Classes {
 		c, key := &w.Classes[i], fmt.Sprintf("class[%d].", i)
-		orDefault(&c.Worth, 1)
+		orDefault(&c.PriorityWeight, 1)
 		orDefault(&c.Window, keyedWindow)
 		switch {
 		case c.Name == "":
@@ -185,7 +185,7 @@
 			return &KeyError{key + "share", "must be above 0"}
 		case len(c.Work) != len(w.Tiers):
 			return &KeyError{key + "work", fmt.Sprintf("%d figures for %d tiers", len(c.Work), len(w.Tiers))}
-		case c.Aim <= 0 || c.Deadline < c.Aim:
+		case c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective:
 			return &KeyError{key + "deadline", "aim and deadline must be above 0, the deadline no shorter than the aim"}
 		}
 	}
@@ -194,7 +194,7 @@
 			return &KeyError{fmt.Sprintf("tenant[%d].share", i), "a tenant needs a name, a share above 0 and a quota from 0"}
 		}
 	}
-	if !(w.Cold.From > 0 && w.Cold.From <= 1) || w.Cold.Multiple <= 1 {
+	if !(w.SlowStart.From > 0 && w.SlowStart.From <= 1) || w.SlowStart.OverloadFactor <= 1 {
 		return &KeyError{"cold.from", "from must be above 0 and at most 1, multiple above 1"}
 	}
 	return nil
@@ -251,7 +251,7 @@
 	var lanes, tenants []object
 	for _, c := range w.Classes {
 		lanes = append(lanes, object{"name": c.Name, "effect": c.Effect, "key-scope": "all", "late-share": 0, "stream": false,
-			"target-ms": ms(c.Aim), "deadline-ms": ms(c.Deadline), "window-ms": ms(c.Window), "worth": c.Worth})
+			"target-ms": ms(c.LatencyObjective), "deadline-ms": ms(c.Deadline), "window-ms": ms(c.Window), "worth": c.PriorityWeight})
 	}
 	for _, t := range w.Tenants {
 		tenants = append(tenants, object{"name": t.Name, "quota-per-s": t.Quota, "share": t.Share})
@@ -268,14 +268,14 @@
 		"balancers": balancers, "me": self, "tier": tier, "tiers": tiers, "zone": zone, "localities": w.Zones,
 		"blend":   object{"whole": 0.75, "worst-class": 0.1, "worst-tenant": 0.1, "worst-window": 0.05},
 		"callers": object{"marks-retry": true}, "family": "chain", "family-info": object{"passes-deadline": true},
-		"lanes": lanes, "tenants": tenants, "over-share-worth": w.OverWorth, "tick-ms": 5, "worth-by": "request",
+		"lanes": lanes, "tenants": tenants, "over-share-worth": w.OverQuotaWeight, "tick-ms": 5, "worth-by": "request",
 		"registry-mode": registry, "shapes": []string{"m2"}, "weights": "silent",
 		"telemetry": object{"fields": []string{}, "via": "silent"},
 		"limits": object{"cancelling": true, "conn-idle-ms": ms(w.Limits.ConnIdle), "connect-timeout-ms": ms(w.Limits.ConnectTimeout),
 			"max-attempts": w.Limits.MaxAttempts, "max-retry-after-ms": ms(w.Limits.MaxRetryAfter), "max-streams": 1,
 			"may-probe": false, "open-cap": 20000, "peers": false, "retry-after": true, "second-copies": true},
-		"rules": object{"answer-slack-ms": ms(slack), "ask-within-ms": 10000, "cold-from": w.Cold.From, "fall-ms": ms(w.Cold.Fall),
-			"fall-multiple": w.Cold.Multiple, "stop-sending-within-ms": ms(drainWithin), "warm-after-ms": ms(w.Cold.Warm)},
+		"rules": object{"answer-slack-ms": ms(slack), "ask-within-ms": 10000, "cold-from": w.SlowStart.From, "fall-ms": ms(w.SlowStart.OverloadWindow),
+			"fall-multiple": w.SlowStart.OverloadFactor, "stop-sending-within-ms": ms(drainWithin), "warm-after-ms": ms(w.SlowStart.Duration)},
 	})
 	if err != nil {
 		panic(err) // plain maps of plain values
