--- a/cmd/balancer-testbed/capacity.go
+++ b/cmd/balancer-testbed/capacity.go
@@ -61,17 +61,17 @@
 	}
 	defer tb.Close()
 	day := testbed.Draw(&w, &load, length, 1)
-	const most = int64(time.Minute / time.Microsecond)
-	latency, late := hdrhistogram.New(1, most, 3), hdrhistogram.New(1, most, 3)
+	const maxMicros = int64(time.Minute / time.Microsecond)
+	latency, late := hdrhistogram.New(1, maxMicros, 3), hdrhistogram.New(1, maxMicros, 3)
 	ended := make(chan testbed.ArrivalResult, 1024)
-	booked := make(chan struct{})
+	recorded := make(chan struct{})
 	go func() {
-		defer close(booked)
+		defer close(recorded)
 		for s := range ended {
 			if s.End == "served" {
-				latency.RecordValue(min(max(1, s.Latency.Microseconds()), most))
+				latency.RecordValue(min(max(1, s.Latency.Microseconds()), maxMicros))
 			}
-			late.RecordValue(min(max(1, s.Late.Microseconds()), most))
+			late.RecordValue(min(max(1, s.Late.Microseconds()), maxMicros))
 		}
 	}()
 	cpu, began := ownCPU(), time.Now()
@@ -83,14 +83,14 @@
 		ended <- s
 	})
 	took := time.Since(began)
-	spent := ownCPU() - cpu
+	used := ownCPU() - cpu
 	close(ended)
-	<-booked
+	<-recorded
 	at := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	fmt.Printf("links=%t rate=%.0f/s served=%d of %d in %.2f s\n", linked, float64(served.Load())/took.Seconds(), served.Load(), len(day), took.Seconds())
 	fmt.Printf("latency from the drawn arrival: p50=%.3f ms p99=%.3f ms; lateness of the lab: p50=%.3f ms p99=%.3f ms p99.9=%.3f ms\n",
 		at(latency, 50), at(latency, 99), at(late, 50), at(late, 99), at(late, 99.9))
-	fmt.Printf("processor time of the lab: %.2f cores, %.0f%% of %d\n", spent.Seconds()/took.Seconds(), 100*spent.Seconds()/took.Seconds()/float64(cores), cores)
+	fmt.Printf("processor time of the lab: %.2f cores, %.0f%% of %d\n", used.Seconds()/took.Seconds(), 100*used.Seconds()/took.Seconds()/float64(cores), cores)
 	a := tb.Checker().Account()
 	_, broken := tb.Findings()
 	fmt.Printf("referee: taken %d = answered %d + left %d + cut off %d + lost %d; broken %v\n", a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, broken)
--- a/cmd/balancer-testbed/main.go
+++ b/cmd/balancer-testbed/main.go
@@ -99,13 +99,13 @@
 		if out == "" {
 			out = filepath.Join("lab-results", f.Name)
 		}
-		return play(c.Context(), f, binary, out)
+		return run(c.Context(), f, binary, out)
 	}
 	return c
 }
 
 // play runs an experiment into a folder, and reports on what there is, interrupted or not.
-func play(ctx context.Context, f *experiment.File, binary, out string) error {
+func run(ctx context.Context, f *experiment.File, binary, out string) error {
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return err
 	}
@@ -114,9 +114,9 @@
 		return err
 	}
 	defer results.Close()
-	say, end := progress()
+	show, end := progress()
 	rules := map[testbed.Rule]int{}
-	r := &experiment.Runner{File: f, Binary: binary, Out: results, Progress: say}
+	r := &experiment.Runner{File: f, Binary: binary, Out: results, Progress: show}
 	r.Done = func(k experiment.Key, s *experiment.Summary) {
 		end()
 		a := s.Account
@@ -148,17 +148,17 @@
 }
 
 // progress writes over one line on a terminal, and nothing elsewhere.
-func progress() (say func(string), end func()) {
+func progress() (show func(string), end func()) {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil, func() {}
 	}
 	w := bufio.NewWriter(os.Stderr)
-	say = func(s string) {
+	show = func(s string) {
 		fmt.Fprintf(w, "\r\x1b[K%.120s", s)
 		w.Flush()
 	}
-	return say, func() { say("") }
+	return show, func() { show("") }
 }
 
 func checkCommand() *cobra.Command {
@@ -189,7 +189,7 @@
 					all = append(all, err)
 					continue
 				}
-				fmt.Printf("%-34s %4d plays of %-6s %s\n", path, f.Plays(), f.Length, f.About)
+				fmt.Printf("%-34s %4d plays of %-6s %s\n", path, f.Runs(), f.Length, f.About)
 			}
 			return errors.Join(all...)
 		}}
--- a/cmd/balancer-testbed/soak.go
+++ b/cmd/balancer-testbed/soak.go
@@ -39,21 +39,21 @@
 		if out, err = filepath.Abs(out); err != nil {
 			return err
 		}
-		play := func(ctx context.Context, p *soak.Plan) (*soak.Result, error) {
-			return soak.Play(ctx, p, binary, []string{self, "shim"}, out)
+		run := func(ctx context.Context, p *soak.Plan) (*soak.Result, error) {
+			return soak.Run(ctx, p, binary, []string{self, "shim"}, out)
 		}
 		if reduce {
-			return reduceSeed(c.Context(), from, play)
+			return reduceSeed(c.Context(), from, run)
 		}
-		return playSeeds(c.Context(), from, count, beside, keep, play)
+		return runSeeds(c.Context(), from, count, beside, keep, run)
 	}
 	return c
 }
 
-type player func(context.Context, *soak.Plan) (*soak.Result, error)
+type runner func(context.Context, *soak.Plan) (*soak.Result, error)
 
-func reduceSeed(ctx context.Context, seed uint64, play player) error {
-	kept, err := soak.Reduce(ctx, seed, func(p *soak.Plan) (*soak.Result, error) { return play(ctx, p) })
+func reduceSeed(ctx context.Context, seed uint64, run runner) error {
+	kept, err := soak.Reduce(ctx, seed, func(p *soak.Plan) (*soak.Result, error) { return run(ctx, p) })
 	if err != nil {
 		return err
 	}
@@ -61,12 +61,12 @@
 	return nil
 }
 
-func playSeeds(ctx context.Context, from, count uint64, beside int, keep []int, play player) error {
+func runSeeds(ctx context.Context, from, count uint64, beside int, keep []int, run runner) error {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var failed error
 	broken := map[testbed.Rule]int{}
-	places := make(chan struct{}, max(1, beside))
+	slots := make(chan struct{}, max(1, beside))
 	for seed := from; seed < from+count; seed++ {
 		p := soak.NewPlan(seed)
 		if keep != nil {
@@ -74,12 +74,12 @@
 				return usageError{err}
 			}
 		}
-		places <- struct{}{}
+		slots <- struct{}{}
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			defer func() { <-places }()
-			r, err := play(ctx, p)
+			defer func() { <-slots }()
+			r, err := run(ctx, p)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/testbed/attempt_timing.go
+++ b/internal/testbed/attempt_timing.go
@@ -22,8 +22,8 @@
 	if lateRepeat {
 		r.addFinding(RetryAfterWindow, id, rec.node, fmt.Sprintf("came to %s %.0f ms after the first that may have run", server, ms(first-rec.firstRan)))
 	}
-	if gone := first - rec.leftAt; rec.leftAt > 0 && gone > lateSendTolerance+slack {
-		r.addFinding(SentAfterDisconnect, id, rec.node, fmt.Sprintf("came to %s %.0f ms after its client had gone", server, ms(gone)))
+	if sinceDisconnect := first - rec.leftAt; rec.leftAt > 0 && sinceDisconnect > lateSendTolerance+slack {
+		r.addFinding(SentAfterDisconnect, id, rec.node, fmt.Sprintf("came to %s %.0f ms after its client had gone", server, ms(sinceDisconnect)))
 	}
 	if left := rec.deadline - first; given > left+budgetTolerance {
 		r.addFinding(BudgetTooLong, id, rec.node, fmt.Sprintf("%s was told %.0f ms, the client had %.0f ms left", server, ms(given), ms(left)))
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -20,7 +20,7 @@
 	ForeignAnswer         Rule = "foreign answer"   // served with something that no server made for it
 	DuplicateExecution    Rule = "unsafe run twice" // a copy of what may have run, of a class that must not
 	SentToDraining        Rule = "sent to drained"  // something new to a draining or gone server too late
-	ColdServerOverloaded  Rule = "cold pushed over" // a cold server sent more than it bears
+	SlowStartOverloaded  Rule = "cold pushed over" // a cold server sent more than it bears
 	UnknownID             Rule = "unknown id"       // a request that no client sent
 	TooManyAttempts       Rule = "too many attempts"
 	Crash                 Rule = "crash"                 // a node ended by itself
@@ -93,19 +93,19 @@
 
 // record is what is known of one request id.
 type record struct {
-	class    string
-	node     string
-	writing  int           // how often it was written: again after a close that crossed it unread
-	back     int           // the last writing that was taken back
-	backAt   time.Duration // when that was
-	deadline time.Duration // when the client's time ends
-	written  time.Duration // whole to a node; 0: not yet
-	ended    bool
-	attempts int
-	ran      int           // attempts that may have run
-	served   int           // whole answers that servers made
-	firstRan time.Duration // when the first attempt that may have run came
-	leftAt   time.Duration // when the client went away; 0: it has not
+	class       string
+	node        string
+	writing     int           // how often it was written: again after a close that crossed it unread
+	retracted   int           // the last writing that was taken back
+	retractedAt time.Duration // when that was
+	deadline    time.Duration // when the client's time ends
+	written     time.Duration // whole to a node; 0: not yet
+	ended       bool
+	attempts    int
+	ran         int           // attempts that may have run
+	served      int           // whole answers that servers made
+	firstRan    time.Duration // when the first attempt that may have run came
+	leftAt      time.Duration // when the client went away; 0: it has not
 }
 
 func newChecker(w *World, now func() time.Duration, s *intervals) *Checker {
@@ -177,10 +177,10 @@
 
 // unread takes a request back: its connection ended with nothing said, as it crossed the node's close. It says whether
 // that can be; if some server has it, or the node's system has given its bytes away, the node had read it.
-func (r *Checker) retractUnread(id string, taken bool) (can bool) {
+func (r *Checker) retractUnread(id string, allRead bool) (can bool) {
 	r.withRecord(id, func(rec *record) {
-		if can = rec.attempts == 0 && !taken; can {
-			rec.written, rec.back, rec.backAt = 0, rec.writing, r.now()
+		if can = rec.attempts == 0 && !allRead; can {
+			rec.written, rec.retracted, rec.retractedAt = 0, rec.writing, r.now()
 		}
 	})
 	if can {
@@ -212,12 +212,12 @@
 
 // unanswered says that a taken request will get no answer: its connection broke, or its time and the slack are over.
 // It returns whether the lab itself is the cause.
-func (r *Checker) recordUnanswered(id, caller, how string) bool {
+func (r *Checker) recordUnanswered(id, client, how string) bool {
 	var rec record
 	r.withRecord(id, func(p *record) { p.ended = true; rec = *p })
 	now := r.now()
-	excused := r.intervals.overlap(rec.node, rec.written-slack, now) || r.intervals.overlap(caller+"->"+rec.node, rec.written-slack, now) ||
-		r.intervals.overlap(rec.node+"->"+caller, rec.written-slack, now) || r.intervals.overlap(caller, rec.written-slack, now)
+	excused := r.intervals.overlap(rec.node, rec.written-slack, now) || r.intervals.overlap(client+"->"+rec.node, rec.written-slack, now) ||
+		r.intervals.overlap(rec.node+"->"+client, rec.written-slack, now) || r.intervals.overlap(client, rec.written-slack, now)
 	r.updateAccount(func(a *Account) {
 		if excused {
 			a.CutOff++
@@ -264,7 +264,7 @@
 		p.ran++ // until it turns out that it never ran
 		rec = *p
 	})
-	if known && from.writing != 0 && from.writing <= rec.back && !r.intervals.overlap(from.node, rec.backAt-slack, rec.backAt+slack) {
+	if known && from.writing != 0 && from.writing <= rec.retracted && !r.intervals.overlap(from.node, rec.retractedAt-slack, rec.retractedAt+slack) {
 		r.addFinding(ForwardedUnread, id, from.node, fmt.Sprintf("came to %s, though its connection was closed with no answer", server))
 	}
 	if known && from.node != "" {
--- a/internal/testbed/corrupt_response.go
+++ b/internal/testbed/corrupt_response.go
@@ -26,13 +26,13 @@
 		return
 	}
 	defer c.Close()
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	draw := s.testbed.drawn(id, "how it is spoilt")
 	switch {
 	case draw < 1.0/3:
-		fmt.Fprint(c, whole)
+		fmt.Fprint(c, complete)
 		time.Sleep(secondAnswerDelay)
-		fmt.Fprint(c, whole)
+		fmt.Fprint(c, complete)
 	case draw < 2.0/3:
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", body[:len(body)/2])
 		time.Sleep(secondAnswerDelay) // the half is read before the reset
@@ -40,7 +40,7 @@
 			reset(g.Conn)
 		}
 	default:
-		fmt.Fprint(c, whole)
+		fmt.Fprint(c, complete)
 		time.Sleep(time.Duration(s.testbed.drawn(id, "end") * float64(maxCloseDelay)))
 	}
 }
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -82,8 +82,8 @@
 		}
 	}
 	f, err := Load(write(t, tiny))
-	if err != nil || f.Plays() != 4 {
-		t.Errorf("the file itself: %d plays, %v", f.Plays(), err)
+	if err != nil || f.Runs() != 4 {
+		t.Errorf("the file itself: %d plays, %v", f.Runs(), err)
 	}
 }
 
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -115,4 +115,4 @@
 }
 
 // Plays is how many plays the experiment has.
-func (f *File) Plays() int { return len(f.Seeds) * f.Repeat * len(f.Variants) }
+func (f *File) Runs() int { return len(f.Seeds) * f.Repeat * len(f.Variants) }
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -70,11 +70,11 @@
 }
 
 // figure is one row of the report.
-type figure struct {
+type metric struct {
 	name   string
 	format string
 	low    bool // the lowest is the worst
-	of     func(*Summary) float64
+	value  func(*Summary) float64
 }
 
 func share(s *Summary, end string) float64 {
@@ -84,7 +84,7 @@
 	return float64(s.Ends[end]) / float64(s.Arrived)
 }
 
-var figures = []figure{
+var metrics = []metric{
 	{"served in time, share of the worth", "%.4f", true, func(s *Summary) float64 { return s.Served }},
 	{"the same in the worst window", "%.3f", true, func(s *Summary) float64 { return s.Worst }},
 	{"late", "%.4f", false, func(s *Summary) float64 { return share(s, "late") }},
@@ -150,7 +150,7 @@
 	})
 	b.WriteString("\n## Figures, median and worst over plays\n\n")
 	table(&b, append([]string{"figure"}, names...), func(row func(...any)) {
-		for _, f := range figures {
+		for _, f := range metrics {
 			cells := []any{f.name}
 			for _, n := range names {
 				median, worst := medianWorst(values(by[n], f), f.low)
@@ -162,7 +162,7 @@
 	if len(names) > 1 {
 		fmt.Fprintf(&b, "\n## Difference to `%s`, paired by seed\n\nMean of the differences with its 95%% bootstrap interval, and the sign test's p.\n\n", names[0])
 		table(&b, []string{"figure", "variant", "pairs", "difference", "from", "to", "p"}, func(row func(...any)) {
-			for _, f := range figures {
+			for _, f := range metrics {
 				for _, n := range names[1:] {
 					d := compare(paired(by[names[0]], by[n], f))
 					row(f.name, n, d.Pairs, fmt.Sprintf(f.format, d.Mean), fmt.Sprintf(f.format, d.Low), fmt.Sprintf(f.format, d.High), fmt.Sprintf("%.3f", d.Sign))
@@ -210,18 +210,18 @@
 	})
 }
 
-func values(s []*Summary, f figure) (x []float64) {
+func values(s []*Summary, f metric) (x []float64) {
 	for _, one := range s {
-		x = append(x, f.of(one))
+		x = append(x, f.value(one))
 	}
 	return x
 }
 
 // paired returns a figure of the plays that both variants have, by seed and repeat.
-func paired(a, b []*Summary, f figure) (x, y []float64) {
+func paired(a, b []*Summary, f metric) (x, y []float64) {
 	type play struct {
-		seed uint64
-		rep  int
+		seed   uint64
+		repeat int
 	}
 	first := map[play]*Summary{}
 	for _, s := range a {
@@ -229,7 +229,7 @@
 	}
 	for _, s := range b {
 		if p := first[play{s.Seed, s.Repeat}]; p != nil {
-			x, y = append(x, f.of(p)), append(y, f.of(s))
+			x, y = append(x, f.value(p)), append(y, f.value(s))
 		}
 	}
 	return x, y
@@ -288,7 +288,7 @@
 	return r.line(p, variant, "99th percentile", 2, func(w Window) (float64, bool) { return w.P99, w.P99 > 0 })
 }
 
-func (r *Results) save(path, variant string, marks []ExecutedStep, draw func(*plot.Plot, string) error) error {
+func (r *Results) save(path, variant string, steps []ExecutedStep, draw func(*plot.Plot, string) error) error {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
 	p.Y.Min = 0
@@ -298,7 +298,7 @@
 	}
 	p.Y.Max *= 1.05
 	p.X.Max *= 1.15 // room for the legend
-	for _, m := range marks {
+	for _, m := range steps {
 		l, err := plotter.NewLine(plotter.XYs{{X: m.At, Y: 0}, {X: m.At, Y: p.Y.Max}})
 		if err != nil {
 			return err
--- a/internal/testbed/experiment/runner.go
+++ b/internal/testbed/experiment/runner.go
@@ -101,12 +101,12 @@
 
 // Run plays all variants and seeds. An interrupted play is written with what it has; the error is then ctx's.
 func (r *Runner) Run(ctx context.Context) error {
-	play := 0
+	runs := 0
 	for _, seed := range r.File.Seeds {
-		for rep := range r.File.Repeat {
+		for repeat := range r.File.Repeat {
 			for i := range r.File.Variants {
-				v := r.File.Variants[(i+rep+play)%len(r.File.Variants)] // no variant is always the first
-				s, err := r.play(ctx, v, seed, rep)
+				v := r.File.Variants[(i+repeat+runs)%len(r.File.Variants)] // no variant is always the first
+				s, err := r.runOnce(ctx, v, seed, repeat)
 				if s != nil && r.Done != nil {
 					r.Done(s.Key, s)
 				}
@@ -114,7 +114,7 @@
 					return fmt.Errorf("variant %s, seed %d: %w", v.Name, seed, err)
 				}
 			}
-			play++
+			runs++
 		}
 	}
 	return nil
@@ -145,17 +145,17 @@
 }
 
 // book gathers a play's windows.
-type book struct {
+type runRecord struct {
 	mu      sync.Mutex
 	windows []Window
 	hists   []*hdrhistogram.Histogram
-	whole   *hdrhistogram.Histogram
-	marks   []ExecutedStep
+	total   *hdrhistogram.Histogram
+	steps   []ExecutedStep
 	ended   int
 }
 
-func newBook(f *File, key Key) *book {
-	b := &book{whole: hdrhistogram.New(1, maxLatencyMillis*1000, 3)}
+func newRunRecord(f *File, key Key) *runRecord {
+	b := &runRecord{total: hdrhistogram.New(1, maxLatencyMillis*1000, 3)}
 	for at := time.Duration(0); at < f.Length; at += f.Window {
 		b.windows = append(b.windows, Window{Kind: "window", Key: key, From: at.Seconds(), To: min(at+f.Window, f.Length).Seconds(), Ends: map[string]int{}})
 		b.hists = append(b.hists, hdrhistogram.New(1, maxLatencyMillis*1000, 3))
@@ -164,7 +164,7 @@
 }
 
 // add books what became of an arrival in the window of its drawn time.
-func (b *book) add(f *File, s testbed.ArrivalResult) {
+func (b *runRecord) add(f *File, s testbed.ArrivalResult) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	i := min(int(s.Arrival.At/f.Window), len(b.windows)-1)
@@ -180,22 +180,22 @@
 	if s.End == "served" || s.End == "late" {
 		us := min(max(s.Latency.Microseconds(), 1), maxLatencyMillis*1000)
 		b.hists[i].RecordValue(us) // in range
-		b.whole.RecordValue(us)
+		b.total.RecordValue(us)
 	}
 	if s.End == "unsent" {
 		w.Void = true
 	}
 }
 
-func (b *book) mark(at time.Duration, what string) {
+func (b *runRecord) recordStep(at time.Duration, what string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.marks) < maxSteps {
-		b.marks = append(b.marks, ExecutedStep{at.Seconds(), what})
+	if len(b.steps) < maxSteps {
+		b.steps = append(b.steps, ExecutedStep{at.Seconds(), what})
 	}
 }
 
-func (r *Runner) play(ctx context.Context, v Variant, seed uint64, rep int) (*Summary, error) {
+func (r *Runner) runOnce(ctx context.Context, v Variant, seed uint64, repeat int) (*Summary, error) {
 	f := r.File
 	w := f.World
 	w.Seed, w.Args, w.Env = seed, v.Args, v.Env
@@ -215,7 +215,7 @@
 	if err != nil {
 		return nil, err
 	}
-	key := Key{Experiment: f.Name, Variant: v.Name, Seed: seed, Repeat: rep, Binary: hash}
+	key := Key{Experiment: f.Name, Variant: v.Name, Seed: seed, Repeat: repeat, Binary: hash}
 	steps, err := testbed.Schedule(&w, f.Faults, seed)
 	if err != nil {
 		return nil, err
@@ -227,23 +227,23 @@
 		return nil, err
 	}
 	defer tb.Close()
-	b := newBook(f, key)
+	b := newRunRecord(f, key)
 	began := tb.Now()
-	playing, stop := context.WithCancel(ctx)
-	var side sync.WaitGroup
-	side.Add(2)
+	running, stop := context.WithCancel(ctx)
+	var background sync.WaitGroup
+	background.Add(2)
 	go func() {
-		defer side.Done()
-		tb.Play(playing, steps, b.mark)
+		defer background.Done()
+		tb.RunSchedule(running, steps, b.recordStep)
 	}()
 	go func() {
-		defer side.Done()
-		r.sample(playing, tb, b, began, v.Name)
+		defer background.Done()
+		r.sample(running, tb, b, began, v.Name)
 	}()
 	tb.Drive(ctx, &f.Load, day, func(s testbed.ArrivalResult) { b.add(f, s) })
 	took := tb.Now() - began
 	stop()
-	side.Wait()
+	background.Wait()
 	s := b.summary(f, key, tb, began)
 	s.Seconds, s.Interrupted = took.Seconds(), ctx.Err() != nil
 	for _, w := range b.windows {
@@ -264,7 +264,7 @@
 }
 
 // sample reads at each window's end what the nodes took of the machine in it.
-func (r *Runner) sample(ctx context.Context, tb *testbed.Testbed, b *book, began time.Duration, variant string) {
+func (r *Runner) sample(ctx context.Context, tb *testbed.Testbed, b *runRecord, began time.Duration, variant string) {
 	tick := time.NewTicker(r.File.Window)
 	defer tick.Stop()
 	before := map[*testbed.Node]testbed.Usage{}
@@ -278,20 +278,20 @@
 		case <-ctx.Done():
 			return
 		}
-		var all, most time.Duration
+		var all, busiest time.Duration
 		var rss int64
 		files := 0
 		for _, n := range tb.Nodes() {
 			u := n.Usage()
-			spent := u.CPU - before[n].CPU
+			used := u.CPU - before[n].CPU
 			before[n] = u
-			all += spent
-			most, rss, files = max(most, spent), max(rss, u.RSS), max(files, u.Files)
+			all += used
+			busiest, rss, files = max(busiest, used), max(rss, u.RSS), max(files, u.Files)
 		}
 		a, c := tb.Attempts()
 		b.mu.Lock()
 		w := &b.windows[i]
-		w.CPU, w.MaxCPU = all.Seconds()/r.File.Window.Seconds(), most.Seconds()/r.File.Window.Seconds()
+		w.CPU, w.MaxCPU = all.Seconds()/r.File.Window.Seconds(), busiest.Seconds()/r.File.Window.Seconds()
 		w.MaxRSS, w.MaxFiles = float64(rss)/(1<<20), files
 		w.Attempts, w.CrossZone = a-attempts, c-crossZone
 		attempts, crossZone = a, c
@@ -304,11 +304,11 @@
 }
 
 // summary closes the windows and sums them up.
-func (b *book) summary(f *File, key Key, tb *testbed.Testbed, began time.Duration) *Summary {
+func (b *runRecord) summary(f *File, key Key, tb *testbed.Testbed, began time.Duration) *Summary {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := &Summary{Kind: "summary", Key: key, Ends: map[string]int{}, Worst: 1, Account: tb.Checker().Account(), Steps: b.marks}
-	var worth, earned float64
+	s := &Summary{Kind: "summary", Key: key, Ends: map[string]int{}, Worst: 1, Account: tb.Checker().Account(), Steps: b.steps}
+	var weight, earned float64
 	for i := range b.windows {
 		w := &b.windows[i]
 		from, to := began+time.Duration(w.From*1e9), began+time.Duration(w.To*1e9)
@@ -327,16 +327,16 @@
 			s.VoidWindows++
 			continue
 		}
-		worth += w.PriorityWeight
+		weight += w.PriorityWeight
 		earned += w.Earned
 		if w.PriorityWeight > 0 {
 			s.Worst = min(s.Worst, w.Earned/w.PriorityWeight)
 		}
 	}
-	if worth > 0 {
-		s.Served = earned / worth
+	if weight > 0 {
+		s.Served = earned / weight
 	}
-	s.P50, s.P90, s.P99, s.P999 = quantile(b.whole, 50), quantile(b.whole, 90), quantile(b.whole, 99), quantile(b.whole, 99.9)
+	s.P50, s.P90, s.P99, s.P999 = quantile(b.total, 50), quantile(b.total, 90), quantile(b.total, 99), quantile(b.total, 99.9)
 	s.Imbalance = tb.Imbalance()
 	s.Found, s.Broken = tb.Findings()
 	s.Found = slices.Clip(s.Found[:min(maxFindings, len(s.Found))])
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -11,7 +11,7 @@
 
 // Play carries out steps at their times, counted from now. told hears of each, and of what went wrong. It returns when
 // the last is done, or once ctx ends.
-func (tb *Testbed) Play(ctx context.Context, steps []Step, report func(at time.Duration, what string)) {
+func (tb *Testbed) RunSchedule(ctx context.Context, steps []Step, report func(at time.Duration, what string)) {
 	began := tb.now()
 	var late sync.WaitGroup
 	defer late.Wait()
@@ -146,8 +146,8 @@
 	if err := s.restart(); err != nil {
 		return err
 	}
-	if s.own != nil {
-		if err := s.own.Up(ctx); err != nil {
+	if s.node != nil {
+		if err := s.node.Up(ctx); err != nil {
 			return err
 		}
 	}
@@ -182,8 +182,8 @@
 	for _, server := range inside {
 		if !s.Ends {
 			server.silence(true)
-			if server.own != nil {
-				server.own.Stop() // fails where it has ended
+			if server.node != nil {
+				server.node.Stop() // fails where it has ended
 			}
 			removed := server.entry()
 			removed.Health = "terminated"
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -23,14 +23,14 @@
 	stop    context.CancelFunc
 	owned   sync.WaitGroup
 
-	mu    sync.Mutex
-	in    map[*Node]bool
-	next  map[string]int // by zone
-	moved chan struct{}  // closed when a node comes in or goes out
+	mu      sync.Mutex
+	ready   map[*Node]bool
+	next    map[string]int // by zone
+	changed chan struct{}  // closed when a node comes in or goes out
 }
 
 func newFront(tb *Testbed, nodes []*Node) *front {
-	return &front{testbed: tb, nodes: nodes, in: map[*Node]bool{}, next: map[string]int{}, moved: make(chan struct{})}
+	return &front{testbed: tb, nodes: nodes, ready: map[*Node]bool{}, next: map[string]int{}, changed: make(chan struct{})}
 }
 
 func (f *front) start() {
@@ -58,25 +58,25 @@
 	defer tick.Stop()
 	var noSince, deadSince time.Time
 	for {
-		yes, waitForState := ready(ctx, client, f.testbed.nodeAddr(clientsOf(n.zone), n))
+		yes, answered := checkReady(ctx, client, f.testbed.nodeAddr(clientsOf(n.zone), n))
 		now := time.Now()
 		if yes {
 			noSince, deadSince = time.Time{}, time.Time{}
-			f.turn(n, true)
-		} else if waitForState {
+			f.setReady(n, true)
+		} else if answered {
 			deadSince = time.Time{}
 			if noSince.IsZero() {
 				noSince = now
 			}
 			if now.Sub(noSince) >= drainLateFor {
-				f.turn(n, false)
+				f.setReady(n, false)
 			}
 		} else {
 			if deadSince.IsZero() {
 				deadSince = now
 			}
 			if now.Sub(deadSince) >= f.testbed.world.Notice {
-				f.turn(n, false)
+				f.setReady(n, false)
 			}
 		}
 		select {
@@ -88,7 +88,7 @@
 }
 
 // ready asks a node whether clients may come; heard says that it answered at all.
-func ready(ctx context.Context, client *http.Client, addr string) (yes, waitForState bool) {
+func checkReady(ctx context.Context, client *http.Client, addr string) (yes, answered bool) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/ready", nil)
 	if err != nil {
 		return false, false
@@ -101,13 +101,13 @@
 	return resp.StatusCode == http.StatusOK, true
 }
 
-func (f *front) turn(n *Node, in bool) {
+func (f *front) setReady(n *Node, in bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.in[n] != in {
-		f.in[n] = in
-		close(f.moved)
-		f.moved = make(chan struct{})
+	if f.ready[n] != in {
+		f.ready[n] = in
+		close(f.changed)
+		f.changed = make(chan struct{})
 	}
 }
 
@@ -115,7 +115,7 @@
 func (f *front) isReady(n *Node) (bool, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.in[n], f.moved
+	return f.ready[n], f.changed
 }
 
 var errNoNode = errors.New("the front has no node")
@@ -124,16 +124,16 @@
 func (f *front) pick(zone string) (*Node, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, near := range []bool{true, false} {
-		var in []*Node
+	for _, sameZone := range []bool{true, false} {
+		var candidates []*Node
 		for _, n := range f.nodes {
-			if f.in[n] && (n.zone == zone || !near) {
-				in = append(in, n)
+			if f.ready[n] && (n.zone == zone || !sameZone) {
+				candidates = append(candidates, n)
 			}
 		}
-		if len(in) > 0 {
+		if len(candidates) > 0 {
 			f.next[zone]++
-			return in[f.next[zone]%len(in)], nil
+			return candidates[f.next[zone]%len(candidates)], nil
 		}
 	}
 	return nil, errNoNode
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -27,12 +27,12 @@
 	done     chan struct{}
 	owned    sync.WaitGroup
 
-	mu      sync.Mutex
-	mode    gateMode
-	ln      *net.TCPListener // nil while refusing
-	fillers map[string]net.Conn
-	conns   map[*gatedConn]struct{}
-	thawed  chan struct{} // closed while not silent
+	mu       sync.Mutex
+	mode     gateMode
+	listener *net.TCPListener // nil while refusing
+	fillers  map[string]net.Conn
+	conns    map[*gatedConn]struct{}
+	thawed   chan struct{} // closed while not silent
 }
 
 // newGate opens a gate; port 0 picks one, kept from then on.
@@ -43,26 +43,26 @@
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
-	g.addr = g.ln.Addr().String()
+	g.addr = g.listener.Addr().String()
 	return g, nil
 }
 
 func (g *gate) listen() error {
-	ln, err := net.Listen("tcp", g.addr)
+	listener, err := net.Listen("tcp", g.addr)
 	if err != nil {
 		return err
 	}
-	g.ln = ln.(*net.TCPListener)
+	g.listener = listener.(*net.TCPListener)
 	g.owned.Add(1)
-	go g.take(g.ln)
+	go g.take(g.listener)
 	return nil
 }
 
 // take accepts until its listener is closed.
-func (g *gate) take(ln *net.TCPListener) {
+func (g *gate) take(listener *net.TCPListener) {
 	defer g.owned.Done()
 	for {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -111,30 +111,30 @@
 		return nil
 	}
 	if g.mode == gateSilent {
-		if g.ln != nil {
-			setBacklog(g.ln, backlog)
-			g.ln.SetDeadline(time.Time{})
+		if g.listener != nil {
+			setBacklog(g.listener, backlog)
+			g.listener.SetDeadline(time.Time{})
 		}
 		close(g.thawed)
 	}
 	g.mode = mode
 	switch mode {
 	case gateOpen:
-		if g.ln == nil {
+		if g.listener == nil {
 			return g.listen()
 		}
 	case gateRefuse:
-		g.ln.Close()
-		g.ln = nil
+		g.listener.Close()
+		g.listener = nil
 	case gateSilent:
 		g.thawed = make(chan struct{})
-		if g.ln == nil {
+		if g.listener == nil {
 			if err := g.listen(); err != nil {
 				return err
 			}
 		}
-		g.ln.SetDeadline(time.Now())
-		setBacklog(g.ln, 0)
+		g.listener.SetDeadline(time.Now())
+		setBacklog(g.listener, 0)
 		for range 4 { // a queue of length 0 holds one
 			c, err := net.DialTimeout("tcp", g.addr, 10*time.Millisecond)
 			if err != nil {
@@ -146,8 +146,8 @@
 	return nil
 }
 
-func setBacklog(ln *net.TCPListener, n int) {
-	if raw, err := ln.SyscallConn(); err == nil {
+func setBacklog(listener *net.TCPListener, n int) {
+	if raw, err := listener.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
 	}
 }
@@ -189,8 +189,8 @@
 	default:
 	}
 	close(g.done)
-	if g.ln != nil {
-		g.ln.Close()
+	if g.listener != nil {
+		g.listener.Close()
 	}
 	for _, f := range g.fillers {
 		f.Close()
--- a/internal/testbed/hard_test.go
+++ b/internal/testbed/hard_test.go
@@ -31,7 +31,7 @@
 	}()
 	var got tally
 	tb.Drive(context.Background(), &load, day, got.add)
-	clean(t, tb)
+	checkNoFindings(t, tb)
 	if a := tb.Checker().Account(); a.CutOff == 0 {
 		t.Errorf("nothing was cut off: %+v", a)
 	}
@@ -55,7 +55,7 @@
 	if n.Terminate() {
 		t.Error("SIGKILL was needed after SIGTERM")
 	}
-	clean(t, tb)
+	checkNoFindings(t, tb)
 }
 
 func TestCrashIsAFindingWithTheLastLogLines(t *testing.T) {
@@ -80,7 +80,7 @@
 	if err := n.Start(); err == nil || !strings.Contains(err.Error(), "the address of n1 is taken") {
 		t.Errorf("started with %v, want its address taken", err)
 	}
-	clean(t, tb)
+	checkNoFindings(t, tb)
 }
 
 func TestNodeThatNeverBecomesReady(t *testing.T) {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestNoChildOutlivesTheLab(t *testing.T) {
+func TestNoChildOutlivesTheTestbed(t *testing.T) {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "LAB_TEST_AS=lab")
 	out, err := c.StdoutPipe()
@@ -156,7 +156,7 @@
 		t.Errorf("%d arrivals of %d, %d in the stall, %d of them sent in time", len(got.all), len(day), stalled, inTime)
 	}
 	const late = 300 * time.Millisecond // of the lab itself
-	if s := tb.client(context.Background(), &load, tb.now()-late, Arrival{ID: "late", Patience: 1, Tenant: -1}); s.Latency < late || s.Late < late {
+	if s := tb.runClient(context.Background(), &load, tb.now()-late, Arrival{ID: "late", Patience: 1, Tenant: -1}); s.Latency < late || s.Late < late {
 		t.Errorf("sent %v late it took %v and was %v late", late, s.Latency, s.Late)
 	}
 }
@@ -287,13 +287,13 @@
 		if err := g.set(gateOpen); err != nil {
 			t.Fatal(err)
 		}
-		near := dial(t, g.addr)
-		far, err := g.Accept()
+		client := dial(t, g.addr)
+		server, err := g.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if far.RemoteAddr().String() != near.LocalAddr().String() {
-			t.Errorf("accepted %v, want %v", far.RemoteAddr(), near.LocalAddr())
+		if server.RemoteAddr().String() != client.LocalAddr().String() {
+			t.Errorf("accepted %v, want %v", server.RemoteAddr(), client.LocalAddr())
 		}
 	}
 }
@@ -301,43 +301,43 @@
 // Of 4,000 datagrams as many are lost, doubled and out of order as the condition says, within five deviations.
 func TestUDPLinkLosesDoublesAndReorders(t *testing.T) {
 	const n, loss, dup, reorder = 4000, 0.2, 0.1, 0.1
-	far, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
+	defer server.Close()
 	there := newDirection()
-	l, err := newUDPLink("127.0.0.1:0", far.LocalAddr().String(), there, newDirection())
+	l, err := newUDPLink("127.0.0.1:0", server.LocalAddr().String(), there, newDirection())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.close()
-	near, err := net.Dial("udp", l.addr())
+	client, err := net.Dial("udp", l.addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
+	defer client.Close()
 	buf := make([]byte, 100)
-	fmt.Fprint(near, "ping") // plain, and back
-	far.SetReadDeadline(time.Now().Add(longEnough))
-	_, from, err := far.ReadFromUDP(buf)
+	fmt.Fprint(client, "ping") // plain, and back
+	server.SetReadDeadline(time.Now().Add(longEnough))
+	_, from, err := server.ReadFromUDP(buf)
 	if err != nil {
 		t.Fatal(err)
 	}
-	far.WriteToUDP([]byte("pong"), from)
-	near.SetReadDeadline(time.Now().Add(longEnough))
-	if k, err := near.Read(buf); err != nil || string(buf[:k]) != "pong" {
+	server.WriteToUDP([]byte("pong"), from)
+	client.SetReadDeadline(time.Now().Add(longEnough))
+	if k, err := client.Read(buf); err != nil || string(buf[:k]) != "pong" {
 		t.Fatalf("back came %q, %v", buf[:k], err)
 	}
 	there.set(LinkCondition{Loss: loss, Dup: dup, Reorder: reorder})
 	seen, twice, disorder, last := map[int]int{}, 0, 0, -1
 	for i := range n {
-		fmt.Fprintf(near, "%d", i)
+		fmt.Fprintf(client, "%d", i)
 		if i%20 != 19 {
 			continue
 		}
-		for far.SetReadDeadline(time.Now().Add(2 * time.Millisecond)); ; {
-			k, err := far.Read(buf)
+		for server.SetReadDeadline(time.Now().Add(2 * time.Millisecond)); ; {
+			k, err := server.Read(buf)
 			if err != nil {
 				break
 			}
@@ -352,19 +352,19 @@
 			last = max(last, x)
 		}
 	}
-	near5 := func(what string, got int, p float64) {
+	checkShare := func(what string, got int, p float64) {
 		if d := 5 * math.Sqrt(n*p*(1-p)); math.Abs(float64(got)-n*p) > d {
 			t.Errorf("%s: %d of %d, want %.0f within %.0f", what, got, n, n*p, d)
 		}
 	}
-	near5("lost", n-len(seen), loss)
-	near5("doubled", twice, dup*(1-loss)*(1-reorder/2)) // a held one is not doubled
+	checkShare("lost", n-len(seen), loss)
+	checkShare("doubled", twice, dup*(1-loss)*(1-reorder/2)) // a held one is not doubled
 	if float64(disorder) < n*reorder*(1-loss)/3 {
 		t.Errorf("%d out of order", disorder)
 	}
 }
 
-func TestColdServerFallsOver(t *testing.T) {
+func TestServerFailsWhenOverloadedInSlowStart(t *testing.T) {
 	tb := Start(t, healthyStubs(1))
 	s := tb.Server("front-1")
 	c := tb.world.SlowStart
@@ -402,7 +402,7 @@
 		t.Errorf("answered %s, X-Rejected %q", resp.Status, resp.Header.Get("X-Rejected"))
 	}
 	Until(t, "its end makes room", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conns == 2 })
-	clean(t, tb)
+	checkNoFindings(t, tb)
 }
 
 // Servers of a lost zone say nothing and come back cold; discovery drops them late.
@@ -429,10 +429,10 @@
 	}
 	Until(t, "discovery lists the zone", func() bool { return len(tb.disc.known(n).Hosts) == 4 })
 	s.mu.Lock()
-	warm := s.capacityShare(tb.now())
+	share := s.capacityShare(tb.now())
 	s.mu.Unlock()
-	if warm > 0.6 {
-		t.Errorf("it came back with %.2f of its capacity", warm)
+	if share > 0.6 {
+		t.Errorf("it came back with %.2f of its capacity", share)
 	}
 	dial(t, s.gate.addr)
 }
--- a/internal/testbed/intervals_test.go
+++ b/internal/testbed/intervals_test.go
@@ -6,7 +6,7 @@
 )
 
 // A trouble of a moment, such as a reset, does not end one that lasts.
-func TestTouchWithinASpan(t *testing.T) {
+func TestTouchWithinAnInterval(t *testing.T) {
 	var s intervals
 	s.begin("a->b", time.Second)
 	s.touch("a->b", 2*time.Second)
--- a/internal/testbed/link.go
+++ b/internal/testbed/link.go
@@ -142,7 +142,7 @@
 			l.owned.Add(1)
 			go func() {
 				defer l.owned.Done()
-				l.join(c.(*gatedConn))
+				l.relay(c.(*gatedConn))
 			}()
 		}
 	}()
@@ -150,10 +150,10 @@
 }
 
 // follow makes the link meet new connections as the far side does, and as the paths allow.
-func (l *tcpLink) follow(far gateMode) {
+func (l *tcpLink) follow(server gateMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wanted = far
+	l.wanted = server
 	l.settle()
 }
 
@@ -181,17 +181,17 @@
 }
 
 // join carries one connection until both directions have ended.
-func (l *tcpLink) join(near *gatedConn) {
-	defer near.Close()
+func (l *tcpLink) relay(client *gatedConn) {
+	defer client.Close()
 	if !sleepUntil(l.there.due(time.Now(), time.Time{}, 0), l.done) || !l.there.open(l.done) {
 		return
 	}
-	far, err := net.DialTimeout("tcp", l.target, 5*time.Second)
+	server, err := net.DialTimeout("tcp", l.target, 5*time.Second)
 	if err != nil {
-		near.reset()
+		client.reset()
 		return
 	}
-	defer far.Close()
+	defer server.Close()
 	over := make(chan struct{}) // the link or the connection has ended
 	end := sync.OnceFunc(func() { close(over) })
 	go func() {
@@ -200,20 +200,20 @@
 			end()
 		case <-over:
 		}
-		near.Conn.Close()
-		far.Close()
+		client.Conn.Close()
+		server.Close()
 	}()
 	var both sync.WaitGroup
 	both.Add(2)
 	go func() {
 		defer both.Done()
-		if !pump(near.Conn, far, l.there, over) {
+		if !pump(client.Conn, server, l.there, over) {
 			end()
 		}
 	}()
 	go func() {
 		defer both.Done()
-		if !pump(far, near.Conn, l.back, over) {
+		if !pump(server, client.Conn, l.back, over) {
 			end()
 		}
 	}()
@@ -233,7 +233,7 @@
 // false where the connection is to end; a reset is passed on as one.
 func pump(from, to net.Conn, p *direction, over <-chan struct{}) bool {
 	queue := make(chan piece, pieces)
-	gone := make(chan struct{}) // the writer has given up
+	writerDone := make(chan struct{}) // the writer has given up
 	go func() {
 		defer close(queue)
 		var last time.Time
@@ -253,7 +253,7 @@
 				}
 				select {
 				case queue <- x:
-				case <-gone:
+				case <-writerDone:
 					return
 				}
 			}
@@ -262,7 +262,7 @@
 			}
 		}
 	}()
-	defer close(gone)
+	defer close(writerDone)
 	for x := range queue {
 		if !sleepUntil(x.due, over) || !p.open(over) {
 			return false
@@ -297,9 +297,9 @@
 	done        chan struct{}
 	owned       sync.WaitGroup
 
-	mu      sync.Mutex
-	sources map[string]*net.UDPConn
-	swap    map[*direction]func() // sends a datagram that waits to come after the next
+	mu        sync.Mutex
+	sources   map[string]*net.UDPConn
+	reordered map[*direction]func() // sends a datagram that waits to come after the next
 }
 
 func newUDPLink(listen, target string, there, back *direction) (*udpLink, error) {
@@ -316,7 +316,7 @@
 		return nil, err
 	}
 	l := &udpLink{there: there, back: back, conn: conn, target: to, done: make(chan struct{}),
-		sources: map[string]*net.UDPConn{}, swap: map[*direction]func(){}}
+		sources: map[string]*net.UDPConn{}, reordered: map[*direction]func(){}}
 	l.owned.Add(1)
 	go l.forward()
 	return l, nil
@@ -347,7 +347,7 @@
 			continue
 		}
 		if out := l.source(from); out != nil {
-			l.carry(l.there, append([]byte(nil), buf[:n]...), func(b []byte) { out.Write(b) })
+			l.send(l.there, append([]byte(nil), buf[:n]...), func(b []byte) { out.Write(b) })
 		}
 	}
 }
@@ -378,7 +378,7 @@
 				break
 			}
 			if err == nil { // else the target's port is closed for now
-				l.carry(l.back, append([]byte(nil), buf[:n]...), func(b []byte) { l.conn.WriteToUDP(b, from) })
+				l.send(l.back, append([]byte(nil), buf[:n]...), func(b []byte) { l.conn.WriteToUDP(b, from) })
 			}
 		}
 		l.mu.Lock()
@@ -389,7 +389,7 @@
 }
 
 // carry sends one datagram as the path's condition has it.
-func (l *udpLink) carry(p *direction, data []byte, send func([]byte)) {
+func (l *udpLink) send(p *direction, data []byte, send func([]byte)) {
 	if p.plain.Load() {
 		send(data)
 		return
@@ -400,13 +400,13 @@
 	}
 	one := func() { send(data) }
 	l.mu.Lock()
-	delayed := l.swap[p]
+	delayed := l.reordered[p]
 	if delayed == nil && rand.Float64() < c.Reorder {
-		l.swap[p] = one
+		l.reordered[p] = one
 		l.mu.Unlock()
 		return
 	}
-	delete(l.swap, p)
+	delete(l.reordered, p)
 	l.mu.Unlock()
 	out := []func(){one}
 	if delayed != nil {
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -99,18 +99,18 @@
 		}
 		return v
 	}
-	most := l.Rate
+	maxRate := l.Rate
 	for _, b := range l.Bursts {
-		most = max(most, l.Rate*b.Times)
+		maxRate = max(maxRate, l.Rate*b.Times)
 	}
 	var day []Arrival
 	sent := map[[2]int64]float64{} // by tenant and second
 	for at := time.Duration(0); ; {
-		at += time.Duration(r.ExpFloat64() / most * float64(time.Second))
+		at += time.Duration(r.ExpFloat64() / maxRate * float64(time.Second))
 		if at >= length {
 			return day
 		}
-		if r.Float64()*most >= rate(at) { // thinning
+		if r.Float64()*maxRate >= rate(at) { // thinning
 			continue
 		}
 		a := Arrival{At: at, Tenant: -1, ID: strconv.FormatUint(xxhash.Sum64String(fmt.Sprintf("%d/%d", seed, len(day))), 16)}
@@ -153,7 +153,7 @@
 	End            string        // served, late, refused, failed, left, unreached or unsent
 	Latency        time.Duration // from the drawn arrival to the last byte; coordinated omission cannot hide a stall
 	Late           time.Duration // how late the lab itself was with the first try
-	Tries          int
+	Attempts       int
 	Node           string
 	PriorityWeight float64 // of the request, whether earned or not
 }
@@ -162,30 +162,30 @@
 // every arrival has ended, or soon after ctx ends.
 func (tb *Testbed) Drive(ctx context.Context, load *Load, day []Arrival, done func(ArrivalResult)) {
 	began := tb.now()
-	var flight sync.WaitGroup
-	defer flight.Wait()
-	places := make(chan struct{}, load.MaxInFlight)
+	var running sync.WaitGroup
+	defer running.Wait()
+	inFlight := make(chan struct{}, load.MaxInFlight)
 	for _, a := range day {
 		if !sleepUntil(tb.began.Add(began+a.At), ctx.Done()) {
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
 			done(ArrivalResult{Arrival: a, End: "unsent"})
 			continue
 		}
-		flight.Add(1)
+		running.Add(1)
 		go func() {
-			defer flight.Done()
-			defer func() { <-places }()
-			done(tb.client(ctx, load, began, a))
+			defer running.Done()
+			defer func() { <-inFlight }()
+			done(tb.runClient(ctx, load, began, a))
 		}()
 	}
 }
 
 // client is one client from its first try to its end.
-func (tb *Testbed) client(ctx context.Context, load *Load, began time.Duration, a Arrival) ArrivalResult {
+func (tb *Testbed) runClient(ctx context.Context, load *Load, began time.Duration, a Arrival) ArrivalResult {
 	class := &tb.world.Classes[a.Class]
 	from := began + a.At
 	s := ArrivalResult{Arrival: a, Late: tb.now() - from, PriorityWeight: class.PriorityWeight}
@@ -194,30 +194,30 @@
 		s.PriorityWeight *= tb.world.OverQuotaWeight
 	}
 	end := from + class.Deadline
-	q := call{id: a.ID, class: class}
+	req := clientRequest{id: a.ID, class: class}
 	if a.Tenant >= 0 {
-		q.tenant = tb.world.Tenants[a.Tenant].Name
+		req.tenant = tb.world.Tenants[a.Tenant].Name
 	}
 	if a.Leaves > 0 {
-		q.leaves = from + time.Duration(a.Leaves*float64(class.Deadline))
+		req.disconnectAt = from + time.Duration(a.Leaves*float64(class.Deadline))
 	}
 	start := from
-	for try := 0; ; try++ {
-		q.deadline = min(end, start+time.Duration(a.Patience*float64(class.Deadline)))
-		ans := tb.clients[a.Zone].do(ctx, q)
-		s.Tries++
-		s.Latency, s.Node, s.End = ans.at-from, ans.node, ans.end.String()
-		if ans.end == servedEnd && s.Latency > class.LatencyObjective {
+	for attempt := 0; ; attempt++ {
+		req.deadline = min(end, start+time.Duration(a.Patience*float64(class.Deadline)))
+		resp := tb.clients[a.Zone].do(ctx, req)
+		s.Attempts++
+		s.Latency, s.Node, s.End = resp.at-from, resp.node, resp.end.String()
+		if resp.end == outcomeServed && s.Latency > class.LatencyObjective {
 			s.End = "late"
 		}
-		if ans.end == servedEnd || ans.end == leftEnd || try >= load.Retries || ctx.Err() != nil {
+		if resp.end == outcomeServed || resp.end == outcomeDisconnected || attempt >= load.Retries || ctx.Err() != nil {
 			return s
 		}
-		wait := time.Duration((0.5 + tb.drawn(a.ID, "backoff"+strconv.Itoa(try))) * float64(load.Backoff))
-		start = ans.at + max(wait, ans.retryAfter)
-		if start >= end || q.leaves != 0 && start >= q.leaves || !sleepUntil(tb.began.Add(start), ctx.Done()) {
+		wait := time.Duration((0.5 + tb.drawn(a.ID, "backoff"+strconv.Itoa(attempt))) * float64(load.Backoff))
+		start = resp.at + max(wait, resp.retryAfter)
+		if start >= end || req.disconnectAt != 0 && start >= req.disconnectAt || !sleepUntil(tb.began.Add(start), ctx.Done()) {
 			return s
 		}
-		q.id, q.again = subID(a.ID, -1-try), true
+		req.id, req.isRetry = subID(a.ID, -1-attempt), true
 	}
 }
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -15,7 +15,7 @@
 )
 
 // meshListen is where a node's mesh listens, for UDP and TCP.
-func (n *Node) meshListen() string { return net.JoinHostPort(n.ip, "5002") }
+func (n *Node) meshListen() string { return net.JoinHostPort(n.address, "5002") }
 
 // writeFleet writes a node's fleet configuration and returns its path; empty: there is none. The world's tables are as
 // they are; to [mesh] the lab adds addresses: the node's own, the seeds', and its own links to peers.
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -9,7 +9,7 @@
 )
 
 // meshed is a world of front nodes that know of each other, with a link between any two.
-func meshed(nodes int) World {
+func meshWorld(nodes int) World {
 	w := small(nodes, 1)
 	w.Fleet = Tables{"mesh": map[string]any{"probe": "200ms"}}
 	w.Links = []string{"n*->n*"}
@@ -52,7 +52,7 @@
 // restarted one for the same member; clients are served all the while.
 func TestMeshOfProcesses(t *testing.T) {
 	t.Parallel()
-	tb := Start(t, meshed(5))
+	tb := Start(t, meshWorld(5))
 	nodes := tb.Nodes()
 	untilAgreed(t, tb, nodes, "whole")
 	load, day := draw(t, &tb.world, Load{Rate: 50, Retries: 1}, 12*time.Second)
@@ -77,13 +77,13 @@
 	untilSeen(t, append(nodes[:3:3], nodes[4]), "n4", "left")
 	untilAgreed(t, tb, append(nodes[:3:3], nodes[4]), "whole")
 	<-driven
-	clean(t, tb)
+	checkNoFindings(t, tb)
 }
 
 // A split leaves one majority; the others know that they have none, and all find each other when it ends.
 func TestMeshSplitAndHealed(t *testing.T) {
 	t.Parallel()
-	tb := Start(t, meshed(5))
+	tb := Start(t, meshWorld(5))
 	nodes := tb.Nodes()
 	untilAgreed(t, tb, nodes, "whole")
 	for _, from := range []string{"n1", "n2"} {
@@ -101,7 +101,7 @@
 // One node that cannot be heard by one other stays a member for all: its word gets there through the others.
 func TestMeshOneWayCutKeepsTheFleet(t *testing.T) {
 	t.Parallel()
-	w := meshed(4)
+	w := meshWorld(4)
 	w.Fleet = Tables{"mesh": map[string]any{"probe": "500ms"}} // a busy machine must not pass for a loss
 	tb := Start(t, w)
 	nodes := tb.Nodes()
@@ -126,7 +126,7 @@
 
 // Without a fleet configuration the door knows of no members.
 func TestNoMeshWithoutAFleetConfiguration(t *testing.T) {
-	w := meshed(1)
+	w := meshWorld(1)
 	w.Fleet = nil
 	tb := Start(t, w)
 	if v, err := tb.Nodes()[0].Fleet(context.Background()); err == nil {
@@ -149,7 +149,7 @@
 }
 
 // Beside a program that has one of its addresses a lab takes another block.
-func TestLabTakesAnotherBlock(t *testing.T) {
+func TestTestbedTakesAnotherBlock(t *testing.T) {
 	first := Start(t, healthyStubs(1))
 	n := first.Node("n1")
 	n.Kill()
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -26,9 +26,9 @@
 	name, zone     string
 	configuredName string // the name that the process is told; its own, but for a twin's
 	tier           int
-	self           int
+	index          int
 	testbed        *Testbed
-	ip             string
+	address        string
 	discovery      string
 	process        *process
 	starts         int
@@ -39,10 +39,10 @@
 func (n *Node) Name() string { return n.name }
 
 // Listen is the address at which callers connect.
-func (n *Node) Listen() string { return net.JoinHostPort(n.ip, "5000") }
+func (n *Node) Listen() string { return net.JoinHostPort(n.address, "5000") }
 
 // Control is the address of the operators' door.
-func (n *Node) Control() string { return net.JoinHostPort(n.ip, "5001") }
+func (n *Node) Control() string { return net.JoinHostPort(n.address, "5001") }
 
 // Log is the file that holds what the process said, through all its starts.
 func (n *Node) Log() string { return n.process.logPath() }
@@ -50,12 +50,12 @@
 // NodeOf names the node that belongs to a server and calls the next tier for it.
 func NodeOf(server string) string { return "n@" + server }
 
-func (tb *Testbed) newNode(name, zone string, tier, self int) (*Node, error) {
+func (tb *Testbed) newNode(name, zone string, tier, index int) (*Node, error) {
 	i := len(tb.nodeOrder)
 	if i >= maxNodes {
 		return nil, fmt.Errorf("more than %d nodes", maxNodes)
 	}
-	n := &Node{name: name, configuredName: name, zone: zone, tier: tier, self: self, testbed: tb, ip: fmt.Sprintf("127.%d.1.%d", tb.net, 10+i)}
+	n := &Node{name: name, configuredName: name, zone: zone, tier: tier, index: index, testbed: tb, address: fmt.Sprintf("127.%d.1.%d", tb.net, 10+i)}
 	var err error
 	if n.discovery, err = tb.disc.serve(n); err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 		"seed":     fmt.Sprintf("%016x", xxhash.Sum64String(n.name)^w.Seed^uint64(n.starts)<<32),
 		"limits":   map[string]any{"cores": w.Limits.Cores, "memory_mb": w.Limits.MemoryMB, "sockets": w.Limits.Sockets},
 		"known":    n.testbed.disc.known(n),
-		"settings": w.settings(n.tier, n.self, n.zone),
+		"settings": w.settings(n.tier, n.index, n.zone),
 	})
 	if err != nil {
 		panic(err) // plain values
@@ -161,9 +161,9 @@
 		longest = max(longest, c.Deadline)
 	}
 	n.process.signal(syscall.SIGTERM) // fails only where it has ended
-	if _, over := n.process.running(); over != nil {
+	if _, exited := n.process.running(); exited != nil {
 		select {
-		case <-over:
+		case <-exited:
 		case <-time.After(longest + 700*time.Millisecond):
 			n.process.kill()
 			killed = true
@@ -240,7 +240,7 @@
 
 // Ready asks the node whether clients may come.
 func (n *Node) Ready(ctx context.Context) bool {
-	yes, _ := ready(ctx, readinessClient, n.Listen())
+	yes, _ := checkReady(ctx, readinessClient, n.Listen())
 	return yes
 }
 
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -8,7 +8,7 @@
 
 // A drain that a node could not hear of binds it all the same once it counts as told: for a node that was stopped, when
 // it was written; for a watch that fell silent, 6 s after that.
-func TestDrainsThatCameWhileNobodyHeard(t *testing.T) {
+func TestDrainsBindNodesThatMissedThem(t *testing.T) {
 	const drain = 1500 * time.Millisecond // after the load began
 	for name, c := range map[string]struct {
 		fault  string
@@ -37,12 +37,12 @@
 			played := make(chan struct{})
 			go func() {
 				defer close(played)
-				tb.Play(context.Background(), steps, func(at time.Duration, what string) { t.Logf("%.2fs %s", at.Seconds(), what) })
+				tb.RunSchedule(context.Background(), steps, func(at time.Duration, what string) { t.Logf("%.2fs %s", at.Seconds(), what) })
 			}()
 			var got tally
 			tb.Drive(context.Background(), &load, day, got.add)
 			<-played
-			clean(t, tb)
+			checkNoFindings(t, tb)
 			if got.count("served") < len(day)/3 {
 				t.Errorf("served %d of %d", got.count("served"), len(day))
 			}
--- a/internal/testbed/one_sided_scenarios.go
+++ b/internal/testbed/one_sided_scenarios.go
@@ -160,7 +160,7 @@
 	s.testbed.SetLink(n7.name, "n*", LinkCondition{Loss: 0.8})
 	s.waitUntil(ctx, "n7 suspects somebody", func() bool {
 		all, err := s.changes(n7)
-		return err != nil || slices.ContainsFunc(all, func(c memberChange) bool { return c.at >= at && c.is == "suspect" })
+		return err != nil || slices.ContainsFunc(all, func(c memberChange) bool { return c.at >= at && c.state == "suspect" })
 	})
 	n7.Kill()
 	killed := s.testbed.now()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -56,13 +56,13 @@
 	command   func() *exec.Cmd
 	ended     func(crash string, clean bool) // called at each end; crash is empty where the lab wished for it, clean after SIGTERM alone
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd // nil: not running
-	wished  bool      // the lab ends it
-	killed  bool      // by SIGKILL
-	stopped bool
-	over    chan struct{} // closed at its end
-	spent   time.Duration // processor time of earlier runs
+	mu          sync.Mutex
+	cmd         *exec.Cmd // nil: not running
+	endExpected bool      // the lab ends it
+	killed      bool      // by SIGKILL
+	stopped     bool
+	exited      chan struct{} // closed at its end
+	pastCPU     time.Duration // processor time of earlier runs
 }
 
 // start runs the program; it must not be running.
@@ -82,19 +82,19 @@
 	if err := p.spawner.start(c); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	p.cmd, p.wished, p.killed, p.stopped, p.over = c, false, false, false, make(chan struct{})
-	go p.wait(c, p.over)
+	p.cmd, p.endExpected, p.killed, p.stopped, p.exited = c, false, false, false, make(chan struct{})
+	go p.wait(c, p.exited)
 	return nil
 }
 
 // wait ends with the program.
-func (p *process) wait(c *exec.Cmd, over chan struct{}) {
+func (p *process) wait(c *exec.Cmd, exited chan struct{}) {
 	err := c.Wait()
 	p.mu.Lock()
 	p.cmd = nil
-	p.spent += c.ProcessState.UserTime() + c.ProcessState.SystemTime()
+	p.pastCPU += c.ProcessState.UserTime() + c.ProcessState.SystemTime()
 	crash, clean := "", err == nil && !p.killed
-	if !p.wished {
+	if !p.endExpected {
 		crash = fmt.Sprintf("ended by itself (%v)", errOr(err, "exit 0"))
 	}
 	p.mu.Unlock()
@@ -102,7 +102,7 @@
 		crash += ": " + p.tail(3)
 	}
 	p.ended(crash, clean)
-	close(over)
+	close(exited)
 }
 
 func errOr(err error, without string) string {
@@ -116,16 +116,16 @@
 
 // tail returns the last lines of the log.
 func (p *process) tail(lines int) string {
-	const most = 4 << 10
+	const maxTail = 4 << 10
 	f, err := os.Open(p.logPath())
 	if err != nil {
 		return err.Error()
 	}
 	defer f.Close()
 	if at, err := f.Seek(0, 2); err == nil {
-		f.Seek(max(0, at-most), 0)
+		f.Seek(max(0, at-maxTail), 0)
 	}
-	text := make([]byte, most)
+	text := make([]byte, maxTail)
 	n, _ := f.Read(text)
 	all := strings.Split(strings.TrimSpace(string(text[:n])), "\n")
 	return strings.Join(all[max(0, len(all)-lines):], " | ")
@@ -140,9 +140,9 @@
 	}
 	switch s {
 	case syscall.SIGKILL:
-		p.wished, p.killed = true, true
+		p.endExpected, p.killed = true, true
 	case syscall.SIGTERM:
-		p.wished = true
+		p.endExpected = true
 	case syscall.SIGSTOP:
 		p.stopped = true
 	case syscall.SIGCONT:
@@ -155,14 +155,14 @@
 func (p *process) running() (bool, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd != nil, p.over
+	return p.cmd != nil, p.exited
 }
 
 // kill ends it at once and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL) // fails only where it has ended
-	if _, over := p.running(); over != nil {
-		<-over
+	if _, exited := p.running(); exited != nil {
+		<-exited
 	}
 }
 
@@ -179,7 +179,7 @@
 func (p *process) usage() (u Usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u.CPU = p.spent
+	u.CPU = p.pastCPU
 	if p.cmd == nil {
 		return u
 	}
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -203,7 +203,7 @@
 // one has stepped out of the mesh.
 func (s *scenarioRun) duplicateName(ctx context.Context) error {
 	older := s.nodes[len(s.nodes)-1]
-	twin, err := s.testbed.newNode("twin", older.zone, older.tier, older.self)
+	twin, err := s.testbed.newNode("twin", older.zone, older.tier, older.index)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/scenario_run.go
+++ b/internal/testbed/scenario_run.go
@@ -130,7 +130,7 @@
 // change is a line of a node's log about a member.
 type memberChange struct {
 	at       time.Duration // on the lab's clock
-	name, is string
+	name, state string
 }
 
 // changes reads what a node has logged about members.
@@ -168,7 +168,7 @@
 				return err
 			}
 			for _, c := range all {
-				if !found && c.name == name && c.is == is && c.at >= after {
+				if !found && c.name == name && c.state == is && c.at >= after {
 					s.times[figure] = append(s.times[figure], c.at-after)
 					found = true
 				}
@@ -189,7 +189,7 @@
 			return err
 		}
 		for _, c := range all {
-			if c.at >= after && c.is == "gone" && (len(names) == 0 || slices.Contains(names, c.name)) {
+			if c.at >= after && c.state == "gone" && (len(names) == 0 || slices.Contains(names, c.name)) {
 				s.count["wrongly gone"]++
 			}
 		}
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -31,8 +31,8 @@
 	testbed    *Testbed
 	gate       *gate
 	http       *http.Server
-	own        *Node   // its node for the next tier; nil in the last
-	next       *caller // calls through it
+	node       *Node   // its node for the next tier; nil in the last
+	nextTier   *client // calls through it
 
 	cores chan struct{}
 	slots chan struct{}
@@ -139,7 +139,7 @@
 		return
 	}
 	s.mu.Lock()
-	t, crowded := s.fault, s.conns > s.spec.Conns
+	t, overConnLimit := s.fault, s.conns > s.spec.Conns
 	s.mu.Unlock()
 	switch {
 	case t.Hang:
@@ -149,10 +149,10 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if crowded {
+	if overConnLimit {
 		w.Header().Set("Connection", "close")
 	}
-	if crowded || !s.slot(ctx) {
+	if overConnLimit || !s.acquireSlot(ctx) {
 		s.testbed.checker.recordNotRun(id)
 		w.Header().Set("X-Rejected", "1")
 		if ctx.Err() != nil {
@@ -163,7 +163,7 @@
 		return
 	}
 	defer func() { <-s.slots }()
-	if !s.work(ctx, work) || !sleep(ctx, class.Wait) || !s.callOn(ctx, fmt.Sprintf("%s.%d", id, attempt), class, r.Header.Get("X-Caller"), first+budget) {
+	if !s.work(ctx, work) || !sleep(ctx, class.Wait) || !s.callNextTier(ctx, fmt.Sprintf("%s.%d", id, attempt), class, r.Header.Get("X-Caller"), first+budget) {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -185,7 +185,7 @@
 }
 
 // slot waits for a place among the requests that the server holds; false: turned away.
-func (s *Server) slot(ctx context.Context) bool {
+func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
 		return true
@@ -213,13 +213,13 @@
 
 // callOn makes the calls of an attempt on the next tier, one after another, each with the time that is left and an id
 // of its own: another attempt of the same request may make its calls at the same time.
-func (s *Server) callOn(ctx context.Context, id string, class *Class, tenant string, deadline time.Duration) bool {
-	if s.next == nil {
+func (s *Server) callNextTier(ctx context.Context, id string, class *Class, tenant string, deadline time.Duration) bool {
+	if s.nextTier == nil {
 		return true
 	}
 	for i := range s.testbed.callsOf(s.spec.Calls, id) {
-		a := s.next.do(ctx, call{id: subID(id, i), class: class, tenant: tenant, deadline: deadline})
-		if a.end != servedEnd {
+		a := s.nextTier.do(ctx, clientRequest{id: subID(id, i), class: class, tenant: tenant, deadline: deadline})
+		if a.end != outcomeServed {
 			return false
 		}
 	}
@@ -254,7 +254,7 @@
 	was := s.down
 	s.mu.Unlock()
 	if !was {
-		s.testbed.checker.addFinding(ColdServerOverloaded, "", "", s.name+" was sent more than it bears over "+s.testbed.world.SlowStart.OverloadWindow.String())
+		s.testbed.checker.addFinding(SlowStartOverloaded, "", "", s.name+" was sent more than it bears over "+s.testbed.world.SlowStart.OverloadWindow.String())
 		go s.crash() // not from here: it ends this connection too
 	}
 }
@@ -267,15 +267,15 @@
 	s.testbed.intervals.begin(s.name, s.testbed.now())
 	s.reachable()
 	s.gate.reset()
-	if s.own != nil {
-		s.own.Kill()
+	if s.node != nil {
+		s.node.Kill()
 	}
 }
 
 // restart starts a crashed server again, cold, with its node.
 func (s *Server) restart() error {
-	if s.own != nil {
-		if err := s.own.Start(); err != nil {
+	if s.node != nil {
+		if err := s.node.Start(); err != nil {
 			return err
 		}
 	}
--- a/internal/testbed/shim/faults.go
+++ b/internal/testbed/shim/faults.go
@@ -17,9 +17,9 @@
 // fault is a call that can fail, on which sockets, and how it can: errors that the call's manual page has, and that
 // leave the call without any effect.
 type fault struct {
-	name   string
-	on     []socketKind // of the descriptor in the first argument; nil: any
-	errors []syscall.Errno
+	name    string
+	sockets []socketKind // of the descriptor in the first argument; nil: any
+	errors  []syscall.Errno
 }
 
 var faults = map[uint64]fault{
@@ -40,15 +40,15 @@
 const epollAdd = 1 // EPOLL_CTL_ADD; failing removals have no page in the program's books
 
 // canFail says whether a call may be failed.
-func canFail(nr uint64, kind socketKind, second uint64) (fault, bool) {
-	f, ok := faults[nr]
-	if !ok || nr == syscall.SYS_EPOLL_CTL && second != epollAdd {
+func canFail(number uint64, kind socketKind, second uint64) (fault, bool) {
+	f, ok := faults[number]
+	if !ok || number == syscall.SYS_EPOLL_CTL && second != epollAdd {
 		return f, false
 	}
-	if f.on == nil {
+	if f.sockets == nil {
 		return f, true
 	}
-	for _, k := range f.on {
+	for _, k := range f.sockets {
 		if k == kind {
 			return f, true
 		}
--- a/internal/testbed/shim/shim_test.go
+++ b/internal/testbed/shim/shim_test.go
@@ -92,12 +92,12 @@
 	if err != nil || !strings.HasPrefix(out, "failed ") || strings.HasPrefix(out, "failed 0") {
 		t.Errorf("%v: %s", err, out)
 	}
-	told, err := os.ReadFile(log)
+	logged, err := os.ReadFile(log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, call := range []string{"socket", "connect", "accept4", "epoll_ctl"} {
-		if !strings.Contains(string(told), " "+call+" ") {
+		if !strings.Contains(string(logged), " "+call+" ") {
 			t.Errorf("no %s failed", call)
 		}
 	}
--- a/internal/testbed/shim/trace.go
+++ b/internal/testbed/shim/trace.go
@@ -31,7 +31,7 @@
 // thread is what is known of one thread of the program.
 type thread struct {
 	inCall bool
-	nr     uint64
+	number uint64
 	first  uint64 // arguments at the entry
 	second uint64
 	fail   syscall.Errno // what the call is to return; 0: what it does
@@ -152,12 +152,12 @@
 
 // enter decides whether a call fails. One that does is not made at all.
 func (t *tracer) enter(id int, th *thread, regs *syscall.PtraceRegs) {
-	th.nr, th.first, th.second, th.fail = regs.Orig_rax, regs.Rdi, regs.Rsi, 0
-	if th.nr == syscall.SYS_CLOSE {
+	th.number, th.first, th.second, th.fail = regs.Orig_rax, regs.Rdi, regs.Rsi, 0
+	if th.number == syscall.SYS_CLOSE {
 		delete(t.sockets, th.first)
 	}
 	at := time.Since(t.began)
-	f, can := canFail(th.nr, t.sockets[th.first], th.second)
+	f, can := canFail(th.number, t.sockets[th.first], th.second)
 	if !can || at < t.spec.From || at >= t.spec.Until || t.random.Float64() >= t.spec.Chance {
 		return
 	}
@@ -180,13 +180,13 @@
 	result := int64(regs.Rax)
 	switch {
 	case result < 0:
-	case th.nr == syscall.SYS_SOCKET:
+	case th.number == syscall.SYS_SOCKET:
 		t.sockets[uint64(result)] = made
-	case th.nr == syscall.SYS_ACCEPT4:
+	case th.number == syscall.SYS_ACCEPT4:
 		t.sockets[uint64(result)] = accepted
-	case th.nr == syscall.SYS_LISTEN:
+	case th.number == syscall.SYS_LISTEN:
 		t.sockets[th.first] = listening
-	case th.nr == syscall.SYS_CLOCK_GETTIME && th.first == realtimeClock:
+	case th.number == syscall.SYS_CLOCK_GETTIME && th.first == realtimeClock:
 		t.shiftClock(id, uintptr(th.second))
 	}
 }
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -13,11 +13,11 @@
 
 // Times of a play, from the beginning of the load.
 const (
-	firstCluster  = 3 * time.Second
-	secondCluster = 10 * time.Second
-	clusterSpread = 1500 * time.Millisecond // the troubles of a cluster begin within it
-	length        = 18 * time.Second
-	quietAfter    = 5 * time.Second // for what is still out, before the counters are compared
+	firstCluster    = 3 * time.Second
+	secondCluster   = 10 * time.Second
+	clusterDuration = 1500 * time.Millisecond // the troubles of a cluster begin within it
+	length          = 18 * time.Second
+	quietAfter      = 5 * time.Second // for what is still out, before the counters are compared
 )
 
 // Shims: system calls of some nodes fail, and the wall clock of some jumps.
@@ -100,7 +100,7 @@
 		}
 		discovery = discovery || c.discovery
 		f := c.draw(r)
-		f.At += at + time.Duration(r.Int64N(int64(clusterSpread)))
+		f.At += at + time.Duration(r.Int64N(int64(clusterDuration)))
 		faults = append(faults, f)
 		if len(faults) == 3 || len(faults) == 2 && r.IntN(3) == 0 {
 			return faults
@@ -110,12 +110,12 @@
 }
 
 // drawn is one kind of trouble.
-type drawn struct {
+type faultKind struct {
 	discovery bool
 	draw      func(*rand.Rand) testbed.Fault
 }
 
-func span(r *rand.Rand, from, to time.Duration) time.Duration {
+func randomDuration(r *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(r.Int64N(int64(to-from)))
 }
 
@@ -125,7 +125,7 @@
 const frontNodes = "n[0-9]*"
 
 // catalogue lists the kinds of trouble. Their meaning is at lab.Fault.
-var catalogue = []drawn{
+var catalogue = []faultKind{
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "term", Target: frontNodes, Pick: 2, For: time.Second}
 	}},
@@ -133,10 +133,10 @@
 		return testbed.Fault{Kind: "kill", Target: frontNodes, Pick: 2, For: time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "hold", Target: "n*", Pick: 10, For: span(r, 20*time.Millisecond, 150*time.Millisecond)}
+		return testbed.Fault{Kind: "hold", Target: "n*", Pick: 10, For: randomDuration(r, 20*time.Millisecond, 150*time.Millisecond)}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "stop", Target: "n*", Pick: 3, For: span(r, 300*time.Millisecond, 5*time.Second)}
+		return testbed.Fault{Kind: "stop", Target: "n*", Pick: 3, For: randomDuration(r, 300*time.Millisecond, 5*time.Second)}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "reload", Target: "n*", Every: 20 * time.Millisecond}
@@ -145,7 +145,7 @@
 		return testbed.Fault{Kind: "peers", Target: frontNodes, Pick: 9 + r.IntN(200)}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "crash", Target: anyServers(r), Pick: 2, For: span(r, time.Second, 4*time.Second)}
+		return testbed.Fault{Kind: "crash", Target: anyServers(r), Pick: 2, For: randomDuration(r, time.Second, 4*time.Second)}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "slow", Target: anyServers(r), Pick: 3, For: 3 * time.Second, Factor: 10}
@@ -154,7 +154,7 @@
 		return testbed.Fault{Kind: "errors", Target: anyServers(r), Pick: 4, For: 4 * time.Second, Share: 0.5}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "hang", Target: anyServers(r), Pick: 2 + r.IntN(7), For: span(r, 2*time.Second, 6*time.Second)}
+		return testbed.Fault{Kind: "hang", Target: anyServers(r), Pick: 2 + r.IntN(7), For: randomDuration(r, 2*time.Second, 6*time.Second)}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "spoil", Target: anyServers(r), Pick: 4, For: 5 * time.Second, Share: 0.4}
@@ -169,17 +169,17 @@
 		return testbed.Fault{Kind: "replace", Target: anyServers(r), Pick: 3, For: 4 * time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "link", From: frontNodes, To: "front-[1-3]", Delay: span(r, 300*time.Millisecond, 1500*time.Millisecond), For: 3 * time.Second}
+		return testbed.Fault{Kind: "link", From: frontNodes, To: "front-[1-3]", Delay: randomDuration(r, 300*time.Millisecond, 1500*time.Millisecond), For: 3 * time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "link", From: "n@*", To: "*-[1-3]", Rate: 3000, For: 3 * time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "reset", From: "n*", To: "*-[1-4]"} }},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "cut", From: "n[1-4]", To: "front-*", For: span(r, time.Second, 3*time.Second)}
+		return testbed.Fault{Kind: "cut", From: "n[1-4]", To: "front-*", For: randomDuration(r, time.Second, 3*time.Second)}
 	}},
 	{true, func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "disc_down", For: span(r, time.Second, 6*time.Second)}
+		return testbed.Fault{Kind: "disc_down", For: randomDuration(r, time.Second, 6*time.Second)}
 	}},
 	{true, func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_fail", For: 3 * time.Second} }},
 	{true, func(r *rand.Rand) testbed.Fault {
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -19,19 +19,19 @@
 type Result struct {
 	Seed       uint64               `json:"seed"`
 	Faults     []string             `json:"faults"`
-	Story      []string             `json:"story"`
+	Events     []string             `json:"story"`
 	Ends       map[string]int       `json:"ends"` // of requests, by how they ended
 	Account    testbed.Account      `json:"account"`
 	Broken     map[testbed.Rule]int `json:"broken"`
 	Found      []testbed.Finding    `json:"found"`
 	Violations map[string]int64     `json:"violations"` // as the nodes counted them
 	NotSent    map[string]int64     `json:"attempts_not_sent"`
-	TurnedAway map[string]int64     `json:"requests_turned_away"`
+	Rejected   map[string]int64     `json:"requests_turned_away"`
 	Lateness   time.Duration        `json:"lateness"` // of the lab itself, at worst
 }
 
 // Play plays a plan with a node program. Logs of the nodes and the result stay in dir.
-func Play(ctx context.Context, p *Plan, binary string, shim []string, dir string) (*Result, error) {
+func Run(ctx context.Context, p *Plan, binary string, shim []string, dir string) (*Result, error) {
 	w := p.World
 	w.Binary, w.Shim, w.Dir = binary, shim, filepath.Join(dir, fmt.Sprint("seed-", p.Seed))
 	w.Links = testbed.LinksOfFaults(p.Faults)
@@ -53,7 +53,7 @@
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
 	defer tb.Close()
-	r := &Result{Seed: p.Seed, Ends: map[string]int{}, Violations: map[string]int64{}, NotSent: map[string]int64{}, TurnedAway: map[string]int64{}}
+	r := &Result{Seed: p.Seed, Ends: map[string]int{}, Violations: map[string]int64{}, NotSent: map[string]int64{}, Rejected: map[string]int64{}}
 	for _, f := range p.Faults {
 		r.Faults = append(r.Faults, fmt.Sprintf("%s %s%s->%s at %v for %v", f.Kind, f.Target, f.From, f.To, f.At.Round(time.Millisecond), f.For))
 	}
@@ -81,10 +81,10 @@
 	both.Add(1)
 	go func() {
 		defer both.Done()
-		tb.Play(ctx, steps, func(at time.Duration, what string) {
+		tb.RunSchedule(ctx, steps, func(at time.Duration, what string) {
 			mu.Lock()
 			defer mu.Unlock()
-			r.Story = append(r.Story, fmt.Sprintf("%.3f %s", at.Seconds(), what))
+			r.Events = append(r.Events, fmt.Sprintf("%.3f %s", at.Seconds(), what))
 		})
 	}()
 	tb.Drive(ctx, &p.Load, day, func(s testbed.ArrivalResult) {
@@ -95,26 +95,26 @@
 	both.Wait()
 }
 
-var client = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var adminClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-const asks = 5 // of one path: a shim may break some connections
+const maxRequests = 5 // of one path: a shim may break some connections
 
 // ask reads what a node's operators' endpoint shows.
-func ask(ctx context.Context, n *testbed.Node, path string, into any) (err error) {
-	for range asks {
-		if err = askOnce(ctx, n, path, into); err == nil {
+func getJSON(ctx context.Context, n *testbed.Node, path string, into any) (err error) {
+	for range maxRequests {
+		if err = getJSONOnce(ctx, n, path, into); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func askOnce(ctx context.Context, n *testbed.Node, path string, into any) error {
+func getJSONOnce(ctx context.Context, n *testbed.Node, path string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+path, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := client.Do(req)
+	resp, err := adminClient.Do(req)
 	if err != nil {
 		return err
 	}
@@ -131,19 +131,19 @@
 	}
 	var decisions struct {
 		NotSent    map[string]int64 `json:"attempts_not_sent"`
-		TurnedAway map[string]int64 `json:"requests_turned_away"`
+		Rejected   map[string]int64 `json:"requests_turned_away"`
 		Violations map[string]int64 `json:"violations"`
 	}
-	if err := ask(ctx, n, "/control/counters", &counters); err != nil {
+	if err := getJSON(ctx, n, "/control/counters", &counters); err != nil {
 		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
 		return
 	}
-	if err := ask(ctx, n, "/control/decisions", &decisions); err != nil {
+	if err := getJSON(ctx, n, "/control/decisions", &decisions); err != nil {
 		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
 		return
 	}
 	add(r.NotSent, decisions.NotSent)
-	add(r.TurnedAway, decisions.TurnedAway)
+	add(r.Rejected, decisions.Rejected)
 	add(r.Violations, decisions.Violations)
 	if len(decisions.Violations) > 0 && !n.Paused() {
 		tb.Checker().Report(testbed.SelfReportedViolation, n.Name(), fmt.Sprint(decisions.Violations))
@@ -173,8 +173,8 @@
 
 // Reduce leaves out one fault after another as long as the play still breaks one of the same rules, and returns the
 // numbers of the faults that are left.
-func Reduce(ctx context.Context, seed uint64, play func(*Plan) (*Result, error)) ([]int, error) {
-	first, err := play(NewPlan(seed))
+func Reduce(ctx context.Context, seed uint64, run func(*Plan) (*Result, error)) ([]int, error) {
+	first, err := run(NewPlan(seed))
 	if err != nil || len(first.Broken) == 0 {
 		return nil, err
 	}
@@ -188,7 +188,7 @@
 		if err := p.Keep(less); err != nil {
 			return nil, err
 		}
-		r, err := play(p)
+		r, err := run(p)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testbed/stub_node_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -18,7 +18,7 @@
 // "overtell" tells servers an hour, "linger" sends on 0.7 s late, whoever has left, "repeat" sends keyed requests again when
 // servers do not discard them any more, "swallow" reads and closes, "give back" resets a connection and sends on.
 // "lab" is another program: a lab of its own that says its children's ids and waits to be killed.
-func double(as string) {
+func runStubNode(as string) {
 	if as == "lab" {
 		os.Setenv("LAB_TEST_AS", "well")
 		w := small(2, 1)
@@ -62,11 +62,11 @@
 		if err != nil {
 			return
 		}
-		go doubleServe(c, as, cfg.Known.Hosts)
+		go serveStubNode(c, as, cfg.Known.Hosts)
 	}
 }
 
-func doubleServe(c net.Conn, as string, hosts []endpointEntry) {
+func serveStubNode(c net.Conn, as string, hosts []endpointEntry) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -135,7 +135,7 @@
 
 // The referee finds each planted fault by its name, and nothing where none is planted. A play in which the lab itself was
 // late proves nothing, by its own rule, and is played again; one that was not must show the fault.
-func TestRefereeCatchesPlantedFaults(t *testing.T) {
+func TestCheckerFindsPlantedFaults(t *testing.T) {
 	for as, want := range map[string]Rule{"well": "", "twice": AnsweredTwice, "resend": DuplicateExecution, "lose": Lost, "drained": SentToDraining,
 		"overtell": BudgetTooLong, "linger": SentAfterDisconnect, "repeat": RetryAfterWindow, "swallow": Lost, "give back": ForwardedUnread} {
 		t.Run(as, func(t *testing.T) {
@@ -177,7 +177,7 @@
 	found, counts := tb.Findings()
 	switch {
 	case want == "":
-		clean(t, tb)
+		checkNoFindings(t, tb)
 	case len(counts) == 0 && tb.Void(0, tb.now()):
 		t.Logf("the lab was %v late: %d findings are void", tb.Lateness(0, tb.now()), len(found))
 		return true
@@ -196,7 +196,7 @@
 }
 
 // An improper client that a node keeps is found.
-func TestRefereeCatchesKeptPeers(t *testing.T) {
+func TestCheckerFindsKeptImproperClients(t *testing.T) {
 	tb := Start(t, healthyStubs(1)) // waits for whole heads for good
 	tb.runImproperClients(context.Background(), tb.Node("n1"), 4)
 	if found, counts := tb.Checker().Findings(); counts[ImproperClientKept] == 0 || len(counts) > 1 {
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -29,7 +29,7 @@
 	spawner   *spawner
 	disc      *discovery
 	front     *front
-	clients   []*caller // by zone
+	clients   []*client // by zone
 	nodes     map[string]*Node
 	servers   map[string]*Server
 	nodeOrder []*Node // as started
@@ -163,8 +163,8 @@
 			if err != nil {
 				return err
 			}
-			s.own = n
-			s.next = &caller{testbed: tb, name: s.name, checkBody: true, dial: func(ctx context.Context) (net.Conn, string, error) {
+			s.node = n
+			s.nextTier = &client{testbed: tb, name: s.name, checkBody: true, dial: func(ctx context.Context) (net.Conn, string, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, "tcp", tb.nodeAddr(s.name, n))
 				return c, n.name, err
 			}}
@@ -172,7 +172,7 @@
 	}
 	tb.front = newFront(tb, fronts)
 	for _, z := range w.Zones {
-		tb.clients = append(tb.clients, &caller{testbed: tb, name: clientsOf(z), checkBody: !w.TrustNodes, dial: tb.front.dial(z)})
+		tb.clients = append(tb.clients, &client{testbed: tb, name: clientsOf(z), checkBody: !w.TrustNodes, dial: tb.front.dial(z)})
 	}
 	return nil
 }
@@ -192,9 +192,9 @@
 		}
 	}
 	for _, n := range tb.front.nodes {
-		for in, moved := tb.front.isReady(n); !in; in, moved = tb.front.isReady(n) {
+		for ready, changed := tb.front.isReady(n); !ready; ready, changed = tb.front.isReady(n) {
 			select {
-			case <-moved:
+			case <-changed:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
@@ -244,17 +244,17 @@
 
 // Uneven is the number of answers that the busiest server of the first tier has made, over the mean.
 func (tb *Testbed) Imbalance() float64 {
-	sum, most, n := 0, 0, 0
+	sum, busiest, n := 0, 0, 0
 	for _, s := range tb.servers {
 		if s.tier == 0 {
 			served := s.Served()
-			sum, most, n = sum+served, max(most, served), n+1
+			sum, busiest, n = sum+served, max(busiest, served), n+1
 		}
 	}
 	if sum == 0 {
 		return 0
 	}
-	return float64(most*n) / float64(sum)
+	return float64(busiest*n) / float64(sum)
 }
 
 // own runs f until it returns; Close waits for it.
@@ -278,15 +278,15 @@
 }
 
 // Drain makes discovery list a server as draining; after the time it is gone, and answers nobody.
-func (tb *Testbed) Drain(s *Server, goneAfter time.Duration) {
+func (tb *Testbed) Drain(s *Server, removeAfter time.Duration) {
 	s.mu.Lock()
 	s.health = "terminating"
 	s.mu.Unlock()
 	tb.disc.publish(s.tier, s.entry(), -1)
-	if goneAfter <= 0 {
+	if removeAfter <= 0 {
 		return
 	}
-	time.AfterFunc(goneAfter, func() {
+	time.AfterFunc(removeAfter, func() {
 		select {
 		case <-tb.done:
 			return
@@ -332,8 +332,8 @@
 			s.http.Close()
 		}
 		for _, s := range tb.servers {
-			if s.next != nil {
-				s.next.close()
+			if s.nextTier != nil {
+				s.nextTier.close()
 			}
 		}
 		tb.mu.Lock()
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) {
 	if as := os.Getenv("LAB_TEST_AS"); as != "" {
-		double(as)
+		runStubNode(as)
 		return
 	}
 	os.Exit(testbedtest.Main(m, &binary))
@@ -75,7 +75,7 @@
 	return l, Draw(w, &l, length, 7)
 }
 
-func clean(t *testing.T, tb *Testbed) {
+func checkNoFindings(t *testing.T, tb *Testbed) {
 	t.Helper()
 	found, counts := tb.Findings()
 	if len(counts) > 0 {
@@ -99,7 +99,7 @@
 	if got.count("served") < len(day)*95/100 {
 		t.Errorf("served %d of %d: %v", got.count("served"), len(day), got.ends)
 	}
-	clean(t, tb)
+	checkNoFindings(t, tb)
 	if a := tb.Checker().Account(); a.Taken < 3*len(day)*95/100 {
 		t.Errorf("taken %d at three tiers for %d arrivals", a.Taken, len(day))
 	}
