--- a/cmd/balancer-testbed/main.go
+++ b/cmd/balancer-testbed/main.go
@@ -1,4 +1,4 @@
-// Command balancer-testbed plays experiments with several real nodes on loopback and reports on them.
+// Command balancer-testbed runs experiments with several real nodes on loopback and reports on them.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	exitUsage  = 2 // the call or a file is wrong
 )
 
-// usageError is a mistake of the caller's.
+// usageError is a mistake in the invocation.
 type usageError struct{ error }
 
 func main() {
@@ -45,7 +45,7 @@
 }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "balancer-testbed", Short: "Play experiments with several real nodes and faults between them",
+	root := &cobra.Command{Use: "balancer-testbed", Short: "Run experiments with several real nodes and faults between them",
 		SilenceUsage: true, SilenceErrors: true,
 		Args: cobra.ArbitraryArgs,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -69,7 +69,7 @@
 	return root
 }
 
-// load reads an experiment; what is wrong with the file is a mistake of the caller's.
+// load reads an experiment; what is wrong with the file is a mistake in the invocation.
 func load(path string) (*experiment.File, error) {
 	f, err := experiment.Load(path)
 	if err != nil {
@@ -81,7 +81,7 @@
 func runCommand() *cobra.Command {
 	var binary, out string
 	var seeds []uint
-	c := &cobra.Command{Use: "run FILE", Short: "Play an experiment and report on it", Args: cobra.ExactArgs(1)}
+	c := &cobra.Command{Use: "run FILE", Short: "Run an experiment and report on it", Args: cobra.ExactArgs(1)}
 	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program, for variants that name none")
 	c.Flags().StringVar(&out, "out", "", "folder for results and report (default lab-results/NAME)")
 	c.Flags().UintSliceVar(&seeds, "seeds", nil, "seeds in place of the file's")
@@ -104,7 +104,7 @@
 	return c
 }
 
-// play runs an experiment into a folder, and reports on what there is, interrupted or not.
+// run runs an experiment into a folder, and reports on what there is, interrupted or not.
 func run(ctx context.Context, f *experiment.File, binary, out string) error {
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return err
@@ -189,7 +189,7 @@
 					all = append(all, err)
 					continue
 				}
-				fmt.Printf("%-34s %4d plays of %-6s %s\n", path, f.Runs(), f.Length, f.About)
+				fmt.Printf("%-34s %4d runs of %-6s %s\n", path, f.Runs(), f.Length, f.About)
 			}
 			return errors.Join(all...)
 		}}
--- a/cmd/balancer-testbed/main_test.go
+++ b/cmd/balancer-testbed/main_test.go
@@ -16,7 +16,7 @@
 
 // TestMain lets the test binary stand in for the program.
 func TestMain(m *testing.M) {
-	if os.Getenv("LAB_AS_PROGRAM") != "" {
+	if os.Getenv("TESTBED_AS_PROGRAM") != "" {
 		main()
 		os.Exit(0)
 	}
@@ -25,7 +25,7 @@
 
 func program(args ...string) *exec.Cmd {
 	c := exec.Command(os.Args[0], args...)
-	c.Env = append(os.Environ(), "LAB_AS_PROGRAM=1")
+	c.Env = append(os.Environ(), "TESTBED_AS_PROGRAM=1")
 	return c
 }
 
@@ -52,7 +52,7 @@
 		c := program(x.args...)
 		out, _ := c.CombinedOutput()
 		if got := c.ProcessState.ExitCode(); got != x.code || !strings.Contains(string(out), x.says) {
-			t.Errorf("%v: exit %d, want %d; said %q, want %q in it", x.args, got, x.code, out, x.says)
+			t.Errorf("%v: exit %d, want %d; printed %q, want %q in it", x.args, got, x.code, out, x.says)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 func TestCapacityAgainstStubs(t *testing.T) {
 	c := program("capacity", "--rate", "200", "--length", "1s", "--links")
 	out, err := c.CombinedOutput()
-	if err != nil || !strings.Contains(string(out), "lost 0; broken map[]") || !strings.Contains(string(out), "processor time of the lab") {
+	if err != nil || !strings.Contains(string(out), "lost 0; broken map[]") || !strings.Contains(string(out), "processor time of the testbed") {
 		t.Errorf("%v: %s", err, out)
 	}
 }
--- a/cmd/balancer-testbed/mesh.go
+++ b/cmd/balancer-testbed/mesh.go
@@ -15,16 +15,16 @@
 	"github.com/spf13/cobra"
 )
 
-// meshCommand plays the scenarios of membership and prints a table of times, median and worst over all nodes and seeds.
+// meshCommand runs the scenarios of membership and prints a table of times, median and worst over all nodes and seeds.
 func meshCommand() *cobra.Command {
 	var binary, only string
 	var nodes, seeds int
 	var probe time.Duration
-	c := &cobra.Command{Use: "mesh", Short: "Trouble a fleet whose only work is membership, and time it", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "mesh", Short: "Inject faults into a fleet whose only work is membership, and time it", Args: cobra.NoArgs}
 	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program")
 	c.Flags().StringVar(&only, "only", "", "scenarios whose name contains this")
 	c.Flags().IntVar(&nodes, "nodes", 16, "nodes, where the scenario does not say")
-	c.Flags().IntVar(&seeds, "seeds", 5, "plays of each scenario")
+	c.Flags().IntVar(&seeds, "seeds", 5, "runs of each scenario")
 	c.Flags().DurationVar(&probe, "probe", 400*time.Millisecond, "between two probes")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		path, err := filepath.Abs(binary)
@@ -35,7 +35,7 @@
 			return usageError{errors.New("--nodes must be from 4 to 100 and --seeds from 1 to 1000")}
 		}
 		failed := false
-		fmt.Println("| scenario | nodes | plays | figure | median | worst | count |\n| --- | --- | --- | --- | --- | --- | --- |")
+		fmt.Println("| scenario | nodes | runs | metric | median | worst | count |\n| --- | --- | --- | --- | --- | --- | --- |")
 		for _, sc := range testbed.Scenarios {
 			if !strings.Contains(sc.Name, only) {
 				continue
@@ -47,14 +47,14 @@
 			failed = failed || bad
 		}
 		if failed {
-			return errors.New("a scenario was not played to its end, or two majorities were seen")
+			return errors.New("a scenario did not run to its end, or two majorities were seen")
 		}
 		return nil
 	}
 	return c
 }
 
-// meshScenario plays one scenario with all seeds; bad says that it went wrong in some.
+// meshScenario runs one scenario with all seeds; bad reports that it went wrong in some.
 func meshScenario(ctx context.Context, sc testbed.Scenario, binary string, nodes, seeds int, probe time.Duration) (bad bool, err error) {
 	times, counts := map[string][]time.Duration{}, map[string]int{}
 	if sc.Nodes > 0 {
--- a/cmd/balancer-testbed/soak.go
+++ b/cmd/balancer-testbed/soak.go
@@ -13,20 +13,20 @@
 	"github.com/spf13/cobra"
 )
 
-// soakCommand plays seeds of overlapping troubles.
+// soakCommand runs seeds of overlapping faults.
 func soakCommand() *cobra.Command {
 	var binary, out string
 	var from, count uint64
 	var beside int
 	var keep []int
 	var reduce bool
-	c := &cobra.Command{Use: "soak", Short: "Play a few dozen nodes through overlapping troubles, by seeds", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "soak", Short: "Run a few dozen nodes through overlapping faults, by seeds", Args: cobra.NoArgs}
 	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program")
 	c.Flags().StringVar(&out, "out", "lab-results/soak", "folder for logs and results")
 	c.Flags().Uint64Var(&from, "seed", 1, "the first seed")
 	c.Flags().Uint64Var(&count, "count", 1, "how many seeds")
-	c.Flags().IntVar(&beside, "beside", 2, "plays at once")
-	c.Flags().IntSliceVar(&keep, "keep", nil, "numbers of the faults to play; default all")
+	c.Flags().IntVar(&beside, "beside", 2, "runs at once")
+	c.Flags().IntSliceVar(&keep, "keep", nil, "numbers of the faults to inject; default all")
 	c.Flags().BoolVar(&reduce, "reduce", false, "cut a failing seed down to the faults that it needs")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		self, err := os.Executable()
@@ -104,7 +104,7 @@
 
 func printResult(r *soak.Result) {
 	a := r.Account
-	fmt.Printf("seed %d: taken %d = answered %d + left %d + cut off %d + lost %d; ends %v; lab late %v; own violations %v; broken: %v\n",
+	fmt.Printf("seed %d: taken %d = answered %d + left %d + cut off %d + lost %d; ends %v; testbed late %v; own violations %v; broken: %v\n",
 		r.Seed, a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, r.Ends, r.Lateness, r.Violations, r.Broken)
 	for i, f := range r.Faults {
 		fmt.Printf("   fault %d: %s\n", i, f)
@@ -114,7 +114,7 @@
 	}
 }
 
-// shimCommand runs a program under a shim; the lab starts it.
+// shimCommand runs a program under a shim; the testbed starts it.
 func shimCommand() *cobra.Command {
 	c := &cobra.Command{Use: "shim PROGRAM [ARGS]", Short: "Run a program whose system calls fail now and then", Hidden: true, Args: cobra.MinimumNArgs(1)}
 	c.RunE = func(_ *cobra.Command, args []string) error {
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -19,12 +19,12 @@
 	AnsweredTwice         Rule = "answered twice"   // a second answer to one request
 	ForeignAnswer         Rule = "foreign answer"   // served with something that no server made for it
 	DuplicateExecution    Rule = "unsafe run twice" // a copy of what may have run, of a class that must not
-	SentToDraining        Rule = "sent to drained"  // something new to a draining or gone server too late
-	SlowStartOverloaded  Rule = "cold pushed over" // a cold server sent more than it bears
+	SentToDraining        Rule = "sent to drained"  // something new to a draining or removed server too late
+	SlowStartOverloaded   Rule = "cold pushed over" // a server in slow start sent more than it bears
 	UnknownID             Rule = "unknown id"       // a request that no client sent
 	TooManyAttempts       Rule = "too many attempts"
 	Crash                 Rule = "crash"                 // a node ended by itself
-	SentAfterDisconnect   Rule = "sent after leave"      // an attempt that began too long after its client had gone
+	SentAfterDisconnect   Rule = "sent after leave"      // an attempt that began too long after its client had disconnected
 	RetryAfterWindow      Rule = "repeat too late"       // a copy of a keyed request after the window in which servers discard it
 	BudgetTooLong         Rule = "told too much time"    // a server was told more time than the client had left
 	ImproperClientKept    Rule = "improper client kept"  // it got neither an error nor a close in time
@@ -35,7 +35,7 @@
 
 // Finding is one broken rule.
 type Finding struct {
-	At     time.Duration `json:"at"` // since the lab's start
+	At     time.Duration `json:"at"` // since the testbed's start
 	Rule   Rule          `json:"rule"`
 	ID     string        `json:"id,omitempty"`
 	Node   string        `json:"node,omitempty"`
@@ -63,20 +63,20 @@
 type Account struct {
 	Taken    int `json:"taken"`    // written whole to a node's connection
 	Answered int `json:"answered"` // got a whole answer
-	Left     int `json:"left"`     // the client went away first, or its time ran out
-	CutOff   int `json:"cut_off"`  // their node or its link was killed, stopped or cut by the lab
+	Left     int `json:"left"`     // the client disconnected first, or its time ran out
+	CutOff   int `json:"cut_off"`  // their node or its link was killed, stopped or cut by the testbed
 	Lost     int `json:"lost"`
 	Unread   int `json:"unread"` // the connection ended before the node had read them: not taken, or free of blame
 	Open     int `json:"open"`   // not ended yet
 }
 
-// Referee keeps one record for each request id, of clients and of servers calling on, and checks the rules.
+// Checker keeps one record for each request id, of clients and of servers calling on, and checks the rules.
 type Checker struct {
 	now       func() time.Duration
 	intervals *intervals
 	unsafe    map[string]bool          // by class
 	windows   map[string]time.Duration // by class that is keyed: how long repeats are discarded
-	attempts  int                      // most for one id
+	attempts  int                      // limit for one id
 	salt      uint64
 
 	shard [shards]struct {
@@ -88,7 +88,7 @@
 	found      []Finding
 	counts     map[Rule]int
 	account    Account
-	notifiedAt map[[2]string]time.Duration // by node and server: when it learned that it drains or is gone
+	notifiedAt map[[2]string]time.Duration // by node and server: when it learned that it is draining or removed
 }
 
 // record is what is known of one request id.
@@ -105,7 +105,7 @@
 	ran         int           // attempts that may have run
 	served      int           // whole answers that servers made
 	firstRan    time.Duration // when the first attempt that may have run came
-	leftAt      time.Duration // when the client went away; 0: it has not
+	leftAt      time.Duration // when the client disconnected; 0: it has not
 }
 
 func newChecker(w *World, now func() time.Duration, s *intervals) *Checker {
@@ -123,7 +123,7 @@
 	return r
 }
 
-// with calls f on the record of an id with its shard locked. It says whether there is one.
+// withRecord calls f on the record of an id with its shard locked. It reports whether there is one.
 func (r *Checker) withRecord(id string, f func(*record)) bool {
 	s := &r.shard[xxhash.Sum64String(id)%shards]
 	s.Lock()
@@ -159,7 +159,7 @@
 	s.records[id] = &record{class: class, deadline: deadline}
 }
 
-// heading says which node a request is about to be written to, and returns the number of that writing.
+// beginWrite says which node a request is about to be written to, and returns the number of that writing.
 func (r *Checker) beginWrite(id, node string) (writing int) {
 	r.withRecord(id, func(rec *record) {
 		rec.node = node
@@ -169,13 +169,13 @@
 	return writing
 }
 
-// wrote says that a request is whole at a node's connection: the node has taken it.
+// recordWritten reports that a request is whole at a node's connection: the node has taken it.
 func (r *Checker) recordWritten(id string, at time.Duration) {
 	r.withRecord(id, func(rec *record) { rec.written = at })
 	r.updateAccount(func(a *Account) { a.Taken++ })
 }
 
-// unread takes a request back: its connection ended with nothing said, as it crossed the node's close. It says whether
+// retractUnread takes a request back: its connection ended with nothing said, as it crossed the node's close. It says whether
 // that can be; if some server has it, or the node's system has given its bytes away, the node had read it.
 func (r *Checker) retractUnread(id string, allRead bool) (can bool) {
 	r.withRecord(id, func(rec *record) {
@@ -189,7 +189,7 @@
 	return can
 }
 
-// answered says that a request got its answer. A 200 must carry what a server made.
+// recordAnswer reports that a request got its answer. A 200 must carry what a server made.
 func (r *Checker) recordAnswer(id string, status int, body string, checkBody bool) {
 	var foreign, node string
 	r.withRecord(id, func(rec *record) {
@@ -204,14 +204,14 @@
 	}
 }
 
-// left says that the client of a taken request went away first.
+// recordDisconnect reports that the client of a taken request went away first.
 func (r *Checker) recordDisconnect(id string) {
 	r.withRecord(id, func(rec *record) { rec.ended, rec.leftAt = true, r.now() })
 	r.updateAccount(func(a *Account) { a.Left++ })
 }
 
-// unanswered says that a taken request will get no answer: its connection broke, or its time and the slack are over.
-// It returns whether the lab itself is the cause.
+// recordUnanswered reports that a taken request will get no answer: its connection broke, or its time and the slack are over.
+// It returns whether the testbed itself is the cause.
 func (r *Checker) recordUnanswered(id, client, how string) bool {
 	var rec record
 	r.withRecord(id, func(p *record) { p.ended = true; rec = *p })
@@ -231,7 +231,7 @@
 	return excused
 }
 
-// stray says that a node answered a request that had its answer.
+// recordUnexpectedAnswer reports that a node answered a request that had its answer.
 func (r *Checker) recordUnexpectedAnswer(id, node, what string) {
 	r.addFinding(AnsweredTwice, id, node, "an answer came when none was owed: "+what)
 }
@@ -245,7 +245,7 @@
 	duplicate
 )
 
-// arrived records an attempt that came whole to a server; first is when its first byte came. It returns what to do
+// recordAttempt records an attempt that came whole to a server; first is when its first byte came. It returns what to do
 // with it, which node has sent it and which attempt of the request it is.
 func (r *Checker) recordAttempt(id, server string, from sender, first, given time.Duration) (v verdict, node string, attempt int) {
 	var rec record
@@ -290,7 +290,7 @@
 	// A node that was stopped is not excused: what came meanwhile it has to read before it sends.
 	if notified && late > drainWithin+slack &&
 		!r.intervals.overlap(rec.node+"->"+server, at, first) && !r.intervals.overlap(server, at, first) {
-		r.addFinding(SentToDraining, id, rec.node, fmt.Sprintf("came to %s %.2f s after the node was told", server, late.Seconds()))
+		r.addFinding(SentToDraining, id, rec.node, fmt.Sprintf("came to %s %.2f s after the node was notified", server, late.Seconds()))
 	}
 	return v, rec.node, rec.attempts
 }
@@ -298,10 +298,10 @@
 // Report adds what was found outside of the requests' records.
 func (r *Checker) Report(rule Rule, node, detail string) { r.addFinding(rule, "", node, detail) }
 
-// neverRan takes an attempt back that its server turned away.
+// recordNotRun takes an attempt back that its server rejected.
 func (r *Checker) recordNotRun(id string) { r.withRecord(id, func(rec *record) { rec.ran-- }) }
 
-// served says that a server made an answer; it returns the answer's body.
+// recordServed reports that a server made an answer; it returns the answer's body.
 func (r *Checker) recordServed(id string) string {
 	r.withRecord(id, func(rec *record) { rec.served++ })
 	return r.expectedBody(id)
@@ -311,7 +311,7 @@
 	return fmt.Sprintf("%s %016x", id, xxhash.Sum64String(id)^r.salt)
 }
 
-// tell records when a node counts as told, which may be yet to come, that a server drains or is gone; or that it is in
+// recordNotification records when a node counts as notified, which may be yet to come, that a server is draining or removed; or that it is in
 // service. The earliest counts.
 func (r *Checker) recordNotification(node, server string, inService bool, at time.Duration) {
 	r.mu.Lock()
@@ -324,7 +324,7 @@
 	}
 }
 
-// forget lets a node's news go: a process that starts afresh has been told nothing.
+// forgetNotifications lets a node's notifications go: a process that starts afresh has been told nothing.
 func (r *Checker) forgetNotifications(node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// ending is how a call ended for its caller.
+// outcome is how a call ended for its client.
 type outcome int
 
 const (
 	outcomeServed       outcome = iota
 	outcomeRejected             // 429 or 503
 	outcomeFailed               // any other answer, or none
-	outcomeDisconnected         // the caller went away first
+	outcomeDisconnected         // the client disconnected first
 	outcomeUnreached            // no connection came up
 )
 
@@ -33,22 +33,22 @@
 	maxAnswerDelay = 500 * time.Millisecond // an answer that comes so late earns nothing, and is no loss
 	pauseCarryOver = 500 * time.Millisecond // what a node that was held up owes comes so soon after
 	maxBodySize    = 64 << 10
-	maxIdleConns   = 256             // connections kept by one caller
-	maxIdleTime    = 5 * time.Second // a caller closes what was idle for so long
+	maxIdleConns   = 256             // connections kept by one client
+	maxIdleTime    = 5 * time.Second // a client closes what was idle for so long
 	dialTimeout    = time.Second
 )
 
-// call is one request to a node.
+// clientRequest is one request to a node.
 type clientRequest struct {
 	id           string
 	class        *Class
 	tenant       string
-	deadline     time.Duration // on the lab's clock
-	disconnectAt time.Duration // the caller goes away then; 0: it stays
+	deadline     time.Duration // on the testbed's clock
+	disconnectAt time.Duration // the client disconnects then; 0: it stays
 	isRetry      bool
 }
 
-// answer is what came of it.
+// response is what came of it.
 type response struct {
 	end        outcome
 	node       string
@@ -56,7 +56,7 @@
 	at         time.Duration // of its last byte
 }
 
-// caller keeps connections to nodes and makes calls on them, one at a time on each, as the protocol's clients do. It
+// client keeps connections to nodes and makes calls on them, one at a time on each, as the protocol's clients do. It
 // opens more when all are busy.
 type client struct {
 	testbed   *Testbed
@@ -88,13 +88,13 @@
 	retryAfter string
 	body       string
 	closing    bool
-	partial    bool // some of an answer came
+	partial    bool // part of a response came
 	allRead    bool // the connection ended, and the node had read all that was written to it
 	err        error
 	at         time.Duration
 }
 
-// owes says that an answer is owed. A connection that ends while none is may be taken for a request a moment later: that
+// hasPending says that an answer is owed. A connection that ends while none is may be taken for a request a moment later: that
 // one was not read.
 func (cc *clientConn) hasPending() bool {
 	cc.mu.Lock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// try writes the request to one connection; again says that the connection's end crossed it unread.
+// attempt writes the request to one connection; again reports that the connection's end crossed it unread.
 func (c *client) attempt(ctx context.Context, req clientRequest, newConn bool) (a response, again bool) {
 	cc, err := c.get(ctx, newConn)
 	if err != nil {
@@ -270,7 +270,7 @@
 	}
 }
 
-// answered sorts out what came on a connection after a whole request was written to it.
+// handleReply sorts out what came on a connection after a whole request was written to it.
 func (c *client) handleReply(cc *clientConn, req clientRequest, r connReply) (response, bool) {
 	a := response{node: cc.node, at: r.at, end: outcomeFailed}
 	if r.err != nil {
--- a/internal/testbed/corrupt_response.go
+++ b/internal/testbed/corrupt_response.go
@@ -1,4 +1,4 @@
-// Servers that spoil their answers.
+// Servers that corrupt their answers.
 
 package testbed
 
@@ -13,7 +13,7 @@
 	maxCloseDelay     = 20 * time.Millisecond // a server ends the connection so long after its answer at most
 )
 
-// spoil writes one answer in a way that the draw for the request names: twice, cut off and without a length, or whole
+// writeCorruptResponse writes one answer in a way that the draw for the request names: twice, cut off and without a length, or whole
 // with an end of the connection a moment later, as the next request may come. The connection is over in any case.
 func (s *Server) writeCorruptResponse(w http.ResponseWriter, id string) {
 	h, ok := w.(http.Hijacker)
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// listed is an entry of discovery's list, without the address, which is each node's own.
+// endpointEntry is an entry of discovery's list, without the address, which is each node's own.
 type endpointEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -27,7 +27,7 @@
 }
 
 // discovery keeps a list for each tier and answers each node at an address of the node's own, since the servers'
-// addresses may differ between nodes. Its news are late by the world's figure.
+// addresses may differ between nodes. Its notifications are late by the world's figure.
 type discovery struct {
 	testbed  *Testbed
 	callSlot chan struct{} // calls are handled one at a time
@@ -43,7 +43,7 @@
 }
 
 const (
-	silentWatchDelay = 6 * time.Second  // what a silent watch misses counts as told so long after it fell silent
+	silentWatchDelay = 6 * time.Second  // what a silent watch misses counts as notified so long after it fell silent
 	maxPollInterval  = 10 * time.Second // the list that a node without a watch has will do so long after its last call
 )
 
@@ -277,7 +277,7 @@
 	}
 }
 
-// write writes a list, in the form that the outage gives it. It says whether the node has all of it.
+// write writes a list, in the form that the outage gives it. It reports whether the node has all of it.
 func (d *discovery) write(n *Node, w http.ResponseWriter, update endpointUpdate, o DiscoveryFault) bool {
 	text, err := json.Marshal(update)
 	if err == nil && o.Indent {
--- a/internal/testbed/discovery_fault.go
+++ b/internal/testbed/discovery_fault.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Outage is how discovery fails. The zero value is a well one.
+// DiscoveryFault is how discovery fails. The zero value is a well one.
 type DiscoveryFault struct {
 	Down bool          // watches end, calls are refused by a reset
 	Fail bool          // calls end in 503; watches go on
@@ -49,7 +49,7 @@
 	time.AfterFunc(50*time.Millisecond, func() { d.set(DiscoveryFault{}) })
 }
 
-// silent says nothing until the caller leaves.
+// silent says nothing until the client leaves.
 func (d *discovery) silent(r *http.Request) {
 	select {
 	case <-r.Context().Done():
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -83,11 +83,11 @@
 	}
 	f, err := Load(write(t, tiny))
 	if err != nil || f.Runs() != 4 {
-		t.Errorf("the file itself: %d plays, %v", f.Runs(), err)
+		t.Errorf("the file itself: %d runs, %v", f.Runs(), err)
 	}
 }
 
-// Each seed is played by all variants with the same arrivals, each play has all its windows, and the report names what
+// Each seed is run by all variants with the same arrivals, each run has all its windows, and the report names what
 // was found.
 func TestRunPairsVariantsAndReports(t *testing.T) {
 	f, err := Load(write(t, tiny))
@@ -118,7 +118,7 @@
 		t.Errorf("arrivals by seed and variant: %v", a)
 	}
 	if len(r.Windows) != 4*4 {
-		t.Errorf("%d windows, want 4 for each of 4 plays", len(r.Windows))
+		t.Errorf("%d windows, want 4 for each of 4 runs", len(r.Windows))
 	}
 	if err := Report(dir); err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 	}
 }
 
-// An interrupted play is written with what it has.
+// An interrupted run is written with what it has.
 func TestInterruptedRunWritesWhatItHas(t *testing.T) {
 	f, err := Load(write(t, strings.Replace(tiny, `length = "2s"`, `length = "60s"`, 1)))
 	if err != nil {
@@ -170,7 +170,7 @@
 	if err := Report(dir); err == nil || !strings.Contains(err.Error(), "holds no results") {
 		t.Errorf("an empty folder: %v", err)
 	}
-	for text, want := range map[string]string{"": "no play has ended", "{\n{}\n": ResultsFile + ":1"} {
+	for text, want := range map[string]string{"": "no run has ended", "{\n{}\n": ResultsFile + ":1"} {
 		if err := os.WriteFile(filepath.Join(dir, ResultsFile), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -1,4 +1,4 @@
-// Package experiment plays experiments in the lab: one file describes the world, the load, the schedule of faults, the
+// Package experiment runs experiments in the testbed: one file describes the world, the load, the schedule of faults, the
 // variants to compare and the seeds. Variants are paired by seed: each seed's day is the same for all.
 package experiment
 
@@ -19,7 +19,7 @@
 	Length   time.Duration   `toml:"length"`
 	Window   time.Duration   `toml:"window"` // default 1 s
 	Seeds    []uint64        `toml:"seeds"`  // default 1
-	Repeat   int             `toml:"repeat"` // plays of each seed; default 1
+	Repeat   int             `toml:"repeat"` // runs of each seed; default 1
 	World    testbed.World   `toml:"world"`
 	Load     testbed.Load    `toml:"load"`
 	Faults   []testbed.Fault `toml:"fault"`
@@ -102,7 +102,7 @@
 		f.Variants = []Variant{{Name: "base"}}
 	}
 	if n := len(f.Seeds) * f.Repeat * len(f.Variants); f.Repeat < 0 || n > maxRuns {
-		bad("repeat", "%d plays, at most %d", n, maxRuns)
+		bad("repeat", "%d runs, at most %d", n, maxRuns)
 	}
 	seen := map[string]bool{}
 	for i, v := range f.Variants {
@@ -114,5 +114,5 @@
 	return all
 }
 
-// Plays is how many plays the experiment has.
+// Runs is how many runs the experiment has.
 func (f *File) Runs() int { return len(f.Seeds) * f.Repeat * len(f.Variants) }
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -64,12 +64,12 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(r.Summaries) == 0 {
-		return nil, fmt.Errorf("%s: no play has ended", path)
+		return nil, fmt.Errorf("%s: no run has ended", path)
 	}
 	return r, nil
 }
 
-// figure is one row of the report.
+// metric is one row of the report.
 type metric struct {
 	name   string
 	format string
@@ -148,7 +148,7 @@
 			}
 		}
 	})
-	b.WriteString("\n## Figures, median and worst over plays\n\n")
+	b.WriteString("\n## Figures, median and worst over runs\n\n")
 	table(&b, append([]string{"figure"}, names...), func(row func(...any)) {
 		for _, f := range metrics {
 			cells := []any{f.name}
@@ -171,7 +171,7 @@
 		})
 	}
 	for _, n := range names {
-		fmt.Fprintf(&b, "\n## `%s` over time\n\nMeans over the plays; grey lines are the steps of the first play's schedule.\n\n", n)
+		fmt.Fprintf(&b, "\n## `%s` over time\n\nMeans over the runs; grey lines are the steps of the first run's schedule.\n\n", n)
 		for what, draw := range map[string]func(*plot.Plot, string) error{"ends": r.plotEnds, "latency": r.plotLatency} {
 			name := fmt.Sprintf("%s-%s.svg", what, n)
 			if err := r.save(filepath.Join(dir, name), n, by[n][0].Steps, draw); err != nil {
@@ -217,7 +217,7 @@
 	return x
 }
 
-// paired returns a figure of the plays that both variants have, by seed and repeat.
+// paired returns a figure of the runs that both variants have, by seed and repeat.
 func paired(a, b []*Summary, f metric) (x, y []float64) {
 	type play struct {
 		seed   uint64
@@ -238,7 +238,7 @@
 var colours = []color.Color{color.RGBA{0x2c, 0x7f, 0x4a, 255}, color.RGBA{0xd9, 0x8b, 0x1f, 255}, color.RGBA{0xc0, 0x39, 0x2b, 255},
 	color.RGBA{0x5b, 0x5b, 0x9e, 255}, color.RGBA{0x7a, 0x7a, 0x7a, 255}}
 
-// line adds a figure of a variant's windows, as a mean over its plays, to a plot.
+// line adds a figure of a variant's windows, as a mean over its runs, to a plot.
 func (r *Results) line(p *plot.Plot, variant, name string, n int, of func(Window) (v float64, ok bool)) error {
 	sums, counts := map[float64]float64{}, map[float64]int{}
 	for _, w := range r.Windows {
--- a/internal/testbed/experiment/runner.go
+++ b/internal/testbed/experiment/runner.go
@@ -18,7 +18,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Key says which play a line of the results belongs to.
+// Key says which run a line of the results belongs to.
 type Key struct {
 	Experiment string `json:"experiment"`
 	Variant    string `json:"variant"`
@@ -33,7 +33,7 @@
 	Key
 	From           float64        `json:"from"` // seconds since the load began
 	To             float64        `json:"to"`
-	Void           bool           `json:"void,omitempty"` // the lab was too late: proves nothing
+	Void           bool           `json:"void,omitempty"` // the testbed was too late: proves nothing
 	Lateness       float64        `json:"lateness_ms"`
 	Arrived        int            `json:"arrived"`
 	Ends           map[string]int `json:"ends"`
@@ -49,7 +49,7 @@
 	MaxFiles       int            `json:"most_files"`
 }
 
-// Summary is one play as a whole.
+// Summary is one run as a whole.
 type Summary struct {
 	Kind string `json:"kind"` // "summary"
 	Key
@@ -58,7 +58,7 @@
 	VoidWindows int                  `json:"void_windows"`
 	Arrived     int                  `json:"arrived"`
 	Ends        map[string]int       `json:"ends"`
-	Served      float64              `json:"served"` // share of the worth asked for, outside void windows
+	Served      float64              `json:"served"` // share of the weight requested, outside void windows
 	Worst       float64              `json:"worst"`  // the same in the worst window
 	P50         float64              `json:"p50_ms"`
 	P90         float64              `json:"p90_ms"`
@@ -76,7 +76,7 @@
 	Found       []testbed.Finding    `json:"found,omitempty"` // the first ones
 }
 
-// Mark is a step of the schedule as it was carried out.
+// ExecutedStep is a step of the schedule as it was carried out.
 type ExecutedStep struct {
 	At   float64 `json:"at"`
 	What string  `json:"what"`
@@ -88,18 +88,18 @@
 	maxLatencyMillis = 120_000
 )
 
-// Runner plays an experiment.
+// Runner runs an experiment.
 type Runner struct {
 	File     *File
 	Binary   string
 	Out      io.Writer           // gets the results as JSON lines
-	Progress func(string)        // hears how far it is, often
-	Done     func(Key, *Summary) // hears of each play that ended
+	Progress func(string)        // is told how far it is, often
+	Done     func(Key, *Summary) // is called for each run that ended
 
 	mu sync.Mutex
 }
 
-// Run plays all variants and seeds. An interrupted play is written with what it has; the error is then ctx's.
+// Run runs all variants and seeds. An interrupted run is written with what it has; the error is then ctx's.
 func (r *Runner) Run(ctx context.Context) error {
 	runs := 0
 	for _, seed := range r.File.Seeds {
@@ -144,7 +144,7 @@
 	return hex.EncodeToString(h.Sum(nil))[:12], nil
 }
 
-// book gathers a play's windows.
+// runRecord gathers a run's windows.
 type runRecord struct {
 	mu      sync.Mutex
 	windows []Window
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -20,16 +20,16 @@
 //	hold      SIGSTOP a node for For, 20 to 150 ms, Pick times in a row; it counts as the machine's, and excuses nothing
 //	reload    move a node's discovery to another address, and SIGHUP
 //	peers     Pick improper clients come to a node, that stop in the middle of a request, rest, flood or half-close
-//	crash     end a server and its node; started again, cold, after For (0: never)
+//	crash     end a server and its node; started again, in slow start, after For (0: never)
 //	slow      a server's work takes Factor times longer
 //	errors    a server answers a Share of its requests with 500
 //	hang      a server takes requests and answers none
-//	spoil     a server spoils a Share of its answers: comes twice, breaks off without a length, or ends the connection after
+//	spoil     a server corrupts a Share of its answers: comes twice, breaks off without a length, or ends the connection after
 //	silent    a server says nothing at all, as a vanished machine
 //	drain     discovery lists a server as draining, and For later it is gone
-//	replace   the same, and a new process starts in its place, cold; listed once its node is ready
+//	replace   the same, and a new process starts in its place, in slow start; listed once its node is ready
 //	zone      all servers of a zone are silent and, where Nodes is set, its nodes stopped; discovery drops them Late
-//	          after; at the end they come back cold
+//	          after; at the end they come back in slow start
 //
 // Kinds that name From and To, patterns of any two parts (nodes, servers, "clients-ZONE", "discovery"):
 //
@@ -224,7 +224,7 @@
 	return steps, nil
 }
 
-// FaultLinks returns the link patterns that the faults need a proxy for.
+// LinksOfFaults returns the link patterns that the faults need a proxy for.
 func LinksOfFaults(faults []Fault) (links []string) {
 	for _, f := range faults {
 		if f.From != "" {
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Play carries out steps at their times, counted from now. told hears of each, and of what went wrong. It returns when
+// Run carries out steps at their times, counted from now. told is called for each, and of what went wrong. It returns when
 // the last is done, or once ctx ends.
 func (tb *Testbed) RunSchedule(ctx context.Context, steps []Step, report func(at time.Duration, what string)) {
 	began := tb.now()
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// ready asks a node whether clients may come; heard says that it answered at all.
+// checkReady asks a node whether clients may come; heard reports that it answered at all.
 func checkReady(ctx context.Context, client *http.Client, addr string) (yes, answered bool) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/ready", nil)
 	if err != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// isIn says whether the front deals connections to a node, and gives what closes at the next change.
+// isReady reports whether the front deals connections to a node, and gives what closes at the next change.
 func (f *front) isReady(n *Node) (bool, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -153,7 +153,7 @@
 }
 
 // refuse takes no new connection any more; what is open stays.
-func (g *gate) refuse() { g.set(gateRefuse) } // fails only at the lab's end
+func (g *gate) refuse() { g.set(gateRefuse) } // fails only at the testbed's end
 
 // reset ends all open connections by a reset.
 func (g *gate) reset() {
--- a/internal/testbed/hard_test.go
+++ b/internal/testbed/hard_test.go
@@ -60,7 +60,7 @@
 
 func TestCrashIsAFindingWithTheLastLogLines(t *testing.T) {
 	tb := Start(t, healthyStubs(1))
-	tb.Node("n1").process.cmd.Process.Signal(syscall.SIGQUIT) // not through the lab: nobody wished for it
+	tb.Node("n1").process.cmd.Process.Signal(syscall.SIGQUIT) // not through the testbed: its end is unexpected
 	Until(t, "the end is found", func() bool { _, c := tb.Findings(); return c[Crash] == 1 })
 	found, _ := tb.Findings()
 	if found[0].Node != "n1" || !strings.Contains(found[0].Detail, "exit") || len(found[0].Detail) < 60 {
@@ -85,7 +85,7 @@
 
 func TestNodeThatNeverBecomesReady(t *testing.T) {
 	w := healthyStubs(1)
-	w.Env, w.Ready = []string{"LAB_TEST_AS=mute"}, 300*time.Millisecond
+	w.Env, w.Ready = []string{"TESTBED_TEST_AS=mute"}, 300*time.Millisecond
 	_, err := Open(context.Background(), w)
 	if err == nil || !strings.Contains(err.Error(), "n1 never became ready") || !strings.Contains(err.Error(), "mute as planted") {
 		t.Errorf("opened with %v, want the node's name and what it said", err)
@@ -94,7 +94,7 @@
 
 func TestNoChildOutlivesTheTestbed(t *testing.T) {
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), "LAB_TEST_AS=lab")
+	c.Env = append(os.Environ(), "TESTBED_TEST_AS=testbed")
 	out, err := c.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 		return err == nil && !strings.Contains(string(text), ") Z ")
 	}
 	if len(folders) != 2 || !alive(folders[0]) || !alive(folders[1]) {
-		t.Fatalf("the other lab did not start: %v", folders)
+		t.Fatalf("the other testbed did not start: %v", folders)
 	}
 	c.Process.Kill()
 	c.Wait()
@@ -155,7 +155,7 @@
 	if len(got.all) != len(day) || stalled < 20 || inTime < stalled/2 {
 		t.Errorf("%d arrivals of %d, %d in the stall, %d of them sent in time", len(got.all), len(day), stalled, inTime)
 	}
-	const late = 300 * time.Millisecond // of the lab itself
+	const late = 300 * time.Millisecond // of the testbed itself
 	if s := tb.runClient(context.Background(), &load, tb.now()-late, Arrival{ID: "late", Patience: 1, Tenant: -1}); s.Latency < late || s.Late < late {
 		t.Errorf("sent %v late it took %v and was %v late", late, s.Latency, s.Late)
 	}
@@ -405,7 +405,7 @@
 	checkNoFindings(t, tb)
 }
 
-// Servers of a lost zone say nothing and come back cold; discovery drops them late.
+// Servers of a lost zone say nothing and come back in slow start; discovery drops them late.
 func TestZoneLostAndBack(t *testing.T) {
 	w := small(2, 4)
 	w.Discovery.Late = 10 * time.Millisecond
--- a/internal/testbed/improper_clients.go
+++ b/internal/testbed/improper_clients.go
@@ -16,17 +16,17 @@
 const (
 	improperClientTimeout = 3 * time.Second // an improper client gets an error or a close so long after it stopped
 	improperClientSpacing = 2 * time.Millisecond
-	shimDelay             = time.Second // a process whose every call is traced takes connections up so much later, by the lab's doing
+	shimDelay             = time.Second // a process whose every call is traced takes connections up so much later, by the testbed's doing
 )
 
-// improperKind is one way to be an improper client: what is sent, and whether the client then stays.
+// improperRequest is one way to be an improper client: what is sent, and whether the client then stays.
 type improperRequest struct {
 	name  string
 	text  string
 	stays bool
 }
 
-// improperKinds lists the ways. None is a whole request: nothing of them may reach a server.
+// improperRequests lists the ways. None is a whole request: nothing of them may reach a server.
 func improperRequests(class string) []improperRequest {
 	head := "POST /api HTTP/1.1\r\nHost: s\r\nX-Call-Id: improper\r\nX-Call-Class: " + class + "\r\nX-Budget: 5000m\r\n"
 	return []improperRequest{
@@ -42,7 +42,7 @@
 	}
 }
 
-// improperPeers lets so many improper clients come to a node, a moment after each other, and waits for their ends.
+// runImproperClients lets so many improper clients come to a node, a moment after each other, and waits for their ends.
 func (tb *Testbed) runImproperClients(ctx context.Context, n *Node, count int) {
 	kinds := improperRequests(tb.world.Classes[len(tb.world.Classes)-1].Name)
 	var all sync.WaitGroup
@@ -59,7 +59,7 @@
 	}
 }
 
-// improperPeer is one such client. A node that the lab stops or ends meanwhile owes it nothing.
+// runImproperClient is one such client. A node that the testbed stops or ends meanwhile owes it nothing.
 func (tb *Testbed) runImproperClient(n *Node, kind improperRequest) {
 	from := tb.now()
 	c, err := net.DialTimeout("tcp", n.Listen(), time.Second)
--- a/internal/testbed/intervals.go
+++ b/internal/testbed/intervals.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// spans remembers when each part of the world was out of order by the lab's own doing, so that the referee does not
+// intervals remembers when each part of the world was out of order by the testbed's own doing, so that the checker does not
 // blame a node for it. Parts are named as in faults; a link is FROM->TO.
 type intervals struct {
 	mu     sync.Mutex
@@ -34,16 +34,16 @@
 	}
 }
 
-// touch says that a part was out of order for a moment.
+// touch reports that a part was out of order for a moment.
 func (s *intervals) touch(part string, at time.Duration) {
-	if s.overlap(part, at, at) { // a longer trouble goes on
+	if s.overlap(part, at, at) { // a longer fault goes on
 		return
 	}
 	s.begin(part, at)
 	s.end(part, at+1)
 }
 
-// overlap says whether a part was out of order at any time from from to to.
+// overlap reports whether a part was out of order at any time from from to to.
 func (s *intervals) overlap(part string, from, to time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/intervals_test.go
+++ b/internal/testbed/intervals_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A trouble of a moment, such as a reset, does not end one that lasts.
+// A fault of a moment, such as a reset, does not end one that lasts.
 func TestTouchWithinAnInterval(t *testing.T) {
 	var s intervals
 	s.begin("a->b", time.Second)
--- a/internal/testbed/lateness.go
+++ b/internal/testbed/lateness.go
@@ -9,10 +9,10 @@
 
 const (
 	heartbeat    = 10 * time.Millisecond
-	voidLateness = 25 * time.Millisecond // half of the rules' slack: a lab this late proves nothing
+	voidLateness = 25 * time.Millisecond // half of the rules' slack: a testbed this late proves nothing
 )
 
-// asker asks nodes whether they are ready.
+// readinessClient asks nodes whether they are ready.
 var readinessClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 
@@ -22,7 +22,7 @@
 	worst map[int64]time.Duration // by second
 }
 
-// run beats until the lab closes.
+// run beats until the testbed closes.
 func (x *lateness) run(tb *Testbed) {
 	x.worst = map[int64]time.Duration{}
 	tb.own(func() {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Lateness is the worst lateness of the lab itself from one time to another, by whole seconds around them.
+// Lateness is the worst lateness of the testbed itself from one time to another, by whole seconds around them.
 func (tb *Testbed) Lateness(from, to time.Duration) (worst time.Duration) {
 	x := &tb.lateness
 	x.mu.Lock()
@@ -62,10 +62,10 @@
 	return worst
 }
 
-// Void says that the lab was too late from one time to another to hold anything against a node.
+// Void reports that the testbed was too late from one time to another to hold anything against a node.
 func (tb *Testbed) Void(from, to time.Duration) bool { return tb.Lateness(from, to) > voidLateness }
 
-// Findings returns what broke a rule. Those in a time when the lab itself was too late are marked void; the counts are
+// Findings returns what broke a rule. Those in a time when the testbed itself was too late are marked void; the counts are
 // of the others.
 func (tb *Testbed) Findings() (found []Finding, counts map[Rule]int) {
 	found, _ = tb.checker.Findings()
--- a/internal/testbed/link.go
+++ b/internal/testbed/link.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Cond is the condition of one direction between two parts of the world.
+// LinkCondition is the condition of one direction between two parts of the world.
 type LinkCondition struct {
 	Delay   time.Duration
 	Jitter  time.Duration // added, evenly from 0
@@ -30,7 +30,7 @@
 	sourceIdle = 30 * time.Second
 )
 
-// way is one direction. Its condition can change at any time.
+// direction is one direction. Its condition can change at any time.
 type direction struct {
 	mu      sync.Mutex
 	cond    LinkCondition
@@ -180,7 +180,7 @@
 	l.owned.Wait()
 }
 
-// join carries one connection until both directions have ended.
+// relay carries one connection until both directions have ended.
 func (l *tcpLink) relay(client *gatedConn) {
 	defer client.Close()
 	if !sleepUntil(l.there.due(time.Now(), time.Time{}, 0), l.done) || !l.there.open(l.done) {
@@ -388,7 +388,7 @@
 	return out
 }
 
-// carry sends one datagram as the path's condition has it.
+// send sends one datagram as the path's condition has it.
 func (l *udpLink) send(p *direction, data []byte, send func([]byte)) {
 	if p.plain.Load() {
 		send(data)
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// way returns the direction from one part to another.
+// direction returns the direction from one part to another.
 func (tb *Testbed) direction(from, to string) *direction {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -22,7 +22,7 @@
 	return tb.directions[key]
 }
 
-// linked says whether a link is to have a proxy.
+// linked reports whether a link is to have a proxy.
 func (tb *Testbed) linked(from, to string) bool {
 	for _, p := range tb.world.Links {
 		a, b, _ := strings.Cut(p, "->")
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -14,12 +14,12 @@
 
 // Load says what clients do. Arrivals are a Poisson process that does not wait for answers.
 type Load struct {
-	Rate        float64       `toml:"rate"`        // first tries a second over all zones
+	Rate        float64       `toml:"rate"`        // first attempts a second over all zones
 	ByZone      []float64     `toml:"by_zone"`     // shares of the zones; default: even
 	Bursts      []Burst       `toml:"burst"`       // times at which the rate is another
-	Retries     int           `toml:"retries"`     // most tries after the first
+	Retries     int           `toml:"retries"`     // most attempts after the first
 	Backoff     time.Duration `toml:"backoff"`     // before a retry, drawn evenly from a half to one and a half; default 200 ms
-	Patience    float64       `toml:"patience"`    // a try is given up after this share of the deadline at the least; default 0.7
+	Patience    float64       `toml:"patience"`    // an attempt is given up after this share of the deadline at the least; default 0.7
 	Impatient   float64       `toml:"impatient"`   // share of clients that leave before their time is up
 	MaxInFlight int           `toml:"most_flight"` // requests of clients out at once; more are not sent and void the window; default 20,000
 }
@@ -61,14 +61,14 @@
 	return nil
 }
 
-// Arrival is one client's first try, as drawn.
+// Arrival is one client's first attempt, as drawn.
 type Arrival struct {
 	At       time.Duration // since the load began
 	ID       string
 	Class    int
 	Tenant   int // -1: there are none
 	Zone     int
-	Patience float64 // share of the deadline after which a try is given up
+	Patience float64 // share of the deadline after which an attempt is given up
 	Leaves   float64 // share of the deadline after which the client goes away; 0: it stays
 	Over     bool    // beyond its tenant's quota in that second
 }
@@ -147,18 +147,18 @@
 	return nil
 }
 
-// Served is what became of one arrival, with all its tries.
+// ArrivalResult is what became of one arrival, with all its attempts.
 type ArrivalResult struct {
 	Arrival        Arrival
 	End            string        // served, late, refused, failed, left, unreached or unsent
 	Latency        time.Duration // from the drawn arrival to the last byte; coordinated omission cannot hide a stall
-	Late           time.Duration // how late the lab itself was with the first try
+	Late           time.Duration // how late the testbed itself was with the first attempt
 	Attempts       int
 	Node           string
 	PriorityWeight float64 // of the request, whether earned or not
 }
 
-// Drive plays a drawn day and calls done, from several goroutines, with what became of each arrival. It returns once
+// Drive runs a drawn day and calls done, from several goroutines, with what became of each arrival. It returns once
 // every arrival has ended, or soon after ctx ends.
 func (tb *Testbed) Drive(ctx context.Context, load *Load, day []Arrival, done func(ArrivalResult)) {
 	began := tb.now()
@@ -184,7 +184,7 @@
 	}
 }
 
-// client is one client from its first try to its end.
+// runClient is one client from its first attempt to its end.
 func (tb *Testbed) runClient(ctx context.Context, load *Load, began time.Duration, a Arrival) ArrivalResult {
 	class := &tb.world.Classes[a.Class]
 	from := began + a.At
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -18,7 +18,7 @@
 func (n *Node) meshListen() string { return net.JoinHostPort(n.address, "5002") }
 
 // writeFleet writes a node's fleet configuration and returns its path; empty: there is none. The world's tables are as
-// they are; to [mesh] the lab adds addresses: the node's own, the seeds', and its own links to peers.
+// they are; to [mesh] the testbed adds addresses: the node's own, the seeds', and its own links to peers.
 func (tb *Testbed) writeFleet(n *Node) (string, error) {
 	if len(tb.world.Fleet) == 0 {
 		return "", nil
@@ -73,7 +73,7 @@
 	return addr, nil
 }
 
-// FleetView is what a node's door says of the fleet.
+// FleetView is what a node's admin endpoint says of the fleet.
 type FleetView struct {
 	Self    string `json:"self"`
 	Side    string `json:"side"`
@@ -105,7 +105,7 @@
 
 var adminClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Fleet asks a node's door what it knows of the fleet.
+// Fleet asks a node's admin endpoint what it knows of the fleet.
 func (n *Node) Fleet(ctx context.Context) (*FleetView, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/control/members", nil)
 	if err != nil {
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -124,13 +124,13 @@
 	})
 }
 
-// Without a fleet configuration the door knows of no members.
+// Without a fleet configuration the admin endpoint knows of no members.
 func TestNoMeshWithoutAFleetConfiguration(t *testing.T) {
 	w := meshWorld(1)
 	w.Fleet = nil
 	tb := Start(t, w)
 	if v, err := tb.Nodes()[0].Fleet(context.Background()); err == nil {
-		t.Errorf("the door says %+v", v)
+		t.Errorf("the admin endpoint says %+v", v)
 	}
 }
 
@@ -148,7 +148,7 @@
 	}
 }
 
-// Beside a program that has one of its addresses a lab takes another block.
+// Beside a program that has one of its addresses a testbed takes another block.
 func TestTestbedTakesAnotherBlock(t *testing.T) {
 	first := Start(t, healthyStubs(1))
 	n := first.Node("n1")
@@ -158,7 +158,7 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	first.lock.Close() // the next lab may take the same block, beside the other program
+	first.lock.Close() // the next testbed may take the same block, beside the other program
 	tb, err := openFrom(context.Background(), healthyStubs(1), first.net-firstBlock)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -38,10 +38,10 @@
 // Name is the node's name, the same after a restart.
 func (n *Node) Name() string { return n.name }
 
-// Listen is the address at which callers connect.
+// Listen is the address at which clients connect.
 func (n *Node) Listen() string { return net.JoinHostPort(n.address, "5000") }
 
-// Control is the address of the operators' door.
+// Control is the address of the admin endpoint.
 func (n *Node) Control() string { return net.JoinHostPort(n.address, "5001") }
 
 // Log is the file that holds what the process said, through all its starts.
@@ -154,7 +154,7 @@
 }
 
 // Terminate sends SIGTERM and waits for the end, which it brings by SIGKILL after the longest deadline and 0.7 s. It
-// says whether that was needed.
+// reports whether that was needed.
 func (n *Node) Terminate() (killed bool) {
 	longest := 3 * time.Second
 	for _, c := range n.testbed.world.Classes {
@@ -175,7 +175,7 @@
 	return killed
 }
 
-// Running says that there is a process in the node's place.
+// Running reports that there is a process in the node's place.
 func (n *Node) Running() bool {
 	running, _ := n.process.running()
 	return running
@@ -184,7 +184,7 @@
 // Starts is how often the process was started.
 func (n *Node) Starts() int { return n.starts }
 
-// Held says that the lab has stopped the process for a moment, or for longer.
+// Paused reports that the testbed has stopped the process for a moment, or for longer.
 func (n *Node) Paused() bool { return n.paused.Load() }
 
 const oldDiscoveryFor = 1500 * time.Millisecond // the address of before closes its connections so long after a move
@@ -206,7 +206,7 @@
 	return n.process.signal(syscall.SIGHUP)
 }
 
-// Hold stops the process for a moment, as a busy machine may. Nothing that it does then is excused by that.
+// Pause stops the process for a moment, as a busy machine may. Nothing that it does then is excused by that.
 func (n *Node) Pause(d time.Duration) error {
 	n.paused.Store(true)
 	n.testbed.intervals.begin(pausedPart(n.name), n.testbed.now())
@@ -218,7 +218,7 @@
 	return n.process.signal(syscall.SIGCONT)
 }
 
-// heldUp names the spans in which a node was held up.
+// pausedPart names the spans in which a node was held up.
 func pausedPart(node string) string { return "held up " + node }
 
 // Stop halts the process with SIGSTOP, and Continue lets it go on.
@@ -274,13 +274,13 @@
 		}
 		if running, _ := n.process.running(); !running {
 			look.Stop()
-			return fmt.Errorf("%s ended before it was ready; it said: %s", n.name, n.process.tail(2))
+			return fmt.Errorf("%s ended before it was ready; it logged: %s", n.name, n.process.tail(2))
 		}
 		select {
 		case <-look.C:
 		case <-ctx.Done():
 			look.Stop()
-			return fmt.Errorf("%s never became ready at %s; it said: %s", n.name, n.Listen(), n.process.tail(2))
+			return fmt.Errorf("%s never became ready at %s; it logged: %s", n.name, n.Listen(), n.process.tail(2))
 		}
 	}
 }
--- a/internal/testbed/notification_times.go
+++ b/internal/testbed/notification_times.go
@@ -1,4 +1,4 @@
-// What a node counts as told, by the page's clock.
+// What a node counts as notified, by the rules of the platform.
 
 package testbed
 
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// ear is what a node is held to, by the page's clock.
+// watchState is what a node is held to, by the rules of the platform.
 type watchState struct {
 	watches  int           // open and well
 	silent   time.Duration // since when its watch says nothing; 0: it does not
 	lastPoll time.Duration // when it last asked, or its watch ended
 }
 
-// heed says when a node counts as told of what changes now, if nothing is written to it before; d.mu is held.
+// notificationTime says when a node counts as notified of what changes now, if nothing is written to it before; d.mu is held.
 func (d *discovery) notificationTime(n *Node) time.Duration {
 	now, e := d.testbed.now(), d.watchStates[n]
 	switch {
@@ -29,7 +29,7 @@
 	return now // the agent has it, and the node has no watch
 }
 
-// hear changes what a node can hear.
+// updateWatch changes what a node can hear.
 func (d *discovery) updateWatch(n *Node, f func(*watchState)) *watchState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,7 +40,7 @@
 	return d.watchStates[n]
 }
 
-// told lets the referee know what a node has heard.
+// recordNotified lets the checker know what a node has heard.
 func (d *discovery) recordNotified(n *Node, update endpointUpdate) {
 	listedNow := map[string]bool{}
 	for _, h := range update.Hosts {
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A drain that a node could not hear of binds it all the same once it counts as told: for a node that was stopped, when
+// A drain that a node could not hear of binds it all the same once it counts as notified: for a node that was stopped, when
 // it was written; for a watch that fell silent, 6 s after that.
 func TestDrainsBindNodesThatMissedThem(t *testing.T) {
 	const drain = 1500 * time.Millisecond // after the load began
@@ -49,7 +49,7 @@
 			tb.checker.mu.Lock()
 			defer tb.checker.mu.Unlock()
 			if at, notified := tb.checker.notifiedAt[[2]string{"n1", "front-2"}]; !notified || at > tb.now()-drainWithin-slack {
-				t.Errorf("told %v, at %v: the drain was not held to within the day", notified, at)
+				t.Errorf("notified %v, at %v: the drain was not held to within the day", notified, at)
 			}
 		})
 	}
--- a/internal/testbed/one_sided_scenarios.go
+++ b/internal/testbed/one_sided_scenarios.go
@@ -24,7 +24,7 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
-// healed ends the conditions of some links and books until all agree, and who was taken for gone since.
+// waitUntilHealed ends the conditions of some links and books until all agree, and who was taken for gone since.
 func (s *scenarioRun) waitUntilHealed(ctx context.Context, from, to string, since time.Duration, names ...string) error {
 	s.testbed.SetLink(from, to, LinkCondition{})
 	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
@@ -32,7 +32,7 @@
 	return errors.Join(err, s.countWronglyRemoved(since, names...))
 }
 
-// replaced books how long it takes until some nodes know of a majority under another process than before.
+// waitForNewLeader books how long it takes until some nodes know of a majority under another process than before.
 func (s *scenarioRun) waitForNewLeader(ctx context.Context, by []*Node, before string) error {
 	took, err := s.waitUntil(ctx, "another leader has the majority", func() bool {
 		v, err := by[0].Fleet(ctx)
@@ -42,7 +42,7 @@
 	return err
 }
 
-// oneSided makes the leader deaf, or mute, for 15 s. Of the others nobody is gone, in anybody's view.
+// leaderLinkFailure makes the leader deaf, or mute, for 15 s. Of the others nobody is gone, in anybody's view.
 func (s *scenarioRun) leaderLinkFailure(ctx context.Context, deaf bool) error {
 	at, rest := s.testbed.now(), s.nodes[1:]
 	v, err := s.nodes[0].Fleet(ctx)
@@ -63,7 +63,7 @@
 	return s.waitUntilHealed(ctx, from, to, at, names(rest)...)
 }
 
-// deafMember lets the last node hear nobody for 15 s; its accusations are heard.
+// memberReceiveFailure lets the last node hear nobody for 15 s; its accusations are heard.
 func (s *scenarioRun) memberReceiveFailure(ctx context.Context) error {
 	at, last := s.testbed.now(), s.nodes[len(s.nodes)-1]
 	s.testbed.SetLink("n*", last.name, LinkCondition{Cut: true})
@@ -120,7 +120,7 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
-// tenthInTurn gives each process a tenth of a processor for 3 s.
+// slowOneByOne gives each process a tenth of a processor for 3 s.
 func (s *scenarioRun) slowOneByOne(ctx context.Context) error {
 	at := s.testbed.now()
 	for _, n := range s.nodes {
@@ -140,7 +140,7 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
-// joinedByOne leaves only n4 in reach of both n1 to n3 and n5 to n8, for 20 s. Nobody counts more than one majority, and
+// splitWithBridge leaves only n4 in reach of both n1 to n3 and n5 to n8, for 20 s. Nobody counts more than one majority, and
 // n4 is never gone.
 func (s *scenarioRun) splitWithBridge(ctx context.Context) error {
 	at := s.testbed.now()
@@ -154,7 +154,7 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at, "n4")
 }
 
-// killedAccuser cuts n7 off from n8 for a moment, and kills it when it has begun to suspect.
+// killWhileSuspecting cuts n7 off from n8 for a moment, and kills it when it has begun to suspect.
 func (s *scenarioRun) killWhileSuspecting(ctx context.Context) error {
 	at, n7, n8 := s.testbed.now(), s.nodes[6], s.nodes[7]
 	s.testbed.SetLink(n7.name, "n*", LinkCondition{Loss: 0.8})
--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Order calls /control/overrides/ID at the node's door; body may be empty. It returns the answer's status.
+// SendOverride calls /control/overrides/ID at the node's admin endpoint; body may be empty. It returns the answer's status.
 func (n *Node) SendOverride(ctx context.Context, method, id, body string) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.Control()+"/control/overrides/"+id, strings.NewReader(body))
 	if err != nil {
@@ -24,7 +24,7 @@
 	return resp.StatusCode, nil
 }
 
-// InForce asks the node's door which overrides act there, and how long they have left.
+// OverridesInForce asks the node's admin endpoint which overrides act there, and how long they have left.
 func (n *Node) OverridesInForce(ctx context.Context) (map[string]time.Duration, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/control/overrides", nil)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return fmt.Sprintf(`{"kind":"evacuate","scope":%q,"reason":"lab","author":"lab","for":%q}`, zone, lasts)
 }
 
-// issue orders until some door takes it, and returns when the last call that did was made.
+// issueOverride orders until some admin endpoint takes it, and returns when the last call that did was made.
 func (s *scenarioRun) issueOverride(ctx context.Context, by *Node, id, body string) (at time.Duration, err error) {
 	_, err = s.waitUntil(ctx, id+" is taken", func() bool {
 		at = s.testbed.now()
@@ -65,7 +65,7 @@
 	return at, err
 }
 
-// revoke ends an override through a node, and returns when the last call that did was made.
+// revokeOverride ends an override through a node, and returns when the last call that did was made.
 func (s *scenarioRun) revokeOverride(ctx context.Context, by *Node, id string) (at time.Duration, err error) {
 	_, err = s.waitUntil(ctx, "the revocation is taken", func() bool {
 		at = s.testbed.now()
@@ -75,7 +75,7 @@
 	return at, err
 }
 
-// acts waits until an override acts, or does not, on some nodes, and books how long that took from a time on.
+// waitForOverride waits until an override acts, or does not, on some nodes, and books how long that took from a time on.
 func (s *scenarioRun) waitForOverride(ctx context.Context, on []*Node, id string, want bool, figure string, from time.Duration) error {
 	for _, n := range on {
 		if _, err := s.waitUntil(ctx, figure+" at "+n.name, func() bool {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// overrides issues overrides at any door under a condition of all links, revokes some, and lets the others end. One node is
+// overrides issues overrides at any admin endpoint under a condition of all links, revokes some, and lets the others end. One node is
 // cut off, and one stopped, across all of that.
 func (s *scenarioRun) overrides(ctx context.Context, c LinkCondition) error {
 	const lasts = 6 * time.Second
--- a/internal/testbed/overrides_test.go
+++ b/internal/testbed/overrides_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Eight processes: overrides given at any door are in force everywhere and end everywhere, also at one that is cut off and one
+// Eight processes: overrides given at any admin endpoint are in force everywhere and end everywhere, also at one that is cut off and one
 // that is stopped, and both come to what they missed.
 func TestOverridesEndOnEveryNode(t *testing.T) {
 	t.Parallel()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -16,7 +16,7 @@
 )
 
 // spawner starts children from one thread that lives as long as it does, since the kernel kills them when that thread
-// ends: no child outlives the lab, however the lab ends.
+// ends: no child outlives the testbed, however the testbed ends.
 type spawner struct {
 	jobs chan func()
 	done chan struct{}
@@ -45,7 +45,7 @@
 	case s.jobs <- func() { started <- c.Start() }:
 		return <-started
 	case <-s.done:
-		return errors.New("the lab is closed")
+		return errors.New("the testbed is closed")
 	}
 }
 
@@ -54,11 +54,11 @@
 	name, dir string
 	spawner   *spawner
 	command   func() *exec.Cmd
-	ended     func(crash string, clean bool) // called at each end; crash is empty where the lab wished for it, clean after SIGTERM alone
+	ended     func(crash string, clean bool) // called at each end; crash is empty where the testbed wished for it, clean after SIGTERM alone
 
 	mu          sync.Mutex
 	cmd         *exec.Cmd // nil: not running
-	endExpected bool      // the lab ends it
+	endExpected bool      // the testbed ends it
 	killed      bool      // by SIGKILL
 	stopped     bool
 	exited      chan struct{} // closed at its end
@@ -151,7 +151,7 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// running says whether it runs, and gives what closes at its end.
+// running reports whether it runs, and gives what closes at its end.
 func (p *process) running() (bool, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -179,7 +179,7 @@
 	return errors.Join(ctx.Err(), s.countWronglyRemoved(at))
 }
 
-// halfProcessor lets one node run for half of every tenth of a second.
+// halfProcessorTime lets one node run for half of every tenth of a second.
 func (s *scenarioRun) halfProcessorTime(ctx context.Context) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	for s.testbed.now()-at < 30*time.Second {
@@ -199,7 +199,7 @@
 	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
-// twoOfOneName starts a second process with the last node's name, at an address of its own, and ends it once the older
+// duplicateName starts a second process with the last node's name, at an address of its own, and ends it once the older
 // one has stepped out of the mesh.
 func (s *scenarioRun) duplicateName(ctx context.Context) error {
 	older := s.nodes[len(s.nodes)-1]
--- a/internal/testbed/scenario_run.go
+++ b/internal/testbed/scenario_run.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// study is one play of a scenario.
+// scenarioRun is one run of a scenario.
 type scenarioRun struct {
 	testbed *Testbed
 	nodes   []*Node
@@ -21,16 +21,16 @@
 	seed    uint64
 }
 
-// Study is what one play of a scenario showed.
+// ScenarioResult is what one run of a scenario showed.
 type ScenarioResult struct {
 	Scenario string
 	Seed     uint64
 	Times    map[string][]time.Duration
 	Counts   map[string]int
-	Failure  string // why it could not be played to its end; empty: it was
+	Failure  string // why it could not be run to its end; empty: it was
 }
 
-// RunScenario plays a scenario once, with nodes that have links between any two.
+// RunScenario runs a scenario once, with nodes that have links between any two.
 func RunScenario(ctx context.Context, sc Scenario, binary string, nodes int, seed uint64, probe time.Duration) (ScenarioResult, error) {
 	if sc.Nodes > 0 {
 		nodes = sc.Nodes
@@ -71,12 +71,12 @@
 
 const scenarioTimeout = time.Minute
 
-// agreed waits until some nodes are on a side with one digest, and returns how long that took.
+// waitForAgreement waits until some nodes are on a side with one digest, and returns how long that took.
 func (s *scenarioRun) waitForAgreement(ctx context.Context, nodes []*Node, side string) (time.Duration, error) {
 	return s.waitUntil(ctx, fmt.Sprintf("%d nodes agree on %s", len(nodes), side), func() bool { return Agree(ctx, nodes, side) })
 }
 
-// until waits for a condition, and returns how long that took.
+// waitUntil waits for a condition, and returns how long that took.
 func (s *scenarioRun) waitUntil(ctx context.Context, what string, is func() bool) (time.Duration, error) {
 	from := s.testbed.now()
 	for !is() {
@@ -90,7 +90,7 @@
 	return s.testbed.now() - from, nil
 }
 
-// majorities asks all doors over and over which process proves their majority. Two answers in one round are a finding
+// watchLeaders asks all admin endpoints over and over which process proves their majority. Two answers in one round are a finding
 // where the next round, right after it, has the same two.
 func (s *scenarioRun) watchLeaders(ctx context.Context) {
 	var before []string
@@ -127,9 +127,9 @@
 	}
 }
 
-// change is a line of a node's log about a member.
+// memberChange is a line of a node's log about a member.
 type memberChange struct {
-	at       time.Duration // on the lab's clock
+	at          time.Duration // on the testbed's clock
 	name, state string
 }
 
@@ -159,7 +159,7 @@
 	return all, nil
 }
 
-// heard waits until some nodes have logged a member's state after a time, and books how long after it that was.
+// waitForState waits until some nodes have logged a member's state after a time, and books how long after it that was.
 func (s *scenarioRun) waitForState(ctx context.Context, by []*Node, name, is, figure string, after time.Duration) error {
 	for _, n := range by {
 		for found := false; !found; {
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// wronglyGone counts the members of some names that nodes took for gone since a time.
+// countWronglyRemoved counts the members of some names that nodes took for gone since a time.
 func (s *scenarioRun) countWronglyRemoved(after time.Duration, names ...string) error {
 	for _, n := range s.nodes {
 		all, err := s.changes(n)
@@ -243,7 +243,7 @@
 	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
-// quiet sets a condition under which nobody may be taken for gone.
+// holdCondition sets a condition under which nobody may be taken for gone.
 func (s *scenarioRun) holdCondition(ctx context.Context, from, to string, c LinkCondition, d time.Duration) error {
 	at := s.testbed.now()
 	s.testbed.SetLink(from, to, c)
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Scenario is one way to trouble a fleet whose only work is membership.
+// Scenario is one way to inject faults into a fleet whose only work is membership.
 type Scenario struct {
 	Name  string
 	Nodes int // 0: as many as asked for
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -14,12 +14,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Trouble is what ails a server. The zero value is a well one.
+// ServerFault is the fault of a server. The zero value is a well one.
 type ServerFault struct {
 	Slow             float64 // work takes so many times longer; 0 and 1: as ever
 	Errors           float64 // share of requests answered with 500
 	Hang             bool    // takes requests and answers none
-	CorruptResponses float64 // share of answers that are spoilt
+	CorruptResponses float64 // share of answers that are corrupted
 }
 
 // Server stands for one machine of a tier: cores that work, slots that hold requests, a queue before them. Work is time
@@ -50,7 +50,7 @@
 	overSince time.Duration
 	idleSince time.Duration
 	choked    bool
-	recent    []sentWork // while cold
+	recent    []sentWork // while in slow start
 	served    int
 }
 
@@ -87,7 +87,7 @@
 // Name is the server's name in discovery's list.
 func (s *Server) Name() string { return s.name }
 
-// Set changes what ails the server.
+// Set changes the fault of the server.
 func (s *Server) Set(t ServerFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,14 +177,14 @@
 	io.WriteString(w, s.testbed.checker.recordServed(id))
 }
 
-// senderOf reads what a caller has added to its request for the referee.
+// senderOf reads what a client has added to its request for the checker.
 func senderOf(r *http.Request) sender {
 	node, writing, _ := strings.Cut(r.Header.Get(senderHeader), " ")
 	n, _ := strconv.Atoi(writing)
 	return sender{node, n}
 }
 
-// slot waits for a place among the requests that the server holds; false: turned away.
+// acquireSlot waits for a place among the requests that the server holds; false: rejected.
 func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -211,7 +211,7 @@
 	}
 }
 
-// callOn makes the calls of an attempt on the next tier, one after another, each with the time that is left and an id
+// callNextTier makes the calls of an attempt on the next tier, one after another, each with the time that is left and an id
 // of its own: another attempt of the same request may make its calls at the same time.
 func (s *Server) callNextTier(ctx context.Context, id string, class *Class, tenant string, deadline time.Duration) bool {
 	if s.nextTier == nil {
@@ -248,7 +248,7 @@
 	return time.Duration(n * float64(unit))
 }
 
-// fall takes a cold server down that was sent more than it bears. It stays down.
+// failOverloaded takes a server in slow start down that was sent more than it bears. It stays down.
 func (s *Server) failOverloaded() {
 	s.mu.Lock()
 	was := s.down
@@ -272,7 +272,7 @@
 	}
 }
 
-// restart starts a crashed server again, cold, with its node.
+// restart starts a crashed server again, in slow start, with its node.
 func (s *Server) restart() error {
 	if s.node != nil {
 		if err := s.node.Start(); err != nil {
--- a/internal/testbed/server_work.go
+++ b/internal/testbed/server_work.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// warmth is the share of its capacity that the server has; s.mu is held.
+// capacityShare is the share of its capacity that the server has; s.mu is held.
 func (s *Server) capacityShare(now time.Duration) float64 {
 	c := s.testbed.world.SlowStart
 	if s.born == 0 || now-s.born >= c.Duration {
@@ -19,7 +19,7 @@
 	return c.From + (1-c.From)*float64(now-s.born)/float64(c.Duration)
 }
 
-// bears adds work that came to a cold server and says whether the server stands it.
+// withinCapacity adds work that came to a server in slow start and reports whether the server stands it.
 func (s *Server) withinCapacity(now, work time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/shim/faults.go
+++ b/internal/testbed/shim/faults.go
@@ -39,7 +39,7 @@
 
 const epollAdd = 1 // EPOLL_CTL_ADD; failing removals have no page in the program's books
 
-// canFail says whether a call may be failed.
+// canFail reports whether a call may be failed.
 func canFail(number uint64, kind socketKind, second uint64) (fault, bool) {
 	f, ok := faults[number]
 	if !ok || number == syscall.SYS_EPOLL_CTL && second != epollAdd {
--- a/internal/testbed/shim/spec.go
+++ b/internal/testbed/shim/spec.go
@@ -1,6 +1,6 @@
 // Package shim runs an unmodified program and lets some of its system calls fail, and its wall clock jump. It is the
 // program's parent and traces it (ptrace), so the program needs no hooks and no rights. Each call of a traced process
-// costs two stops; a few processes of a lab bear that.
+// costs two stops; a few processes of a testbed bear that.
 package shim
 
 import "time"
--- a/internal/testbed/shim/trace.go
+++ b/internal/testbed/shim/trace.go
@@ -48,7 +48,7 @@
 	sockets map[uint64]socketKind
 }
 
-// Run starts a program, plays the spec to it and returns its exit code. SIGTERM, SIGHUP and SIGINT are passed on.
+// Run starts a program, applies the spec to it and returns its exit code. SIGTERM, SIGHUP and SIGINT are passed on.
 func Run(spec Spec, path string, args []string) (int, error) {
 	runtime.LockOSThread() // only the thread that started it may trace it; it ends with this process
 	log := io.Discard
@@ -232,7 +232,7 @@
 	for {
 		key, err := next()
 		if err != nil || key == 0 {
-			return errors.Join(err, errors.New("the program is told of no page of calls"))
+			return errors.Join(err, errors.New("the auxiliary vector names no vDSO"))
 		}
 		if key == vdsoEntry {
 			binary.LittleEndian.PutUint64(word, ignoreEntry)
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -1,4 +1,4 @@
-// Package soak plays many real nodes through troubles that overlap, drawn from a seed, and judges the play by what
+// Package soak runs many real nodes through faults that overlap, drawn from a seed, and judges the run by what
 // clients, servers and discovery saw and by what the nodes counted themselves.
 package soak
 
@@ -11,11 +11,11 @@
 	"keelusher/internal/testbed/shim"
 )
 
-// Times of a play, from the beginning of the load.
+// Times of a run, from the beginning of the load.
 const (
 	firstCluster    = 3 * time.Second
 	secondCluster   = 10 * time.Second
-	clusterDuration = 1500 * time.Millisecond // the troubles of a cluster begin within it
+	clusterDuration = 1500 * time.Millisecond // the faults of a cluster begin within it
 	length          = 18 * time.Second
 	quietAfter      = 5 * time.Second // for what is still out, before the counters are compared
 )
@@ -27,7 +27,7 @@
 	clockStepMax = time.Hour
 )
 
-// Plan is a play as drawn from its seed.
+// Plan is a run as drawn from its seed.
 type Plan struct {
 	Seed   uint64
 	World  testbed.World
@@ -35,7 +35,7 @@
 	Faults []testbed.Fault // the order is the numbering by which some are left out
 }
 
-// NewPlan draws the play of a seed.
+// NewPlan draws the run of a seed.
 func NewPlan(seed uint64) *Plan {
 	r := rand.New(rand.NewPCG(seed, 11))
 	p := &Plan{Seed: seed, World: world(seed, r), Load: testbed.Load{Rate: 70, Retries: 1, Impatient: 0.2}}
@@ -89,7 +89,7 @@
 	return w
 }
 
-// cluster draws two or three troubles that overlap.
+// cluster draws two or three faults that overlap.
 func cluster(r *rand.Rand, at time.Duration) (faults []testbed.Fault) {
 	kinds := r.Perm(len(catalogue))
 	discovery := false
@@ -109,7 +109,7 @@
 	return faults
 }
 
-// drawn is one kind of trouble.
+// faultKind is one kind of fault.
 type faultKind struct {
 	discovery bool
 	draw      func(*rand.Rand) testbed.Fault
@@ -124,7 +124,7 @@
 
 const frontNodes = "n[0-9]*"
 
-// catalogue lists the kinds of trouble. Their meaning is at lab.Fault.
+// catalogue lists the kinds of fault. Their meaning is at testbed.Fault.
 var catalogue = []faultKind{
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "term", Target: frontNodes, Pick: 2, For: time.Second}
--- a/internal/testbed/soak/plan_test.go
+++ b/internal/testbed/soak/plan_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// A seed gives the same play each time, each fault of it can be played, and both clusters overlap.
+// A seed gives the same run each time, each of its faults passes its check, and both clusters overlap.
 func TestPlanOfASeed(t *testing.T) {
 	for seed := range uint64(200) {
 		p, again := NewPlan(seed), NewPlan(seed)
 		if !reflect.DeepEqual(p, again) {
-			t.Fatalf("seed %d gave two plays", seed)
+			t.Fatalf("seed %d gave two plans", seed)
 		}
 		if err := p.World.Fill(); err != nil {
 			t.Fatal(err)
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -15,7 +15,7 @@
 	"keelusher/internal/testbed"
 )
 
-// Result is what came of a play.
+// Result is what came of a run.
 type Result struct {
 	Seed       uint64               `json:"seed"`
 	Faults     []string             `json:"faults"`
@@ -27,10 +27,10 @@
 	Violations map[string]int64     `json:"violations"` // as the nodes counted them
 	NotSent    map[string]int64     `json:"attempts_not_sent"`
 	Rejected   map[string]int64     `json:"requests_turned_away"`
-	Lateness   time.Duration        `json:"lateness"` // of the lab itself, at worst
+	Lateness   time.Duration        `json:"lateness"` // of the testbed itself, at worst
 }
 
-// Play plays a plan with a node program. Logs of the nodes and the result stay in dir.
+// Run runs a plan with a node program. Logs of the nodes and the result stay in dir.
 func Run(ctx context.Context, p *Plan, binary string, shim []string, dir string) (*Result, error) {
 	w := p.World
 	w.Binary, w.Shim, w.Dir = binary, shim, filepath.Join(dir, fmt.Sprint("seed-", p.Seed))
@@ -74,7 +74,7 @@
 	return r, r.write(w.Dir)
 }
 
-// drive plays load and faults side by side.
+// drive runs load and faults side by side.
 func (r *Result) drive(ctx context.Context, tb *testbed.Testbed, p *Plan, steps []testbed.Step, day []testbed.Arrival) {
 	var mu sync.Mutex
 	var both sync.WaitGroup
@@ -99,7 +99,7 @@
 
 const maxRequests = 5 // of one path: a shim may break some connections
 
-// ask reads what a node's operators' endpoint shows.
+// getJSON reads what a node's admin endpoint shows.
 func getJSON(ctx context.Context, n *testbed.Node, path string, into any) (err error) {
 	for range maxRequests {
 		if err = getJSONOnce(ctx, n, path, into); err == nil {
@@ -122,8 +122,8 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// compare holds a node's own counters against what the lab saw of it. A violation that a node counts for itself is one,
-// unless the lab has held the process up: it may have been between its write and its second look.
+// compare holds a node's own counters against what the testbed saw of it. A violation that a node counts for itself is one,
+// unless the testbed has held the process up: it may have been between its write and its second look.
 func (r *Result) compare(ctx context.Context, tb *testbed.Testbed, n *testbed.Node) {
 	var counters struct {
 		Written  int64 `json:"backend_calls"`
@@ -171,7 +171,7 @@
 	return os.WriteFile(filepath.Join(dir, "result.json"), append(text, '\n'), 0o600)
 }
 
-// Reduce leaves out one fault after another as long as the play still breaks one of the same rules, and returns the
+// Reduce leaves out one fault after another as long as the run still breaks one of the same rules, and returns the
 // numbers of the faults that are left.
 func Reduce(ctx context.Context, seed uint64, run func(*Plan) (*Result, error)) ([]int, error) {
 	first, err := run(NewPlan(seed))
--- a/internal/testbed/start.go
+++ b/internal/testbed/start.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// T is what the lab needs of a test.
+// T is what the testbed needs of a test.
 type T interface {
 	Helper()
 	Cleanup(func())
@@ -25,12 +25,12 @@
 	defer cancel()
 	tb, err := Open(ctx, w)
 	if err != nil {
-		t.Fatalf("lab: %v", err)
+		t.Fatalf("testbed: %v", err)
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
 			for _, n := range tb.nodeOrder {
-				t.Logf("%s said: %s", n.name, n.process.tail(4))
+				t.Logf("%s logged: %s", n.name, n.process.tail(4))
 			}
 		}
 		tb.Close()
--- a/internal/testbed/stub_node_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -17,10 +17,10 @@
 // "lose" ends a connection without an answer, "drained" goes on sending to a server that drains, "mute" never listens.
 // "overtell" tells servers an hour, "linger" sends on 0.7 s late, whoever has left, "repeat" sends keyed requests again when
 // servers do not discard them any more, "swallow" reads and closes, "give back" resets a connection and sends on.
-// "lab" is another program: a lab of its own that says its children's ids and waits to be killed.
+// "testbed" is another program: a testbed of its own that says its children's ids and waits to be killed.
 func runStubNode(as string) {
-	if as == "lab" {
-		os.Setenv("LAB_TEST_AS", "well")
+	if as == "testbed" {
+		os.Setenv("TESTBED_TEST_AS", "well")
 		w := small(2, 1)
 		w.Binary = os.Args[0]
 		tb, err := Open(context.Background(), w)
@@ -133,8 +133,8 @@
 
 const plantedWindow = 200 * time.Millisecond // for repeats of keyed requests
 
-// The referee finds each planted fault by its name, and nothing where none is planted. A play in which the lab itself was
-// late proves nothing, by its own rule, and is played again; one that was not must show the fault.
+// The checker finds each planted fault by its name, and nothing where none is planted. A run in which the testbed itself was
+// late proves nothing, by its own rule, and is run again; one that was not must show the fault.
 func TestCheckerFindsPlantedFaults(t *testing.T) {
 	for as, want := range map[string]Rule{"well": "", "twice": AnsweredTwice, "resend": DuplicateExecution, "lose": Lost, "drained": SentToDraining,
 		"overtell": BudgetTooLong, "linger": SentAfterDisconnect, "repeat": RetryAfterWindow, "swallow": Lost, "give back": ForwardedUnread} {
@@ -143,19 +143,19 @@
 			end := time.Now().Add(longEnough)
 			for n, late := 1, true; late; n++ {
 				if time.Now().After(end) {
-					t.Fatalf("the lab was late on each of %d plays", n-1)
+					t.Fatalf("the testbed was late on each of %d runs", n-1)
 				}
-				t.Run(fmt.Sprint("play", n), func(t *testing.T) { late = plantedFault(t, as, want) })
+				t.Run(fmt.Sprint("run", n), func(t *testing.T) { late = plantedFault(t, as, want) })
 			}
 		})
 	}
 }
 
-// plantedFault plays a day with one fault. It says whether the lab was too late for the referee to hold anything against
+// plantedFault runs a day with one fault. It reports whether the testbed was too late for the checker to hold anything against
 // the node; all that it did hold against it counts.
 func plantedFault(t *testing.T, as string, want Rule) (late bool) {
 	w := small(1, 2)
-	w.Binary, w.Env, w.Zones = os.Args[0], []string{"LAB_TEST_AS=" + as}, []string{"a"}
+	w.Binary, w.Env, w.Zones = os.Args[0], []string{"TESTBED_TEST_AS=" + as}, []string{"a"}
 	w.Discovery.Late = time.Millisecond
 	w.Classes = w.Classes[:plantedClasses(as)]
 	if as == "repeat" {
@@ -179,7 +179,7 @@
 	case want == "":
 		checkNoFindings(t, tb)
 	case len(counts) == 0 && tb.Void(0, tb.now()):
-		t.Logf("the lab was %v late: %d findings are void", tb.Lateness(0, tb.now()), len(found))
+		t.Logf("the testbed was %v late: %d findings are void", tb.Lateness(0, tb.now()), len(found))
 		return true
 	case counts[want] == 0 || len(counts) > 1:
 		t.Errorf("found %v, want %q alone; ends %v", counts, want, got.ends)
@@ -207,6 +207,6 @@
 // wellDouble is a world of doubles without a fault.
 func healthyStubs(nodes int) World {
 	w := small(nodes, 2)
-	w.Binary, w.Env = os.Args[0], []string{"LAB_TEST_AS=well"}
+	w.Binary, w.Env = os.Args[0], []string{"TESTBED_TEST_AS=well"}
 	return w
 }
--- a/internal/testbed/tcp_state.go
+++ b/internal/testbed/tcp_state.go
@@ -15,9 +15,9 @@
 	tcpClosed   = 7                     // TCP_CLOSE: a reset has come
 )
 
-// allTaken says of a connection whose far side has ended its sending that no reset followed: a system that closes a
+// peerReadAll says of a connection whose far side has ended its sending that no reset followed: a system that closes a
 // socket over unread bytes, or gets bytes for one that is closed, answers with a reset. So the far side has read them.
-// It says so only of connections that have no proxy of the lab's in between.
+// It says so only of connections that have no proxy of the testbed's in between.
 func peerReadAll(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -16,13 +16,13 @@
 	"time"
 )
 
-const maxNodes = 240 // of one lab
+const maxNodes = 240 // of one testbed
 
-// Lab is a running world.
+// Testbed is a running world.
 type Testbed struct {
 	world     World
 	dir       string
-	scratch   bool // dir is the lab's own
+	scratch   bool // dir is the testbed's own
 	began     time.Time
 	intervals intervals
 	checker   *Checker
@@ -35,8 +35,8 @@
 	nodeOrder []*Node // as started
 	classes   map[string]*Class
 	discard   *log.Logger
-	lock      net.Listener // holds this lab's loopback addresses
-	net       int          // 127.net.0.0/16 is this lab's
+	lock      net.Listener // holds this testbed's loopback addresses
+	net       int          // 127.net.0.0/16 is this testbed's
 	done      chan struct{}
 	owned     sync.WaitGroup
 	closing   sync.Once
@@ -55,7 +55,7 @@
 const (
 	firstBlock = 10
 	blocks     = 240
-	maxBlocks  = 5 // that a lab tries
+	maxBlocks  = 5 // that a testbed tries
 )
 
 var errTaken = errors.New("another program has it")
@@ -116,7 +116,7 @@
 	return tb, tb.startAll(ctx)
 }
 
-// claimNet takes a part of the loopback range for itself alone, so that labs may run side by side.
+// claimNet takes a part of the loopback range for itself alone, so that testbeds may run side by side.
 func claimNet(first int) (net.Listener, int, error) {
 	for i := range blocks {
 		n := firstBlock + (first+i)%blocks
@@ -203,13 +203,13 @@
 	return nil
 }
 
-// now is the lab's clock: the time since it began.
+// now is the testbed's clock: the time since it began.
 func (tb *Testbed) now() time.Duration { return time.Since(tb.began) }
 
-// Now is the time since the lab began, as findings have it.
+// Now is the time since the testbed began, as findings have it.
 func (tb *Testbed) Now() time.Duration { return tb.now() }
 
-// Referee is the lab's referee.
+// Checker is the testbed's checker.
 func (tb *Testbed) Checker() *Checker { return tb.checker }
 
 // Node returns a node by name; nil: there is none.
@@ -242,7 +242,7 @@
 	return 0
 }
 
-// Uneven is the number of answers that the busiest server of the first tier has made, over the mean.
+// Imbalance is the number of answers that the busiest server of the first tier has made, over the mean.
 func (tb *Testbed) Imbalance() float64 {
 	sum, busiest, n := 0, 0, 0
 	for _, s := range tb.servers {
@@ -310,7 +310,7 @@
 	}
 }
 
-// Close ends every process and waits for all that the lab has started.
+// Close ends every process and waits for all that the testbed has started.
 func (tb *Testbed) Close() {
 	tb.closing.Do(func() {
 		close(tb.done)
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -14,7 +14,7 @@
 var binary string // the node program, built once
 
 func TestMain(m *testing.M) {
-	if as := os.Getenv("LAB_TEST_AS"); as != "" {
+	if as := os.Getenv("TESTBED_TEST_AS"); as != "" {
 		runStubNode(as)
 		return
 	}
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -1,7 +1,7 @@
-// Package lab is an emulator of the platform that keelusher runs on. It starts the real node program in several
-// processes on loopback addresses of their own and plays everything around them in this process: clients, the front,
+// Package testbed is an emulator of the platform that keelusher runs on. It starts the real node program in several
+// processes on loopback addresses of their own and emulates everything around them in this process: clients, the front,
 // servers of up to three tiers, discovery, and links between any two of them that can fail in one direction. A
-// Referee checks the four rules for every request id. The processes run unmodified; the lab imports none of the
+// Checker checks the four rules for every request id. The processes run unmodified; the testbed imports none of the
 // node's insides and speaks to it as the protocol says.
 package testbed
 
@@ -27,7 +27,7 @@
 	Notice          time.Duration `toml:"front_notice"` // how late the front sees that a node has died; default 2 s
 	Links           []string      `toml:"links"`        // FROM->TO patterns of the links that get a proxy; faults add theirs
 
-	Fleet Tables `toml:"fleet"` // fleet configuration of all nodes; the lab adds addresses. Empty: none
+	Fleet Tables `toml:"fleet"` // fleet configuration of all nodes; the testbed adds addresses. Empty: none
 	Seeds int    `toml:"seeds"` // front nodes that are the mesh's seeds; default 3
 
 	Binary string   `toml:"-"` // the node program; required
@@ -43,7 +43,7 @@
 	Ready      time.Duration `toml:"-"` // a node that is not ready after so long never will be; default 30 s
 }
 
-// Tables are TOML tables that the lab passes on to the nodes without reading them.
+// Tables are TOML tables that the testbed passes on to the nodes without reading them.
 type Tables map[string]any
 
 // UnmarshalTOML takes a table as it is.
@@ -100,7 +100,7 @@
 	MaxRetryAfter  time.Duration `toml:"max_retry_after"` // default 2 s
 }
 
-// Cold says how servers start: with From of their capacity, with all of it after Warm. One that is sent more than
+// SlowStart says how servers start: with From of their capacity, with all of it after Warm. One that is sent more than
 // Multiple times what it can do at that moment, over Fall, by all nodes together, falls over.
 type SlowStart struct {
 	From           float64       `toml:"from"`     // default 0.38
@@ -118,9 +118,9 @@
 	Idle    time.Duration `toml:"idle"`
 }
 
-// DiscoverySpec says how late news are and how long one call takes.
+// DiscoverySpec says how late notifications are and how long one call takes.
 type DiscoverySpec struct {
-	Late   time.Duration `toml:"late"`    // from a change to its news; default 1 s
+	Late   time.Duration `toml:"late"`    // from a change to the notification; default 1 s
 	Call   time.Duration `toml:"call"`    // calls are handled in turn, each for so long; default 1 ms
 	Asked  bool          `toml:"asked"`   // the list follows only a watch that the module asks for
 	MaxLag time.Duration `toml:"max_lag"` // a call that waited longer fails; default 1 s
@@ -128,7 +128,7 @@
 
 const (
 	slack       = 50 * time.Millisecond // what every limit in time is longer on sockets
-	drainWithin = 3 * time.Second       // nothing new to a draining or gone server after so long
+	drainWithin = 3 * time.Second       // nothing new to a draining or removed server after so long
 	keyedWindow = 5 * time.Second       // servers discard repeats of keyed requests for so long
 )
 
