--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -2,93 +2,45 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"sort"
-	"strings"
 	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rule names what a finding breaks.
-type Rule string
-
-// The rules of the platform, and what ends a run.
-const (
-	Lost                  Rule = "lost"             // a request taken got no whole answer in time
-	AnsweredTwice         Rule = "answered twice"   // a second answer to one request
-	ForeignAnswer         Rule = "foreign answer"   // served with something that no server made for it
-	DuplicateExecution    Rule = "unsafe run twice" // a copy of what may have run, of a class that must not
-	SentToDraining        Rule = "sent to drained"  // something new to a draining or removed server too late
-	SlowStartOverloaded   Rule = "cold pushed over" // a server in slow start sent more than it bears
-	UnknownID             Rule = "unknown id"       // a request that no client sent
-	TooManyAttempts       Rule = "too many attempts"
-	Crash                 Rule = "crash"                 // a node ended by itself
-	SentAfterDisconnect   Rule = "sent after leave"      // an attempt that began too long after its client had disconnected
-	RetryAfterWindow      Rule = "repeat too late"       // a copy of a keyed request after the window in which servers discard it
-	BudgetTooLong         Rule = "told too much time"    // a server was told more time than the client had left
-	ImproperClientKept    Rule = "improper client kept"  // it got neither an error nor a close in time
-	ForwardedUnread       Rule = "ran though given back" // a request whose connection its node closed unanswered was sent on
-	SelfReportedViolation Rule = "own violation"         // a node counted a broken promise of its own
-	CountersDiffer        Rule = "counters differ"       // what a node counted is not what the servers saw
-)
-
-// Finding is one broken rule.
-type Finding struct {
-	At     time.Duration `json:"at"` // since the testbed's start
-	Rule   Rule          `json:"rule"`
-	ID     string        `json:"id,omitempty"`
-	Node   string        `json:"node,omitempty"`
-	Detail string        `json:"detail"`
-	Void   bool          `json:"void,omitempty"` // the machine was too slow then: nothing is proved
-}
-
-func (f Finding) String() string {
-	return fmt.Sprintf("%.3fs %s: id=%s node=%s %s", f.At.Seconds(), f.Rule, f.ID, f.Node, f.Detail)
-}
-
-// Slacks of the rules on late sends and on the time that servers are told.
 const (
-	lateSendTolerance = 100 * time.Millisecond
-	budgetTolerance   = 150 * time.Millisecond
+	recordShards = 64
+	maxFindings  = 1000 // findings kept; more are only counted
+	bodySalt     = 0x9e3779b97f4a7c15
 )
 
-const (
-	shards             = 64
-	maxFindings        = 1000            // findings kept; more are counted
-	linkFaultCarryOver = 2 * time.Second // what a faulty link delays comes so soon after
-)
-
-// Account says what became of the requests that nodes took: Taken = Answered + Left + CutOff + Lost.
-type Account struct {
-	Taken    int `json:"taken"`    // written whole to a node's connection
-	Answered int `json:"answered"` // got a whole answer
-	Left     int `json:"left"`     // the client disconnected first, or its time ran out
-	CutOff   int `json:"cut_off"`  // their node or its link was killed, stopped or cut by the testbed
-	Lost     int `json:"lost"`
-	Unread   int `json:"unread"` // the connection ended before the node had read them: not taken, or free of blame
-	Open     int `json:"open"`   // not ended yet
-}
-
-// Checker keeps one record for each request id, of clients and of servers calling on, and checks the rules.
+// Checker checks the invariants of the platform. It keeps one record for each request id, both of clients and of servers
+// that call the next tier. All methods are safe for concurrent use.
 type Checker struct {
-	now       func() time.Duration
-	intervals *intervals
-	unsafe    map[string]bool          // by class
-	windows   map[string]time.Duration // by class that is keyed: how long repeats are discarded
-	attempts  int                      // limit for one id
-	salt      uint64
+	now             func() time.Duration
+	intervals       *intervals
+	nonIdempotent   map[string]bool          // by class
+	dedupWindows    map[string]time.Duration // by class with an idempotency key
+	maxAttempts     int                      // of one id
+	salt            uint64
+	shards          [recordShards]recordShard
+	mu              sync.Mutex // guards what follows
+	found           []Finding
+	counts          map[Rule]int
+	account         Account
+	drainNotifiedAt map[nodeAndServer]time.Duration
+}
 
-	shard [shards]struct {
-		sync.Mutex
-		records map[string]*record
-	}
+// nodeAndServer is the key of what one node knows of one server.
+type nodeAndServer struct{ node, server string }
 
-	mu         sync.Mutex
-	found      []Finding
-	counts     map[Rule]int
-	account    Account
-	notifiedAt map[[2]string]time.Duration // by node and server: when it learned that it is draining or removed
+// recordShard holds the records of some ids.
+type recordShard struct {
+	sync.Mutex
+	records map[string]*record
 }
 
 // record is what is known of one request id.
@@ -96,36 +48,48 @@
 	class       string
 	node        string
 	writing     int           // how often it was written: again after a close that crossed it unread
-	retracted   int           // the last writing that was taken back
+	retracted   int           // the last writing that was retracted
 	retractedAt time.Duration // when that was
 	deadline    time.Duration // when the client's time ends
-	written     time.Duration // whole to a node; 0: not yet
+	written     time.Duration // completely, to a node; 0: not yet
 	ended       bool
 	attempts    int
-	ran         int           // attempts that may have run
-	served      int           // whole answers that servers made
-	firstRan    time.Duration // when the first attempt that may have run came
+	executions  int           // attempts that may have run
+	served      int           // complete answers that servers made
+	firstRun    time.Duration // when the first attempt that may have run came
 	leftAt      time.Duration // when the client disconnected; 0: it has not
 }
 
-func newChecker(w *World, now func() time.Duration, s *intervals) *Checker {
-	r := &Checker{now: now, intervals: s, unsafe: map[string]bool{}, windows: map[string]time.Duration{}, attempts: w.Limits.MaxAttempts, salt: w.Seed ^ 0x9e3779b97f4a7c15,
-		counts: map[Rule]int{}, notifiedAt: map[[2]string]time.Duration{}}
+func newChecker(w *World, now func() time.Duration, excused *intervals) *Checker {
+	r := &Checker{
+		now:             now,
+		intervals:       excused,
+		nonIdempotent:   map[string]bool{},
+		dedupWindows:    map[string]time.Duration{},
+		maxAttempts:     w.Limits.MaxAttempts,
+		salt:            w.Seed ^ bodySalt,
+		counts:          map[Rule]int{},
+		drainNotifiedAt: map[nodeAndServer]time.Duration{},
+	}
 	for _, c := range w.Classes {
-		r.unsafe[c.Name] = c.Effect == "non_idempotent"
+		r.nonIdempotent[c.Name] = c.Effect == "non_idempotent"
 		if c.Effect == "idempotency_key" {
-			r.windows[c.Name] = c.Window
+			r.dedupWindows[c.Name] = c.Window
 		}
 	}
-	for i := range r.shard {
-		r.shard[i].records = map[string]*record{}
+	for i := range r.shards {
+		r.shards[i].records = map[string]*record{}
 	}
 	return r
 }
 
+func (r *Checker) shardOf(id string) *recordShard {
+	return &r.shards[xxhash.Sum64String(id)%recordShards]
+}
+
 // withRecord calls f on the record of an id with its shard locked. It reports whether there is one.
 func (r *Checker) withRecord(id string, f func(*record)) bool {
-	s := &r.shard[xxhash.Sum64String(id)%shards]
+	s := r.shardOf(id)
 	s.Lock()
 	defer s.Unlock()
 	rec := s.records[id]
@@ -153,13 +117,13 @@
 
 // begin makes an id known, before its first byte is written.
 func (r *Checker) begin(id, class string, deadline time.Duration) {
-	s := &r.shard[xxhash.Sum64String(id)%shards]
+	s := r.shardOf(id)
 	s.Lock()
 	defer s.Unlock()
 	s.records[id] = &record{class: class, deadline: deadline}
 }
 
-// beginWrite says which node a request is about to be written to, and returns the number of that writing.
+// beginWrite records which node a request is about to be written to, and returns the number of that writing.
 func (r *Checker) beginWrite(id, node string) (writing int) {
 	r.withRecord(id, func(rec *record) {
 		rec.node = node
@@ -169,31 +133,38 @@
 	return writing
 }
 
-// recordWritten reports that a request is whole at a node's connection: the node has taken it.
+// recordWritten records that a request is complete at a node's connection: the node has accepted it.
 func (r *Checker) recordWritten(id string, at time.Duration) {
 	r.withRecord(id, func(rec *record) { rec.written = at })
 	r.updateAccount(func(a *Account) { a.Taken++ })
 }
 
-// retractUnread takes a request back: its connection ended with nothing said, as it crossed the node's close. It says whether
-// that can be; if some server has it, or the node's system has given its bytes away, the node had read it.
-func (r *Checker) retractUnread(id string, allRead bool) (can bool) {
+// retractUnread takes a request back whose connection ended without an answer, as it crossed the node's close. It reports
+// whether that is possible: not if a server has the request, or if the node is known to have read all of it.
+func (r *Checker) retractUnread(id string, allRead bool) (unread bool) {
 	r.withRecord(id, func(rec *record) {
-		if can = rec.attempts == 0 && !allRead; can {
-			rec.written, rec.retracted, rec.retractedAt = 0, rec.writing, r.now()
+		unread = rec.attempts == 0 && !allRead
+		if unread {
+			rec.written = 0
+			rec.retracted = rec.writing
+			rec.retractedAt = r.now()
 		}
 	})
-	if can {
-		r.updateAccount(func(a *Account) { a.Taken--; a.Unread++ })
+	if unread {
+		r.updateAccount(func(a *Account) {
+			a.Taken--
+			a.Unread++
+		})
 	}
-	return can
+	return unread
 }
 
-// recordAnswer reports that a request got its answer. A 200 must carry what a server made.
+// recordAnswer records that a request got its answer. A 200 must carry what a server made.
 func (r *Checker) recordAnswer(id string, status int, body string, checkBody bool) {
 	var foreign, node string
 	r.withRecord(id, func(rec *record) {
-		rec.ended, node = true, rec.node
+		rec.ended = true
+		node = rec.node
 		if status == 200 && checkBody && (rec.served == 0 || body != r.expectedBody(id)) {
 			foreign = fmt.Sprintf("%d servers served it, the body is %.60q", rec.served, body)
 		}
@@ -204,104 +175,58 @@
 	}
 }
 
-// recordDisconnect reports that the client of a taken request went away first.
+// recordDisconnect records that the client of an accepted request disconnected before the answer.
 func (r *Checker) recordDisconnect(id string) {
-	r.withRecord(id, func(rec *record) { rec.ended, rec.leftAt = true, r.now() })
+	r.withRecord(id, func(rec *record) {
+		rec.ended = true
+		rec.leftAt = r.now()
+	})
 	r.updateAccount(func(a *Account) { a.Left++ })
 }
 
-// recordUnanswered reports that a taken request will get no answer: its connection broke, or its time and the slack are over.
-// It returns whether the testbed itself is the cause.
-func (r *Checker) recordUnanswered(id, client, how string) bool {
+// recordUnanswered records that an accepted request will get no answer: its connection broke, or its time and the slack
+// are over. It is a finding unless the testbed itself is the cause.
+func (r *Checker) recordUnanswered(id, client, how string) {
 	var rec record
-	r.withRecord(id, func(p *record) { p.ended = true; rec = *p })
-	now := r.now()
-	excused := r.intervals.overlap(rec.node, rec.written-slack, now) || r.intervals.overlap(client+"->"+rec.node, rec.written-slack, now) ||
-		r.intervals.overlap(rec.node+"->"+client, rec.written-slack, now) || r.intervals.overlap(client, rec.written-slack, now)
-	r.updateAccount(func(a *Account) {
-		if excused {
-			a.CutOff++
-		} else {
-			a.Lost++
-		}
+	r.withRecord(id, func(p *record) {
+		p.ended = true
+		rec = *p
 	})
-	if !excused {
-		r.addFinding(Lost, id, rec.node, fmt.Sprintf("%s, %.0f ms after it was written, deadline %.3fs", how, ms(now-rec.written), rec.deadline.Seconds()))
+	now := r.now()
+	if r.excusesLoss(&rec, client, now) {
+		r.updateAccount(func(a *Account) { a.CutOff++ })
+		return
 	}
-	return excused
-}
-
-// recordUnexpectedAnswer reports that a node answered a request that had its answer.
-func (r *Checker) recordUnexpectedAnswer(id, node, what string) {
-	r.addFinding(AnsweredTwice, id, node, "an answer came when none was owed: "+what)
+	r.updateAccount(func(a *Account) { a.Lost++ })
+	detail := fmt.Sprintf("%s, %.0f ms after it was written, deadline %.3fs", how, ms(now-rec.written), rec.deadline.Seconds())
+	r.addFinding(Lost, id, rec.node, detail)
 }
 
-// verdict says what a server does with an attempt.
-type verdict int
-
-const (
-	runIt verdict = iota
-	unknown
-	duplicate
-)
-
-// recordAttempt records an attempt that came whole to a server; first is when its first byte came. It returns what to do
-// with it, which node has sent it and which attempt of the request it is.
-func (r *Checker) recordAttempt(id, server string, from sender, first, given time.Duration) (v verdict, node string, attempt int) {
-	var rec record
-	lateRepeat := false
-	known := r.withRecord(id, func(p *record) {
-		p.attempts++
-		if p.ran > 0 && r.unsafe[p.class] {
-			v = duplicate
-		}
-		if window := r.windows[p.class]; window > 0 && p.ran > 0 && first > p.firstRan+window+slack {
-			lateRepeat = true
-		}
-		if p.ran == 0 {
-			p.firstRan = first
+// excusesLoss reports whether the testbed had disturbed the client, the node or a direction between them.
+func (r *Checker) excusesLoss(rec *record, client string, now time.Duration) bool {
+	from := rec.written - slack
+	for _, part := range []string{rec.node, client + "->" + rec.node, rec.node + "->" + client, client} {
+		if r.intervals.overlap(part, from, now) {
+			return true
 		}
-		p.ran++ // until it turns out that it never ran
-		rec = *p
-	})
-	if known && from.writing != 0 && from.writing <= rec.retracted && !r.intervals.overlap(from.node, rec.retractedAt-slack, rec.retractedAt+slack) {
-		r.addFinding(ForwardedUnread, id, from.node, fmt.Sprintf("came to %s, though its connection was closed with no answer", server))
-	}
-	if known && from.node != "" {
-		rec.node = from.node
-	}
-	switch {
-	case !known:
-		r.addFinding(UnknownID, id, "", "came to "+server)
-		return unknown, "", 0
-	case v == duplicate:
-		r.addFinding(DuplicateExecution, id, rec.node, fmt.Sprintf("attempt %d of a %s came to %s after one that may have run", rec.attempts, rec.class, server))
 	}
-	if known {
-		r.checkTiming(id, server, &rec, first, given, lateRepeat)
-	}
-	if rec.attempts > r.attempts {
-		r.addFinding(TooManyAttempts, id, rec.node, fmt.Sprintf("attempt %d came to %s", rec.attempts, server))
-	}
-	r.mu.Lock()
-	at, notified := r.notifiedAt[[2]string{rec.node, server}]
-	r.mu.Unlock()
-	late := first - at
-	// A node that was stopped is not excused: what came meanwhile it has to read before it sends.
-	if notified && late > drainWithin+slack &&
-		!r.intervals.overlap(rec.node+"->"+server, at, first) && !r.intervals.overlap(server, at, first) {
-		r.addFinding(SentToDraining, id, rec.node, fmt.Sprintf("came to %s %.2f s after the node was notified", server, late.Seconds()))
-	}
-	return v, rec.node, rec.attempts
+	return false
+}
+
+// recordUnexpectedAnswer records that a node answered a request that already had its answer.
+func (r *Checker) recordUnexpectedAnswer(id, node, what string) {
+	r.addFinding(AnsweredTwice, id, node, "an answer came when none was pending: "+what)
 }
 
-// Report adds what was found outside of the requests' records.
+// Report adds a finding that does not concern a single request.
 func (r *Checker) Report(rule Rule, node, detail string) { r.addFinding(rule, "", node, detail) }
 
-// recordNotRun takes an attempt back that its server rejected.
-func (r *Checker) recordNotRun(id string) { r.withRecord(id, func(rec *record) { rec.ran-- }) }
+// recordNotRun takes back an execution that its server rejected.
+func (r *Checker) recordNotRun(id string) {
+	r.withRecord(id, func(rec *record) { rec.executions-- })
+}
 
-// recordServed reports that a server made an answer; it returns the answer's body.
+// recordServed records that a server made an answer, and returns the answer's body.
 func (r *Checker) recordServed(id string) string {
 	r.withRecord(id, func(rec *record) { rec.served++ })
 	return r.expectedBody(id)
@@ -311,26 +236,28 @@
 	return fmt.Sprintf("%s %016x", id, xxhash.Sum64String(id)^r.salt)
 }
 
-// recordNotification records when a node counts as notified, which may be yet to come, that a server is draining or removed; or that it is in
-// service. The earliest counts.
+// recordNotification records when a node counts as notified, possibly in the future, that a server is draining or
+// removed, or that it is in service again. The earliest notification counts.
 func (r *Checker) recordNotification(node, server string, inService bool, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := [2]string{node, server}
+	key := nodeAndServer{node, server}
 	if inService {
-		delete(r.notifiedAt, key)
-	} else if before, ok := r.notifiedAt[key]; !ok || at < before {
-		r.notifiedAt[key] = at
+		delete(r.drainNotifiedAt, key)
+		return
+	}
+	if before, ok := r.drainNotifiedAt[key]; !ok || at < before {
+		r.drainNotifiedAt[key] = at
 	}
 }
 
-// forgetNotifications lets a node's notifications go: a process that starts afresh has been told nothing.
+// forgetNotifications drops what a node was notified of: a new process knows nothing of it.
 func (r *Checker) forgetNotifications(node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for key := range r.notifiedAt {
-		if key[0] == node {
-			delete(r.notifiedAt, key)
+	for key := range r.drainNotifiedAt {
+		if key.node == node {
+			delete(r.drainNotifiedAt, key)
 		}
 	}
 }
@@ -338,15 +265,8 @@
 // Account returns what became of the requests so far.
 func (r *Checker) Account() Account {
 	open := 0
-	for i := range r.shard {
-		s := &r.shard[i]
-		s.Lock()
-		for _, rec := range s.records {
-			if rec.written != 0 && !rec.ended {
-				open++
-			}
-		}
-		s.Unlock()
+	for i := range r.shards {
+		open += r.shards[i].countOpen()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -355,28 +275,23 @@
 	return a
 }
 
-// Findings returns what broke a rule, in order, and the count by rule.
+// countOpen returns how many requests were accepted and have not ended.
+func (s *recordShard) countOpen() (open int) {
+	s.Lock()
+	defer s.Unlock()
+	for _, rec := range s.records {
+		if rec.written != 0 && !rec.ended {
+			open++
+		}
+	}
+	return open
+}
+
+// Findings returns the violations in order of time, and their count by rule.
 func (r *Checker) Findings() ([]Finding, map[Rule]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	counts := map[Rule]int{}
-	for k, v := range r.counts {
-		counts[k] = v
-	}
-	found := append([]Finding(nil), r.found...)
+	found := slices.Clone(r.found)
 	sort.SliceStable(found, func(i, j int) bool { return found[i].At < found[j].At })
-	return found, counts
-}
-
-// summary names the rules that were broken.
-func summary(counts map[Rule]int) string {
-	if len(counts) == 0 {
-		return "no rule broken"
-	}
-	var parts []string
-	for rule, n := range counts {
-		parts = append(parts, fmt.Sprintf("%s %d", rule, n))
-	}
-	sort.Strings(parts)
-	return strings.Join(parts, ", ")
+	return found, maps.Clone(r.counts)
 }
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -48,7 +48,7 @@
 			}
 			tb.checker.mu.Lock()
 			defer tb.checker.mu.Unlock()
-			if at, notified := tb.checker.notifiedAt[[2]string{"n1", "front-2"}]; !notified || at > tb.now()-drainWithin-slack {
+			if at, notified := tb.checker.drainNotifiedAt[nodeAndServer{"n1", "front-2"}]; !notified || at > tb.now()-drainWithin-slack {
 				t.Errorf("notified %v, at %v: the drain was not held to within the day", notified, at)
 			}
 		})
--- /dev/null
+++ b/internal/testbed/rules.go
@@ -0,0 +1,70 @@
+package testbed
+
+import (
+	"fmt"
+	"sort"
+	"strings"
+	"time"
+)
+
+// Rule names the promise of the platform that a finding breaks. The values are part of the results' format.
+type Rule string
+
+// The rules of the platform, and what ends a run.
+const (
+	Lost                  Rule = "lost"                  // a request got no complete answer in time
+	AnsweredTwice         Rule = "answered twice"        // a second answer to one request
+	ForeignAnswer         Rule = "foreign answer"        // an answer that no server made for this request
+	DuplicateExecution    Rule = "unsafe run twice"      // a second attempt of a request that is not idempotent
+	SentToDraining        Rule = "sent to drained"       // something new to a draining or removed server, too late
+	SlowStartOverloaded   Rule = "cold pushed over"      // a server in slow start was sent more than it can take
+	UnknownID             Rule = "unknown id"            // a request that no client sent
+	TooManyAttempts       Rule = "too many attempts"     // more attempts of one request than the limit
+	Crash                 Rule = "crash"                 // a node process ended unexpectedly
+	SentAfterDisconnect   Rule = "sent after leave"      // an attempt began too long after its client had disconnected
+	RetryAfterWindow      Rule = "repeat too late"       // a retry came after the deduplication window of its key
+	BudgetTooLong         Rule = "told too much time"    // a server was given more time than the client had left
+	ImproperClientKept    Rule = "improper client kept"  // an improper client got neither an error nor a close in time
+	ForwardedUnread       Rule = "ran though given back" // a node forwarded a request whose connection it closed unanswered
+	SelfReportedViolation Rule = "own violation"         // a node counted a violation of its own
+	CountersDiffer        Rule = "counters differ"       // a node's counters disagree with what the servers saw
+)
+
+// Finding is one violation of a rule.
+type Finding struct {
+	At     time.Duration `json:"at"` // since the testbed's start
+	Rule   Rule          `json:"rule"`
+	ID     string        `json:"id,omitempty"`
+	Node   string        `json:"node,omitempty"`
+	Detail string        `json:"detail"`
+	Void   bool          `json:"void,omitempty"` // the machine was too slow at that time: nothing is proved
+}
+
+// String formats the finding as one line.
+func (f Finding) String() string {
+	return fmt.Sprintf("%.3fs %s: id=%s node=%s %s", f.At.Seconds(), f.Rule, f.ID, f.Node, f.Detail)
+}
+
+// Account counts what became of the requests that nodes accepted: Taken = Answered + Left + CutOff + Lost.
+type Account struct {
+	Taken    int `json:"taken"`    // written completely to a node's connection
+	Answered int `json:"answered"` // got a complete answer
+	Left     int `json:"left"`     // the client disconnected first, or its time ran out
+	CutOff   int `json:"cut_off"`  // the testbed killed, stopped or cut their node or its link
+	Lost     int `json:"lost"`
+	Unread   int `json:"unread"` // the connection ended before the node had read them: not accepted
+	Open     int `json:"open"`   // not ended yet
+}
+
+// summary lists the rules that were broken, with their counts.
+func summary(counts map[Rule]int) string {
+	if len(counts) == 0 {
+		return "no rule broken"
+	}
+	var parts []string
+	for rule, n := range counts {
+		parts = append(parts, fmt.Sprintf("%s %d", rule, n))
+	}
+	sort.Strings(parts)
+	return strings.Join(parts, ", ")
+}
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -117,14 +117,20 @@
 		return
 	}
 	budget := parseBudget(r.Header.Get("X-Budget"))
-	v, from, attempt := s.testbed.checker.recordAttempt(id, s.name, senderOf(r), first, budget)
+	v, from, attempt := s.testbed.checker.recordAttempt(arrivedAttempt{
+		id:        id,
+		server:    s.name,
+		from:      senderOf(r),
+		firstByte: first,
+		budget:    budget,
+	})
 	s.testbed.count(from, s)
 	class := s.testbed.classes[r.Header.Get("X-Call-Class")]
-	if v == unknown || class == nil {
+	if v == verdictUnknown || class == nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if v == duplicate {
+	if v == verdictDuplicate {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
