--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -156,7 +156,7 @@
 		return "", err
 	}
 	server := &http.Server{ErrorLog: d.testbed.discard, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(n, w, r) })}
-	d.testbed.own(func() { server.Serve(g) }) // ends with the gate
+	d.testbed.goOwned(func() { server.Serve(g) }) // ends with the gate
 	d.mu.Lock()
 	d.gates = append(d.gates, g)
 	d.gateByNode[n] = g
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"path"
 	"slices"
-	"sort"
 	"strings"
 	"time"
 )
@@ -17,19 +17,19 @@
 //	kill      SIGKILL a node; started again after For (0: never)
 //	term      SIGTERM a node; started again once it has ended and For is over
 //	stop      SIGSTOP a node for For
-//	hold      SIGSTOP a node for For, 20 to 150 ms, Pick times in a row; it counts as the machine's, and excuses nothing
+//	hold      SIGSTOP a node for For, 20 to 150 ms, Pick times in a row; it counts as a slow machine, and excuses nothing
 //	reload    move a node's discovery to another address, and SIGHUP
-//	peers     Pick improper clients come to a node, that stop in the middle of a request, rest, flood or half-close
+//	peers     Pick improper clients connect to a node and stop in the middle of a request, idle or flood
 //	crash     end a server and its node; started again, in slow start, after For (0: never)
 //	slow      a server's work takes Factor times longer
 //	errors    a server answers a Share of its requests with 500
 //	hang      a server takes requests and answers none
-//	spoil     a server corrupts a Share of its answers: comes twice, breaks off without a length, or ends the connection after
-//	silent    a server says nothing at all, as a vanished machine
+//	spoil     a server corrupts a Share of its answers: sends them twice, or half without a length, or closes after them
+//	silent    a server neither reads nor writes, as a vanished machine
 //	drain     discovery lists a server as draining, and For later it is gone
 //	replace   the same, and a new process starts in its place, in slow start; listed once its node is ready
 //	zone      all servers of a zone are silent and, where Nodes is set, its nodes stopped; discovery drops them Late
-//	          after; at the end they come back in slow start
+//	          after; at the end they come back, in slow start
 //
 // Kinds that name From and To, patterns of any two parts (nodes, servers, "clients-ZONE", "discovery"):
 //
@@ -64,22 +64,50 @@
 	Rate     int           `toml:"rate"`
 }
 
-var faultKinds = map[string]struct{ nodes, servers, zones, link, lasts bool }{
-	"kill": {nodes: true}, "term": {nodes: true}, "stop": {nodes: true, lasts: true},
-	"hold": {nodes: true, lasts: true}, "reload": {nodes: true}, "peers": {nodes: true}, "spoil": {servers: true, lasts: true},
-	"crash": {servers: true}, "slow": {servers: true, lasts: true}, "errors": {servers: true, lasts: true},
-	"hang": {servers: true, lasts: true}, "silent": {servers: true, lasts: true}, "drain": {servers: true, lasts: true},
+// faultKind says what a kind of fault applies to, and whether it lasts for a time.
+type faultKind struct{ nodes, servers, zones, link, lasts bool }
+
+// hasTarget reports whether faults of the kind name a Target.
+func (k faultKind) hasTarget() bool { return k.nodes || k.servers || k.zones }
+
+var faultKinds = map[string]faultKind{
+	"kill":   {nodes: true},
+	"term":   {nodes: true},
+	"stop":   {nodes: true, lasts: true},
+	"hold":   {nodes: true, lasts: true},
+	"reload": {nodes: true},
+	"peers":  {nodes: true},
+
+	"crash":   {servers: true},
+	"slow":    {servers: true, lasts: true},
+	"errors":  {servers: true, lasts: true},
+	"hang":    {servers: true, lasts: true},
+	"spoil":   {servers: true, lasts: true},
+	"silent":  {servers: true, lasts: true},
+	"drain":   {servers: true, lasts: true},
 	"replace": {servers: true, lasts: true},
-	"zone":    {zones: true, lasts: true},
-	"cut":     {link: true, lasts: true}, "split": {link: true, lasts: true}, "link": {link: true, lasts: true}, "reset": {link: true},
-	"disc_down": {lasts: true}, "disc_fail": {lasts: true}, "disc_slow": {lasts: true},
-	"disc_dumb": {lasts: true}, "disc_trickle": {lasts: true}, "disc_cut": {lasts: true}, "disc_indent": {lasts: true},
-	"disc_mute": {}, "disc_renumber": {},
+
+	"zone": {zones: true, lasts: true},
+
+	"cut":   {link: true, lasts: true},
+	"split": {link: true, lasts: true},
+	"link":  {link: true, lasts: true},
+	"reset": {link: true},
+
+	"disc_down":     {lasts: true},
+	"disc_fail":     {lasts: true},
+	"disc_slow":     {lasts: true},
+	"disc_dumb":     {lasts: true},
+	"disc_trickle":  {lasts: true},
+	"disc_cut":      {lasts: true},
+	"disc_indent":   {lasts: true},
+	"disc_mute":     {},
+	"disc_renumber": {},
 }
 
-// names lists the world's parts of a sort, sorted as they are numbered.
-func (w *World) names(nodes, servers, zones bool) (all []string) {
-	if nodes {
+// names lists the parts of the world that a kind of fault can target, in the order of their numbers.
+func (w *World) names(kind faultKind) (all []string) {
+	if kind.nodes {
 		for i := range w.Tiers[0].Nodes {
 			all = append(all, fmt.Sprintf("n%d", i+1))
 		}
@@ -87,15 +115,15 @@
 	for t, tier := range w.Tiers {
 		for i := range tier.Servers {
 			name := fmt.Sprintf("%s-%d", tier.Name, i+1)
-			if servers {
+			if kind.servers {
 				all = append(all, name)
 			}
-			if nodes && t < len(w.Tiers)-1 {
+			if kind.nodes && t < len(w.Tiers)-1 {
 				all = append(all, NodeOf(name))
 			}
 		}
 	}
-	if zones {
+	if kind.zones {
 		all = append(all, w.Zones...)
 	}
 	return all
@@ -103,36 +131,33 @@
 
 // parts lists all that a link can end at.
 func (w *World) parts() []string {
-	all := append(w.names(true, true, false), "discovery")
+	all := append(w.names(faultKind{nodes: true, servers: true}), "discovery")
 	for _, z := range w.Zones {
 		all = append(all, clientsOf(z))
 	}
 	return all
 }
 
-func match(pattern string, names []string) (hit []string, err error) {
+// match returns the names that a pattern matches.
+func match(pattern string, names []string) (matching []string, err error) {
 	for _, n := range names {
 		ok, err := path.Match(pattern, n)
 		if err != nil {
 			return nil, err
 		}
 		if ok {
-			hit = append(hit, n)
+			matching = append(matching, n)
 		}
 	}
-	return hit, nil
+	return matching, nil
 }
 
-// Check says what is wrong with a fault, by its key under prefix.
+// Check returns what is wrong with a fault, as a KeyError whose key starts with prefix.
 func (f *Fault) Check(w *World, prefix string) error {
 	kind, ok := faultKinds[f.Kind]
 	if !ok {
-		var all []string
-		for k := range faultKinds {
-			all = append(all, k)
-		}
-		sort.Strings(all)
-		return &KeyError{prefix + "kind", fmt.Sprintf("%q is none of %s", f.Kind, strings.Join(all, ", "))}
+		known := strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", ")
+		return &KeyError{prefix + "kind", fmt.Sprintf("%q is none of %s", f.Kind, known)}
 	}
 	if f.At < 0 || f.For < 0 || f.Jitter < 0 || f.Every < 0 {
 		return &KeyError{prefix + "at", "a time is negative"}
@@ -140,23 +165,40 @@
 	if kind.lasts && f.For == 0 {
 		return &KeyError{prefix + "for", f.Kind + " needs a length"}
 	}
+	if err := f.checkPatterns(kind, w, prefix); err != nil {
+		return err
+	}
+	return f.checkNumbers(prefix)
+}
+
+// checkPatterns checks that the fault's patterns match some parts of the world.
+func (f *Fault) checkPatterns(kind faultKind, w *World, prefix string) error {
 	patterns := map[string]string{}
 	names := w.parts()
 	if kind.link {
-		patterns = map[string]string{"from": f.From, "to": f.To}
-	} else if kind.nodes || kind.servers || kind.zones {
-		patterns, names = map[string]string{"target": f.Target}, w.names(kind.nodes, kind.servers, kind.zones)
+		patterns["from"] = f.From
+		patterns["to"] = f.To
+	} else if kind.hasTarget() {
+		patterns["target"] = f.Target
+		names = w.names(kind)
 	}
-	for key, p := range patterns {
-		hit, err := match(p, names)
+	for key, pattern := range patterns {
+		matching, err := match(pattern, names)
 		if err != nil {
-			return &KeyError{prefix + key, fmt.Sprintf("%q: %v", p, err)}
+			return &KeyError{prefix + key, fmt.Sprintf("%q: %v", pattern, err)}
 		}
-		if len(hit) == 0 {
-			return &KeyError{prefix + key, fmt.Sprintf("%q matches nothing; there are %s", p, strings.Join(names, " "))}
+		if len(matching) == 0 {
+			why := fmt.Sprintf("%q matches nothing; there are %s", pattern, strings.Join(names, " "))
+			return &KeyError{prefix + key, why}
 		}
 	}
-	for key, v := range map[string]float64{"share": f.Share, "loss": f.Loss, "dup": f.Dup, "reorder": f.Reorder} {
+	return nil
+}
+
+// checkNumbers checks the fault's shares and factors.
+func (f *Fault) checkNumbers(prefix string) error {
+	shares := map[string]float64{"share": f.Share, "loss": f.Loss, "dup": f.Dup, "reorder": f.Reorder}
+	for key, v := range shares {
 		if !(v >= 0 && v <= 1) {
 			return &KeyError{prefix + key, "must be from 0 to 1"}
 		}
@@ -178,6 +220,7 @@
 	Ends   bool
 }
 
+// String names the step as schedules and results print it.
 func (s Step) String() string {
 	what := s.Fault.Kind
 	switch {
@@ -197,26 +240,18 @@
 	r := rand.New(rand.NewPCG(seed, 2))
 	var steps []Step
 	for _, f := range faults {
-		kind := faultKinds[f.Kind]
-		targets := []string{""}
-		if kind.nodes || kind.servers || kind.zones {
-			var err error
-			if targets, err = match(f.Target, w.names(kind.nodes, kind.servers, kind.zones)); err != nil {
-				return nil, err
-			}
-			if f.Pick > 0 && f.Pick < len(targets) && f.Kind != "peers" && f.Kind != "hold" {
-				r.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
-				targets = targets[:f.Pick]
-			}
+		targets, err := f.drawTargets(w, r)
+		if err != nil {
+			return nil, err
 		}
-		for i, t := range targets {
+		for i, target := range targets {
 			at := f.At + time.Duration(i)*f.Every
 			if f.Jitter > 0 {
 				at += time.Duration(r.Int64N(int64(f.Jitter)))
 			}
-			steps = append(steps, Step{At: at, Fault: f, Target: t})
-			if f.For > 0 && f.Kind != "drain" && f.Kind != "term" && f.Kind != "hold" {
-				steps = append(steps, Step{At: at + f.For, Fault: f, Target: t, Ends: true})
+			steps = append(steps, Step{At: at, Fault: f, Target: target})
+			if f.endsByStep() {
+				steps = append(steps, Step{At: at + f.For, Fault: f, Target: target, Ends: true})
 			}
 		}
 	}
@@ -224,6 +259,29 @@
 	return steps, nil
 }
 
+// drawTargets returns the parts that a fault applies to: one empty name where it names none.
+func (f *Fault) drawTargets(w *World, r *rand.Rand) ([]string, error) {
+	kind := faultKinds[f.Kind]
+	if !kind.hasTarget() {
+		return []string{""}, nil
+	}
+	targets, err := match(f.Target, w.names(kind))
+	if err != nil {
+		return nil, err
+	}
+	picksTargets := f.Kind != "peers" && f.Kind != "hold" // Pick is a count of something else there
+	if picksTargets && f.Pick > 0 && f.Pick < len(targets) {
+		r.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
+		targets = targets[:f.Pick]
+	}
+	return targets, nil
+}
+
+// endsByStep reports whether a step of its own ends the fault.
+func (f *Fault) endsByStep() bool {
+	return f.For > 0 && f.Kind != "drain" && f.Kind != "term" && f.Kind != "hold"
+}
+
 // LinksOfFaults returns the link patterns that the faults need a proxy for.
 func LinksOfFaults(faults []Fault) (links []string) {
 	for _, f := range faults {
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -1,28 +1,27 @@
-// Carrying a schedule of faults out.
-
 package testbed
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"sync"
 	"time"
 )
 
-// Run carries out steps at their times, counted from now. told is called for each, and of what went wrong. It returns when
-// the last is done, or once ctx ends.
+// RunSchedule carries out steps at their times, counted from now. It calls report for each step and for each failure, from
+// several goroutines, and returns when the last step is done, or once ctx ends.
 func (tb *Testbed) RunSchedule(ctx context.Context, steps []Step, report func(at time.Duration, what string)) {
 	began := tb.now()
-	var late sync.WaitGroup
-	defer late.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	for _, s := range steps {
 		if !sleepUntil(tb.began.Add(began+s.At), ctx.Done()) {
 			return
 		}
 		report(tb.now()-began, s.String())
-		late.Add(1)
-		go func() { // some take a while: a node that is to be ready again
-			defer late.Done()
+		running.Add(1)
+		go func() { // some steps wait until a node is ready again
+			defer running.Done()
 			if err := tb.Apply(ctx, s); err != nil && ctx.Err() == nil {
 				report(tb.now()-began, fmt.Sprintf("%s: %v", s, err))
 			}
@@ -32,100 +31,148 @@
 
 // Apply carries out one step now.
 func (tb *Testbed) Apply(ctx context.Context, s Step) error {
-	f := s.Fault
-	node, server := tb.nodes[s.Target], tb.servers[s.Target]
-	switch f.Kind {
+	kind, ok := faultKinds[s.Fault.Kind]
+	switch {
+	case !ok:
+		return nil
+	case kind.zones:
+		return tb.applyZoneFault(ctx, s)
+	case kind.nodes:
+		return tb.applyNodeFault(ctx, tb.nodes[s.Target], s)
+	case kind.servers:
+		return tb.applyServerFault(ctx, tb.servers[s.Target], s)
+	case kind.link:
+		return tb.applyLinkFault(s)
+	}
+	tb.applyDiscoveryFault(s)
+	return nil
+}
+
+// applyNodeFault carries out a step of a fault whose target is a node.
+func (tb *Testbed) applyNodeFault(ctx context.Context, node *Node, s Step) error {
+	switch s.Fault.Kind {
 	case "kill":
-		if !s.Ends {
-			node.Kill()
-			return nil
+		if s.Ends {
+			return node.restart(ctx)
 		}
-		return node.restart(ctx)
+		node.Kill()
 	case "term":
-		if node.Terminate() {
-			tb.checker.addFinding(Crash, "", node.name, "did not end in time after SIGTERM")
-		}
-		if !sleep(ctx, f.For) {
-			return nil
-		}
-		return node.restart(ctx)
+		return tb.terminateAndRestart(ctx, node, s.Fault.For)
 	case "stop":
-		if !s.Ends {
-			return node.Stop()
+		if s.Ends {
+			return node.Continue()
 		}
-		return node.Continue()
-	case "crash":
-		if !s.Ends {
-			server.crash()
-			return nil
-		}
-		return tb.revive(ctx, server)
+		return node.Stop()
 	case "hold":
-		for range max(1, f.Pick) {
-			if err := node.Pause(f.For); err != nil || !sleep(ctx, f.For) {
+		for range max(1, s.Fault.Pick) {
+			if err := node.Pause(s.Fault.For); err != nil || !sleep(ctx, s.Fault.For) {
 				return nil // it has ended meanwhile
 			}
 		}
 	case "reload":
 		return node.Reload()
 	case "peers":
-		tb.runImproperClients(ctx, node, f.Pick)
-	case "slow", "errors", "hang", "spoil":
-		t := ServerFault{}
-		if !s.Ends {
-			t = ServerFault{Slow: f.Factor, Hang: f.Kind == "hang"}
-			if f.Kind == "spoil" {
-				t.CorruptResponses = f.Share
-			} else {
-				t.Errors = f.Share
-			}
+		tb.runImproperClients(ctx, node, s.Fault.Pick)
+	}
+	return nil
+}
+
+// terminateAndRestart ends a node with SIGTERM and starts it again after a while.
+func (tb *Testbed) terminateAndRestart(ctx context.Context, node *Node, after time.Duration) error {
+	if node.Terminate() {
+		tb.checker.addFinding(Crash, "", node.name, "did not end in time after SIGTERM")
+	}
+	if !sleep(ctx, after) {
+		return nil
+	}
+	return node.restart(ctx)
+}
+
+// applyServerFault carries out a step of a fault whose target is a server.
+func (tb *Testbed) applyServerFault(ctx context.Context, server *Server, s Step) error {
+	switch s.Fault.Kind {
+	case "crash":
+		if s.Ends {
+			return tb.revive(ctx, server)
 		}
-		server.Set(t)
+		server.crash()
+	case "slow", "errors", "hang", "spoil":
+		server.Set(serverFaultOf(s))
 	case "silent":
 		server.silence(!s.Ends)
 	case "drain":
-		tb.Drain(server, f.For)
+		tb.Drain(server, s.Fault.For)
 	case "replace":
-		if !s.Ends {
-			tb.Drain(server, 0)
-			return nil
-		}
-		server.crash()
-		return tb.revive(ctx, server)
-	case "zone":
-		return tb.zone(ctx, s)
-	case "cut", "split", "link":
-		return tb.linkFault(s)
-	case "reset":
-		if tb.ResetLink(f.From, f.To) == 0 {
-			return errNoLink
-		}
-	case "disc_down", "disc_fail", "disc_slow", "disc_dumb", "disc_trickle", "disc_cut", "disc_indent":
-		o := DiscoveryFault{}
-		if !s.Ends {
-			o = DiscoveryFault{Down: f.Kind == "disc_down", Fail: f.Kind == "disc_fail", Slow: f.Delay, Unresponsive: f.Kind == "disc_dumb",
-				Trickle: f.Kind == "disc_trickle", Cut: f.Kind == "disc_cut", Indent: f.Kind == "disc_indent"}
+		if s.Ends {
+			server.crash()
+			return tb.revive(ctx, server)
 		}
-		tb.Discovery(o)
+		tb.Drain(server, 0)
+	}
+	return nil
+}
+
+// serverFaultOf returns the fault that a server has from a step on.
+func serverFaultOf(s Step) ServerFault {
+	if s.Ends {
+		return ServerFault{}
+	}
+	fault := ServerFault{
+		Slow: s.Fault.Factor,
+		Hang: s.Fault.Kind == "hang",
+	}
+	if s.Fault.Kind == "spoil" {
+		fault.CorruptResponses = s.Fault.Share
+	} else {
+		fault.Errors = s.Fault.Share
+	}
+	return fault
+}
+
+// applyDiscoveryFault carries out a step of a fault of discovery.
+func (tb *Testbed) applyDiscoveryFault(s Step) {
+	switch s.Fault.Kind {
 	case "disc_mute":
 		tb.disc.mute()
 	case "disc_renumber":
-		tb.disc.renumber(f.Factor > 1)
+		tb.disc.renumber(s.Fault.Factor > 1)
+	default:
+		tb.Discovery(discoveryFaultOf(s))
+	}
+}
+
+// discoveryFaultOf returns the fault that discovery has from a step on.
+func discoveryFaultOf(s Step) DiscoveryFault {
+	if s.Ends {
+		return DiscoveryFault{}
+	}
+	kind := s.Fault.Kind
+	return DiscoveryFault{
+		Down:         kind == "disc_down",
+		Fail:         kind == "disc_fail",
+		Slow:         s.Fault.Delay,
+		Unresponsive: kind == "disc_dumb",
+		Trickle:      kind == "disc_trickle",
+		Cut:          kind == "disc_cut",
+		Indent:       kind == "disc_indent",
 	}
-	return nil
 }
 
-var errNoLink = fmt.Errorf("no link of the world matches")
+var errNoLink = errors.New("no link of the world matches")
 
-func (tb *Testbed) linkFault(s Step) error {
+// applyLinkFault carries out a step of a fault whose target is a link.
+func (tb *Testbed) applyLinkFault(s Step) error {
 	f := s.Fault
-	c := LinkCondition{Delay: f.Delay, Jitter: f.Jittered, Loss: f.Loss, Dup: f.Dup, Reorder: f.Reorder, Rate: f.Rate, Cut: f.Kind != "link"}
-	if s.Ends {
-		c = LinkCondition{}
+	if f.Kind == "reset" {
+		if tb.ResetLink(f.From, f.To) == 0 {
+			return errNoLink
+		}
+		return nil
 	}
-	n := tb.SetLink(f.From, f.To, c)
+	condition := linkConditionOf(s)
+	n := tb.SetLink(f.From, f.To, condition)
 	if f.Kind == "split" {
-		n += tb.SetLink(f.To, f.From, c)
+		n += tb.SetLink(f.To, f.From, condition)
 	}
 	if n == 0 {
 		return errNoLink
@@ -133,6 +180,23 @@
 	return nil
 }
 
+// linkConditionOf returns the condition that a link has from a step on.
+func linkConditionOf(s Step) LinkCondition {
+	if s.Ends {
+		return LinkCondition{}
+	}
+	f := s.Fault
+	return LinkCondition{
+		Delay:   f.Delay,
+		Jitter:  f.Jittered,
+		Loss:    f.Loss,
+		Dup:     f.Dup,
+		Reorder: f.Reorder,
+		Rate:    f.Rate,
+		Cut:     f.Kind != "link",
+	}
+}
+
 // restart starts a node that has ended and waits until it is ready.
 func (n *Node) restart(ctx context.Context) error {
 	if err := n.Start(); err != nil {
@@ -155,16 +219,33 @@
 	return nil
 }
 
-// zone takes a whole zone away, or brings it back cold.
-func (tb *Testbed) zone(ctx context.Context, s Step) error {
-	var inside []*Server
+// applyZoneFault makes a whole zone silent, or brings it back in slow start.
+func (tb *Testbed) applyZoneFault(ctx context.Context, s Step) error {
+	var servers []*Server
 	for _, server := range tb.servers {
 		if server.zone == s.Target {
-			inside = append(inside, server)
+			servers = append(servers, server)
 		}
 	}
+	if s.Fault.Nodes {
+		if err := tb.applyZoneFaultToNodes(ctx, s); err != nil {
+			return err
+		}
+	}
+	if s.Ends {
+		tb.restoreZone(ctx, servers)
+		return nil
+	}
+	for _, server := range servers {
+		tb.loseServer(server, s.Fault.Late)
+	}
+	return nil
+}
+
+// applyZoneFaultToNodes stops the front nodes of a zone, or starts new processes in their place.
+func (tb *Testbed) applyZoneFaultToNodes(ctx context.Context, s Step) error {
 	for _, n := range tb.front.nodes {
-		if n.zone != s.Target || !s.Fault.Nodes {
+		if n.zone != s.Target {
 			continue
 		}
 		if !s.Ends {
@@ -177,31 +258,32 @@
 		if err := n.Start(); err != nil {
 			return err
 		}
-		tb.own(func() { n.Up(ctx) }) // the front sees it anyway
+		tb.goOwned(func() { _ = n.Up(ctx) }) // one that does not come up stays out of the front
 	}
-	for _, server := range inside {
-		if !s.Ends {
-			server.silence(true)
-			if server.node != nil {
-				server.node.Stop() // fails where it has ended
-			}
-			removed := server.entry()
-			removed.Health = "terminated"
-			tb.disc.publish(server.tier, removed, s.Fault.Late+tb.disc.late)
-		}
-	}
-	if !s.Ends {
-		return nil
+	return nil
+}
+
+// loseServer makes a server and its node vanish; discovery drops the server late.
+func (tb *Testbed) loseServer(server *Server, late time.Duration) {
+	server.silence(true)
+	if server.node != nil {
+		_ = server.node.Stop() // fails where it has ended
 	}
-	var all sync.WaitGroup
-	for _, server := range inside {
-		all.Add(1)
+	removed := server.entry()
+	removed.Health = "terminated"
+	tb.disc.publish(server.tier, removed, late+tb.disc.late)
+}
+
+// restoreZone starts the servers of a zone again, all at once.
+func (tb *Testbed) restoreZone(ctx context.Context, servers []*Server) {
+	var restarts sync.WaitGroup
+	for _, server := range servers {
+		restarts.Add(1)
 		go func() {
-			defer all.Done()
+			defer restarts.Done()
 			server.crash()
-			tb.revive(ctx, server) // a node that does not come back is a finding of its own
+			_ = tb.revive(ctx, server) // a node that does not come back is a finding of its own
 		}()
 	}
-	all.Wait()
-	return nil
+	restarts.Wait()
 }
--- a/internal/testbed/lateness.go
+++ b/internal/testbed/lateness.go
@@ -25,7 +25,7 @@
 // run beats until the testbed closes.
 func (x *lateness) run(tb *Testbed) {
 	x.worst = map[int64]time.Duration{}
-	tb.own(func() {
+	tb.goOwned(func() {
 		tick := time.NewTicker(heartbeat)
 		defer tick.Stop()
 		last := tb.now()
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -68,7 +68,7 @@
 	s := &Server{name: name, zone: zone, tier: tier, spec: spec, testbed: tb, gate: g, health: "in_service",
 		cores: make(chan struct{}, spec.Cores), slots: make(chan struct{}, spec.Slots)}
 	s.http = &http.Server{Handler: s, IdleTimeout: tb.world.Limits.ConnIdle, ErrorLog: tb.discard, ConnState: s.track}
-	tb.own(func() { s.http.Serve(g) }) // ends with the gate
+	tb.goOwned(func() { s.http.Serve(g) }) // ends with the gate
 	return s, nil
 }
 
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -257,8 +257,8 @@
 	return float64(busiest*n) / float64(sum)
 }
 
-// own runs f until it returns; Close waits for it.
-func (tb *Testbed) own(f func()) {
+// goOwned runs f in a goroutine that Close waits for.
+func (tb *Testbed) goOwned(f func()) {
 	tb.owned.Add(1)
 	go func() {
 		defer tb.owned.Done()
