--- a/internal/testbed/hard_test.go
+++ b/internal/testbed/hard_test.go
@@ -244,7 +244,7 @@
 	l, _, back := newLink(t)
 	c := dial(t, l.gate.addr)
 	back.set(LinkCondition{Cut: true})
-	l.pathsChanged()
+	l.conditionsChanged()
 	fmt.Fprint(c, "hello")
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, err := c.Read(make([]byte, 5)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -255,7 +255,7 @@
 		t.Error("a connection came up through the cut")
 	}
 	back.set(LinkCondition{})
-	l.pathsChanged()
+	l.conditionsChanged()
 	c.SetReadDeadline(time.Now().Add(longEnough))
 	got := make([]byte, 5)
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "hello" {
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -109,7 +109,7 @@
 		}
 	}
 	for _, link := range links {
-		link.pathsChanged()
+		link.conditionsChanged()
 	}
 	return len(touched)
 }
--- /dev/null
+++ b/internal/testbed/udp_link.go
@@ -0,0 +1,177 @@
+package testbed
+
+import (
+	"errors"
+	"math/rand/v2"
+	"net"
+	"slices"
+	"sync"
+	"time"
+)
+
+const (
+	maxSources      = 64 // senders for which a UDP link keeps a socket
+	sourceIdle      = 30 * time.Second
+	maxDatagramSize = 64 << 10
+)
+
+// udpLink carries datagrams in one direction, and answers back to whoever sent them.
+type udpLink struct {
+	there, back *direction
+	conn        *net.UDPConn
+	target      *net.UDPAddr
+	done        chan struct{}
+	owned       sync.WaitGroup
+
+	mu        sync.Mutex
+	sources   map[string]*net.UDPConn
+	reordered map[*direction]func() // sends a datagram that waits to come after the next
+}
+
+func newUDPLink(listen, target string, there, back *direction) (*udpLink, error) {
+	to, err := net.ResolveUDPAddr("udp", target)
+	if err != nil {
+		return nil, err
+	}
+	at, err := net.ResolveUDPAddr("udp", listen)
+	if err != nil {
+		return nil, err
+	}
+	conn, err := net.ListenUDP("udp", at)
+	if err != nil {
+		return nil, err
+	}
+	l := &udpLink{
+		there:     there,
+		back:      back,
+		conn:      conn,
+		target:    to,
+		done:      make(chan struct{}),
+		sources:   map[string]*net.UDPConn{},
+		reordered: map[*direction]func(){},
+	}
+	l.owned.Add(1)
+	go l.forward()
+	return l, nil
+}
+
+func (l *udpLink) addr() string { return l.conn.LocalAddr().String() }
+
+func (l *udpLink) close() {
+	close(l.done)
+	closeQuietly(l.conn)
+	l.mu.Lock()
+	for _, c := range l.sources {
+		closeQuietly(c)
+	}
+	l.mu.Unlock()
+	l.owned.Wait()
+}
+
+// forward carries datagrams to the target until the link is closed. As on any network, one that cannot be sent is lost.
+func (l *udpLink) forward() {
+	defer l.owned.Done()
+	buf := make([]byte, maxDatagramSize)
+	for {
+		n, from, err := l.conn.ReadFromUDP(buf)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue
+		}
+		if out := l.source(from); out != nil {
+			l.send(l.there, slices.Clone(buf[:n]), func(b []byte) { _, _ = out.Write(b) })
+		}
+	}
+}
+
+// source returns the socket that stands for a sender towards the target; nil when there are too many.
+func (l *udpLink) source(from *net.UDPAddr) *net.UDPConn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := l.sources[from.String()]
+	if out != nil || len(l.sources) >= maxSources {
+		return out
+	}
+	out, err := net.DialUDP("udp", nil, l.target)
+	if err != nil {
+		return nil
+	}
+	l.sources[from.String()] = out
+	l.owned.Add(1)
+	go l.returnAnswers(out, from)
+	return out
+}
+
+// returnAnswers carries answers back to a sender until it has been quiet for a while.
+func (l *udpLink) returnAnswers(out *net.UDPConn, to *net.UDPAddr) {
+	defer l.owned.Done()
+	defer closeQuietly(out)
+	buf := make([]byte, maxDatagramSize)
+	for {
+		_ = out.SetReadDeadline(time.Now().Add(sourceIdle)) // on a closed socket the read fails
+		n, err := out.Read(buf)
+		var timeout net.Error
+		if errors.Is(err, net.ErrClosed) || errors.As(err, &timeout) && timeout.Timeout() {
+			break
+		}
+		if err == nil { // else the target's port is closed for now
+			l.send(l.back, slices.Clone(buf[:n]), func(b []byte) { _, _ = l.conn.WriteToUDP(b, to) })
+		}
+	}
+	l.mu.Lock()
+	delete(l.sources, to.String())
+	l.mu.Unlock()
+}
+
+// send sends one datagram as the condition of its direction has it.
+func (l *udpLink) send(d *direction, data []byte, write func([]byte)) {
+	if d.plain.Load() {
+		write(data)
+		return
+	}
+	c, _ := d.get()
+	if c.Cut || rand.Float64() < c.Loss {
+		return
+	}
+	this := func() { write(data) }
+	l.mu.Lock()
+	delayed := l.reordered[d]
+	if delayed == nil && rand.Float64() < c.Reorder {
+		l.reordered[d] = this
+		l.mu.Unlock()
+		return
+	}
+	delete(l.reordered, d)
+	l.mu.Unlock()
+	out := []func(){this}
+	if delayed != nil {
+		out = append(out, delayed)
+	}
+	if rand.Float64() < c.Dup {
+		out = append(out, this)
+	}
+	for _, send := range out {
+		l.sendAfter(c, send)
+	}
+}
+
+// sendAfter sends a datagram after the delay of a condition, unless the link is closed by then.
+func (l *udpLink) sendAfter(c LinkCondition, send func()) {
+	wait := c.Delay
+	if c.Jitter > 0 {
+		wait += rand.N(c.Jitter)
+	}
+	if wait <= 0 {
+		send()
+		return
+	}
+	time.AfterFunc(wait, func() {
+		select {
+		case <-l.done:
+		default:
+			send()
+		}
+	})
+}
