--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// outcome is how a call ended for its client.
+// outcome is how a request ended for its client.
 type outcome int
 
 const (
@@ -25,14 +25,16 @@
 	outcomeUnreached            // no connection came up
 )
 
-func (e outcome) String() string {
-	return [...]string{"served", "refused", "failed", "left", "unreached"}[e]
+// String returns the name that results have for the outcome.
+func (o outcome) String() string {
+	return [...]string{"served", "refused", "failed", "left", "unreached"}[o]
 }
 
 const (
-	maxAnswerDelay = 500 * time.Millisecond // an answer that comes so late earns nothing, and is no loss
-	pauseCarryOver = 500 * time.Millisecond // what a node that was held up owes comes so soon after
+	maxAnswerDelay = 500 * time.Millisecond // an answer this late is worth nothing, but is not lost
+	pauseCarryOver = 500 * time.Millisecond // a node that was paused answers so soon after
 	maxBodySize    = 64 << 10
+	readBufferSize = 2 << 10
 	maxIdleConns   = 256             // connections kept by one client
 	maxIdleTime    = 5 * time.Second // a client closes what was idle for so long
 	dialTimeout    = time.Second
@@ -48,7 +50,7 @@
 	isRetry      bool
 }
 
-// response is what came of it.
+// response is what came of a request.
 type response struct {
 	end        outcome
 	node       string
@@ -56,7 +58,7 @@
 	at         time.Duration // of its last byte
 }
 
-// client keeps connections to nodes and makes calls on them, one at a time on each, as the protocol's clients do. It
+// client keeps connections to nodes and sends requests on them, one at a time on each, as the protocol's clients do. It
 // opens more when all are busy.
 type client struct {
 	testbed   *Testbed
@@ -70,75 +72,99 @@
 	readers sync.WaitGroup
 }
 
+// clientConn is a connection of a client to a node.
 type clientConn struct {
 	net.Conn
 	node      string
 	used      bool
-	idleSince time.Duration // idle since
+	idleSince time.Duration
 
 	mu               sync.Mutex
-	pending          string // the request whose answer is owed; "": none
-	lastAnswered     string // the last one answered
+	pending          string // the request whose answer is pending; "": none
+	lastAnswered     string // the last request answered
 	previousAnswered string // the one before that
 	replies          chan connReply
 }
 
+// connReply is what came on a connection: an answer, or its end.
 type connReply struct {
 	status     int
 	retryAfter string
 	body       string
 	closing    bool
-	partial    bool // part of a response came
+	partial    bool // part of an answer came
 	allRead    bool // the connection ended, and the node had read all that was written to it
 	err        error
 	at         time.Duration
 }
 
-// hasPending says that an answer is owed. A connection that ends while none is may be taken for a request a moment later: that
-// one was not read.
+// hasPending reports whether an answer is pending. A connection that ends while none is may be taken for a request a
+// moment later: that one was not read.
 func (cc *clientConn) hasPending() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return cc.pending != ""
 }
 
-// read takes answers off a connection until it ends.
-func (c *client) read(cc *clientConn) {
+// takePending ends the pending request, if there is one, and also returns the request answered before it.
+func (cc *clientConn) takePending() (pending, lastAnswered string) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	pending = cc.pending
+	lastAnswered = cc.lastAnswered
+	if pending != "" {
+		cc.previousAnswered = cc.lastAnswered
+		cc.lastAnswered = pending
+		cc.pending = ""
+	}
+	return pending, lastAnswered
+}
+
+// readReplies reads answers from a connection until it ends.
+func (c *client) readReplies(cc *clientConn) {
 	defer c.readers.Done()
-	br := bufio.NewReaderSize(cc.Conn, 2<<10)
+	reader := bufio.NewReaderSize(cc.Conn, readBufferSize)
 	for {
-		var r connReply
-		resp, err := http.ReadResponse(br, nil)
-		if err != nil {
-			r.err = err
-			r.partial = errors.Is(err, io.ErrUnexpectedEOF) && br.Buffered() > 0
-			r.allRead = errors.Is(err, io.ErrUnexpectedEOF) && !r.partial && cc.hasPending() && !c.testbed.linked(c.name, cc.node) && peerReadAll(cc.Conn)
-		} else {
-			body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodySize))
-			resp.Body.Close()
-			r = connReply{status: resp.StatusCode, retryAfter: resp.Header.Get("Retry-After"), body: string(body), closing: resp.Close,
-				partial: true, err: err}
-		}
-		r.at = c.testbed.now()
-		cc.mu.Lock()
-		pending := cc.pending
-		lastAnswered := cc.lastAnswered
+		r := c.readReply(cc, reader)
+		pending, lastAnswered := cc.takePending()
 		if pending != "" {
-			cc.previousAnswered, cc.lastAnswered, cc.pending = cc.lastAnswered, pending, ""
-		}
-		cc.mu.Unlock()
-		if pending != "" {
-			cc.replies <- r // one is owed, one fits
+			cc.replies <- r // never blocks: one request is pending at a time
 		} else if r.err == nil {
-			c.testbed.checker.recordUnexpectedAnswer(lastAnswered, cc.node, fmt.Sprintf("%d %.60q, closing %t", r.status, r.body, r.closing))
+			what := fmt.Sprintf("%d %.60q, closing %t", r.status, r.body, r.closing)
+			c.testbed.checker.recordUnexpectedAnswer(lastAnswered, cc.node, what)
 		}
 		if r.err != nil || r.closing {
-			cc.Close()
+			closeQuietly(cc)
 			return
 		}
 	}
 }
 
+// readReply waits for the next answer on a connection, or for its end.
+func (c *client) readReply(cc *clientConn, reader *bufio.Reader) connReply {
+	resp, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		atBoundary := errors.Is(err, io.ErrUnexpectedEOF) && reader.Buffered() == 0
+		return connReply{
+			err:     err,
+			partial: errors.Is(err, io.ErrUnexpectedEOF) && !atBoundary,
+			allRead: atBoundary && cc.hasPending() && !c.testbed.linked(c.name, cc.node) && peerReadAll(cc.Conn),
+			at:      c.testbed.now(),
+		}
+	}
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodySize))
+	closeQuietly(resp.Body)
+	return connReply{
+		status:     resp.StatusCode,
+		retryAfter: resp.Header.Get("Retry-After"),
+		body:       string(body),
+		closing:    resp.Close,
+		partial:    true,
+		err:        err,
+		at:         c.testbed.now(),
+	}
+}
+
 // get returns an idle connection or a new one.
 func (c *client) get(ctx context.Context, newConn bool) (*clientConn, error) {
 	c.mu.Lock()
@@ -146,17 +172,11 @@
 		c.mu.Unlock()
 		return nil, net.ErrClosed
 	}
-	now := c.testbed.now()
-	for n := len(c.idle); n > 0 && !newConn; n = len(c.idle) {
-		cc := c.idle[n-1]
-		c.idle = c.idle[:n-1]
-		if now-cc.idleSince > maxIdleTime {
-			cc.Close()
-			continue
+	if !newConn {
+		if cc := c.takeIdle(); cc != nil {
+			c.mu.Unlock()
+			return cc, nil
 		}
-		cc.used = true
-		c.mu.Unlock()
-		return cc, nil
 	}
 	c.readers.Add(1)
 	c.mu.Unlock()
@@ -168,33 +188,48 @@
 		return nil, err
 	}
 	cc := &clientConn{Conn: conn, node: node, replies: make(chan connReply, 1)}
-	go c.read(cc)
+	go c.readReplies(cc)
 	return cc, nil
 }
 
+// takeIdle returns the connection that was used last, and closes those that were idle for too long; c.mu is held.
+func (c *client) takeIdle() *clientConn {
+	now := c.testbed.now()
+	for n := len(c.idle); n > 0; n = len(c.idle) {
+		cc := c.idle[n-1]
+		c.idle = c.idle[:n-1]
+		if now-cc.idleSince <= maxIdleTime {
+			cc.used = true
+			return cc
+		}
+		closeQuietly(cc)
+	}
+	return nil
+}
+
 func (c *client) put(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cc.idleSince = c.testbed.now()
 	if c.closed || len(c.idle) >= maxIdleConns {
-		cc.Close()
+		closeQuietly(cc)
 		return
 	}
 	c.idle = append(c.idle, cc)
 }
 
-// close ends all idle connections and waits for the others; calls fail from now on.
+// close ends all idle connections and waits for the others; requests fail from now on.
 func (c *client) close() {
 	c.mu.Lock()
 	c.closed = true
 	for _, cc := range c.idle {
-		cc.Close()
+		closeQuietly(cc)
 	}
 	c.mu.Unlock()
 	c.readers.Wait()
 }
 
-// do makes one call and returns its end, no later than its deadline and the slack.
+// do sends one request and returns what came of it, no later than its deadline and the slack.
 func (c *client) do(ctx context.Context, req clientRequest) response {
 	c.testbed.checker.begin(req.id, req.class.Name, req.deadline)
 	until := req.deadline + slack
@@ -204,60 +239,62 @@
 	ctx, cancel := context.WithDeadline(ctx, c.testbed.began.Add(until))
 	defer cancel()
 	for newConn := false; ; newConn = true {
-		a, again := c.attempt(ctx, req, newConn)
-		if !again {
-			return a
+		resp, unread := c.attempt(ctx, req, newConn)
+		if !unread {
+			return resp
 		}
 	}
 }
 
-// attempt writes the request to one connection; again reports that the connection's end crossed it unread.
-func (c *client) attempt(ctx context.Context, req clientRequest, newConn bool) (a response, again bool) {
+// attempt writes the request to one connection; unread reports that the connection ended before the node read it.
+func (c *client) attempt(ctx context.Context, req clientRequest, newConn bool) (resp response, unread bool) {
 	cc, err := c.get(ctx, newConn)
 	if err != nil {
-		a.end = outcomeUnreached
+		resp.end = outcomeUnreached
 		if ctx.Err() != nil {
-			a.end = outcomeDisconnected
+			resp.end = outcomeDisconnected
 		}
-		a.at = c.testbed.now()
-		return a, false
+		resp.at = c.testbed.now()
+		return resp, false
 	}
-	a.node = cc.node
 	writing := c.testbed.checker.beginWrite(req.id, cc.node)
 	cc.mu.Lock()
 	cc.pending = req.id
 	cc.mu.Unlock()
-	head := c.format(req, sender{cc.node, writing})
-	if _, err := cc.Write(head); err == nil {
-		c.testbed.checker.recordWritten(req.id, c.testbed.now())
-		select {
-		case r := <-cc.replies:
-			return c.handleReply(cc, req, r)
-		case <-ctx.Done():
-		}
-		if r, late := c.lateAnswer(cc, req); late {
-			return c.handleReply(cc, req, r)
+	if _, err := cc.Write(c.format(req, sender{cc.node, writing})); err != nil {
+		closeQuietly(cc)
+		if cc.used && ctx.Err() == nil {
+			return response{node: cc.node}, true
 		}
-		cc.Close()
-		a.at, a.end = c.testbed.now(), outcomeDisconnected
-		if a.at < req.deadline+slack {
-			c.testbed.checker.recordDisconnect(req.id)
-		} else {
-			a.end = outcomeFailed
-			c.testbed.checker.recordUnanswered(req.id, c.name, "no answer in time")
-		}
-		return a, false
+		return response{node: cc.node, at: c.testbed.now(), end: outcomeFailed}, false
+	}
+	c.testbed.checker.recordWritten(req.id, c.testbed.now())
+	select {
+	case r := <-cc.replies:
+		return c.handleReply(cc, req, r)
+	case <-ctx.Done():
 	}
-	cc.Close()
-	if cc.used && ctx.Err() == nil {
-		return a, true
+	if r, late := c.lateReply(cc, req); late {
+		return c.handleReply(cc, req, r)
+	}
+	return c.giveUp(cc, req), false
+}
+
+// giveUp closes a connection on which no answer came: the client disconnects, or its time is over.
+func (c *client) giveUp(cc *clientConn, req clientRequest) response {
+	closeQuietly(cc)
+	resp := response{node: cc.node, at: c.testbed.now(), end: outcomeDisconnected}
+	if resp.at < req.deadline+slack {
+		c.testbed.checker.recordDisconnect(req.id)
+		return resp
 	}
-	a.at, a.end = c.testbed.now(), outcomeFailed
-	return a, false
+	resp.end = outcomeFailed
+	c.testbed.checker.recordUnanswered(req.id, c.name, "no answer in time")
+	return resp
 }
 
-// lateAnswer waits on for the answer of a node that was held up: one that comes up to half a second late is no loss.
-func (c *client) lateAnswer(cc *clientConn, req clientRequest) (r connReply, late bool) {
+// lateReply waits longer for the answer of a node that the testbed paused: up to maxAnswerDelay late, it is not lost.
+func (c *client) lateReply(cc *clientConn, req clientRequest) (r connReply, late bool) {
 	over := req.deadline + slack
 	if c.testbed.now() < over || !c.testbed.intervals.overlap(pausedPart(cc.node), over-pauseCarryOver, over) {
 		return r, false
@@ -270,56 +307,69 @@
 	}
 }
 
-// handleReply sorts out what came on a connection after a whole request was written to it.
-func (c *client) handleReply(cc *clientConn, req clientRequest, r connReply) (response, bool) {
-	a := response{node: cc.node, at: r.at, end: outcomeFailed}
+// handleReply handles what came on a connection after a complete request was written to it.
+func (c *client) handleReply(cc *clientConn, req clientRequest, r connReply) (resp response, unread bool) {
+	resp = response{node: cc.node, at: r.at, end: outcomeFailed}
 	if r.err != nil {
-		cc.Close()
-		switch {
-		case !r.partial && cc.used && c.testbed.checker.retractUnread(req.id, r.allRead):
-			return a, true // the close crossed the request
-		case !r.partial && !cc.used && c.testbed.checker.retractUnread(req.id, r.allRead):
-			// a new connection closed with no answer: failed, and not lost
-		default:
-			c.testbed.checker.recordUnanswered(req.id, c.name, fmt.Sprintf("the connection ended: %v (all was read: %t)", r.err, r.allRead))
-		}
-		return a, false
+		closeQuietly(cc)
+		return resp, c.handleConnEnd(cc, req, r)
 	}
 	if before, _, _ := strings.Cut(r.body, " "); c.checkBody && before != "" && before == cc.previousAnswered {
-		c.testbed.checker.recordUnexpectedAnswer(before, cc.node, "that of the request before") // the connection is one answer behind from here on
+		// The connection is one answer behind from here on.
+		c.testbed.checker.recordUnexpectedAnswer(before, cc.node, "that of the request before")
 		c.testbed.checker.recordDisconnect(req.id)
-		cc.Close()
-		return a, false
+		closeQuietly(cc)
+		return resp, false
 	}
 	c.testbed.checker.recordAnswer(req.id, r.status, r.body, c.checkBody)
 	switch r.status {
 	case http.StatusOK:
-		a.end = outcomeServed
+		resp.end = outcomeServed
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		a.end = outcomeRejected
-		if s, err := strconv.ParseFloat(r.retryAfter, 64); err == nil && s > 0 {
-			a.retryAfter = min(time.Duration(s*float64(time.Second)), c.testbed.world.Limits.MaxRetryAfter)
-		}
+		resp.end = outcomeRejected
+		resp.retryAfter = c.parseRetryAfter(r.retryAfter)
 	}
 	if !r.closing {
 		c.put(cc)
 	}
-	return a, false
+	return resp, false
+}
+
+// handleConnEnd handles the end of a connection with a request pending. It reports whether the request may be written
+// again: the close of a used connection crossed it. On a new connection it has failed, but is not lost.
+func (c *client) handleConnEnd(cc *clientConn, req clientRequest, r connReply) (unread bool) {
+	if !r.partial && c.testbed.checker.retractUnread(req.id, r.allRead) {
+		return cc.used
+	}
+	how := fmt.Sprintf("the connection ended: %v (all was read: %t)", r.err, r.allRead)
+	c.testbed.checker.recordUnanswered(req.id, c.name, how)
+	return false
+}
+
+// parseRetryAfter reads a Retry-After in seconds, up to the world's limit; 0: there is none.
+func (c *client) parseRetryAfter(text string) time.Duration {
+	seconds, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(seconds > 0) {
+		return 0
+	}
+	return min(time.Duration(seconds*float64(time.Second)), c.testbed.world.Limits.MaxRetryAfter)
 }
 
-// senderHeader tells servers, through the node that passes it on, to which node a request was written, and which writing
-// that was.
+// senderHeader tells servers, through the node that passes it on, to which node a request was written, and the number of
+// that writing.
 const senderHeader = "X-Lab-Sender"
 
-// format writes a request as the protocol has it.
+// format formats a request as the protocol has it.
 func (c *client) format(req clientRequest, to sender) []byte {
-	method := "GET"
+	method := http.MethodGet
 	if req.class.Effect != "read_like" {
-		method = "POST"
+		method = http.MethodPost
 	}
+	budget := max(1, (req.deadline - c.testbed.now()).Milliseconds())
 	b := make([]byte, 0, 320)
-	b = fmt.Appendf(b, "%s /api HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %dm\r\n%s: %s %d\r\n",
-		method, req.id, req.class.Name, max(1, (req.deadline-c.testbed.now()).Milliseconds()), senderHeader, to.node, to.writing)
+	b = fmt.Appendf(b, "%s /api HTTP/1.1\r\nHost: service.internal\r\n", method)
+	b = fmt.Appendf(b, "X-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %dm\r\n", req.id, req.class.Name, budget)
+	b = fmt.Appendf(b, "%s: %s %d\r\n", senderHeader, to.node, to.writing)
 	if req.tenant != "" {
 		b = fmt.Appendf(b, "X-Caller: %s\r\n", req.tenant)
 	}
@@ -329,10 +379,8 @@
 	if req.class.Effect == "idempotency_key" {
 		b = fmt.Appendf(b, "Idempotency-Key: k-%s\r\n", req.id)
 	}
-	if method == "POST" {
-		b = append(b, "Content-Length: 2\r\n\r\n{}"...)
-	} else {
-		b = append(b, "\r\n"...)
+	if method == http.MethodPost {
+		return append(b, "Content-Length: 2\r\n\r\n{}"...)
 	}
-	return b
+	return append(b, "\r\n"...)
 }
--- a/internal/testbed/corrupt_response.go
+++ b/internal/testbed/corrupt_response.go
@@ -1,5 +1,3 @@
-// Servers that corrupt their answers.
-
 package testbed
 
 import (
@@ -10,7 +8,7 @@
 
 const (
 	secondAnswerDelay = 5 * time.Millisecond
-	maxCloseDelay     = 20 * time.Millisecond // a server ends the connection so long after its answer at most
+	maxCloseDelay     = 20 * time.Millisecond // from an answer to the end of its connection
 )
 
 // writeCorruptResponse writes one answer in a way that the draw for the request names: twice, cut off and without a length, or whole
@@ -25,22 +23,22 @@
 	if err != nil {
 		return
 	}
-	defer c.Close()
+	defer closeQuietly(c)
 	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	draw := s.testbed.drawn(id, "how it is spoilt")
 	switch {
 	case draw < 1.0/3:
-		fmt.Fprint(c, complete)
+		_, _ = fmt.Fprint(c, complete)
 		time.Sleep(secondAnswerDelay)
-		fmt.Fprint(c, complete)
+		_, _ = fmt.Fprint(c, complete)
 	case draw < 2.0/3:
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", body[:len(body)/2])
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", body[:len(body)/2])
 		time.Sleep(secondAnswerDelay) // the half is read before the reset
 		if g, ok := c.(*gatedConn); ok {
 			reset(g.Conn)
 		}
 	default:
-		fmt.Fprint(c, complete)
+		_, _ = fmt.Fprint(c, complete)
 		time.Sleep(time.Duration(s.testbed.drawn(id, "end") * float64(maxCloseDelay)))
 	}
 }
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	frontPolls   = 100 * time.Millisecond
-	frontAsks    = time.Second            // for one answer
-	drainLateFor = 200 * time.Millisecond // new connections still come so long after the first no
+	pollInterval  = 100 * time.Millisecond
+	readyTimeout  = time.Second
+	notReadyDelay = 200 * time.Millisecond // new connections still come so long after a node stops being ready
 )
 
 // front spreads the clients' connections over the nodes of their zone, and over all nodes when their zone has none. It
@@ -30,7 +30,13 @@
 }
 
 func newFront(tb *Testbed, nodes []*Node) *front {
-	return &front{testbed: tb, nodes: nodes, ready: map[*Node]bool{}, next: map[string]int{}, changed: make(chan struct{})}
+	return &front{
+		testbed: tb,
+		nodes:   nodes,
+		ready:   map[*Node]bool{},
+		next:    map[string]int{},
+		changed: make(chan struct{}),
+	}
 }
 
 func (f *front) start() {
@@ -52,30 +58,36 @@
 
 // watch polls one node.
 func (f *front) watch(ctx context.Context, n *Node) {
-	client := &http.Client{Timeout: frontAsks, Transport: &http.Transport{DisableKeepAlives: true,
-		DialContext: (&net.Dialer{Timeout: frontAsks}).DialContext}}
-	tick := time.NewTicker(frontPolls)
+	client := &http.Client{
+		Timeout: readyTimeout,
+		Transport: &http.Transport{
+			DisableKeepAlives: true,
+			DialContext:       (&net.Dialer{Timeout: readyTimeout}).DialContext,
+		},
+	}
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	var noSince, deadSince time.Time
+	var notReadySince, unresponsiveSince time.Time
 	for {
 		yes, answered := checkReady(ctx, client, f.testbed.nodeAddr(clientsOf(n.zone), n))
 		now := time.Now()
-		if yes {
-			noSince, deadSince = time.Time{}, time.Time{}
+		switch {
+		case yes:
+			notReadySince, unresponsiveSince = time.Time{}, time.Time{}
 			f.setReady(n, true)
-		} else if answered {
-			deadSince = time.Time{}
-			if noSince.IsZero() {
-				noSince = now
+		case answered:
+			unresponsiveSince = time.Time{}
+			if notReadySince.IsZero() {
+				notReadySince = now
 			}
-			if now.Sub(noSince) >= drainLateFor {
+			if now.Sub(notReadySince) >= notReadyDelay {
 				f.setReady(n, false)
 			}
-		} else {
-			if deadSince.IsZero() {
-				deadSince = now
+		default:
+			if unresponsiveSince.IsZero() {
+				unresponsiveSince = now
 			}
-			if now.Sub(deadSince) >= f.testbed.world.Notice {
+			if now.Sub(unresponsiveSince) >= f.testbed.world.Notice {
 				f.setReady(n, false)
 			}
 		}
@@ -87,7 +99,7 @@
 	}
 }
 
-// checkReady asks a node whether clients may come; heard reports that it answered at all.
+// checkReady asks a node whether clients may come; answered reports that it answered at all.
 func checkReady(ctx context.Context, client *http.Client, addr string) (yes, answered bool) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/ready", nil)
 	if err != nil {
@@ -97,7 +109,7 @@
 	if err != nil {
 		return false, false
 	}
-	resp.Body.Close()
+	closeQuietly(resp.Body)
 	return resp.StatusCode == http.StatusOK, true
 }
 
@@ -111,7 +123,7 @@
 	}
 }
 
-// isReady reports whether the front deals connections to a node, and gives what closes at the next change.
+// isReady reports whether the front sends connections to a node, and returns what closes at the next change.
 func (f *front) isReady(n *Node) (bool, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,7 +132,7 @@
 
 var errNoNode = errors.New("the front has no node")
 
-// pick takes the next node of a zone in turn.
+// pick returns the next ready node of a zone, round robin.
 func (f *front) pick(zone string) (*Node, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// gateMode is how a listener meets new connections.
+// gateMode is how a listener treats new connections.
 type gateMode int
 
 const (
 	gateOpen   gateMode = iota
-	gateRefuse          // as of a dead process: refused at once
-	gateSilent          // as of a vanished machine: they never come up, and open ones say nothing
+	gateRefuse          // as of a dead process: connections are refused at once
+	gateSilent          // as of a vanished machine: connections never come up, and open ones are silent
 )
 
 const backlog = 512
 
-// gate is a listener that can refuse and fall silent, and come back at the same address. Silence is made by a full
+// gate is a listener that can refuse connections or fall silent, and come back at the same address. Silence is made by a full
 // accept queue: the kernel then drops connection requests, so that they neither come up nor fail.
 type gate struct {
 	addr     string
@@ -92,7 +92,7 @@
 		select {
 		case g.accepted <- gc:
 		case <-g.done:
-			gc.Close()
+			closeQuietly(gc)
 			return
 		}
 	}
@@ -113,7 +113,7 @@
 	if g.mode == gateSilent {
 		if g.listener != nil {
 			setBacklog(g.listener, backlog)
-			g.listener.SetDeadline(time.Time{})
+			_ = g.listener.SetDeadline(time.Time{}) // fails only on a closed listener
 		}
 		close(g.thawed)
 	}
@@ -133,7 +133,7 @@
 				return err
 			}
 		}
-		g.listener.SetDeadline(time.Now())
+		_ = g.listener.SetDeadline(time.Now())
 		setBacklog(g.listener, 0)
 		for range 4 { // a queue of length 0 holds one
 			c, err := net.DialTimeout("tcp", g.addr, 10*time.Millisecond)
@@ -147,13 +147,15 @@
 }
 
 func setBacklog(listener *net.TCPListener, n int) {
-	if raw, err := listener.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
+	raw, err := listener.SyscallConn()
+	if err != nil {
+		return
 	}
+	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) }) // fails only on a closed listener
 }
 
 // refuse takes no new connection any more; what is open stays.
-func (g *gate) refuse() { g.set(gateRefuse) } // fails only at the testbed's end
+func (g *gate) refuse() { _ = g.set(gateRefuse) } // fails only at the testbed's end
 
 // reset ends all open connections by a reset.
 func (g *gate) reset() {
@@ -180,6 +182,7 @@
 	}
 }
 
+// Close ends the gate and resets its connections. It never fails.
 func (g *gate) Close() error {
 	g.mu.Lock()
 	select {
@@ -201,12 +204,13 @@
 	return nil
 }
 
+// Addr returns the address, also while the gate refuses connections.
 func (g *gate) Addr() net.Addr {
 	a, _ := net.ResolveTCPAddr("tcp", g.addr)
 	return a
 }
 
-// gatedConn says and hears nothing while its gate is silent.
+// gatedConn neither reads nor writes while its gate is silent.
 type gatedConn struct {
 	net.Conn
 	gate   *gate
@@ -246,7 +250,7 @@
 	return c.Conn.Write(p)
 }
 
-// Close of a silent connection says nothing to the peer before the gate speaks again.
+// Close of a silent connection does not reach the peer before the silence ends.
 func (c *gatedConn) Close() (err error) {
 	c.once.Do(func() {
 		close(c.closed)
@@ -274,13 +278,13 @@
 
 func (c *gatedConn) reset() {
 	reset(c.Conn)
-	c.Close()
+	closeQuietly(c)
 }
 
 // reset ends a connection so that the peer sees a reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		_ = t.SetLinger(0) // fails only on a closed connection
 	}
-	c.Close()
+	closeQuietly(c)
 }
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -14,9 +14,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ServerFault is the fault of a server. The zero value is a well one.
+// ServerFault is how a server fails. The zero value is a healthy one.
 type ServerFault struct {
-	Slow             float64 // work takes so many times longer; 0 and 1: as ever
+	Slow             float64 // work takes so many times longer; 0 and 1: no longer
 	Errors           float64 // share of requests answered with 500
 	Hang             bool    // takes requests and answers none
 	CorruptResponses float64 // share of answers that are corrupted
@@ -39,8 +39,8 @@
 
 	mu        sync.Mutex
 	fault     ServerFault
-	health    string // as discovery has it
-	down      bool   // no process: refuses
+	health    string // as discovery lists it
+	down      bool   // no process: connections are refused
 	silent    bool
 	born      time.Duration // 0: long ago
 	queued    int           // wait for a slot
@@ -65,10 +65,24 @@
 		return nil, err
 	}
 	spec := tb.world.Tiers[tier]
-	s := &Server{name: name, zone: zone, tier: tier, spec: spec, testbed: tb, gate: g, health: "in_service",
-		cores: make(chan struct{}, spec.Cores), slots: make(chan struct{}, spec.Slots)}
-	s.http = &http.Server{Handler: s, IdleTimeout: tb.world.Limits.ConnIdle, ErrorLog: tb.discard, ConnState: s.track}
-	tb.goOwned(func() { s.http.Serve(g) }) // ends with the gate
+	s := &Server{
+		name:    name,
+		zone:    zone,
+		tier:    tier,
+		spec:    spec,
+		testbed: tb,
+		gate:    g,
+		health:  "in_service",
+		cores:   make(chan struct{}, spec.Cores),
+		slots:   make(chan struct{}, spec.Slots),
+	}
+	s.http = &http.Server{
+		Handler:     s,
+		IdleTimeout: tb.world.Limits.ConnIdle,
+		ErrorLog:    tb.discard,
+		ConnState:   s.track,
+	}
+	tb.goOwned(func() { _ = s.http.Serve(g) }) // returns an error when the gate closes
 	return s, nil
 }
 
@@ -117,7 +131,7 @@
 		return
 	}
 	budget := parseBudget(r.Header.Get("X-Budget"))
-	v, from, attempt := s.testbed.checker.recordAttempt(arrivedAttempt{
+	verdict, from, number := s.testbed.checker.recordAttempt(arrivedAttempt{
 		id:        id,
 		server:    s.name,
 		from:      senderOf(r),
@@ -126,11 +140,11 @@
 	})
 	s.testbed.count(from, s)
 	class := s.testbed.classes[r.Header.Get("X-Call-Class")]
-	if v == verdictUnknown || class == nil {
+	switch {
+	case verdict == verdictUnknown || class == nil:
 		w.WriteHeader(http.StatusBadRequest)
 		return
-	}
-	if v == verdictDuplicate {
+	case verdict == verdictDuplicate:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -139,19 +153,41 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), budget)
 	defer cancel()
-	work := s.testbed.workOf(class, s.tier, id)
-	if !s.withinCapacity(first, work) {
+	s.handle(ctx, w, r, execution{
+		id:       id,
+		number:   number,
+		class:    class,
+		tenant:   r.Header.Get("X-Caller"),
+		arrived:  first,
+		deadline: first + budget,
+	})
+}
+
+// execution is an attempt that a server handles.
+type execution struct {
+	id       string
+	number   int // of the attempt
+	class    *Class
+	tenant   string
+	arrived  time.Duration
+	deadline time.Duration
+}
+
+// handle executes an attempt as far as the server's faults and capacity allow.
+func (s *Server) handle(ctx context.Context, w http.ResponseWriter, r *http.Request, e execution) {
+	work := s.testbed.workOf(e.class, s.tier, e.id)
+	if !s.withinCapacity(e.arrived, work) {
 		s.failOverloaded()
 		return
 	}
 	s.mu.Lock()
-	t, overConnLimit := s.fault, s.conns > s.spec.Conns
+	fault, overConnLimit := s.fault, s.conns > s.spec.Conns
 	s.mu.Unlock()
 	switch {
-	case t.Hang:
+	case fault.Hang:
 		<-r.Context().Done()
 		return
-	case t.Errors > 0 && s.testbed.drawn(id, s.name) < t.Errors:
+	case fault.Errors > 0 && s.testbed.drawn(e.id, s.name) < fault.Errors:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -159,38 +195,51 @@
 		w.Header().Set("Connection", "close")
 	}
 	if overConnLimit || !s.acquireSlot(ctx) {
-		s.testbed.checker.recordNotRun(id)
-		w.Header().Set("X-Rejected", "1")
-		if ctx.Err() != nil {
-			w.WriteHeader(http.StatusGatewayTimeout)
-		} else {
-			w.WriteHeader(http.StatusServiceUnavailable)
-		}
+		s.reject(ctx, w, e.id)
 		return
 	}
 	defer func() { <-s.slots }()
-	if !s.work(ctx, work) || !sleep(ctx, class.Wait) || !s.callNextTier(ctx, fmt.Sprintf("%s.%d", id, attempt), class, r.Header.Get("X-Caller"), first+budget) {
+	if !s.execute(ctx, e, work) {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	s.mu.Lock()
 	s.served++
 	s.mu.Unlock()
-	if t.CorruptResponses > 0 && s.testbed.drawn(id, "spoil "+s.name) < t.CorruptResponses {
-		s.writeCorruptResponse(w, id)
+	if fault.CorruptResponses > 0 && s.testbed.drawn(e.id, "spoil "+s.name) < fault.CorruptResponses {
+		s.writeCorruptResponse(w, e.id)
+		return
+	}
+	_, _ = io.WriteString(w, s.testbed.checker.recordServed(e.id)) // fails where the node has closed the connection
+}
+
+// execute does the work of an attempt, waits, and calls the next tier.
+func (s *Server) execute(ctx context.Context, e execution, work time.Duration) bool {
+	if !s.work(ctx, work) || !sleep(ctx, e.class.Wait) {
+		return false
+	}
+	return s.callNextTier(ctx, fmt.Sprintf("%s.%d", e.id, e.number), e.class, e.tenant, e.deadline)
+}
+
+// reject answers that an attempt never ran.
+func (s *Server) reject(ctx context.Context, w http.ResponseWriter, id string) {
+	s.testbed.checker.recordNotRun(id)
+	w.Header().Set("X-Rejected", "1")
+	if ctx.Err() != nil {
+		w.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
-	io.WriteString(w, s.testbed.checker.recordServed(id))
+	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// senderOf reads what a client has added to its request for the checker.
+// senderOf reads the header that a client has added for the checker.
 func senderOf(r *http.Request) sender {
 	node, writing, _ := strings.Cut(r.Header.Get(senderHeader), " ")
 	n, _ := strconv.Atoi(writing)
 	return sender{node, n}
 }
 
-// acquireSlot waits for a place among the requests that the server holds; false: rejected.
+// acquireSlot waits for a slot; it returns false when the request is rejected.
 func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -254,13 +303,14 @@
 	return time.Duration(n * float64(unit))
 }
 
-// failOverloaded takes a server in slow start down that was sent more than it bears. It stays down.
+// failOverloaded takes a server in slow start down that was sent more than it can take. It stays down.
 func (s *Server) failOverloaded() {
 	s.mu.Lock()
 	was := s.down
 	s.mu.Unlock()
 	if !was {
-		s.testbed.checker.addFinding(SlowStartOverloaded, "", "", s.name+" was sent more than it bears over "+s.testbed.world.SlowStart.OverloadWindow.String())
+		over := s.testbed.world.SlowStart.OverloadWindow
+		s.testbed.checker.addFinding(SlowStartOverloaded, "", "", fmt.Sprintf("%s was sent more than it can take over %s", s.name, over))
 		go s.crash() // not from here: it ends this connection too
 	}
 }
@@ -294,7 +344,7 @@
 	return nil
 }
 
-// silence makes the server say nothing at all, as a vanished machine, and ends that.
+// silence makes the server silent, as a vanished machine, or ends that.
 func (s *Server) silence(on bool) {
 	s.mu.Lock()
 	s.silent = on
@@ -307,7 +357,7 @@
 	s.reachable()
 }
 
-// reachable sets the gate, and the links to it, to what the server is.
+// reachable sets the gate, and the links to it, to the state of the server.
 func (s *Server) reachable() {
 	s.mu.Lock()
 	mode := gateOpen
@@ -318,6 +368,6 @@
 		mode = gateRefuse
 	}
 	s.mu.Unlock()
-	s.gate.set(mode)
+	_ = s.gate.set(mode) // fails only at the end of the testbed, or where the port is taken
 	s.testbed.linksTo(s.name, mode)
 }
