--- a/cmd/balancer-testbed/capacity.go
+++ b/cmd/balancer-testbed/capacity.go
@@ -21,14 +21,18 @@
 	"github.com/spf13/cobra"
 )
 
-// capacityCommand measures the testbed itself: what it can drive and check against stubs that answer at once, and what a
-// proxy adds.
+// capacityCommand measures the testbed itself: what it can drive and check against stubs that answer at once, and
+// what a proxy adds.
 func capacityCommand() *cobra.Command {
 	var rate float64
 	var cores int
 	var length time.Duration
 	var linked bool
-	c := &cobra.Command{Use: "capacity", Short: "Measure the testbed itself against stubs that answer at once", Args: cobra.NoArgs}
+	c := &cobra.Command{
+		Use:   "capacity",
+		Short: "Measure the testbed itself against stubs that answer at once",
+		Args:  cobra.NoArgs,
+	}
 	c.Flags().Float64Var(&rate, "rate", 5000, "requests a second")
 	c.Flags().IntVar(&cores, "cores", 4, "cores of this process")
 	c.Flags().DurationVar(&length, "length", 10*time.Second, "how long")
@@ -46,8 +50,15 @@
 
 func capacity(ctx context.Context, self string, rate float64, length time.Duration, cores int, linked bool) error {
 	w := testbed.World{Binary: self, Args: []string{"stub"}, TrustNodes: true, Seed: 1,
-		Tiers:   []testbed.Tier{{Name: "front", Nodes: 4, Servers: 1}},
-		Classes: []testbed.Class{{Name: "view", Effect: "read_like", Share: 1, Work: make([]time.Duration, 1), LatencyObjective: time.Second, Deadline: 2 * time.Second}}}
+		Tiers: []testbed.Tier{{Name: "front", Nodes: 4, Servers: 1}},
+		Classes: []testbed.Class{{
+			Name:             "view",
+			Effect:           "read_like",
+			Share:            1,
+			Work:             make([]time.Duration, 1),
+			LatencyObjective: time.Second,
+			Deadline:         2 * time.Second,
+		}}}
 	if linked {
 		w.Links = []string{"clients-*->n*"}
 	}
@@ -87,13 +98,33 @@
 	close(ended)
 	<-recorded
 	at := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	fmt.Printf("links=%t rate=%.0f/s served=%d of %d in %.2f s\n", linked, float64(served.Load())/took.Seconds(), served.Load(), len(day), took.Seconds())
+	fmt.Printf(
+		"links=%t rate=%.0f/s served=%d of %d in %.2f s\n",
+		linked,
+		float64(served.Load())/took.Seconds(),
+		served.Load(),
+		len(day),
+		took.Seconds(),
+	)
 	fmt.Printf("latency from the drawn arrival: p50=%.3f ms p99=%.3f ms; lateness of the testbed: p50=%.3f ms p99=%.3f ms p99.9=%.3f ms\n",
 		at(latency, 50), at(latency, 99), at(late, 50), at(late, 99), at(late, 99.9))
-	fmt.Printf("processor time of the testbed: %.2f cores, %.0f%% of %d\n", used.Seconds()/took.Seconds(), 100*used.Seconds()/took.Seconds()/float64(cores), cores)
+	fmt.Printf(
+		"processor time of the testbed: %.2f cores, %.0f%% of %d\n",
+		used.Seconds()/took.Seconds(),
+		100*used.Seconds()/took.Seconds()/float64(cores),
+		cores,
+	)
 	a := tb.Checker().Account()
 	_, broken := tb.Findings()
-	fmt.Printf("checker: taken %d = answered %d + left %d + cut off %d + lost %d; broken %v\n", a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, broken)
+	fmt.Printf(
+		"checker: taken %d = answered %d + left %d + cut off %d + lost %d; broken %v\n",
+		a.Taken,
+		a.Answered,
+		a.Left,
+		a.CutOff,
+		a.Lost,
+		broken,
+	)
 	return ctx.Err()
 }
 
--- a/cmd/balancer-testbed/main.go
+++ b/cmd/balancer-testbed/main.go
@@ -55,7 +55,18 @@
 			return usageError{fmt.Errorf("unknown command %q; see --help", args[0])}
 		}}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	root.AddCommand(runCommand(), checkCommand(), listCommand(), reportCommand(), dayCommand(), capacityCommand(), stubCommand(), meshCommand(), soakCommand(), shimCommand())
+	root.AddCommand(
+		runCommand(),
+		checkCommand(),
+		listCommand(),
+		reportCommand(),
+		dayCommand(),
+		capacityCommand(),
+		stubCommand(),
+		meshCommand(),
+		soakCommand(),
+		shimCommand(),
+	)
 	for _, c := range root.Commands() {
 		if check := c.Args; check != nil {
 			c.Args = func(c *cobra.Command, args []string) error {
@@ -204,7 +215,11 @@
 
 func dayCommand() *cobra.Command {
 	var seed uint64
-	c := &cobra.Command{Use: "day FILE", Short: "Print the drawn day of a seed: arrivals and steps", Args: cobra.ExactArgs(1)}
+	c := &cobra.Command{
+		Use:   "day FILE",
+		Short: "Print the drawn day of a seed: arrivals and steps",
+		Args:  cobra.ExactArgs(1),
+	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		f, err := load(args[0])
--- a/cmd/balancer-testbed/mesh.go
+++ b/cmd/balancer-testbed/mesh.go
@@ -20,7 +20,11 @@
 	var binary, only string
 	var nodes, seeds int
 	var probe time.Duration
-	c := &cobra.Command{Use: "mesh", Short: "Inject faults into a fleet whose only work is membership, and time it", Args: cobra.NoArgs}
+	c := &cobra.Command{
+		Use:   "mesh",
+		Short: "Inject faults into a fleet whose only work is membership, and time it",
+		Args:  cobra.NoArgs,
+	}
 	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program")
 	c.Flags().StringVar(&only, "only", "", "scenarios whose name contains this")
 	c.Flags().IntVar(&nodes, "nodes", 16, "nodes, where the scenario does not say")
@@ -35,7 +39,9 @@
 			return usageError{errors.New("--nodes must be from 4 to 100 and --seeds from 1 to 1000")}
 		}
 		failed := false
-		fmt.Println("| scenario | nodes | runs | metric | median | worst | count |\n| --- | --- | --- | --- | --- | --- | --- |")
+		fmt.Println(
+			"| scenario | nodes | runs | metric | median | worst | count |\n| --- | --- | --- | --- | --- | --- | --- |",
+		)
 		for _, sc := range testbed.Scenarios {
 			if !strings.Contains(sc.Name, only) {
 				continue
@@ -55,7 +61,14 @@
 }
 
 // meshScenario runs one scenario with all seeds; bad reports that it went wrong in some.
-func meshScenario(ctx context.Context, sc testbed.Scenario, binary string, nodes, seeds int, probe time.Duration) (bad bool, err error) {
+func meshScenario(
+	ctx context.Context,
+	sc testbed.Scenario,
+	binary string,
+	nodes,
+	seeds int,
+	probe time.Duration,
+) (bad bool, err error) {
 	times, counts := map[string][]time.Duration{}, map[string]int{}
 	if sc.Nodes > 0 {
 		nodes = sc.Nodes
--- a/cmd/balancer-testbed/soak.go
+++ b/cmd/balancer-testbed/soak.go
@@ -20,7 +20,11 @@
 	var beside int
 	var keep []int
 	var reduce bool
-	c := &cobra.Command{Use: "soak", Short: "Run a few dozen nodes through overlapping faults, by seeds", Args: cobra.NoArgs}
+	c := &cobra.Command{
+		Use:   "soak",
+		Short: "Run a few dozen nodes through overlapping faults, by seeds",
+		Args:  cobra.NoArgs,
+	}
 	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program")
 	c.Flags().StringVar(&out, "out", "lab-results/soak", "folder for logs and results")
 	c.Flags().Uint64Var(&from, "seed", 1, "the first seed")
@@ -116,7 +120,12 @@
 
 // shimCommand runs a program under a shim; the testbed starts it.
 func shimCommand() *cobra.Command {
-	c := &cobra.Command{Use: "shim PROGRAM [ARGS]", Short: "Run a program whose system calls fail now and then", Hidden: true, Args: cobra.MinimumNArgs(1)}
+	c := &cobra.Command{
+		Use:    "shim PROGRAM [ARGS]",
+		Short:  "Run a program whose system calls fail now and then",
+		Hidden: true,
+		Args:   cobra.MinimumNArgs(1),
+	}
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		code, err := testbed.RunShim(args[0], args[1:])
 		if err != nil {
--- a/internal/testbed/attempt_checks.go
+++ b/internal/testbed/attempt_checks.go
@@ -12,8 +12,8 @@
 	linkFaultCarryOver = 2 * time.Second // attempts that a faulty link delays come so soon after the fault
 )
 
-// sender is the node that forwarded an attempt, as a header that nodes pass through tells, and the number of the writing
-// that it forwards.
+// sender is the node that forwarded an attempt, as a header that nodes pass through tells, and the number of the
+// writing that it forwards.
 type sender struct {
 	node    string
 	writing int
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -17,8 +17,8 @@
 	bodySalt     = 0x9e3779b97f4a7c15
 )
 
-// Checker checks the invariants of the platform. It keeps one record for each request id, both of clients and of servers
-// that call the next tier. All methods are safe for concurrent use.
+// Checker checks the invariants of the platform. It keeps one record for each request id, both of clients and of
+// servers that call the next tier. All methods are safe for concurrent use.
 type Checker struct {
 	now             func() time.Duration
 	intervals       *intervals
@@ -139,8 +139,8 @@
 	r.updateAccount(func(a *Account) { a.Taken++ })
 }
 
-// retractUnread takes a request back whose connection ended without an answer, as it crossed the node's close. It reports
-// whether that is possible: not if a server has the request, or if the node is known to have read all of it.
+// retractUnread takes a request back whose connection ended without an answer, as it crossed the node's close. It
+// reports whether that is possible: not if a server has the request, or if the node is known to have read all of it.
 func (r *Checker) retractUnread(id string, allRead bool) (unread bool) {
 	r.withRecord(id, func(rec *record) {
 		unread = rec.attempts == 0 && !allRead
@@ -198,7 +198,12 @@
 		return
 	}
 	r.updateAccount(func(a *Account) { a.Lost++ })
-	detail := fmt.Sprintf("%s, %.0f ms after it was written, deadline %.3fs", how, ms(now-rec.written), rec.deadline.Seconds())
+	detail := fmt.Sprintf(
+		"%s, %.0f ms after it was written, deadline %.3fs",
+		how,
+		ms(now-rec.written),
+		rec.deadline.Seconds(),
+	)
 	r.addFinding(Lost, id, rec.node, detail)
 }
 
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -355,8 +355,8 @@
 	return min(time.Duration(seconds*float64(time.Second)), c.testbed.world.Limits.MaxRetryAfter)
 }
 
-// senderHeader tells servers, through the node that passes it on, to which node a request was written, and the number of
-// that writing.
+// senderHeader tells servers, through the node that passes it on, to which node a request was written, and the number
+// of that writing.
 const senderHeader = "X-Lab-Sender"
 
 // format formats a request as the protocol has it.
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -61,7 +61,13 @@
 }
 
 func newDiscovery(tb *Testbed) *discovery {
-	d := &discovery{testbed: tb, callSlot: make(chan struct{}, 1), late: tb.world.Discovery.Late, watchStates: map[*Node]*watchState{}, gateByNode: map[*Node]*gate{}}
+	d := &discovery{
+		testbed:     tb,
+		callSlot:    make(chan struct{}, 1),
+		late:        tb.world.Discovery.Late,
+		watchStates: map[*Node]*watchState{},
+		gateByNode:  map[*Node]*gate{},
+	}
 	for range tb.world.Tiers {
 		d.tiers = append(d.tiers, &tierList{hosts: map[string]endpointEntry{}, changed: make(chan struct{})})
 	}
@@ -155,7 +161,10 @@
 	if err != nil {
 		return "", err
 	}
-	server := &http.Server{ErrorLog: d.testbed.discard, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(n, w, r) })}
+	server := &http.Server{
+		ErrorLog: d.testbed.discard,
+		Handler:  http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(n, w, r) }),
+	}
 	d.testbed.goOwned(func() { server.Serve(g) }) // ends with the gate
 	d.mu.Lock()
 	d.gates = append(d.gates, g)
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -107,14 +107,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recordAttempt := map[uint64]map[string]int{3: {}, 4: {}}
+	arrived := map[uint64]map[string]int{3: {}, 4: {}}
 	for _, s := range r.Summaries {
-		recordAttempt[s.Seed][s.Variant] = s.Arrived
+		arrived[s.Seed][s.Variant] = s.Arrived
 		if a := s.Account; a.Taken == 0 || a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || len(s.Steps) != 2 || s.Binary == "" {
 			t.Errorf("seed %d %s: account %+v, marks %v, binary %q", s.Seed, s.Variant, a, s.Steps, s.Binary)
 		}
 	}
-	if a := recordAttempt; a[3]["off"] == 0 || a[3]["off"] != a[3]["on"] || a[4]["off"] != a[4]["on"] || a[3]["on"] == a[4]["on"] {
+	if a := arrived; a[3]["off"] == 0 || a[3]["off"] != a[3]["on"] || a[4]["off"] != a[4]["on"] || a[3]["on"] == a[4]["on"] {
 		t.Errorf("arrivals by seed and variant: %v", a)
 	}
 	if len(r.Windows) != 4*4 {
@@ -127,7 +127,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"# tiny", "Difference to `off`", "| served in time, share of the worth | on | 2 |", "slow front-1", "| kept |"} {
+	for _, want := range []string{
+		"# tiny",
+		"Difference to `off`",
+		"| served in time, share of the worth | on | 2 |",
+		"slow front-1",
+		"| kept |",
+	} {
 		if !strings.Contains(string(text), want) {
 			t.Errorf("the report lacks %q:\n%s", want, text)
 		}
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -93,8 +93,18 @@
 	{"median latency, ms", "%.1f", false, func(s *Summary) float64 { return s.P50 }},
 	{"99th percentile, ms", "%.0f", false, func(s *Summary) float64 { return s.P99 }},
 	{"99.9th percentile, ms", "%.0f", false, func(s *Summary) float64 { return s.P999 }},
-	{"attempts for each arrival", "%.3f", false, func(s *Summary) float64 { return float64(s.Attempts) / float64(max(1, s.Arrived)) }},
-	{"of them between zones", "%.4f", false, func(s *Summary) float64 { return float64(s.CrossZone) / float64(max(1, s.Attempts)) }},
+	{
+		"attempts for each arrival",
+		"%.3f",
+		false,
+		func(s *Summary) float64 { return float64(s.Attempts) / float64(max(1, s.Arrived)) },
+	},
+	{
+		"of them between zones",
+		"%.4f",
+		false,
+		func(s *Summary) float64 { return float64(s.CrossZone) / float64(max(1, s.Attempts)) },
+	},
 	{"calls a server, most over mean", "%.2f", false, func(s *Summary) float64 { return s.Imbalance }},
 	{"processor, all nodes, cores", "%.3f", false, func(s *Summary) float64 { return s.CPU }},
 	{"memory, largest node, MB", "%.1f", false, func(s *Summary) float64 { return s.MaxRSS }},
@@ -140,7 +150,18 @@
 		fmt.Fprintf(&b, "- `%s`: binary %s, seeds %s\n", n, by[n][0].Binary, strings.Join(seeds, " "))
 	}
 	b.WriteString("\n## Rules and accounts\n\n")
-	table(&b, []string{"variant", "seed", "arrived", "taken", "answered", "left", "cut off", "lost", "void windows", "rules"}, func(row func(...any)) {
+	table(&b, []string{
+		"variant",
+		"seed",
+		"arrived",
+		"taken",
+		"answered",
+		"left",
+		"cut off",
+		"lost",
+		"void windows",
+		"rules",
+	}, func(row func(...any)) {
 		for _, n := range names {
 			for _, s := range by[n] {
 				a := s.Account
@@ -165,13 +186,25 @@
 			for _, f := range metrics {
 				for _, n := range names[1:] {
 					d := compare(paired(by[names[0]], by[n], f))
-					row(f.name, n, d.Pairs, fmt.Sprintf(f.format, d.Mean), fmt.Sprintf(f.format, d.Low), fmt.Sprintf(f.format, d.High), fmt.Sprintf("%.3f", d.Sign))
+					row(
+						f.name,
+						n,
+						d.Pairs,
+						fmt.Sprintf(f.format, d.Mean),
+						fmt.Sprintf(f.format, d.Low),
+						fmt.Sprintf(f.format, d.High),
+						fmt.Sprintf("%.3f", d.Sign),
+					)
 				}
 			}
 		})
 	}
 	for _, n := range names {
-		fmt.Fprintf(&b, "\n## `%s` over time\n\nMeans over the runs; grey lines are the steps of the first run's schedule.\n\n", n)
+		fmt.Fprintf(
+			&b,
+			"\n## `%s` over time\n\nMeans over the runs; grey lines are the steps of the first run's schedule.\n\n",
+			n,
+		)
 		for what, draw := range map[string]func(*plot.Plot, string) error{"ends": r.plotEnds, "latency": r.plotLatency} {
 			name := fmt.Sprintf("%s-%s.svg", what, n)
 			if err := r.save(filepath.Join(dir, name), n, by[n][0].Steps, draw); err != nil {
@@ -235,7 +268,12 @@
 	return x, y
 }
 
-var colours = []color.Color{color.RGBA{0x2c, 0x7f, 0x4a, 255}, color.RGBA{0xd9, 0x8b, 0x1f, 255}, color.RGBA{0xc0, 0x39, 0x2b, 255},
+var colours = []color.Color{color.RGBA{
+	0x2c,
+	0x7f,
+	0x4a,
+	255,
+}, color.RGBA{0xd9, 0x8b, 0x1f, 255}, color.RGBA{0xc0, 0x39, 0x2b, 255},
 	color.RGBA{0x5b, 0x5b, 0x9e, 255}, color.RGBA{0x7a, 0x7a, 0x7a, 255}}
 
 // line adds a figure of a variant's windows, as a mean over its runs, to a plot.
--- a/internal/testbed/experiment/runner.go
+++ b/internal/testbed/experiment/runner.go
@@ -157,7 +157,13 @@
 func newRunRecord(f *File, key Key) *runRecord {
 	b := &runRecord{total: hdrhistogram.New(1, maxLatencyMillis*1000, 3)}
 	for at := time.Duration(0); at < f.Length; at += f.Window {
-		b.windows = append(b.windows, Window{Kind: "window", Key: key, From: at.Seconds(), To: min(at+f.Window, f.Length).Seconds(), Ends: map[string]int{}})
+		b.windows = append(b.windows, Window{
+			Kind: "window",
+			Key:  key,
+			From: at.Seconds(),
+			To:   min(at+f.Window, f.Length).Seconds(),
+			Ends: map[string]int{},
+		})
 		b.hists = append(b.hists, hdrhistogram.New(1, maxLatencyMillis*1000, 3))
 	}
 	return b
@@ -307,7 +313,14 @@
 func (b *runRecord) summary(f *File, key Key, tb *testbed.Testbed, began time.Duration) *Summary {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := &Summary{Kind: "summary", Key: key, Ends: map[string]int{}, Worst: 1, Account: tb.Checker().Account(), Steps: b.steps}
+	s := &Summary{
+		Kind:    "summary",
+		Key:     key,
+		Ends:    map[string]int{},
+		Worst:   1,
+		Account: tb.Checker().Account(),
+		Steps:   b.steps,
+	}
 	var weight, earned float64
 	for i := range b.windows {
 		w := &b.windows[i]
@@ -336,7 +349,10 @@
 	if weight > 0 {
 		s.Served = earned / weight
 	}
-	s.P50, s.P90, s.P99, s.P999 = quantile(b.total, 50), quantile(b.total, 90), quantile(b.total, 99), quantile(b.total, 99.9)
+	s.P50, s.P90, s.P99, s.P999 = quantile(
+		b.total,
+		50,
+	), quantile(b.total, 90), quantile(b.total, 99), quantile(b.total, 99.9)
 	s.Imbalance = tb.Imbalance()
 	s.Found, s.Broken = tb.Findings()
 	s.Found = slices.Clip(s.Found[:min(maxFindings, len(s.Found))])
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// RunSchedule carries out steps at their times, counted from now. It calls report for each step and for each failure, from
-// several goroutines, and returns when the last step is done, or once ctx ends.
+// RunSchedule carries out steps at their times, counted from now. It calls report for each step and for each failure,
+// from several goroutines, and returns when the last step is done, or once ctx ends.
 func (tb *Testbed) RunSchedule(ctx context.Context, steps []Step, report func(at time.Duration, what string)) {
 	began := tb.now()
 	var running sync.WaitGroup
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -19,8 +19,8 @@
 
 const backlog = 512
 
-// gate is a listener that can refuse connections or fall silent, and come back at the same address. Silence is made by a full
-// accept queue: the kernel then drops connection requests, so that they neither come up nor fail.
+// gate is a listener that can refuse connections or fall silent, and come back at the same address. Silence is made
+// by a full accept queue: the kernel then drops connection requests, so that they neither come up nor fail.
 type gate struct {
 	addr     string
 	accepted chan net.Conn
--- a/internal/testbed/hard_test.go
+++ b/internal/testbed/hard_test.go
@@ -156,14 +156,22 @@
 		t.Errorf("%d arrivals of %d, %d in the stall, %d of them sent in time", len(got.all), len(day), stalled, inTime)
 	}
 	const late = 300 * time.Millisecond // of the testbed itself
-	if s := tb.runClient(context.Background(), &load, tb.now()-late, Arrival{ID: "late", Patience: 1, Tenant: -1}); s.Latency < late || s.Late < late {
+	if s := tb.runClient(context.Background(), &load, tb.now()-late, Arrival{
+		ID:       "late",
+		Patience: 1,
+		Tenant:   -1,
+	}); s.Latency < late || s.Late < late {
 		t.Errorf("sent %v late it took %v and was %v late", late, s.Latency, s.Late)
 	}
 }
 
 func TestSlowMachineVoidsFindings(t *testing.T) {
 	tb := Start(t, healthyStubs(1))
-	Until(t, "a second in time", func() bool { return tb.now() > 3*time.Second && !tb.Void(tb.now()-2*time.Second, tb.now()) })
+	Until(
+		t,
+		"a second in time",
+		func() bool { return tb.now() > 3*time.Second && !tb.Void(tb.now()-2*time.Second, tb.now()) },
+	)
 	tb.checker.addFinding(Lost, "x", "n1", "planted")
 	if _, counts := tb.Findings(); counts[Lost] != 1 {
 		t.Errorf("in time: %v, want it counted", counts)
@@ -371,7 +379,9 @@
 	for _, times := range []float64{0.9, 1.1} { // of what it bears
 		s.born, s.recent = time.Second, nil
 		bore := true
-		can := c.OverloadFactor * float64(s.spec.Cores) * (s.capacityShare(time.Second+c.OverloadWindow/2) + s.capacityShare(time.Second+3*c.OverloadWindow/2)) / 2
+		can := c.OverloadFactor * float64(
+			s.spec.Cores,
+		) * (s.capacityShare(time.Second+c.OverloadWindow/2) + s.capacityShare(time.Second+3*c.OverloadWindow/2)) / 2
 		for at := time.Second + c.OverloadWindow/2; at < time.Second+3*c.OverloadWindow/2; at += 50 * time.Millisecond {
 			bore = s.withinCapacity(at, time.Duration(times*can*float64(50*time.Millisecond))) && bore
 		}
--- a/internal/testbed/improper_clients.go
+++ b/internal/testbed/improper_clients.go
@@ -16,7 +16,8 @@
 const (
 	improperClientTimeout = 3 * time.Second // an improper client gets an error or a close so long after it stopped
 	improperClientSpacing = 2 * time.Millisecond
-	shimDelay             = time.Second // a process whose every call is traced takes connections up so much later, by the testbed's doing
+	// a process whose every call is traced takes connections up so much later, by the testbed's doing
+	shimDelay = time.Second
 )
 
 // improperRequest is one way to be an improper client: what is sent, and whether the client then stays.
@@ -67,7 +68,7 @@
 		return
 	}
 	defer c.Close()
-	c.SetWriteDeadline(time.Now().Add(improperClientTimeout))
+	_ = c.SetWriteDeadline(time.Now().Add(improperClientTimeout))
 	_, err = c.Write([]byte(kind.text))
 	if err != nil || !kind.stays {
 		return
@@ -77,9 +78,13 @@
 	if _, shimmed := tb.world.Shims[n.name]; shimmed {
 		owed += shimDelay
 	}
-	c.SetReadDeadline(time.Now().Add(owed))
+	_ = c.SetReadDeadline(time.Now().Add(owed))
 	_, err = c.Read(make([]byte, 1))
 	if errors.Is(err, os.ErrDeadlineExceeded) && !tb.intervals.overlap(n.name, from, tb.now()) {
-		tb.checker.Report(ImproperClientKept, n.name, fmt.Sprintf("%s: neither an error nor a close %.0f ms after it stopped", kind.name, ms(tb.now()-stopped)))
+		tb.checker.Report(
+			ImproperClientKept,
+			n.name,
+			fmt.Sprintf("%s: neither an error nor a close %.0f ms after it stopped", kind.name, ms(tb.now()-stopped)),
+		)
 	}
 }
--- a/internal/testbed/intervals.go
+++ b/internal/testbed/intervals.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// intervals remembers when each part of the world was out of order by the testbed's own doing, so that the checker does not
-// blame a node for it. Parts are named as in faults; a link is FROM->TO.
+// intervals remembers when each part of the world was out of order by the testbed's own doing, so that the checker
+// does not blame a node for it. Parts are named as in faults; a link is FROM->TO.
 type intervals struct {
 	mu     sync.Mutex
 	byPart map[string][]interval
--- a/internal/testbed/leader_killed_scenario.go
+++ b/internal/testbed/leader_killed_scenario.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// overrideThroughLeaderKill issues an override, kills the leader while it is in force, and holds that the override stays in
-// force at all others until it is revoked through a member that has not led before.
+// overrideThroughLeaderKill issues an override, kills the leader while it is in force, and holds that the override
+// stays in force at all others until it is revoked through a member that has not led before.
 func (s *scenarioRun) overrideThroughLeaderKill(ctx context.Context) error {
 	const id = "survives"
 	leader, others := s.nodes[0], s.nodes[1:]
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -14,14 +14,17 @@
 
 // Load says what clients do. Arrivals are a Poisson process that does not wait for answers.
 type Load struct {
-	Rate        float64       `toml:"rate"`        // first attempts a second over all zones
-	ByZone      []float64     `toml:"by_zone"`     // shares of the zones; default: even
-	Bursts      []Burst       `toml:"burst"`       // times at which the rate is another
-	Retries     int           `toml:"retries"`     // most attempts after the first
-	Backoff     time.Duration `toml:"backoff"`     // before a retry, drawn evenly from a half to one and a half; default 200 ms
-	Patience    float64       `toml:"patience"`    // an attempt is given up after this share of the deadline at the least; default 0.7
-	Impatient   float64       `toml:"impatient"`   // share of clients that leave before their time is up
-	MaxInFlight int           `toml:"most_flight"` // requests of clients out at once; more are not sent and void the window; default 20,000
+	Rate    float64   `toml:"rate"`    // first attempts a second over all zones
+	ByZone  []float64 `toml:"by_zone"` // shares of the zones; default: even
+	Bursts  []Burst   `toml:"burst"`   // times at which the rate is another
+	Retries int       `toml:"retries"` // most attempts after the first
+	// before a retry, drawn evenly from a half to one and a half; default 200 ms
+	Backoff time.Duration `toml:"backoff"`
+	// an attempt is given up after this share of the deadline at the least; default 0.7
+	Patience  float64 `toml:"patience"`
+	Impatient float64 `toml:"impatient"` // share of clients that leave before their time is up
+	// requests of clients out at once; more are not sent and void the window; default 20,000
+	MaxInFlight int `toml:"most_flight"`
 }
 
 // Burst multiplies the rate for a while.
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -35,7 +35,11 @@
 			t.Log(sides(tb, nodes))
 		}
 	}()
-	Until(t, fmt.Sprintf("%d nodes agree on %s", len(nodes), side), func() bool { return Agree(context.Background(), nodes, side) })
+	Until(
+		t,
+		fmt.Sprintf("%d nodes agree on %s", len(nodes), side),
+		func() bool { return Agree(context.Background(), nodes, side) },
+	)
 }
 
 func untilSeen(t *testing.T, nodes []*Node, name, state string) {
@@ -48,8 +52,8 @@
 	}
 }
 
-// Real processes find a killed one, take one back that stood still after they buried it, hear a planned leave, and take a
-// restarted one for the same member; clients are served all the while.
+// Real processes find a killed one, take one back that stood still after they buried it, hear a planned leave, and
+// take a restarted one for the same member; clients are served all the while.
 func TestMeshOfProcesses(t *testing.T) {
 	t.Parallel()
 	tb := Start(t, meshWorld(5))
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -1,5 +1,3 @@
-// A node process and its place.
-
 package testbed
 
 import (
@@ -21,10 +19,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is one keelusher process, or the place of one.
+// Node is one node process, or the address and name under which processes start one after another.
 type Node struct {
 	name, zone     string
-	configuredName string // the name that the process is told; its own, but for a twin's
+	configuredName string // the name in the process's configuration; another node's where two share one
 	tier           int
 	index          int
 	testbed        *Testbed
@@ -55,7 +53,15 @@
 	if i >= maxNodes {
 		return nil, fmt.Errorf("more than %d nodes", maxNodes)
 	}
-	n := &Node{name: name, configuredName: name, zone: zone, tier: tier, index: index, testbed: tb, address: fmt.Sprintf("127.%d.1.%d", tb.net, 10+i)}
+	n := &Node{
+		name:           name,
+		configuredName: name,
+		zone:           zone,
+		tier:           tier,
+		index:          index,
+		testbed:        tb,
+		address:        fmt.Sprintf("127.%d.1.%d", tb.net, 10+i),
+	}
 	var err error
 	if n.discovery, err = tb.disc.serve(n); err != nil {
 		return nil, err
@@ -65,25 +71,42 @@
 	if err := os.MkdirAll(filepath.Join(dir, "tmp"), 0o700); err != nil {
 		return nil, err
 	}
-	n.process = &process{name: name, dir: dir, spawner: tb.spawner, ended: n.ended, command: func() *exec.Cmd {
-		c := exec.Command(tb.world.Binary, tb.world.Args...)
-		spec, shimmed := tb.world.Shims[name]
-		if shimmed {
-			c = exec.Command(tb.world.Shim[0], append(slices.Clone(tb.world.Shim[1:]), tb.world.Binary)...)
-		}
-		c.Dir = dir
-		c.Env = append(append(os.Environ(), tb.world.Env...), "ROUTER_NAME="+n.configuredName, "ROUTER_LISTEN="+n.Listen(),
-			"ROUTER_DISCOVERY="+n.discovery, "ROUTER_CONFIG="+filepath.Join(dir, "config.json"), "TMPDIR="+filepath.Join(dir, "tmp"))
-		if shimmed {
-			c.Env = append(c.Env, shimEnv+"="+n.shimSpec(spec))
-		}
-		return c
-	}}
+	n.process = &process{
+		name:    name,
+		dir:     dir,
+		spawner: tb.spawner,
+		ended:   n.ended,
+		command: n.command,
+	}
 	tb.nodes[name] = n
 	tb.nodeOrder = append(tb.nodeOrder, n)
 	return n, nil
 }
 
+// command returns the command that starts a process in the node's place.
+func (n *Node) command() *exec.Cmd {
+	w := &n.testbed.world
+	dir := n.process.dir
+	c := exec.Command(w.Binary, w.Args...)
+	spec, shimmed := w.Shims[n.name]
+	if shimmed {
+		c = exec.Command(w.Shim[0], append(slices.Clone(w.Shim[1:]), w.Binary)...)
+	}
+	c.Dir = dir
+	c.Env = append(os.Environ(), w.Env...)
+	c.Env = append(c.Env,
+		"ROUTER_NAME="+n.configuredName,
+		"ROUTER_LISTEN="+n.Listen(),
+		"ROUTER_DISCOVERY="+n.discovery,
+		"ROUTER_CONFIG="+filepath.Join(dir, "config.json"),
+		"TMPDIR="+filepath.Join(dir, "tmp"),
+	)
+	if shimmed {
+		c.Env = append(c.Env, shimEnv+"="+n.shimSpec(spec))
+	}
+	return c
+}
+
 // shimEnv is where a shim finds its spec, as JSON.
 const shimEnv = "SHIM_SPEC"
 
@@ -120,10 +143,17 @@
 		return err
 	}
 	text, err := json.Marshal(map[string]any{
-		"fleet": path,
-		"name":  n.configuredName, "listen": n.Listen(), "control": n.Control(), "discovery": n.discovery,
-		"seed":     fmt.Sprintf("%016x", xxhash.Sum64String(n.name)^w.Seed^uint64(n.starts)<<32),
-		"limits":   map[string]any{"cores": w.Limits.Cores, "memory_mb": w.Limits.MemoryMB, "sockets": w.Limits.Sockets},
+		"fleet":     path,
+		"name":      n.configuredName,
+		"listen":    n.Listen(),
+		"control":   n.Control(),
+		"discovery": n.discovery,
+		"seed":      fmt.Sprintf("%016x", xxhash.Sum64String(n.name)^w.Seed^uint64(n.starts)<<32),
+		"limits": map[string]any{
+			"cores":     w.Limits.Cores,
+			"memory_mb": w.Limits.MemoryMB,
+			"sockets":   w.Limits.Sockets,
+		},
 		"known":    n.testbed.disc.known(n),
 		"settings": w.settings(n.tier, n.index, n.zone),
 	})
@@ -135,11 +165,11 @@
 
 // Start starts the process; it must not be running, and its address must be free.
 func (n *Node) Start() error {
-	ln, err := net.Listen("tcp", n.Listen())
+	listener, err := net.Listen("tcp", n.Listen())
 	if err != nil {
 		return fmt.Errorf("the address of %s is taken: %w: %w", n.name, errTaken, err)
 	}
-	ln.Close()
+	closeQuietly(listener)
 	if err := n.configure(); err != nil {
 		return err
 	}
@@ -160,7 +190,7 @@
 	for _, c := range n.testbed.world.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	n.process.signal(syscall.SIGTERM) // fails only where it has ended
+	_ = n.process.signal(syscall.SIGTERM) // fails only where it has ended
 	if _, exited := n.process.running(); exited != nil {
 		select {
 		case <-exited:
@@ -218,7 +248,7 @@
 	return n.process.signal(syscall.SIGCONT)
 }
 
-// pausedPart names the spans in which a node was held up.
+// pausedPart names the intervals in which a node was paused.
 func pausedPart(node string) string { return "held up " + node }
 
 // Stop halts the process with SIGSTOP, and Continue lets it go on.
@@ -244,8 +274,8 @@
 	return yes
 }
 
-// ended is told of each end of the process. One that ended by itself after SIGTERM owes an answer to all that it took, so
-// that its end excuses nothing.
+// ended handles each end of the process. One that ended by itself after SIGTERM must have answered all that it accepted,
+// so that its end excuses nothing.
 func (n *Node) ended(crash string, clean bool) {
 	n.testbed.linksTo(n.name, gateRefuse)
 	select {
--- a/internal/testbed/notification_times.go
+++ b/internal/testbed/notification_times.go
@@ -13,7 +13,8 @@
 	lastPoll time.Duration // when it last asked, or its watch ended
 }
 
-// notificationTime says when a node counts as notified of what changes now, if nothing is written to it before; d.mu is held.
+// notificationTime says when a node counts as notified of what changes now, if nothing is written to it before; d.mu
+// is held.
 func (d *discovery) notificationTime(n *Node) time.Duration {
 	now, e := d.testbed.now(), d.watchStates[n]
 	switch {
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A drain that a node could not hear of binds it all the same once it counts as notified: for a node that was stopped, when
-// it was written; for a watch that fell silent, 6 s after that.
+// A drain that a node could not hear of binds it all the same once it counts as notified: for a node that was
+// stopped, when it was written; for a watch that fell silent, 6 s after that.
 func TestDrainsBindNodesThatMissedThem(t *testing.T) {
 	const drain = 1500 * time.Millisecond // after the load began
 	for name, c := range map[string]struct {
@@ -37,7 +37,11 @@
 			played := make(chan struct{})
 			go func() {
 				defer close(played)
-				tb.RunSchedule(context.Background(), steps, func(at time.Duration, what string) { t.Logf("%.2fs %s", at.Seconds(), what) })
+				tb.RunSchedule(
+					context.Background(),
+					steps,
+					func(at time.Duration, what string) { t.Logf("%.2fs %s", at.Seconds(), what) },
+				)
 			}()
 			var got tally
 			tb.Drive(context.Background(), &load, day, got.add)
@@ -48,7 +52,10 @@
 			}
 			tb.checker.mu.Lock()
 			defer tb.checker.mu.Unlock()
-			if at, notified := tb.checker.drainNotifiedAt[nodeAndServer{"n1", "front-2"}]; !notified || at > tb.now()-drainWithin-slack {
+			if at, notified := tb.checker.drainNotifiedAt[nodeAndServer{
+				"n1",
+				"front-2",
+			}]; !notified || at > tb.now()-drainWithin-slack {
 				t.Errorf("notified %v, at %v: the drain was not held to within the day", notified, at)
 			}
 		})
--- a/internal/testbed/one_sided_scenarios.go
+++ b/internal/testbed/one_sided_scenarios.go
@@ -25,7 +25,13 @@
 }
 
 // waitUntilHealed ends the conditions of some links and books until all agree, and who was taken for gone since.
-func (s *scenarioRun) waitUntilHealed(ctx context.Context, from, to string, since time.Duration, names ...string) error {
+func (s *scenarioRun) waitUntilHealed(
+	ctx context.Context,
+	from,
+	to string,
+	since time.Duration,
+	names ...string,
+) error {
 	s.testbed.SetLink(from, to, LinkCondition{})
 	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
@@ -140,8 +146,8 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
-// splitWithBridge leaves only n4 in reach of both n1 to n3 and n5 to n8, for 20 s. Nobody counts more than one majority, and
-// n4 is never gone.
+// splitWithBridge leaves only n4 in reach of both n1 to n3 and n5 to n8, for 20 s. Nobody counts more than one
+// majority, and n4 is never gone.
 func (s *scenarioRun) splitWithBridge(ctx context.Context) error {
 	at := s.testbed.now()
 	for _, a := range s.nodes[:3] {
--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -10,9 +10,15 @@
 	"time"
 )
 
-// SendOverride calls /control/overrides/ID at the node's admin endpoint; body may be empty. It returns the answer's status.
+// SendOverride calls /control/overrides/ID at the node's admin endpoint; body may be empty. It returns the answer's
+// status.
 func (n *Node) SendOverride(ctx context.Context, method, id, body string) (int, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.Control()+"/control/overrides/"+id, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(
+		ctx,
+		method,
+		"http://"+n.Control()+"/control/overrides/"+id,
+		strings.NewReader(body),
+	)
 	if err != nil {
 		return 0, err
 	}
@@ -75,8 +81,16 @@
 	return at, err
 }
 
-// waitForOverride waits until an override acts, or does not, on some nodes, and books how long that took from a time on.
-func (s *scenarioRun) waitForOverride(ctx context.Context, on []*Node, id string, want bool, figure string, from time.Duration) error {
+// waitForOverride waits until an override acts, or does not, on some nodes, and books how long that took from a time
+// on.
+func (s *scenarioRun) waitForOverride(
+	ctx context.Context,
+	on []*Node,
+	id string,
+	want bool,
+	figure string,
+	from time.Duration,
+) error {
 	for _, n := range on {
 		if _, err := s.waitUntil(ctx, figure+" at "+n.name, func() bool {
 			all, err := n.OverridesInForce(ctx)
@@ -92,8 +106,8 @@
 	return nil
 }
 
-// overrides issues overrides at any admin endpoint under a condition of all links, revokes some, and lets the others end. One node is
-// cut off, and one stopped, across all of that.
+// overrides issues overrides at any admin endpoint under a condition of all links, revokes some, and lets the others
+// end. One node is cut off, and one stopped, across all of that.
 func (s *scenarioRun) overrides(ctx context.Context, c LinkCondition) error {
 	const lasts = 6 * time.Second
 	last := len(s.nodes) - 1
--- a/internal/testbed/overrides_test.go
+++ b/internal/testbed/overrides_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Eight processes: overrides given at any admin endpoint are in force everywhere and end everywhere, also at one that is cut off and one
-// that is stopped, and both come to what they missed.
+// Eight processes: overrides given at any admin endpoint are in force everywhere and end everywhere, also at one that
+// is cut off and one that is stopped, and both come to what they missed.
 func TestOverridesEndOnEveryNode(t *testing.T) {
 	t.Parallel()
 	for _, sc := range Scenarios {
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -54,7 +54,8 @@
 	name, dir string
 	spawner   *spawner
 	command   func() *exec.Cmd
-	ended     func(crash string, clean bool) // called at each end; crash is empty where the testbed wished for it, clean after SIGTERM alone
+	// called at each end; crash is empty where the testbed ended it, clean is true after SIGTERM alone
+	ended func(crash string, clean bool)
 
 	mu          sync.Mutex
 	cmd         *exec.Cmd // nil: not running
@@ -123,7 +124,7 @@
 	}
 	defer f.Close()
 	if at, err := f.Seek(0, 2); err == nil {
-		f.Seek(max(0, at-maxTail), 0)
+		_, _ = f.Seek(max(0, at-maxTail), 0) // else the log's beginning is shown
 	}
 	text := make([]byte, maxTail)
 	n, _ := f.Read(text)
@@ -131,7 +132,7 @@
 	return strings.Join(all[max(0, len(all)-lines):], " | ")
 }
 
-// signal sends a signal. SIGKILL and SIGTERM make its end a wished one.
+// signal sends a signal. After SIGKILL and SIGTERM its end is expected.
 func (p *process) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,7 +161,7 @@
 
 // kill ends it at once and waits for its end.
 func (p *process) kill() {
-	p.signal(syscall.SIGKILL) // fails only where it has ended
+	_ = p.signal(syscall.SIGKILL) // fails only where it has ended
 	if _, exited := p.running(); exited != nil {
 		<-exited
 	}
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -19,7 +19,8 @@
 	return s.waitForState(ctx, s.nodes[:len(s.nodes)-1], n.name, "left", "left", at)
 }
 
-// leaderLeaves books for how long some of the others are without a majority after the planned end of the one that leads.
+// leaderLeaves books for how long some of the others are without a majority after the planned end of the one that
+// leads.
 func (s *scenarioRun) leaderLeaves(ctx context.Context) error {
 	leader, rest := s.nodes[0], s.nodes[1:]
 	ended := make(chan struct{})
@@ -235,11 +236,19 @@
 		return is == "conflict" && side == "alone"
 	})
 	with := append(slices.Clone(s.nodes[:len(s.nodes)-1]), twin)
-	note("then the others agree with the newer", "all agree with the newer", func() bool { return Agree(ctx, with, "whole") })
+	note(
+		"then the others agree with the newer",
+		"all agree with the newer",
+		func() bool { return Agree(ctx, with, "whole") },
+	)
 	if err == nil && !older.Ready(ctx) {
 		err = errors.New("the older does not take clients any more")
 	}
 	twin.Kill()
-	note("the older is back after the newer's end", "the older is back", func() bool { return Agree(ctx, s.nodes, "whole") })
+	note(
+		"the older is back after the newer's end",
+		"the older is back",
+		func() bool { return Agree(ctx, s.nodes, "whole") },
+	)
 	return err
 }
--- a/internal/testbed/rules.go
+++ b/internal/testbed/rules.go
@@ -12,22 +12,23 @@
 
 // The rules of the platform, and what ends a run.
 const (
-	Lost                  Rule = "lost"                  // a request got no complete answer in time
-	AnsweredTwice         Rule = "answered twice"        // a second answer to one request
-	ForeignAnswer         Rule = "foreign answer"        // an answer that no server made for this request
-	DuplicateExecution    Rule = "unsafe run twice"      // a second attempt of a request that is not idempotent
-	SentToDraining        Rule = "sent to drained"       // something new to a draining or removed server, too late
-	SlowStartOverloaded   Rule = "cold pushed over"      // a server in slow start was sent more than it can take
-	UnknownID             Rule = "unknown id"            // a request that no client sent
-	TooManyAttempts       Rule = "too many attempts"     // more attempts of one request than the limit
-	Crash                 Rule = "crash"                 // a node process ended unexpectedly
-	SentAfterDisconnect   Rule = "sent after leave"      // an attempt began too long after its client had disconnected
-	RetryAfterWindow      Rule = "repeat too late"       // a retry came after the deduplication window of its key
-	BudgetTooLong         Rule = "told too much time"    // a server was given more time than the client had left
-	ImproperClientKept    Rule = "improper client kept"  // an improper client got neither an error nor a close in time
-	ForwardedUnread       Rule = "ran though given back" // a node forwarded a request whose connection it closed unanswered
-	SelfReportedViolation Rule = "own violation"         // a node counted a violation of its own
-	CountersDiffer        Rule = "counters differ"       // a node's counters disagree with what the servers saw
+	Lost                Rule = "lost"                 // a request got no complete answer in time
+	AnsweredTwice       Rule = "answered twice"       // a second answer to one request
+	ForeignAnswer       Rule = "foreign answer"       // an answer that no server made for this request
+	DuplicateExecution  Rule = "unsafe run twice"     // a second attempt of a request that is not idempotent
+	SentToDraining      Rule = "sent to drained"      // something new to a draining or removed server, too late
+	SlowStartOverloaded Rule = "cold pushed over"     // a server in slow start was sent more than it can take
+	UnknownID           Rule = "unknown id"           // a request that no client sent
+	TooManyAttempts     Rule = "too many attempts"    // more attempts of one request than the limit
+	Crash               Rule = "crash"                // a node process ended unexpectedly
+	SentAfterDisconnect Rule = "sent after leave"     // an attempt began too long after its client had disconnected
+	RetryAfterWindow    Rule = "repeat too late"      // a retry came after the deduplication window of its key
+	BudgetTooLong       Rule = "told too much time"   // a server was given more time than the client had left
+	ImproperClientKept  Rule = "improper client kept" // an improper client got neither an error nor a close in time
+	// a node forwarded a request whose connection it closed unanswered
+	ForwardedUnread       Rule = "ran though given back"
+	SelfReportedViolation Rule = "own violation"   // a node counted a violation of its own
+	CountersDiffer        Rule = "counters differ" // a node's counters disagree with what the servers saw
 )
 
 // Finding is one violation of a rule.
--- a/internal/testbed/scenario_run.go
+++ b/internal/testbed/scenario_run.go
@@ -31,13 +31,29 @@
 }
 
 // RunScenario runs a scenario once, with nodes that have links between any two.
-func RunScenario(ctx context.Context, sc Scenario, binary string, nodes int, seed uint64, probe time.Duration) (ScenarioResult, error) {
+func RunScenario(
+	ctx context.Context,
+	sc Scenario,
+	binary string,
+	nodes int,
+	seed uint64,
+	probe time.Duration,
+) (ScenarioResult, error) {
 	if sc.Nodes > 0 {
 		nodes = sc.Nodes
 	}
-	w := World{Binary: binary, Seed: seed, Links: []string{"n*->n*"}, Fleet: Tables{"mesh": map[string]any{"probe": probe.String()}, "orders": map[string]any{}},
-		Tiers:   []Tier{{Name: "front", Nodes: nodes, Servers: 1}},
-		Classes: []Class{{Name: "view", Effect: "read_like", Share: 1, Work: []time.Duration{time.Millisecond}, LatencyObjective: time.Second, Deadline: time.Second}}}
+	w := World{Binary: binary, Seed: seed, Links: []string{
+		"n*->n*",
+	}, Fleet: Tables{"mesh": map[string]any{"probe": probe.String()}, "orders": map[string]any{}},
+		Tiers: []Tier{{Name: "front", Nodes: nodes, Servers: 1}},
+		Classes: []Class{{
+			Name:             "view",
+			Effect:           "read_like",
+			Share:            1,
+			Work:             []time.Duration{time.Millisecond},
+			LatencyObjective: time.Second,
+			Deadline:         time.Second,
+		}}}
 	if sc.Bare {
 		w.Links = nil
 	}
@@ -46,7 +62,13 @@
 		return ScenarioResult{}, err
 	}
 	defer tb.Close()
-	s := &scenarioRun{testbed: tb, nodes: tb.Nodes(), times: map[string][]time.Duration{}, count: map[string]int{}, seed: seed}
+	s := &scenarioRun{
+		testbed: tb,
+		nodes:   tb.Nodes(),
+		times:   map[string][]time.Duration{},
+		count:   map[string]int{},
+		seed:    seed,
+	}
 	watching, stop := context.WithCancel(ctx)
 	var watched sync.WaitGroup
 	watched.Add(1)
@@ -73,7 +95,11 @@
 
 // waitForAgreement waits until some nodes are on a side with one digest, and returns how long that took.
 func (s *scenarioRun) waitForAgreement(ctx context.Context, nodes []*Node, side string) (time.Duration, error) {
-	return s.waitUntil(ctx, fmt.Sprintf("%d nodes agree on %s", len(nodes), side), func() bool { return Agree(ctx, nodes, side) })
+	return s.waitUntil(
+		ctx,
+		fmt.Sprintf("%d nodes agree on %s", len(nodes), side),
+		func() bool { return Agree(ctx, nodes, side) },
+	)
 }
 
 // waitUntil waits for a condition, and returns how long that took.
@@ -90,8 +116,8 @@
 	return s.testbed.now() - from, nil
 }
 
-// watchLeaders asks all admin endpoints over and over which process proves their majority. Two answers in one round are a finding
-// where the next round, right after it, has the same two.
+// watchLeaders asks all admin endpoints over and over which process proves their majority. Two answers in one round
+// are a finding where the next round, right after it, has the same two.
 func (s *scenarioRun) watchLeaders(ctx context.Context) {
 	var before []string
 	for sleep(ctx, 50*time.Millisecond) {
@@ -160,7 +186,14 @@
 }
 
 // waitForState waits until some nodes have logged a member's state after a time, and books how long after it that was.
-func (s *scenarioRun) waitForState(ctx context.Context, by []*Node, name, is, figure string, after time.Duration) error {
+func (s *scenarioRun) waitForState(
+	ctx context.Context,
+	by []*Node,
+	name,
+	is,
+	figure string,
+	after time.Duration,
+) error {
 	for _, n := range by {
 		for found := false; !found; {
 			all, err := s.changes(n)
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -24,7 +24,11 @@
 	{Name: "leader leaves", play: (*scenarioRun).leaderLeaves},
 	{Name: "stop 1 s", play: func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, time.Second) }},
 	{Name: "stop 4 s", play: func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, 4*time.Second) }},
-	{Name: "stop 15 s", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, 15*time.Second) }},
+	{
+		Name:  "stop 15 s",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, 15*time.Second) },
+	},
 	{Name: "one-way cut", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n8", "n3", LinkCondition{Cut: true}, 20*time.Second)
 	}},
@@ -41,28 +45,68 @@
 	{Name: "link of 800 ms", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n7", "n8", LinkCondition{Delay: 800 * time.Millisecond}, 20*time.Second)
 	}},
-	{Name: "deaf leader", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.leaderLinkFailure(ctx, true) }},
-	{Name: "mute leader", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.leaderLinkFailure(ctx, false) }},
+	{
+		Name:  "deaf leader",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.leaderLinkFailure(ctx, true) },
+	},
+	{
+		Name:  "mute leader",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.leaderLinkFailure(ctx, false) },
+	},
 	{Name: "deaf member", Nodes: 8, play: (*scenarioRun).memberReceiveFailure},
 	{Name: "ring of one-way cuts", Nodes: 8, play: (*scenarioRun).ring},
 	{Name: "half stopped 4 s", Nodes: 8, play: (*scenarioRun).halfStopped},
-	{Name: "leader stopped 1 s", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, time.Second) }},
-	{Name: "leader stopped 2.5 s", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, 2500*time.Millisecond) }},
-	{Name: "leader stopped 10 s", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, 10*time.Second) }},
+	{
+		Name:  "leader stopped 1 s",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, time.Second) },
+	},
+	{
+		Name:  "leader stopped 2.5 s",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, 2500*time.Millisecond) },
+	},
+	{
+		Name:  "leader stopped 10 s",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, 10*time.Second) },
+	},
 	{Name: "a tenth of a processor in turn", Nodes: 8, play: (*scenarioRun).slowOneByOne},
 	{Name: "joined by one", Nodes: 8, play: (*scenarioRun).splitWithBridge},
 	{Name: "killed as it accuses", Nodes: 8, play: (*scenarioRun).killWhileSuspecting},
 	{Name: "10% loss", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n*", "n*", LinkCondition{Loss: 0.1}, 2*time.Minute)
 	}},
-	{Name: "split 3/5", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 3, 5) }},
-	{Name: "split 4/4", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 4, 4) }},
-	{Name: "split 3/3/2", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 3, 3, 2) }},
-	{Name: "split in a rolling restart", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, true, 3, 5) }},
+	{
+		Name:  "split 3/5",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 3, 5) },
+	},
+	{
+		Name:  "split 4/4",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 4, 4) },
+	},
+	{
+		Name:  "split 3/3/2",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 3, 3, 2) },
+	},
+	{
+		Name:  "split in a rolling restart",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, true, 3, 5) },
+	},
 	{Name: "restart at once", play: (*scenarioRun).restartOne},
 	{Name: "all restart at once", play: (*scenarioRun).restartAll},
 	{Name: "seeds dead at start", Nodes: 8, play: (*scenarioRun).seedsDead},
-	{Name: "overrides", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.overrides(ctx, LinkCondition{}) }},
+	{
+		Name:  "overrides",
+		Nodes: 8,
+		play:  func(s *scenarioRun, ctx context.Context) error { return s.overrides(ctx, LinkCondition{}) },
+	},
 	{Name: "overrides, 20% loss", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error {
 		return s.overrides(ctx, LinkCondition{Loss: 0.2, Jitter: 50 * time.Millisecond})
 	}},
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -266,9 +266,15 @@
 	}
 }
 
-// callNextTier makes the calls of an attempt on the next tier, one after another, each with the time that is left and an id
-// of its own: another attempt of the same request may make its calls at the same time.
-func (s *Server) callNextTier(ctx context.Context, id string, class *Class, tenant string, deadline time.Duration) bool {
+// callNextTier makes the calls of an attempt on the next tier, one after another, each with the time that is left and
+// an id of its own: another attempt of the same request may make its calls at the same time.
+func (s *Server) callNextTier(
+	ctx context.Context,
+	id string,
+	class *Class,
+	tenant string,
+	deadline time.Duration,
+) bool {
 	if s.nextTier == nil {
 		return true
 	}
@@ -310,12 +316,18 @@
 	s.mu.Unlock()
 	if !was {
 		over := s.testbed.world.SlowStart.OverloadWindow
-		s.testbed.checker.addFinding(SlowStartOverloaded, "", "", fmt.Sprintf("%s was sent more than it can take over %s", s.name, over))
+		s.testbed.checker.addFinding(
+			SlowStartOverloaded,
+			"",
+			"",
+			fmt.Sprintf("%s was sent more than it can take over %s", s.name, over),
+		)
 		go s.crash() // not from here: it ends this connection too
 	}
 }
 
-// crash ends the server as a killed process ends: its connections are reset and new ones refused. Its node dies with it.
+// crash ends the server as a killed process ends: its connections are reset and new ones refused. Its node dies with
+// it.
 func (s *Server) crash() {
 	s.mu.Lock()
 	s.down = true
--- a/internal/testbed/server_work.go
+++ b/internal/testbed/server_work.go
@@ -39,7 +39,8 @@
 	for _, w := range s.recent {
 		sent += w.work
 	}
-	can := float64(c.OverloadWindow) * float64(s.spec.Cores) * (s.capacityShare(now-c.OverloadWindow) + s.capacityShare(now)) / 2
+	meanShare := (s.capacityShare(now-c.OverloadWindow) + s.capacityShare(now)) / 2
+	can := float64(c.OverloadWindow) * float64(s.spec.Cores) * meanShare
 	return float64(sent) <= c.OverloadFactor*can
 }
 
@@ -110,7 +111,8 @@
 	return done
 }
 
-// drawn gives the same number from 0 to 1 for the same id and purpose, so that a request costs the same in each variant.
+// drawn gives the same number from 0 to 1 for the same id and purpose, so that a request costs the same in each
+// variant.
 func (tb *Testbed) drawn(id, what string) float64 {
 	h := xxhash.Sum64String(id+"/"+what) ^ tb.world.Seed
 	h *= 0x9e3779b97f4a7c15
--- a/internal/testbed/shim/shim_test.go
+++ b/internal/testbed/shim/shim_test.go
@@ -70,7 +70,12 @@
 	start := time.Now()
 	time.Sleep(400 * time.Millisecond)
 	end := time.Now()
-	fmt.Println("wall", end.Round(0).Sub(start.Round(0)).Round(time.Second), "monotonic", end.Sub(start).Round(time.Second))
+	fmt.Println(
+		"wall",
+		end.Round(0).Sub(start.Round(0)).Round(time.Second),
+		"monotonic",
+		end.Sub(start).Round(time.Second),
+	)
 	os.Exit(0)
 }
 
@@ -107,7 +112,10 @@
 }
 
 func TestClockJumpsAndTheMonotonicOneDoesNot(t *testing.T) {
-	for step, want := range map[time.Duration]string{time.Hour: "wall 1h0m0s monotonic 0s\n", -time.Hour: "wall -1h0m0s monotonic 0s\n"} {
+	for step, want := range map[time.Duration]string{
+		time.Hour:  "wall 1h0m0s monotonic 0s\n",
+		-time.Hour: "wall -1h0m0s monotonic 0s\n",
+	} {
 		if out, err := run(t, "clock", Spec{ClockAt: 200 * time.Millisecond, ClockStep: step}); err != nil || out != want {
 			t.Errorf("%v: %v: %s", step, err, out)
 		}
--- a/internal/testbed/shim/trace.go
+++ b/internal/testbed/shim/trace.go
@@ -68,7 +68,9 @@
 	if err := c.Start(); err != nil {
 		return 0, err
 	}
-	t := &tracer{spec: spec, leader: c.Process.Pid, began: time.Now(), random: rand.New(rand.NewPCG(spec.Seed, 3)), log: log,
+	t := &tracer{spec: spec, leader: c.Process.Pid, began: time.Now(), random: rand.New(
+		rand.NewPCG(spec.Seed, 3),
+	), log: log,
 		threads: map[int]*thread{}, sockets: map[uint64]socketKind{}}
 	go func() { // ends with this process
 		for s := range signals {
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -69,10 +69,39 @@
 			{Name: "rooms", Servers: 8},
 		},
 		Classes: []testbed.Class{
-			{Name: "view", Effect: "read_like", Share: 0.4, Work: work(8 * time.Millisecond), LatencyObjective: time.Second, Deadline: 2 * time.Second},
-			{Name: "glance", Effect: "read_like", Share: 0.2, Work: work(4 * time.Millisecond), LatencyObjective: 200 * time.Millisecond, Deadline: 350 * time.Millisecond},
-			{Name: "order", Effect: "idempotency_key", Share: 0.2, Work: work(8 * time.Millisecond), LatencyObjective: 1500 * time.Millisecond, Deadline: 3 * time.Second, Window: 600 * time.Millisecond},
-			{Name: "booking", Effect: "non_idempotent", Share: 0.2, Work: work(8 * time.Millisecond), LatencyObjective: time.Second, Deadline: 2 * time.Second},
+			{
+				Name:             "view",
+				Effect:           "read_like",
+				Share:            0.4,
+				Work:             work(8 * time.Millisecond),
+				LatencyObjective: time.Second,
+				Deadline:         2 * time.Second,
+			},
+			{
+				Name:             "glance",
+				Effect:           "read_like",
+				Share:            0.2,
+				Work:             work(4 * time.Millisecond),
+				LatencyObjective: 200 * time.Millisecond,
+				Deadline:         350 * time.Millisecond,
+			},
+			{
+				Name:             "order",
+				Effect:           "idempotency_key",
+				Share:            0.2,
+				Work:             work(8 * time.Millisecond),
+				LatencyObjective: 1500 * time.Millisecond,
+				Deadline:         3 * time.Second,
+				Window:           600 * time.Millisecond,
+			},
+			{
+				Name:             "booking",
+				Effect:           "non_idempotent",
+				Share:            0.2,
+				Work:             work(8 * time.Millisecond),
+				LatencyObjective: time.Second,
+				Deadline:         2 * time.Second,
+			},
 		},
 		Limits:    testbed.Limits{ConnectTimeout: 2 * time.Second},
 		Discovery: testbed.DiscoverySpec{Asked: r.IntN(2) == 0, Late: 200 * time.Millisecond},
@@ -133,7 +162,12 @@
 		return testbed.Fault{Kind: "kill", Target: frontNodes, Pick: 2, For: time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "hold", Target: "n*", Pick: 10, For: randomDuration(r, 20*time.Millisecond, 150*time.Millisecond)}
+		return testbed.Fault{
+			Kind:   "hold",
+			Target: "n*",
+			Pick:   10,
+			For:    randomDuration(r, 20*time.Millisecond, 150*time.Millisecond),
+		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "stop", Target: "n*", Pick: 3, For: randomDuration(r, 300*time.Millisecond, 5*time.Second)}
@@ -145,7 +179,12 @@
 		return testbed.Fault{Kind: "peers", Target: frontNodes, Pick: 9 + r.IntN(200)}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "crash", Target: anyServers(r), Pick: 2, For: randomDuration(r, time.Second, 4*time.Second)}
+		return testbed.Fault{
+			Kind:   "crash",
+			Target: anyServers(r),
+			Pick:   2,
+			For:    randomDuration(r, time.Second, 4*time.Second),
+		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "slow", Target: anyServers(r), Pick: 3, For: 3 * time.Second, Factor: 10}
@@ -154,7 +193,12 @@
 		return testbed.Fault{Kind: "errors", Target: anyServers(r), Pick: 4, For: 4 * time.Second, Share: 0.5}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "hang", Target: anyServers(r), Pick: 2 + r.IntN(7), For: randomDuration(r, 2*time.Second, 6*time.Second)}
+		return testbed.Fault{
+			Kind:   "hang",
+			Target: anyServers(r),
+			Pick:   2 + r.IntN(7),
+			For:    randomDuration(r, 2*time.Second, 6*time.Second),
+		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "spoil", Target: anyServers(r), Pick: 4, For: 5 * time.Second, Share: 0.4}
@@ -169,7 +213,13 @@
 		return testbed.Fault{Kind: "replace", Target: anyServers(r), Pick: 3, For: 4 * time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "link", From: frontNodes, To: "front-[1-3]", Delay: randomDuration(r, 300*time.Millisecond, 1500*time.Millisecond), For: 3 * time.Second}
+		return testbed.Fault{
+			Kind:  "link",
+			From:  frontNodes,
+			To:    "front-[1-3]",
+			Delay: randomDuration(r, 300*time.Millisecond, 1500*time.Millisecond),
+			For:   3 * time.Second,
+		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "link", From: "n@*", To: "*-[1-3]", Rate: 3000, For: 3 * time.Second}
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -53,9 +53,18 @@
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
 	defer tb.Close()
-	r := &Result{Seed: p.Seed, Ends: map[string]int{}, Violations: map[string]int64{}, NotSent: map[string]int64{}, Rejected: map[string]int64{}}
+	r := &Result{
+		Seed:       p.Seed,
+		Ends:       map[string]int{},
+		Violations: map[string]int64{},
+		NotSent:    map[string]int64{},
+		Rejected:   map[string]int64{},
+	}
 	for _, f := range p.Faults {
-		r.Faults = append(r.Faults, fmt.Sprintf("%s %s%s->%s at %v for %v", f.Kind, f.Target, f.From, f.To, f.At.Round(time.Millisecond), f.For))
+		r.Faults = append(
+			r.Faults,
+			fmt.Sprintf("%s %s%s->%s at %v for %v", f.Kind, f.Target, f.From, f.To, f.At.Round(time.Millisecond), f.For),
+		)
 	}
 	r.drive(ctx, tb, p, steps, testbed.Draw(&w, &p.Load, length, p.Seed))
 	select {
@@ -122,8 +131,8 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// compare holds a node's own counters against what the testbed saw of it. A violation that a node counts for itself is one,
-// unless the testbed has held the process up: it may have been between its write and its second look.
+// compare holds a node's own counters against what the testbed saw of it. A violation that a node counts for itself
+// is one, unless the testbed has held the process up: it may have been between its write and its second look.
 func (r *Result) compare(ctx context.Context, tb *testbed.Testbed, n *testbed.Node) {
 	var counters struct {
 		Written  int64 `json:"backend_calls"`
@@ -149,10 +158,18 @@
 		tb.Checker().Report(testbed.SelfReportedViolation, n.Name(), fmt.Sprint(decisions.Violations))
 	}
 	if counters.Inflight != 0 {
-		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("%d requests in flight after all have ended", counters.Inflight))
-	}
-	if recordAttempt := tb.AttemptsOf(n.Name()); n.Starts() == 1 && recordAttempt > counters.Written {
-		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("%d attempts came to servers, it counts %d", recordAttempt, counters.Written))
+		tb.Checker().Report(
+			testbed.CountersDiffer,
+			n.Name(),
+			fmt.Sprintf("%d requests in flight after all have ended", counters.Inflight),
+		)
+	}
+	if arrived := tb.AttemptsOf(n.Name()); n.Starts() == 1 && arrived > counters.Written {
+		tb.Checker().Report(
+			testbed.CountersDiffer,
+			n.Name(),
+			fmt.Sprintf("%d attempts came to servers, it counts %d", arrived, counters.Written),
+		)
 	}
 }
 
--- a/internal/testbed/stub_node_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -13,11 +13,12 @@
 	"time"
 )
 
-// double stands in for the node program, with one planted fault: "twice" answers twice, "resend" sends bookings again,
-// "lose" ends a connection without an answer, "drained" goes on sending to a server that drains, "mute" never listens.
-// "overtell" tells servers an hour, "linger" sends on 0.7 s late, whoever has left, "repeat" sends keyed requests again when
-// servers do not discard them any more, "swallow" reads and closes, "give back" resets a connection and sends on.
-// "testbed" is another program: a testbed of its own that says its children's ids and waits to be killed.
+// double stands in for the node program, with one planted fault: "twice" answers twice, "resend" sends bookings
+// again, "lose" ends a connection without an answer, "drained" goes on sending to a server that drains, "mute" never
+// listens. "overtell" tells servers an hour, "linger" sends on 0.7 s late, whoever has left, "repeat" sends keyed
+// requests again when servers do not discard them any more, "swallow" reads and closes, "give back" resets a
+// connection and sends on. "testbed" is another program: a testbed of its own that says its children's ids and waits
+// to be killed.
 func runStubNode(as string) {
 	if as == "testbed" {
 		os.Setenv("TESTBED_TEST_AS", "well")
@@ -133,8 +134,8 @@
 
 const plantedWindow = 200 * time.Millisecond // for repeats of keyed requests
 
-// The checker finds each planted fault by its name, and nothing where none is planted. A run in which the testbed itself was
-// late proves nothing, by its own rule, and is run again; one that was not must show the fault.
+// The checker finds each planted fault by its name, and nothing where none is planted. A run in which the testbed
+// itself was late proves nothing, by its own rule, and is run again; one that was not must show the fault.
 func TestCheckerFindsPlantedFaults(t *testing.T) {
 	for as, want := range map[string]Rule{"well": "", "twice": AnsweredTwice, "resend": DuplicateExecution, "lose": Lost, "drained": SentToDraining,
 		"overtell": BudgetTooLong, "linger": SentAfterDisconnect, "repeat": RetryAfterWindow, "swallow": Lost, "give back": ForwardedUnread} {
@@ -151,8 +152,8 @@
 	}
 }
 
-// plantedFault runs a day with one fault. It reports whether the testbed was too late for the checker to hold anything against
-// the node; all that it did hold against it counts.
+// plantedFault runs a day with one fault. It reports whether the testbed was too late for the checker to hold
+// anything against the node; all that it did hold against it counts.
 func plantedFault(t *testing.T, as string, want Rule) (late bool) {
 	w := small(1, 2)
 	w.Binary, w.Env, w.Zones = os.Args[0], []string{"TESTBED_TEST_AS=" + as}, []string{"a"}
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -84,9 +84,7 @@
 	if w.Binary == "" {
 		return nil, errors.New("no node program is named")
 	}
-	tb = &Testbed{world: w, dir: w.Dir, began: time.Now(), nodes: map[string]*Node{}, servers: map[string]*Server{},
-		classes: map[string]*Class{}, discard: log.New(io.Discard, "", 0), done: make(chan struct{}), directions: map[string]*direction{},
-		links: map[string]*tcpLink{}, udp: map[string]*udpLink{}}
+	tb = newTestbed(w)
 	tb.spawner = newSpawner()
 	defer func() {
 		if err != nil {
@@ -116,12 +114,28 @@
 	return tb, tb.startAll(ctx)
 }
 
-// claimNet takes a part of the loopback range for itself alone, so that testbeds may run side by side.
+func newTestbed(w World) *Testbed {
+	return &Testbed{
+		world:      w,
+		dir:        w.Dir,
+		began:      time.Now(),
+		nodes:      map[string]*Node{},
+		servers:    map[string]*Server{},
+		classes:    map[string]*Class{},
+		discard:    log.New(io.Discard, "", 0),
+		done:       make(chan struct{}),
+		directions: map[string]*direction{},
+		links:      map[string]*tcpLink{},
+		udp:        map[string]*udpLink{},
+	}
+}
+
+// claimNet claims a part of the loopback range exclusively, so that testbeds may run side by side.
 func claimNet(first int) (net.Listener, int, error) {
 	for i := range blocks {
 		n := firstBlock + (first+i)%blocks
-		if ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:6999", n)); err == nil {
-			return ln, n, nil
+		if listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:6999", n)); err == nil {
+			return listener, n, nil
 		}
 	}
 	return nil, 0, errors.New("no part of the loopback range is free")
@@ -131,15 +145,37 @@
 func (tb *Testbed) linkIP() string      { return fmt.Sprintf("127.%d.0.3", tb.net) }
 func (tb *Testbed) discoveryIP() string { return fmt.Sprintf("127.%d.0.4", tb.net) }
 
-// populate makes the servers, the nodes' places, the front and the clients.
+// populate makes the servers, the nodes, the front and the clients.
 func (tb *Testbed) populate() error {
-	w := &tb.world
-	for t, tier := range w.Tiers {
+	if err := tb.addServers(); err != nil {
+		return err
+	}
+	fronts, err := tb.addFrontNodes()
+	if err != nil {
+		return err
+	}
+	if err := tb.addServerNodes(); err != nil {
+		return err
+	}
+	tb.front = newFront(tb, fronts)
+	for _, z := range tb.world.Zones {
+		tb.clients = append(tb.clients, &client{
+			testbed:   tb,
+			name:      clientsOf(z),
+			checkBody: !tb.world.TrustNodes,
+			dial:      tb.front.dial(z),
+		})
+	}
+	return nil
+}
+
+func (tb *Testbed) addServers() error {
+	for t, tier := range tb.world.Tiers {
 		n := 0
 		for z, count := range tier.PerZone {
 			for range count {
 				n++
-				s, err := newServer(tb, fmt.Sprintf("%s-%d", tier.Name, n), w.Zones[z], t)
+				s, err := newServer(tb, fmt.Sprintf("%s-%d", tier.Name, n), tb.world.Zones[z], t)
 				if err != nil {
 					return err
 				}
@@ -148,15 +184,25 @@
 			}
 		}
 	}
-	var fronts []*Node
-	for i := range w.Tiers[0].Nodes {
-		n, err := tb.newNode("n"+strconv.Itoa(i+1), w.Zones[i%len(w.Zones)], 0, i)
+	return nil
+}
+
+func (tb *Testbed) addFrontNodes() (nodes []*Node, err error) {
+	zones := tb.world.Zones
+	for i := range tb.world.Tiers[0].Nodes {
+		n, err := tb.newNode("n"+strconv.Itoa(i+1), zones[i%len(zones)], 0, i)
 		if err != nil {
-			return err
+			return nil, err
 		}
-		fronts = append(fronts, n)
+		nodes = append(nodes, n)
 	}
-	for t, tier := range w.Tiers[:len(w.Tiers)-1] {
+	return nodes, nil
+}
+
+// addServerNodes gives each server before the last tier a node of its own, and a client of that node.
+func (tb *Testbed) addServerNodes() error {
+	tiers := tb.world.Tiers
+	for t, tier := range tiers[:len(tiers)-1] {
 		for i := range tier.Servers {
 			s := tb.servers[fmt.Sprintf("%s-%d", tier.Name, i+1)]
 			n, err := tb.newNode(NodeOf(s.name), s.zone, t+1, i)
@@ -164,19 +210,25 @@
 				return err
 			}
 			s.node = n
-			s.nextTier = &client{testbed: tb, name: s.name, checkBody: true, dial: func(ctx context.Context) (net.Conn, string, error) {
-				c, err := (&net.Dialer{}).DialContext(ctx, "tcp", tb.nodeAddr(s.name, n))
-				return c, n.name, err
-			}}
+			s.nextTier = &client{
+				testbed:   tb,
+				name:      s.name,
+				checkBody: true,
+				dial:      tb.dialNode(s.name, n),
+			}
 		}
 	}
-	tb.front = newFront(tb, fronts)
-	for _, z := range w.Zones {
-		tb.clients = append(tb.clients, &client{testbed: tb, name: clientsOf(z), checkBody: !w.TrustNodes, dial: tb.front.dial(z)})
-	}
 	return nil
 }
 
+// dialNode returns a function that connects a part of the world to a node.
+func (tb *Testbed) dialNode(from string, n *Node) func(context.Context) (net.Conn, string, error) {
+	return func(ctx context.Context) (net.Conn, string, error) {
+		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", tb.nodeAddr(from, n))
+		return c, n.name, err
+	}
+}
+
 // startAll starts the last tier's nodes first, and waits until the front has all of its own.
 func (tb *Testbed) startAll(ctx context.Context) error {
 	for _, n := range tb.nodeOrder {
@@ -209,7 +261,7 @@
 // Now is the time since the testbed began, as findings have it.
 func (tb *Testbed) Now() time.Duration { return tb.now() }
 
-// Checker is the testbed's checker.
+// Checker returns the checker of the testbed's invariants.
 func (tb *Testbed) Checker() *Checker { return tb.checker }
 
 // Node returns a node by name; nil: there is none.
@@ -221,7 +273,7 @@
 // Nodes returns all nodes, the front ones first.
 func (tb *Testbed) Nodes() []*Node { return tb.nodeOrder }
 
-// count books an attempt of a node that reached a server.
+// count counts an attempt of a node that reached a server.
 func (tb *Testbed) count(from string, s *Server) {
 	tb.attempts.Add(1)
 	n, _ := tb.sent.LoadOrStore(from, new(atomic.Int64))
@@ -277,7 +329,7 @@
 	return h
 }
 
-// Drain makes discovery list a server as draining; after the time it is gone, and answers nobody.
+// Drain makes discovery list a server as draining; after the time it is removed, and answers no more.
 func (tb *Testbed) Drain(s *Server, removeAfter time.Duration) {
 	s.mu.Lock()
 	s.health = "terminating"
@@ -311,48 +363,53 @@
 }
 
 // Close ends every process and waits for all that the testbed has started.
-func (tb *Testbed) Close() {
-	tb.closing.Do(func() {
-		close(tb.done)
-		for _, n := range tb.nodeOrder {
-			n.process.signal(syscall.SIGCONT) // fails where it has ended
-			n.process.kill()
-		}
-		if tb.front != nil && tb.front.stop != nil {
-			tb.front.close()
-		}
-		for _, c := range tb.clients {
-			c.close()
-		}
-		if tb.disc != nil {
-			tb.disc.close()
-		}
-		for _, s := range tb.servers {
-			s.gate.Close()
-			s.http.Close()
-		}
-		for _, s := range tb.servers {
-			if s.nextTier != nil {
-				s.nextTier.close()
-			}
-		}
-		tb.mu.Lock()
-		links, udp := tb.links, tb.udp
-		tb.links, tb.udp = map[string]*tcpLink{}, nil
-		tb.mu.Unlock()
-		for _, link := range links {
-			link.close()
-		}
-		for _, link := range udp {
-			link.close()
-		}
-		tb.owned.Wait()
-		close(tb.spawner.done)
-		if tb.lock != nil {
-			tb.lock.Close()
-		}
-		if tb.scratch {
-			os.RemoveAll(tb.dir)
+func (tb *Testbed) Close() { tb.closing.Do(tb.shutDown) }
+
+func (tb *Testbed) shutDown() {
+	close(tb.done)
+	for _, n := range tb.nodeOrder {
+		_ = n.process.signal(syscall.SIGCONT) // fails where it has ended
+		n.process.kill()
+	}
+	if tb.front != nil && tb.front.stop != nil {
+		tb.front.close()
+	}
+	for _, c := range tb.clients {
+		c.close()
+	}
+	if tb.disc != nil {
+		tb.disc.close()
+	}
+	for _, s := range tb.servers {
+		closeQuietly(s.gate)
+		closeQuietly(s.http)
+	}
+	for _, s := range tb.servers {
+		if s.nextTier != nil {
+			s.nextTier.close()
 		}
-	})
+	}
+	tb.closeLinks()
+	tb.owned.Wait()
+	close(tb.spawner.done)
+	if tb.lock != nil {
+		closeQuietly(tb.lock)
+	}
+	if tb.scratch {
+		_ = os.RemoveAll(tb.dir) // what cannot be removed stays in the temporary folder
+	}
+}
+
+func (tb *Testbed) closeLinks() {
+	tb.mu.Lock()
+	links, udp := tb.links, tb.udp
+	tb.links = map[string]*tcpLink{}
+	tb.udp = nil
+	tb.mu.Unlock()
+	for _, link := range links {
+		link.close()
+	}
+	for _, link := range udp {
+		link.close()
+	}
 }
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -116,7 +116,11 @@
 		if err := load.Fill(&w); err != nil {
 			t.Fatal(err)
 		}
-		steps, err := Schedule(&w, []Fault{{Kind: "kill", Target: "n*", Pick: 2, At: time.Second, Jitter: time.Second, For: time.Second}}, seed)
+		steps, err := Schedule(
+			&w,
+			[]Fault{{Kind: "kill", Target: "n*", Pick: 2, At: time.Second, Jitter: time.Second, For: time.Second}},
+			seed,
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -25,7 +25,8 @@
 	Choke           Choke         `toml:"choke"`
 	Discovery       DiscoverySpec `toml:"discovery"`
 	Notice          time.Duration `toml:"front_notice"` // how late the front sees that a node has died; default 2 s
-	Links           []string      `toml:"links"`        // FROM->TO patterns of the links that get a proxy; faults add theirs
+	// FROM->TO patterns of the links that get a proxy; faults add theirs
+	Links []string `toml:"links"`
 
 	Fleet Tables `toml:"fleet"` // fleet configuration of all nodes; the testbed adds addresses. Empty: none
 	Seeds int    `toml:"seeds"` // front nodes that are the mesh's seeds; default 3
@@ -36,7 +37,8 @@
 	Dir    string   `toml:"-"` // scratch folder; default: a new one, removed at Close
 	Seed   uint64   `toml:"-"`
 
-	Shim  []string             `toml:"-"` // program and arguments that run a node under a shim; it gets the spec in SHIM_SPEC
+	// program and arguments that run a node under a shim; it gets the spec in SHIM_SPEC
+	Shim  []string             `toml:"-"`
 	Shims map[string]shim.Spec `toml:"-"` // by node
 
 	TrustNodes bool          `toml:"-"` // nodes are stubs that make answers themselves
@@ -139,28 +141,10 @@
 	}
 }
 
-// Fill sets the defaults and checks the world. The error starts with the TOML key at fault, such as "tier[1].cores".
+// Fill sets the defaults and checks the world. The error is a KeyError that names the TOML key at fault, such as
+// "tier[1].cores".
 func (w *World) Fill() error {
-	orDefault(&w.Limits.Cores, 1)
-	orDefault(&w.Limits.MemoryMB, 192)
-	orDefault(&w.Limits.Sockets, 1024)
-	orDefault(&w.Limits.ConnectTimeout, 250*time.Millisecond)
-	orDefault(&w.Limits.ConnIdle, 10*time.Second)
-	orDefault(&w.Limits.MaxAttempts, 5)
-	orDefault(&w.Limits.MaxRetryAfter, 2*time.Second)
-	orDefault(&w.SlowStart.From, 0.38)
-	orDefault(&w.SlowStart.Duration, 8500*time.Millisecond)
-	orDefault(&w.SlowStart.OverloadFactor, 4)
-	orDefault(&w.SlowStart.OverloadWindow, 3*time.Second)
-	orDefault(&w.Discovery.Late, time.Second)
-	orDefault(&w.Discovery.Call, time.Millisecond)
-	orDefault(&w.Discovery.MaxLag, time.Second)
-	orDefault(&w.Notice, 2*time.Second)
-	orDefault(&w.Ready, 30*time.Second)
-	orDefault(&w.Seeds, 3)
-	if len(w.Zones) == 0 {
-		w.Zones = []string{"a"}
-	}
+	w.setDefaults()
 	if len(w.Tiers) == 0 || len(w.Tiers) > 3 {
 		return &KeyError{"tier", fmt.Sprintf("%d tiers, 1 to 3 are possible", len(w.Tiers))}
 	}
@@ -173,25 +157,14 @@
 		}
 	}
 	for i := range w.Classes {
-		c, key := &w.Classes[i], fmt.Sprintf("class[%d].", i)
-		orDefault(&c.PriorityWeight, 1)
-		orDefault(&c.Window, keyedWindow)
-		switch {
-		case c.Name == "":
-			return &KeyError{key + "name", "is empty"}
-		case c.Effect != "read_like" && c.Effect != "idempotency_key" && c.Effect != "non_idempotent":
-			return &KeyError{key + "effect", fmt.Sprintf("%q is none of read_like, idempotency_key, non_idempotent", c.Effect)}
-		case !(c.Share > 0):
-			return &KeyError{key + "share", "must be above 0"}
-		case len(c.Work) != len(w.Tiers):
-			return &KeyError{key + "work", fmt.Sprintf("%d figures for %d tiers", len(c.Work), len(w.Tiers))}
-		case c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective:
-			return &KeyError{key + "deadline", "aim and deadline must be above 0, the deadline no shorter than the aim"}
+		if err := w.Classes[i].fill(i, len(w.Tiers)); err != nil {
+			return err
 		}
 	}
 	for i, t := range w.Tenants {
 		if t.Name == "" || !(t.Share > 0) || !(t.Quota >= 0) {
-			return &KeyError{fmt.Sprintf("tenant[%d].share", i), "a tenant needs a name, a share above 0 and a quota from 0"}
+			key := fmt.Sprintf("tenant[%d].share", i)
+			return &KeyError{key, "a tenant needs a name, a share above 0 and a quota from 0"}
 		}
 	}
 	if !(w.SlowStart.From > 0 && w.SlowStart.From <= 1) || w.SlowStart.OverloadFactor <= 1 {
@@ -200,6 +173,52 @@
 	return nil
 }
 
+// setDefaults sets the defaults of all fields that concern the world as a whole.
+func (w *World) setDefaults() {
+	orDefault(&w.Limits.Cores, 1)
+	orDefault(&w.Limits.MemoryMB, 192)
+	orDefault(&w.Limits.Sockets, 1024)
+	orDefault(&w.Limits.ConnectTimeout, 250*time.Millisecond)
+	orDefault(&w.Limits.ConnIdle, 10*time.Second)
+	orDefault(&w.Limits.MaxAttempts, 5)
+	orDefault(&w.Limits.MaxRetryAfter, 2*time.Second)
+	orDefault(&w.SlowStart.From, 0.38)
+	orDefault(&w.SlowStart.Duration, 8500*time.Millisecond)
+	orDefault(&w.SlowStart.OverloadFactor, 4)
+	orDefault(&w.SlowStart.OverloadWindow, 3*time.Second)
+	orDefault(&w.Discovery.Late, time.Second)
+	orDefault(&w.Discovery.Call, time.Millisecond)
+	orDefault(&w.Discovery.MaxLag, time.Second)
+	orDefault(&w.Notice, 2*time.Second)
+	orDefault(&w.Ready, 30*time.Second)
+	orDefault(&w.Seeds, 3)
+	if len(w.Zones) == 0 {
+		w.Zones = []string{"a"}
+	}
+}
+
+// fill sets the defaults of a class and checks it.
+func (c *Class) fill(i, tiers int) error {
+	key := fmt.Sprintf("class[%d].", i)
+	orDefault(&c.PriorityWeight, 1)
+	orDefault(&c.Window, keyedWindow)
+	switch {
+	case c.Name == "":
+		return &KeyError{key + "name", "is empty"}
+	case c.Effect != "read_like" && c.Effect != "idempotency_key" && c.Effect != "non_idempotent":
+		why := fmt.Sprintf("%q is none of read_like, idempotency_key, non_idempotent", c.Effect)
+		return &KeyError{key + "effect", why}
+	case !(c.Share > 0):
+		return &KeyError{key + "share", "must be above 0"}
+	case len(c.Work) != tiers:
+		return &KeyError{key + "work", fmt.Sprintf("%d figures for %d tiers", len(c.Work), tiers)}
+	case c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective:
+		return &KeyError{key + "deadline", "aim and deadline must be above 0, the deadline no shorter than the aim"}
+	}
+	return nil
+}
+
+// fill sets the defaults of a tier and checks it.
 func (t *Tier) fill(i, tiers int, zones []string) error {
 	key := fmt.Sprintf("tier[%d].", i)
 	orDefault(&t.Cores, 2)
@@ -221,7 +240,10 @@
 	case t.Name == "":
 		return &KeyError{key + "name", "is empty"}
 	case len(t.PerZone) != len(zones) || sum != t.Servers || sum == 0 || sum > 200:
-		return &KeyError{key + "servers", fmt.Sprintf("%d servers, %v by zone, %d zones: 1 to 200 are possible", t.Servers, t.PerZone, len(zones))}
+		return &KeyError{
+			key + "servers",
+			fmt.Sprintf("%d servers, %v by zone, %d zones: 1 to 200 are possible", t.Servers, t.PerZone, len(zones)),
+		}
 	case i == 0 && (t.Nodes < 1 || t.Nodes > 100):
 		return &KeyError{key + "nodes", "the first tier needs 1 to 100"}
 	case i > 0 && t.Nodes != 0:
@@ -237,48 +259,115 @@
 // KeyError says what is wrong with one key of a world or an experiment.
 type KeyError struct{ Key, Why string }
 
+// Error names the key and what is wrong with it.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Why }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// settings is the object that the platform gives to a node of a tier.
-func (w *World) settings(tier, self int, zone string) json.RawMessage {
-	type object = map[string]any
-	balancers := w.Tiers[0].Nodes
-	if tier > 0 {
-		balancers = w.Tiers[tier-1].Servers
+// object is a JSON object of the node's configuration.
+type object = map[string]any
+
+// settings returns the object that the platform gives to a node of a tier.
+func (w *World) settings(tier, index int, zone string) json.RawMessage {
+	text, err := json.Marshal(object{
+		"balancers":        w.replicasOf(tier),
+		"me":               index,
+		"tier":             tier,
+		"tiers":            w.tierNames(),
+		"zone":             zone,
+		"localities":       w.Zones,
+		"blend":            object{"whole": 0.75, "worst-class": 0.1, "worst-tenant": 0.1, "worst-window": 0.05},
+		"callers":          object{"marks-retry": true},
+		"family":           "chain",
+		"family-info":      object{"passes-deadline": true},
+		"lanes":            w.classSettings(),
+		"tenants":          w.tenantSettings(),
+		"over-share-worth": w.OverQuotaWeight,
+		"tick-ms":          5,
+		"worth-by":         "request",
+		"registry-mode":    w.registryMode(),
+		"shapes":           []string{"m2"},
+		"weights":          "silent",
+		"telemetry":        object{"fields": []string{}, "via": "silent"},
+		"limits":           w.limitSettings(),
+		"rules":            w.ruleSettings(),
+	})
+	if err != nil {
+		panic(err) // plain maps of plain values
+	}
+	return text
+}
+
+// replicasOf returns how many nodes serve a tier.
+func (w *World) replicasOf(tier int) int {
+	if tier == 0 {
+		return w.Tiers[0].Nodes
+	}
+	return w.Tiers[tier-1].Servers
+}
+
+func (w *World) tierNames() (names []string) {
+	for _, t := range w.Tiers {
+		names = append(names, t.Name)
 	}
-	var lanes, tenants []object
+	return names
+}
+
+func (w *World) registryMode() string {
+	if w.Discovery.Asked {
+		return "on_request"
+	}
+	return "pushed"
+}
+
+func (w *World) classSettings() (lanes []object) {
 	for _, c := range w.Classes {
-		lanes = append(lanes, object{"name": c.Name, "effect": c.Effect, "key-scope": "all", "late-share": 0, "stream": false,
-			"target-ms": ms(c.LatencyObjective), "deadline-ms": ms(c.Deadline), "window-ms": ms(c.Window), "worth": c.PriorityWeight})
+		lanes = append(lanes, object{
+			"name":        c.Name,
+			"effect":      c.Effect,
+			"key-scope":   "all",
+			"late-share":  0,
+			"stream":      false,
+			"target-ms":   ms(c.LatencyObjective),
+			"deadline-ms": ms(c.Deadline),
+			"window-ms":   ms(c.Window),
+			"worth":       c.PriorityWeight,
+		})
 	}
+	return lanes
+}
+
+func (w *World) tenantSettings() (tenants []object) {
 	for _, t := range w.Tenants {
 		tenants = append(tenants, object{"name": t.Name, "quota-per-s": t.Quota, "share": t.Share})
 	}
-	var tiers []string
-	for _, t := range w.Tiers {
-		tiers = append(tiers, t.Name)
-	}
-	registry := "pushed"
-	if w.Discovery.Asked {
-		registry = "on_request"
+	return tenants
+}
+
+func (w *World) limitSettings() object {
+	return object{
+		"cancelling":         true,
+		"conn-idle-ms":       ms(w.Limits.ConnIdle),
+		"connect-timeout-ms": ms(w.Limits.ConnectTimeout),
+		"max-attempts":       w.Limits.MaxAttempts,
+		"max-retry-after-ms": ms(w.Limits.MaxRetryAfter),
+		"max-streams":        1,
+		"may-probe":          false,
+		"open-cap":           20000,
+		"peers":              false,
+		"retry-after":        true,
+		"second-copies":      true,
 	}
-	text, err := json.Marshal(object{
-		"balancers": balancers, "me": self, "tier": tier, "tiers": tiers, "zone": zone, "localities": w.Zones,
-		"blend":   object{"whole": 0.75, "worst-class": 0.1, "worst-tenant": 0.1, "worst-window": 0.05},
-		"callers": object{"marks-retry": true}, "family": "chain", "family-info": object{"passes-deadline": true},
-		"lanes": lanes, "tenants": tenants, "over-share-worth": w.OverQuotaWeight, "tick-ms": 5, "worth-by": "request",
-		"registry-mode": registry, "shapes": []string{"m2"}, "weights": "silent",
-		"telemetry": object{"fields": []string{}, "via": "silent"},
-		"limits": object{"cancelling": true, "conn-idle-ms": ms(w.Limits.ConnIdle), "connect-timeout-ms": ms(w.Limits.ConnectTimeout),
-			"max-attempts": w.Limits.MaxAttempts, "max-retry-after-ms": ms(w.Limits.MaxRetryAfter), "max-streams": 1,
-			"may-probe": false, "open-cap": 20000, "peers": false, "retry-after": true, "second-copies": true},
-		"rules": object{"answer-slack-ms": ms(slack), "ask-within-ms": 10000, "cold-from": w.SlowStart.From, "fall-ms": ms(w.SlowStart.OverloadWindow),
-			"fall-multiple": w.SlowStart.OverloadFactor, "stop-sending-within-ms": ms(drainWithin), "warm-after-ms": ms(w.SlowStart.Duration)},
-	})
-	if err != nil {
-		panic(err) // plain maps of plain values
+}
+
+func (w *World) ruleSettings() object {
+	return object{
+		"answer-slack-ms":        ms(slack),
+		"ask-within-ms":          10000,
+		"cold-from":              w.SlowStart.From,
+		"fall-ms":                ms(w.SlowStart.OverloadWindow),
+		"fall-multiple":          w.SlowStart.OverloadFactor,
+		"stop-sending-within-ms": ms(drainWithin),
+		"warm-after-ms":          ms(w.SlowStart.Duration),
 	}
-	return text
 }
