--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -165,7 +165,7 @@
 		ErrorLog: d.testbed.discard,
 		Handler:  http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(n, w, r) }),
 	}
-	d.testbed.goOwned(func() { server.Serve(g) }) // ends with the gate
+	d.testbed.goOwned(func() { _ = server.Serve(g) }) // returns an error when the gate closes
 	d.mu.Lock()
 	d.gates = append(d.gates, g)
 	d.gateByNode[n] = g
@@ -186,94 +186,97 @@
 	return d.fault, d.testbed.world.Discovery.Call + d.fault.Slow
 }
 
+// answer handles one call of a node.
 func (d *discovery) answer(n *Node, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/endpoints" {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	wait := time.NewTimer(d.testbed.world.Discovery.MaxLag)
-	defer wait.Stop()
-	select {
-	case d.callSlot <- struct{}{}:
-		_, takes := d.state()
-		ok := sleep(r.Context(), takes)
-		<-d.callSlot
-		if !ok {
-			return
-		}
-	case <-wait.C:
-		w.WriteHeader(http.StatusServiceUnavailable)
-		return
-	case <-r.Context().Done():
+	if !d.waitForTurn(w, r) {
 		return
 	}
-	o, _ := d.state()
+	fault, _ := d.state()
 	switch {
-	case o.Down:
+	case fault.Down:
 		d.hangUp(w)
 		return
-	case o.Fail:
+	case fault.Fail:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	if r.URL.Query().Get("watch") != "1" {
-		if o.Unresponsive {
-			d.silent(r)
-			return
-		}
-		d.mu.Lock()
-		update := d.addressed(n, d.tiers[n.tier].since(0))
-		d.mu.Unlock()
-		d.write(n, w, update, o)
+	if r.URL.Query().Get("watch") == "1" {
+		state := d.updateWatch(n, func(s *watchState) { s.watches++ })
+		defer d.updateWatch(n, func(s *watchState) {
+			s.lastPoll = d.testbed.now()
+			s.watches--
+			s.silent = 0
+		})
+		d.watch(n, w, r, from, state)
 		return
 	}
-	e := d.updateWatch(n, func(e *watchState) { e.watches++ })
-	defer d.updateWatch(n, func(e *watchState) { e.lastPoll, e.watches, e.silent = d.testbed.now(), e.watches-1, 0 })
-	d.watch(n, w, r, from, e)
+	if fault.Unresponsive {
+		d.silent(r)
+		return
+	}
+	d.mu.Lock()
+	update := d.addressed(n, d.tiers[n.tier].since(0))
+	d.mu.Unlock()
+	d.write(n, w, update, fault)
 }
 
-// watch writes what changed, then each change as it comes, and an empty line every 2 s.
-func (d *discovery) watch(n *Node, w http.ResponseWriter, r *http.Request, from int64, e *watchState) {
+// waitForTurn waits while other calls are handled, and takes the time of one call. It returns false when the caller has
+// left or has waited for too long.
+func (d *discovery) waitForTurn(w http.ResponseWriter, r *http.Request) bool {
+	wait := time.NewTimer(d.testbed.world.Discovery.MaxLag)
+	defer wait.Stop()
+	select {
+	case d.callSlot <- struct{}{}:
+		_, takes := d.state()
+		ok := sleep(r.Context(), takes)
+		<-d.callSlot
+		return ok
+	case <-wait.C:
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case <-r.Context().Done():
+	}
+	return false
+}
+
+const (
+	watchIdleLine  = 2 * time.Second // an idle watch gets an empty line so often
+	trickleSpacing = 100 * time.Millisecond
+)
+
+// watch writes what changed, then each change as it comes, and an empty line while there is none.
+func (d *discovery) watch(n *Node, w http.ResponseWriter, r *http.Request, from int64, state *watchState) {
 	flush := http.NewResponseController(w)
-	idle := time.NewTicker(2 * time.Second)
+	idle := time.NewTicker(watchIdleLine)
 	defer idle.Stop()
 	d.mu.Lock()
 	mutes := d.mutes
 	d.mu.Unlock()
 	for first := true; ; first = false {
-		d.mu.Lock()
-		t := d.tiers[n.tier]
-		update, changed, o := t.since(from), t.changed, d.fault
-		update = d.addressed(n, update)
-		mute := o.Unresponsive || d.mutes > mutes
-		if (mute || o.Trickle) && e.silent == 0 {
-			e.silent = d.testbed.now()
-		}
-		d.mu.Unlock()
+		next := d.nextUpdate(n, from, mutes, state)
 		switch {
-		case o.Down:
+		case next.fault.Down:
 			d.hangUp(w)
 			return
-		case mute:
+		case next.mute:
 			d.silent(r)
 			return
-		case o.Trickle:
-			for sleep(r.Context(), 100*time.Millisecond) {
-				if _, err := w.Write([]byte(" ")); err != nil || flush.Flush() != nil {
-					return
-				}
-			}
+		case next.fault.Trickle:
+			trickle(w, r)
 			return
 		}
-		if first || len(update.Hosts) > 0 {
-			if !d.write(n, w, update, o) || flush.Flush() != nil {
+		if first || len(next.update.Hosts) > 0 {
+			if !d.write(n, w, next.update, next.fault) || flush.Flush() != nil {
 				return
 			}
 		}
-		from = max(update.Seq, 1) // 0 would ask for the whole list for ever
+		from = max(next.update.Seq, 1) // 0 would ask for the complete list for ever
 		select {
-		case <-changed:
+		case <-next.changed:
 		case <-idle.C:
 			if _, err := w.Write([]byte("\n")); err != nil || flush.Flush() != nil {
 				return
@@ -286,6 +289,41 @@
 	}
 }
 
+// watchUpdate is what a watch has to do next.
+type watchUpdate struct {
+	update  endpointUpdate
+	changed <-chan struct{} // closed at the next change
+	fault   DiscoveryFault
+	mute    bool // the watch is silent from now on
+}
+
+// nextUpdate returns what a watch has to do next, and records when it falls silent.
+func (d *discovery) nextUpdate(n *Node, from int64, mutes int, state *watchState) watchUpdate {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	t := d.tiers[n.tier]
+	next := watchUpdate{
+		update:  d.addressed(n, t.since(from)),
+		changed: t.changed,
+		fault:   d.fault,
+		mute:    d.fault.Unresponsive || d.mutes > mutes,
+	}
+	if (next.mute || next.fault.Trickle) && state.silent == 0 {
+		state.silent = d.testbed.now()
+	}
+	return next
+}
+
+// trickle writes spaces without an end of line until the node leaves.
+func trickle(w http.ResponseWriter, r *http.Request) {
+	flush := http.NewResponseController(w)
+	for sleep(r.Context(), trickleSpacing) {
+		if _, err := w.Write([]byte(" ")); err != nil || flush.Flush() != nil {
+			return
+		}
+	}
+}
+
 // write writes a list, in the form that the outage gives it. It reports whether the node has all of it.
 func (d *discovery) write(n *Node, w http.ResponseWriter, update endpointUpdate, o DiscoveryFault) bool {
 	text, err := json.Marshal(update)
@@ -296,7 +334,7 @@
 		panic(err) // plain values
 	}
 	if o.Cut {
-		w.Write(text[:len(text)/2]) // its connection ends next, whatever came of this
+		_, _ = w.Write(text[:len(text)/2]) // its connection ends next in any case
 		panic(http.ErrAbortHandler)
 	}
 	if _, err := w.Write(append(text, '\n')); err != nil {
@@ -311,6 +349,6 @@
 	gates := d.gates
 	d.mu.Unlock()
 	for _, g := range gates {
-		g.Close()
+		closeQuietly(g)
 	}
 }
--- a/internal/testbed/leader_killed_scenario.go
+++ b/internal/testbed/leader_killed_scenario.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.waitForOverride(ctx, s.nodes, id, true, "issued: in force", issued); err != nil {
+	if err := s.waitForOverride(ctx, s.nodes, id, true, issuedMetric, issued); err != nil {
 		return err
 	}
 	leader.Kill()
@@ -32,5 +32,5 @@
 	if err != nil {
 		return err
 	}
-	return s.waitForOverride(ctx, others, id, false, "revoked: out of force", revoked)
+	return s.waitForOverride(ctx, others, id, false, revokedMetric, revoked)
 }
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -7,13 +7,7 @@
 	"strings"
 )
 
-// direction returns the direction from one part to another.
-func (tb *Testbed) direction(from, to string) *direction {
-	tb.mu.Lock()
-	defer tb.mu.Unlock()
-	return tb.directionLocked(from, to)
-}
-
+// directionLocked returns the direction from one part to another; tb.mu is held.
 func (tb *Testbed) directionLocked(from, to string) *direction {
 	key := from + "->" + to
 	if tb.directions[key] == nil {
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -137,8 +137,9 @@
 // WriteDay writes a drawn day, one arrival or step a line, so that two can be compared byte by byte.
 func WriteDay(to io.Writer, day []Arrival, steps []Step) error {
 	for _, a := range day {
-		if _, err := fmt.Fprintf(to, "%d %s class=%d tenant=%d zone=%d patience=%.4f leaves=%.4f over=%t\n", a.At.Microseconds(), a.ID,
-			a.Class, a.Tenant, a.Zone, a.Patience, a.Leaves, a.Over); err != nil {
+		_, err := fmt.Fprintf(to, "%d %s class=%d tenant=%d zone=%d patience=%.4f leaves=%.4f over=%t\n",
+			a.At.Microseconds(), a.ID, a.Class, a.Tenant, a.Zone, a.Patience, a.Leaves, a.Over)
+		if err != nil {
 			return err
 		}
 	}
@@ -218,7 +219,10 @@
 		}
 		wait := time.Duration((0.5 + tb.drawn(a.ID, "backoff"+strconv.Itoa(attempt))) * float64(load.Backoff))
 		start = resp.at + max(wait, resp.retryAfter)
-		if start >= end || req.disconnectAt != 0 && start >= req.disconnectAt || !sleepUntil(tb.began.Add(start), ctx.Done()) {
+		if start >= end || req.disconnectAt != 0 && start >= req.disconnectAt {
+			return s
+		}
+		if !sleepUntil(tb.began.Add(start), ctx.Done()) {
 			return s
 		}
 		req.id, req.isRetry = subID(a.ID, -1-attempt), true
--- a/internal/testbed/one_sided_scenarios.go
+++ b/internal/testbed/one_sided_scenarios.go
@@ -27,8 +27,7 @@
 // waitUntilHealed ends the conditions of some links and books until all agree, and who was taken for gone since.
 func (s *scenarioRun) waitUntilHealed(
 	ctx context.Context,
-	from,
-	to string,
+	from, to string,
 	since time.Duration,
 	names ...string,
 ) error {
@@ -164,7 +163,7 @@
 func (s *scenarioRun) killWhileSuspecting(ctx context.Context) error {
 	at, n7, n8 := s.testbed.now(), s.nodes[6], s.nodes[7]
 	s.testbed.SetLink(n7.name, "n*", LinkCondition{Loss: 0.8})
-	s.waitUntil(ctx, "n7 suspects somebody", func() bool {
+	_, _ = s.waitUntil(ctx, "n7 suspects somebody", func() bool {
 		all, err := s.changes(n7)
 		return err != nil || slices.ContainsFunc(all, func(c memberChange) bool { return c.at >= at && c.state == "suspect" })
 	})
--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -13,12 +13,8 @@
 // SendOverride calls /control/overrides/ID at the node's admin endpoint; body may be empty. It returns the answer's
 // status.
 func (n *Node) SendOverride(ctx context.Context, method, id, body string) (int, error) {
-	req, err := http.NewRequestWithContext(
-		ctx,
-		method,
-		"http://"+n.Control()+"/control/overrides/"+id,
-		strings.NewReader(body),
-	)
+	url := "http://" + n.Control() + "/control/overrides/" + id
+	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
@@ -26,7 +22,7 @@
 	if err != nil {
 		return 0, err
 	}
-	resp.Body.Close()
+	closeQuietly(resp.Body)
 	return resp.StatusCode, nil
 }
 
@@ -57,13 +53,14 @@
 	return all, nil
 }
 
+// evacuationOverride is the body of an override that evacuates a zone for a while.
 func evacuationOverride(zone string, lasts time.Duration) string {
 	return fmt.Sprintf(`{"kind":"evacuate","scope":%q,"reason":"lab","author":"lab","for":%q}`, zone, lasts)
 }
 
-// issueOverride orders until some admin endpoint takes it, and returns when the last call that did was made.
+// issueOverride issues an override until some admin endpoint accepts it, and returns when the call that did was made.
 func (s *scenarioRun) issueOverride(ctx context.Context, by *Node, id, body string) (at time.Duration, err error) {
-	_, err = s.waitUntil(ctx, id+" is taken", func() bool {
+	_, err = s.waitUntil(ctx, id+" is accepted", func() bool {
 		at = s.testbed.now()
 		status, err := by.SendOverride(ctx, http.MethodPut, id, body)
 		return err == nil && status == http.StatusOK
@@ -73,7 +70,7 @@
 
 // revokeOverride ends an override through a node, and returns when the last call that did was made.
 func (s *scenarioRun) revokeOverride(ctx context.Context, by *Node, id string) (at time.Duration, err error) {
-	_, err = s.waitUntil(ctx, "the revocation is taken", func() bool {
+	_, err = s.waitUntil(ctx, "the revocation is accepted", func() bool {
 		at = s.testbed.now()
 		status, err := by.SendOverride(ctx, http.MethodDelete, id, "")
 		return err == nil && (status == http.StatusOK || status == http.StatusNotFound)
@@ -81,112 +78,142 @@
 	return at, err
 }
 
-// waitForOverride waits until an override acts, or does not, on some nodes, and books how long that took from a time
-// on.
+// waitForOverride waits until an override is in force, or is not, on some nodes, and records under a metric, where one
+// is named, how long that took from a time on.
 func (s *scenarioRun) waitForOverride(
 	ctx context.Context,
 	on []*Node,
 	id string,
 	want bool,
-	figure string,
+	metric string,
 	from time.Duration,
 ) error {
 	for _, n := range on {
-		if _, err := s.waitUntil(ctx, figure+" at "+n.name, func() bool {
-			all, err := n.OverridesInForce(ctx)
-			_, is := all[id]
+		if _, err := s.waitUntil(ctx, metric+" at "+n.name, func() bool {
+			inForce, err := n.OverridesInForce(ctx)
+			_, is := inForce[id]
 			return err == nil && is == want
 		}); err != nil {
 			return err
 		}
-		if figure != "" {
-			s.times[figure] = append(s.times[figure], s.testbed.now()-from)
+		if metric != "" {
+			s.times[metric] = append(s.times[metric], s.testbed.now()-from)
 		}
 	}
 	return nil
 }
 
+// issueAndWait issues an override and waits until it is in force on some nodes.
+func (s *scenarioRun) issueAndWait(
+	ctx context.Context,
+	by *Node,
+	id, body string,
+	on []*Node,
+	metric string,
+) (issued time.Duration, err error) {
+	issued, err = s.issueOverride(ctx, by, id, body)
+	if err != nil {
+		return 0, err
+	}
+	return issued, s.waitForOverride(ctx, on, id, true, metric, issued)
+}
+
+const (
+	issuedMetric  = "issued: in force"
+	revokedMetric = "revoked: out of force"
+	actsPastEnd   = "acts past its end"
+)
+
 // overrides issues overrides at any admin endpoint under a condition of all links, revokes some, and lets the others
-// end. One node is cut off, and one stopped, across all of that.
+// end. One node is isolated, and one stopped, while all of that happens.
 func (s *scenarioRun) overrides(ctx context.Context, c LinkCondition) error {
 	const lasts = 6 * time.Second
 	last := len(s.nodes) - 1
-	lone, asleep, rest := s.nodes[last], s.nodes[last-1], s.nodes[:last-1]
+	isolated, stopped, rest := s.nodes[last], s.nodes[last-1], s.nodes[:last-1]
 	s.testbed.SetLink("n*", "n*", c)
 	for round := range 2 {
 		by := rest[(int(s.seed)+round)%len(rest)]
-		id := fmt.Sprint("revoked-", round)
-		at, err := s.issueOverride(ctx, by, id, evacuationOverride("x", time.Minute))
-		if err == nil {
-			err = s.waitForOverride(ctx, s.nodes, id, true, "issued: in force", at)
-		}
-		if err != nil {
+		if err := s.issueAndRevoke(ctx, by, fmt.Sprint("revoked-", round)); err != nil {
 			return err
 		}
-		revoked, err := s.revokeOverride(ctx, by, id)
-		if err == nil {
-			err = s.waitForOverride(ctx, s.nodes, id, false, "revoked: out of force", revoked)
-		}
-		if err != nil {
-			return err
-		}
-	}
-	at, err := s.issueOverride(ctx, rest[1], "ends", evacuationOverride("x", lasts))
-	if err == nil {
-		err = s.waitForOverride(ctx, s.nodes, "ends", true, "issued: in force", at)
 	}
+	issued, err := s.issueAndWait(ctx, rest[1], "ends", evacuationOverride("x", lasts), s.nodes, issuedMetric)
 	if err != nil {
 		return err
 	}
-	s.testbed.SetLink("n*", lone.name, LinkCondition{Cut: true})
-	s.testbed.SetLink(lone.name, "n*", LinkCondition{Cut: true})
-	if err := asleep.Stop(); err != nil {
+	s.testbed.SetLink("n*", isolated.name, LinkCondition{Cut: true})
+	s.testbed.SetLink(isolated.name, "n*", LinkCondition{Cut: true})
+	if err := stopped.Stop(); err != nil {
 		return err
 	}
-	ended := map[*Node]bool{}
-	for s.testbed.now()-at < lasts+time.Second {
-		for _, n := range append(rest[:len(rest):len(rest)], lone) {
-			asked := s.testbed.now()
-			all, err := n.OverridesInForce(ctx)
-			_, is := all["ends"]
-			switch {
-			case err != nil:
-			case is && asked-at > lasts+200*time.Millisecond: // 200 ms: the call itself, and what a busy machine adds to it
-				s.count["acts past its end"]++
-			case !is && !ended[n]:
-				ended[n] = true
-				s.times["ended early by"] = append(s.times["ended early by"], max(0, lasts-(s.testbed.now()-at)))
-			}
-		}
-		if !sleep(ctx, 20*time.Millisecond) {
-			return ctx.Err()
-		}
-	}
-	at, err = s.issueOverride(ctx, rest[0], "missed", evacuationOverride("y", time.Minute))
-	if err == nil {
-		err = s.waitForOverride(ctx, rest, "missed", true, "", at)
+	if err := s.watchOverrideEnd(ctx, append(rest[:len(rest):len(rest)], isolated), "ends", issued, lasts); err != nil {
+		return err
 	}
-	if err != nil {
+	if _, err := s.issueAndWait(ctx, rest[0], "missed", evacuationOverride("y", time.Minute), rest, ""); err != nil {
 		return err
 	}
-	woken := s.testbed.now()
-	if err := asleep.Continue(); err != nil {
+	continued := s.testbed.now()
+	if err := stopped.Continue(); err != nil {
 		return err
 	}
-	if all, err := asleep.OverridesInForce(ctx); err == nil {
-		if _, is := all["ends"]; is {
-			s.count["acts past its end"]++
+	if inForce, err := stopped.OverridesInForce(ctx); err == nil {
+		if _, is := inForce["ends"]; is {
+			s.count[actsPastEnd]++
 		}
 	}
 	s.testbed.SetLink("n*", "n*", c)
-	if err := s.waitForOverride(ctx, []*Node{asleep}, "missed", true, "woken: reconciled", woken); err != nil {
+	if err := s.waitForOverride(ctx, []*Node{stopped}, "missed", true, "woken: reconciled", continued); err != nil {
 		return err
 	}
-	if err := s.waitForOverride(ctx, []*Node{lone}, "missed", true, "cut healed: reconciled", woken); err != nil {
+	if err := s.waitForOverride(ctx, []*Node{isolated}, "missed", true, "cut healed: reconciled", continued); err != nil {
 		return err
 	}
-	if s.count["acts past its end"] > 0 {
+	if s.count[actsPastEnd] > 0 {
 		return errors.New("an override acted past its end")
 	}
 	return nil
 }
+
+// issueAndRevoke issues an override, waits until it is in force on all nodes, and revokes it.
+func (s *scenarioRun) issueAndRevoke(ctx context.Context, by *Node, id string) error {
+	_, err := s.issueAndWait(ctx, by, id, evacuationOverride("x", time.Minute), s.nodes, issuedMetric)
+	if err != nil {
+		return err
+	}
+	revoked, err := s.revokeOverride(ctx, by, id)
+	if err != nil {
+		return err
+	}
+	return s.waitForOverride(ctx, s.nodes, id, false, revokedMetric, revoked)
+}
+
+// watchOverrideEnd polls some nodes until an override must have ended on all, and records how early it did on each.
+func (s *scenarioRun) watchOverrideEnd(
+	ctx context.Context,
+	nodes []*Node,
+	id string,
+	issued, lasts time.Duration,
+) error {
+	const pollTolerance = 200 * time.Millisecond // the call itself, and what a busy machine adds to it
+	ended := map[*Node]bool{}
+	for s.testbed.now()-issued < lasts+time.Second {
+		for _, n := range nodes {
+			asked := s.testbed.now()
+			inForce, err := n.OverridesInForce(ctx)
+			_, is := inForce[id]
+			switch {
+			case err != nil:
+			case is && asked-issued > lasts+pollTolerance:
+				s.count[actsPastEnd]++
+			case !is && !ended[n]:
+				ended[n] = true
+				early := max(0, lasts-(s.testbed.now()-issued))
+				s.times["ended early by"] = append(s.times["ended early by"], early)
+			}
+		}
+		if !sleep(ctx, 20*time.Millisecond) {
+			return ctx.Err()
+		}
+	}
+	return nil
+}
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -164,7 +164,7 @@
 	go func() {
 		junk, sent := make([]byte, 200), 0
 		for ; time.Now().Before(until) && ctx.Err() == nil; sent++ {
-			to.Write(junk) // one that finds no room is as good
+			_, _ = to.Write(junk) // one that is not sent does no harm
 		}
 		ended <- sent
 	}()
--- a/internal/testbed/scenario_run.go
+++ b/internal/testbed/scenario_run.go
@@ -16,7 +16,7 @@
 type scenarioRun struct {
 	testbed *Testbed
 	nodes   []*Node
-	times   map[string][]time.Duration // figures by name
+	times   map[string][]time.Duration // durations by metric
 	count   map[string]int
 	seed    uint64
 }
@@ -42,18 +42,7 @@
 	if sc.Nodes > 0 {
 		nodes = sc.Nodes
 	}
-	w := World{Binary: binary, Seed: seed, Links: []string{
-		"n*->n*",
-	}, Fleet: Tables{"mesh": map[string]any{"probe": probe.String()}, "orders": map[string]any{}},
-		Tiers: []Tier{{Name: "front", Nodes: nodes, Servers: 1}},
-		Classes: []Class{{
-			Name:             "view",
-			Effect:           "read_like",
-			Share:            1,
-			Work:             []time.Duration{time.Millisecond},
-			LatencyObjective: time.Second,
-			Deadline:         time.Second,
-		}}}
+	w := scenarioWorld(binary, nodes, seed, probe)
 	if sc.Bare {
 		w.Links = nil
 	}
@@ -91,15 +80,34 @@
 	return out, nil
 }
 
+// scenarioWorld is a world of nodes with links between any two.
+func scenarioWorld(binary string, nodes int, seed uint64, probe time.Duration) World {
+	return World{
+		Binary: binary,
+		Seed:   seed,
+		Links:  []string{"n*->n*"},
+		Fleet: Tables{
+			"mesh":   map[string]any{"probe": probe.String()},
+			"orders": map[string]any{},
+		},
+		Tiers: []Tier{{Name: "front", Nodes: nodes, Servers: 1}},
+		Classes: []Class{{
+			Name:             "view",
+			Effect:           "read_like",
+			Share:            1,
+			Work:             []time.Duration{time.Millisecond},
+			LatencyObjective: time.Second,
+			Deadline:         time.Second,
+		}},
+	}
+}
+
 const scenarioTimeout = time.Minute
 
-// waitForAgreement waits until some nodes are on a side with one digest, and returns how long that took.
+// waitForAgreement waits until some nodes are on a partition side with one digest, and returns how long that took.
 func (s *scenarioRun) waitForAgreement(ctx context.Context, nodes []*Node, side string) (time.Duration, error) {
-	return s.waitUntil(
-		ctx,
-		fmt.Sprintf("%d nodes agree on %s", len(nodes), side),
-		func() bool { return Agree(ctx, nodes, side) },
-	)
+	what := fmt.Sprintf("%d nodes agree on %s", len(nodes), side)
+	return s.waitUntil(ctx, what, func() bool { return Agree(ctx, nodes, side) })
 }
 
 // waitUntil waits for a condition, and returns how long that took.
@@ -116,43 +124,48 @@
 	return s.testbed.now() - from, nil
 }
 
-// watchLeaders asks all admin endpoints over and over which process proves their majority. Two answers in one round
-// are a finding where the next round, right after it, has the same two.
+// watchLeaders asks all admin endpoints repeatedly which process proves their majority. Two answers in one round count as
+// two majorities when the next round, right after it, has the same two.
 func (s *scenarioRun) watchLeaders(ctx context.Context) {
 	var before []string
 	for sleep(ctx, 50*time.Millisecond) {
 		for range 2 {
-			under := make([]string, len(s.nodes))
-			var all sync.WaitGroup
-			for i, n := range s.nodes {
-				all.Add(1)
-				go func() {
-					defer all.Done()
-					if v, err := n.Fleet(ctx); err == nil && (v.Side == "majority" || v.Side == "whole") {
-						under[i] = v.Under
-					}
-				}()
-			}
-			all.Wait()
-			seen := slices.Sorted(slices.Values(under))
-			seen = slices.Compact(seen)
-			if len(seen) > 0 && seen[0] == "" {
-				seen = seen[1:]
-			}
-			if len(seen) < 2 {
+			leaders := s.leaders(ctx)
+			if len(leaders) < 2 {
 				before = nil
 				break
 			}
-			if slices.Equal(before, seen) {
+			if slices.Equal(before, leaders) {
 				s.testbed.checker.mu.Lock()
 				s.count["two majorities"]++
 				s.testbed.checker.mu.Unlock()
 			}
-			before = seen
+			before = leaders
 		}
 	}
 }
 
+// leaders asks all nodes at once which process proves their majority, and returns the different answers, sorted.
+func (s *scenarioRun) leaders(ctx context.Context) []string {
+	under := make([]string, len(s.nodes))
+	var all sync.WaitGroup
+	for i, n := range s.nodes {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			if v, err := n.Fleet(ctx); err == nil && (v.Side == "majority" || v.Side == "whole") {
+				under[i] = v.Under
+			}
+		}()
+	}
+	all.Wait()
+	seen := slices.Compact(slices.Sorted(slices.Values(under)))
+	if len(seen) > 0 && seen[0] == "" {
+		seen = seen[1:]
+	}
+	return seen
+}
+
 // memberChange is a line of a node's log about a member.
 type memberChange struct {
 	at          time.Duration // on the testbed's clock
@@ -185,13 +198,11 @@
 	return all, nil
 }
 
-// waitForState waits until some nodes have logged a member's state after a time, and books how long after it that was.
+// waitForState waits until some nodes have logged a member's state after a time, and records how long that took.
 func (s *scenarioRun) waitForState(
 	ctx context.Context,
 	by []*Node,
-	name,
-	is,
-	figure string,
+	name, state, metric string,
 	after time.Duration,
 ) error {
 	for _, n := range by {
@@ -201,20 +212,20 @@
 				return err
 			}
 			for _, c := range all {
-				if !found && c.name == name && c.state == is && c.at >= after {
-					s.times[figure] = append(s.times[figure], c.at-after)
+				if !found && c.name == name && c.state == state && c.at >= after {
+					s.times[metric] = append(s.times[metric], c.at-after)
 					found = true
 				}
 			}
 			if !found && (!sleep(ctx, 20*time.Millisecond) || s.testbed.now()-after > scenarioTimeout) {
-				return errors.Join(ctx.Err(), fmt.Errorf("%s did not see %s as %s within %v", n.name, name, is, scenarioTimeout))
+				return errors.Join(ctx.Err(), fmt.Errorf("%s did not see %s as %s within %v", n.name, name, state, scenarioTimeout))
 			}
 		}
 	}
 	return nil
 }
 
-// countWronglyRemoved counts the members of some names that nodes took for gone since a time.
+// countWronglyRemoved counts how often nodes took members for gone since a time, of the given names or of all.
 func (s *scenarioRun) countWronglyRemoved(after time.Duration, names ...string) error {
 	for _, n := range s.nodes {
 		all, err := s.changes(n)
@@ -238,7 +249,7 @@
 }
 
 func (s *scenarioRun) kill(ctx context.Context, k int) error {
-	sleep(ctx, time.Duration(s.seed%7)*100*time.Millisecond) // another moment within the probes
+	sleep(ctx, time.Duration(s.seed%7)*100*time.Millisecond) // a different phase of the probe interval for each seed
 	at := s.testbed.now()
 	rest, dead := s.nodes[:len(s.nodes)-k], s.nodes[len(s.nodes)-k:]
 	for _, n := range dead {
@@ -269,14 +280,14 @@
 	}
 	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
 	s.times["whole again"] = append(s.times["whole again"], took)
-	if d > time.Second { // taken for gone, rightly; nobody else may be
+	if d > time.Second { // it is rightly taken for gone, but no other member may be
 		return errors.Join(err, s.countWronglyRemoved(at, names(s.nodes[:len(s.nodes)-1])...))
 	}
-	sleep(ctx, 3*time.Second) // a suspicion runs out by then
+	sleep(ctx, 3*time.Second) // a suspicion times out by then
 	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
-// holdCondition sets a condition under which nobody may be taken for gone.
+// holdCondition sets a link condition for a while; no member may be taken for gone under it.
 func (s *scenarioRun) holdCondition(ctx context.Context, from, to string, c LinkCondition, d time.Duration) error {
 	at := s.testbed.now()
 	s.testbed.SetLink(from, to, c)
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -218,7 +218,7 @@
 	if !s.work(ctx, work) || !sleep(ctx, e.class.Wait) {
 		return false
 	}
-	return s.callNextTier(ctx, fmt.Sprintf("%s.%d", e.id, e.number), e.class, e.tenant, e.deadline)
+	return s.callNextTier(ctx, e)
 }
 
 // reject answers that an attempt never ran.
@@ -268,19 +268,19 @@
 
 // callNextTier makes the calls of an attempt on the next tier, one after another, each with the time that is left and
 // an id of its own: another attempt of the same request may make its calls at the same time.
-func (s *Server) callNextTier(
-	ctx context.Context,
-	id string,
-	class *Class,
-	tenant string,
-	deadline time.Duration,
-) bool {
+func (s *Server) callNextTier(ctx context.Context, e execution) bool {
 	if s.nextTier == nil {
 		return true
 	}
+	id := fmt.Sprintf("%s.%d", e.id, e.number)
 	for i := range s.testbed.callsOf(s.spec.Calls, id) {
-		a := s.nextTier.do(ctx, clientRequest{id: subID(id, i), class: class, tenant: tenant, deadline: deadline})
-		if a.end != outcomeServed {
+		resp := s.nextTier.do(ctx, clientRequest{
+			id:       subID(id, i),
+			class:    e.class,
+			tenant:   e.tenant,
+			deadline: e.deadline,
+		})
+		if resp.end != outcomeServed {
 			return false
 		}
 	}
--- a/internal/testbed/tcp_state.go
+++ b/internal/testbed/tcp_state.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	resetWithin = 20 * time.Millisecond // a system that throws bytes away says so at once on loopback
+	resetWithin = 20 * time.Millisecond // on loopback the reset that follows unread bytes comes at once
 	tcpClosed   = 7                     // TCP_CLOSE: a reset has come
 )
 
@@ -29,7 +29,10 @@
 	}
 	for end := time.Now().Add(resetWithin); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		var info *unix.TCPInfo
-		if err := rc.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); err != nil || info == nil || info.State == tcpClosed {
+		err := rc.Control(func(fd uintptr) {
+			info, _ = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) // on an error the state is zero
+		})
+		if err != nil || info == nil || info.State == tcpClosed {
 			return false
 		}
 	}
