--- a/cmd/balancer-testbed/capacity.go
+++ b/cmd/balancer-testbed/capacity.go
@@ -48,17 +48,9 @@
 	return c
 }
 
+// capacity drives a load against stubs and prints what the testbed could do.
 func capacity(ctx context.Context, self string, rate float64, length time.Duration, cores int, linked bool) error {
-	w := testbed.World{Binary: self, Args: []string{"stub"}, TrustNodes: true, Seed: 1,
-		Tiers: []testbed.Tier{{Name: "front", Nodes: 4, Servers: 1}},
-		Classes: []testbed.Class{{
-			Name:             "view",
-			Effect:           "read_like",
-			Share:            1,
-			Work:             make([]time.Duration, 1),
-			LatencyObjective: time.Second,
-			Deadline:         2 * time.Second,
-		}}}
+	w := stubWorld(self)
 	if linked {
 		w.Links = []string{"clients-*->n*"}
 	}
@@ -72,95 +64,139 @@
 	}
 	defer tb.Close()
 	day := testbed.Draw(&w, &load, length, 1)
-	const maxMicros = int64(time.Minute / time.Microsecond)
-	latency, late := hdrhistogram.New(1, maxMicros, 3), hdrhistogram.New(1, maxMicros, 3)
-	ended := make(chan testbed.ArrivalResult, 1024)
-	recorded := make(chan struct{})
-	go func() {
-		defer close(recorded)
-		for s := range ended {
-			if s.End == "served" {
-				latency.RecordValue(min(max(1, s.Latency.Microseconds()), maxMicros))
-			}
-			late.RecordValue(min(max(1, s.Late.Microseconds()), maxMicros))
-		}
-	}()
-	cpu, began := ownCPU(), time.Now()
-	var served atomic.Int64
-	tb.Drive(ctx, &load, day, func(s testbed.ArrivalResult) {
-		if s.End == "served" {
-			served.Add(1)
-		}
-		ended <- s
-	})
-	took := time.Since(began)
-	used := ownCPU() - cpu
-	close(ended)
-	<-recorded
-	at := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	fmt.Printf(
-		"links=%t rate=%.0f/s served=%d of %d in %.2f s\n",
-		linked,
-		float64(served.Load())/took.Seconds(),
-		served.Load(),
-		len(day),
-		took.Seconds(),
-	)
-	fmt.Printf("latency from the drawn arrival: p50=%.3f ms p99=%.3f ms; lateness of the testbed: p50=%.3f ms p99=%.3f ms p99.9=%.3f ms\n",
-		at(latency, 50), at(latency, 99), at(late, 50), at(late, 99), at(late, 99.9))
-	fmt.Printf(
-		"processor time of the testbed: %.2f cores, %.0f%% of %d\n",
-		used.Seconds()/took.Seconds(),
-		100*used.Seconds()/took.Seconds()/float64(cores),
-		cores,
-	)
+	var m measurement
+	m.start()
+	tb.Drive(ctx, &load, day, m.add)
+	m.stop()
+	fmt.Printf("links=%t rate=%.0f/s served=%d of %d in %.2f s\n",
+		linked, float64(m.served.Load())/m.took.Seconds(), m.served.Load(), len(day), m.took.Seconds())
+	m.print(cores)
 	a := tb.Checker().Account()
 	_, broken := tb.Findings()
-	fmt.Printf(
-		"checker: taken %d = answered %d + left %d + cut off %d + lost %d; broken %v\n",
-		a.Taken,
-		a.Answered,
-		a.Left,
-		a.CutOff,
-		a.Lost,
-		broken,
-	)
+	fmt.Printf("checker: taken %d = answered %d + left %d + cut off %d + lost %d; broken %v\n",
+		a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, broken)
 	return ctx.Err()
 }
 
+// stubWorld is a world of stubs with one class of requests.
+func stubWorld(self string) testbed.World {
+	return testbed.World{
+		Binary:     self,
+		Args:       []string{"stub"},
+		TrustNodes: true,
+		Seed:       1,
+		Tiers:      []testbed.Tier{{Name: "front", Nodes: 4, Servers: 1}},
+		Classes: []testbed.Class{{
+			Name:             "view",
+			Effect:           "read_like",
+			Share:            1,
+			Work:             make([]time.Duration, 1),
+			LatencyObjective: time.Second,
+			Deadline:         2 * time.Second,
+		}},
+	}
+}
+
+const maxMicros = int64(time.Minute / time.Microsecond)
+
+// measurement gathers what came of a load.
+type measurement struct {
+	latency  *hdrhistogram.Histogram // microseconds
+	lateness *hdrhistogram.Histogram // microseconds
+	served   atomic.Int64
+	ended    chan testbed.ArrivalResult
+	recorded chan struct{} // closed when all results are in the histograms
+	began    time.Time
+	cpu      time.Duration // of this process; until stop: at the start
+	took     time.Duration
+}
+
+func (m *measurement) start() {
+	m.latency = hdrhistogram.New(1, maxMicros, 3)
+	m.lateness = hdrhistogram.New(1, maxMicros, 3)
+	m.ended = make(chan testbed.ArrivalResult, 1024)
+	m.recorded = make(chan struct{})
+	go m.record()
+	m.cpu = ownCPU()
+	m.began = time.Now()
+}
+
+// record puts results into the histograms until there are no more.
+func (m *measurement) record() {
+	defer close(m.recorded)
+	for s := range m.ended {
+		if s.End == "served" {
+			_ = m.latency.RecordValue(min(max(1, s.Latency.Microseconds()), maxMicros)) // in range
+		}
+		_ = m.lateness.RecordValue(min(max(1, s.Late.Microseconds()), maxMicros)) // in range
+	}
+}
+
+// add takes the result of one arrival; it is safe for concurrent use.
+func (m *measurement) add(s testbed.ArrivalResult) {
+	if s.End == "served" {
+		m.served.Add(1)
+	}
+	m.ended <- s
+}
+
+func (m *measurement) stop() {
+	m.took = time.Since(m.began)
+	m.cpu = ownCPU() - m.cpu
+	close(m.ended)
+	<-m.recorded
+}
+
+func (m *measurement) print(cores int) {
+	millis := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+	fmt.Printf("latency from the drawn arrival: p50=%.3f ms p99=%.3f ms; ", millis(m.latency, 50), millis(m.latency, 99))
+	fmt.Printf("lateness of the testbed: p50=%.3f ms p99=%.3f ms p99.9=%.3f ms\n",
+		millis(m.lateness, 50), millis(m.lateness, 99), millis(m.lateness, 99.9))
+	used := m.cpu.Seconds() / m.took.Seconds()
+	fmt.Printf("processor time of the testbed: %.2f cores, %.0f%% of %d\n", used, 100*used/float64(cores), cores)
+}
+
 func ownCPU() time.Duration {
 	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u) // of this process it does not fail
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // does not fail for this process
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
 // stubCommand is a node that answers every request at once by itself.
 func stubCommand() *cobra.Command {
-	return &cobra.Command{Use: "stub", Short: "Serve as a node that answers at once (for capacity)", Hidden: true, Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			var cfg struct{ Listen string }
-			text, err := os.ReadFile(filepath.Clean(os.Getenv("ROUTER_CONFIG")))
-			if err != nil {
-				return usageError{err}
-			}
-			if err := json.Unmarshal(text, &cfg); err != nil {
-				return usageError{err}
-			}
-			ln, err := net.Listen("tcp", cfg.Listen)
-			if err != nil {
-				return err
-			}
-			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				io.Copy(io.Discard, r.Body)
-				io.WriteString(w, r.Header.Get("X-Call-Id"))
-			})}
-			go func() {
-				<-c.Context().Done()
-				server.Close()
-			}()
-			if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-				return err
-			}
-			return nil
-		}}
+	return &cobra.Command{
+		Use:    "stub",
+		Short:  "Serve as a node that answers at once (for capacity)",
+		Hidden: true,
+		Args:   cobra.NoArgs,
+		RunE:   func(c *cobra.Command, _ []string) error { return serveStub(c.Context()) },
+	}
+}
+
+// serveStub answers each request with its id until ctx ends.
+func serveStub(ctx context.Context) error {
+	var cfg struct{ Listen string }
+	text, err := os.ReadFile(filepath.Clean(os.Getenv("ROUTER_CONFIG")))
+	if err != nil {
+		return usageError{err}
+	}
+	if err := json.Unmarshal(text, &cfg); err != nil {
+		return usageError{err}
+	}
+	listener, err := net.Listen("tcp", cfg.Listen)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body)                  // a body that breaks off ends the connection
+		_, _ = io.WriteString(w, r.Header.Get("X-Call-Id")) // fails where the client has left
+	})}
+	go func() {
+		<-ctx.Done()
+		_ = server.Close() // the process ends next
+	}()
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		return err
+	}
+	return nil
 }
--- a/cmd/balancer-testbed/main.go
+++ b/cmd/balancer-testbed/main.go
@@ -28,32 +28,42 @@
 type usageError struct{ error }
 
 func main() {
+	if code := execute(); code != 0 {
+		os.Exit(code)
+	}
+}
+
+// execute runs the command line and returns the exit code.
+func execute() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	err := command().ExecuteContext(ctx)
 	if err == nil {
-		return
+		return 0
 	}
 	for _, line := range strings.Split(err.Error(), "\n") {
 		fmt.Fprintf(os.Stderr, "balancer-testbed: %s\n", line)
 	}
-	stop()
 	if errors.As(err, &usageError{}) {
-		os.Exit(exitUsage)
+		return exitUsage
 	}
-	os.Exit(exitBroken)
+	return exitBroken
 }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "balancer-testbed", Short: "Run experiments with several real nodes and faults between them",
-		SilenceUsage: true, SilenceErrors: true,
-		Args: cobra.ArbitraryArgs,
-		RunE: func(c *cobra.Command, args []string) error {
+	root := &cobra.Command{
+		Use:           "balancer-testbed",
+		Short:         "Run experiments with several real nodes and faults between them",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		Args:          cobra.ArbitraryArgs,
+		RunE: func(_ *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				return usageError{errors.New("no command; see --help")}
 			}
 			return usageError{fmt.Errorf("unknown command %q; see --help", args[0])}
-		}}
+		},
+	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.AddCommand(
 		runCommand(),
@@ -131,8 +141,10 @@
 	r.Done = func(k experiment.Key, s *experiment.Summary) {
 		end()
 		a := s.Account
-		fmt.Printf("%s seed %d: served %.4f, worst window %.3f, p99 %.0f ms; taken %d = answered %d + left %d + cut off %d + lost %d; %d void windows; broken: %v\n",
-			k.Variant, k.Seed, s.Served, s.Worst, s.P99, a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, s.VoidWindows, s.Broken)
+		fmt.Printf("%s seed %d: served %.4f, worst window %.3f, p99 %.0f ms; ", k.Variant, k.Seed, s.Served, s.Worst, s.P99)
+		fmt.Printf("taken %d = answered %d + left %d + cut off %d + lost %d; ",
+			a.Taken, a.Answered, a.Left, a.CutOff, a.Lost)
+		fmt.Printf("%d void windows; broken: %v\n", s.VoidWindows, s.Broken)
 		for _, x := range s.Found {
 			fmt.Println("  ", x)
 		}
@@ -166,8 +178,8 @@
 	}
 	w := bufio.NewWriter(os.Stderr)
 	show = func(s string) {
-		fmt.Fprintf(w, "\r\x1b[K%.120s", s)
-		w.Flush()
+		_, _ = fmt.Fprintf(w, "\r\x1b[K%.120s", s)
+		_ = w.Flush() // progress that cannot be shown is no failure
 	}
 	return show, func() { show("") }
 }
@@ -209,8 +221,12 @@
 }
 
 func reportCommand() *cobra.Command {
-	return &cobra.Command{Use: "report DIR", Short: "Write report.md and plots from a folder's results", Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error { return experiment.Report(args[0]) }}
+	return &cobra.Command{
+		Use:   "report DIR",
+		Short: "Write report.md and plots from a folder's results",
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(_ *cobra.Command, args []string) error { return experiment.Report(args[0]) },
+	}
 }
 
 func dayCommand() *cobra.Command {
--- a/cmd/balancer-testbed/mesh.go
+++ b/cmd/balancer-testbed/mesh.go
@@ -39,9 +39,8 @@
 			return usageError{errors.New("--nodes must be from 4 to 100 and --seeds from 1 to 1000")}
 		}
 		failed := false
-		fmt.Println(
-			"| scenario | nodes | runs | metric | median | worst | count |\n| --- | --- | --- | --- | --- | --- | --- |",
-		)
+		fmt.Println("| scenario | nodes | runs | metric | median | worst | count |")
+		fmt.Println("| --- | --- | --- | --- | --- | --- | --- |")
 		for _, sc := range testbed.Scenarios {
 			if !strings.Contains(sc.Name, only) {
 				continue
@@ -65,8 +64,7 @@
 	ctx context.Context,
 	sc testbed.Scenario,
 	binary string,
-	nodes,
-	seeds int,
+	nodes, seeds int,
 	probe time.Duration,
 ) (bad bool, err error) {
 	times, counts := map[string][]time.Duration{}, map[string]int{}
--- a/cmd/balancer-testbed/soak.go
+++ b/cmd/balancer-testbed/soak.go
@@ -108,8 +108,9 @@
 
 func printResult(r *soak.Result) {
 	a := r.Account
-	fmt.Printf("seed %d: taken %d = answered %d + left %d + cut off %d + lost %d; ends %v; testbed late %v; own violations %v; broken: %v\n",
-		r.Seed, a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, r.Ends, r.Lateness, r.Violations, r.Broken)
+	fmt.Printf("seed %d: taken %d = answered %d + left %d + cut off %d + lost %d; ",
+		r.Seed, a.Taken, a.Answered, a.Left, a.CutOff, a.Lost)
+	fmt.Printf("ends %v; testbed late %v; own violations %v; broken: %v\n", r.Ends, r.Lateness, r.Violations, r.Broken)
 	for i, f := range r.Faults {
 		fmt.Printf("   fault %d: %s\n", i, f)
 	}
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// endpointEntry is an entry of discovery's list, without the address, which is each node's own.
+// endpointEntry is an entry of discovery's list. Its address differs between nodes.
 type endpointEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -20,6 +20,7 @@
 	Born   int64   `json:"born_ms"`
 }
 
+// endpointUpdate is a list, or what has changed of it since a sequence number.
 type endpointUpdate struct {
 	Seq      int64           `json:"seq"`
 	Snapshot bool            `json:"whole"`
@@ -27,7 +28,7 @@
 }
 
 // discovery keeps a list for each tier and answers each node at an address of the node's own, since the servers'
-// addresses may differ between nodes. Its notifications are late by the world's figure.
+// addresses may differ between nodes. Its notifications are late by the world's setting.
 type discovery struct {
 	testbed  *Testbed
 	callSlot chan struct{} // calls are handled one at a time
@@ -37,19 +38,20 @@
 	late        time.Duration
 	tiers       []*tierList
 	gates       []*gate
-	gateByNode  map[*Node]*gate       // where each node asks
-	mutes       int                   // so often have all open watches fallen silent
-	watchStates map[*Node]*watchState // what each node can hear
+	gateByNode  map[*Node]*gate       // where each node connects
+	mutes       int                   // how often all open watches have fallen silent
+	watchStates map[*Node]*watchState // how each node follows
 }
 
 const (
-	silentWatchDelay = 6 * time.Second  // what a silent watch misses counts as notified so long after it fell silent
-	maxPollInterval  = 10 * time.Second // the list that a node without a watch has will do so long after its last call
+	silentWatchDelay = 6 * time.Second  // a node counts as notified of what its silent watch misses, after this
+	maxPollInterval  = 10 * time.Second // a node without a watch polls at least so often
 )
 
+// tierList is the list of one tier, with the log of its changes.
 type tierList struct {
 	seq     int64
-	base    int64 // the first number that this discovery knows of
+	base    int64 // the first number that this discovery has a log for
 	hosts   map[string]endpointEntry
 	log     []change
 	changed chan struct{} // closed at the next change
@@ -74,7 +76,7 @@
 	return d
 }
 
-// wake makes watches look at once; d.mu is held.
+// wake makes watches look at the list at once; d.mu is held.
 func (d *discovery) wake() {
 	for _, t := range d.tiers {
 		close(t.changed)
@@ -82,7 +84,7 @@
 	}
 }
 
-// publish tells of a server after so long; the world's figure if late is negative.
+// publish publishes the state of a server after a delay; the world's setting if late is negative.
 func (d *discovery) publish(tier int, h endpointEntry, late time.Duration) {
 	if late < 0 {
 		late = d.late
@@ -115,7 +117,7 @@
 	time.AfterFunc(late, write)
 }
 
-// since is what a node that has version from is told; d.mu is held.
+// since returns what a node that has version from is to be sent; d.mu is held.
 func (t *tierList) since(from int64) endpointUpdate {
 	n := endpointUpdate{Seq: t.seq, Hosts: []endpointEntry{}}
 	if from <= 0 || from > t.seq || from < t.base {
@@ -140,7 +142,7 @@
 	return n
 }
 
-// known is the whole list as it is now, for a node's configuration.
+// known returns the complete list as it is now, for a node's configuration.
 func (d *discovery) known(n *Node) endpointUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,7 +157,7 @@
 	return update
 }
 
-// serve opens the address at which a node asks.
+// serve opens the address at which a node polls and watches.
 func (d *discovery) serve(n *Node) (addr string, err error) {
 	g, err := newGate(d.testbed.discoveryIP() + ":0")
 	if err != nil {
@@ -173,7 +175,7 @@
 	return g.addr, nil
 }
 
-// gateOf is where a node asks.
+// gateOf returns the gate at which a node polls and watches.
 func (d *discovery) gateOf(n *Node) *gate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -324,7 +326,7 @@
 	}
 }
 
-// write writes a list, in the form that the outage gives it. It reports whether the node has all of it.
+// write writes a list, in the form that the fault gives it. It reports whether the node got all of it.
 func (d *discovery) write(n *Node, w http.ResponseWriter, update endpointUpdate, o DiscoveryFault) bool {
 	text, err := json.Marshal(update)
 	if err == nil && o.Indent {
--- a/internal/testbed/discovery_fault.go
+++ b/internal/testbed/discovery_fault.go
@@ -1,5 +1,3 @@
-// How discovery fails.
-
 package testbed
 
 import (
@@ -7,14 +5,14 @@
 	"time"
 )
 
-// DiscoveryFault is how discovery fails. The zero value is a well one.
+// DiscoveryFault is how discovery fails. The zero value is a healthy one.
 type DiscoveryFault struct {
 	Down bool          // watches end, calls are refused by a reset
 	Fail bool          // calls end in 503; watches go on
-	Slow time.Duration // each call takes so much longer, and they are handled in turn
+	Slow time.Duration // each call takes so much longer; calls are handled one at a time
 
-	Unresponsive bool // calls are taken and answered with nothing at all; watches that are open fall silent
-	Trickle      bool // in place of lines come spaces without an end of line
+	Unresponsive bool // calls are accepted and never answered; watches that are open fall silent
+	Trickle      bool // instead of lines, spaces are sent without an end of line
 	Cut          bool // each list ends in its middle, and with it the connection
 	Indent       bool // lists come in many lines
 }
@@ -34,7 +32,7 @@
 	d.wake()
 }
 
-// renumber is a discovery that comes back with other numbers, and ends all watches.
+// renumber makes discovery come back with other sequence numbers; all watches end.
 func (d *discovery) renumber(higher bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,7 +47,7 @@
 	time.AfterFunc(50*time.Millisecond, func() { d.set(DiscoveryFault{}) })
 }
 
-// silent says nothing until the client leaves.
+// silent waits without an answer until the client leaves.
 func (d *discovery) silent(r *http.Request) {
 	select {
 	case <-r.Context().Done():
@@ -57,13 +55,14 @@
 	}
 }
 
+// hangUp resets the connection of a call.
 func (d *discovery) hangUp(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if c, _, err := h.Hijack(); err == nil {
 			if g, ok := c.(*gatedConn); ok {
 				g.reset()
 			}
-			c.Close()
+			closeQuietly(c)
 		}
 	}
 }
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -134,34 +134,49 @@
 		return err
 	}
 	names, by := r.variants()
+	sortVariants(names)
+	var b strings.Builder
+	r.writeHeader(&b, names, by)
+	writeRules(&b, names, by)
+	writeMetrics(&b, names, by)
+	if len(names) > 1 {
+		writeDifferences(&b, names, by)
+	}
+	for _, n := range names {
+		if err := r.writeTimeline(&b, dir, n, by[n][0]); err != nil {
+			return err
+		}
+	}
+	return os.WriteFile(filepath.Join(dir, "report.md"), []byte(b.String()), 0o644)
+}
+
+// sortVariants sorts the variants by name, with the one that the others are compared with in front.
+func sortVariants(names []string) {
 	sort.Strings(names)
-	for i, n := range names { // the first to be compared with is the one that the file names first; "off" or "base" else
+	for i, n := range names {
 		if n == "off" || n == "base" || n == "before" {
 			names[0], names[i] = names[i], names[0]
 		}
 	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "# %s\n\n", r.Summaries[0].Experiment)
+}
+
+func (r *Results) writeHeader(b *strings.Builder, names []string, by map[string][]*Summary) {
+	fmt.Fprintf(b, "# %s\n\n", r.Summaries[0].Experiment)
 	for _, n := range names {
 		var seeds []string
 		for _, s := range by[n] {
 			seeds = append(seeds, fmt.Sprint(s.Seed))
 		}
-		fmt.Fprintf(&b, "- `%s`: binary %s, seeds %s\n", n, by[n][0].Binary, strings.Join(seeds, " "))
+		fmt.Fprintf(b, "- `%s`: binary %s, seeds %s\n", n, by[n][0].Binary, strings.Join(seeds, " "))
 	}
+}
+
+func writeRules(b *strings.Builder, names []string, by map[string][]*Summary) {
 	b.WriteString("\n## Rules and accounts\n\n")
-	table(&b, []string{
-		"variant",
-		"seed",
-		"arrived",
-		"taken",
-		"answered",
-		"left",
-		"cut off",
-		"lost",
-		"void windows",
-		"rules",
-	}, func(row func(...any)) {
+	head := []string{
+		"variant", "seed", "arrived", "taken", "answered", "left", "cut off", "lost", "void windows", "rules",
+	}
+	table(b, head, func(row func(...any)) {
 		for _, n := range names {
 			for _, s := range by[n] {
 				a := s.Account
@@ -169,56 +184,54 @@
 			}
 		}
 	})
-	b.WriteString("\n## Figures, median and worst over runs\n\n")
-	table(&b, append([]string{"figure"}, names...), func(row func(...any)) {
-		for _, f := range metrics {
-			cells := []any{f.name}
+}
+
+func writeMetrics(b *strings.Builder, names []string, by map[string][]*Summary) {
+	b.WriteString("\n## Metrics, median and worst over runs\n\n")
+	table(b, append([]string{"metric"}, names...), func(row func(...any)) {
+		for _, m := range metrics {
+			cells := []any{m.name}
 			for _, n := range names {
-				median, worst := medianWorst(values(by[n], f), f.low)
-				cells = append(cells, fmt.Sprintf(f.format+" / "+f.format, median, worst))
+				median, worst := medianWorst(values(by[n], m), m.low)
+				cells = append(cells, fmt.Sprintf(m.format+" / "+m.format, median, worst))
 			}
 			row(cells...)
 		}
 	})
-	if len(names) > 1 {
-		fmt.Fprintf(&b, "\n## Difference to `%s`, paired by seed\n\nMean of the differences with its 95%% bootstrap interval, and the sign test's p.\n\n", names[0])
-		table(&b, []string{"figure", "variant", "pairs", "difference", "from", "to", "p"}, func(row func(...any)) {
-			for _, f := range metrics {
-				for _, n := range names[1:] {
-					d := compare(paired(by[names[0]], by[n], f))
-					row(
-						f.name,
-						n,
-						d.Pairs,
-						fmt.Sprintf(f.format, d.Mean),
-						fmt.Sprintf(f.format, d.Low),
-						fmt.Sprintf(f.format, d.High),
-						fmt.Sprintf("%.3f", d.Sign),
-					)
-				}
-			}
-		})
-	}
-	for _, n := range names {
-		fmt.Fprintf(
-			&b,
-			"\n## `%s` over time\n\nMeans over the runs; grey lines are the steps of the first run's schedule.\n\n",
-			n,
-		)
-		for what, draw := range map[string]func(*plot.Plot, string) error{"ends": r.plotEnds, "latency": r.plotLatency} {
-			name := fmt.Sprintf("%s-%s.svg", what, n)
-			if err := r.save(filepath.Join(dir, name), n, by[n][0].Steps, draw); err != nil {
-				return err
+}
+
+func writeDifferences(b *strings.Builder, names []string, by map[string][]*Summary) {
+	fmt.Fprintf(b, "\n## Difference to `%s`, paired by seed\n\n", names[0])
+	b.WriteString("Mean of the differences with its 95% bootstrap interval, and the sign test's p.\n\n")
+	head := []string{"metric", "variant", "pairs", "difference", "from", "to", "p"}
+	table(b, head, func(row func(...any)) {
+		for _, m := range metrics {
+			for _, n := range names[1:] {
+				d := compare(paired(by[names[0]], by[n], m))
+				format := func(v float64) string { return fmt.Sprintf(m.format, v) }
+				row(m.name, n, d.Pairs, format(d.Mean), format(d.Low), format(d.High), fmt.Sprintf("%.3f", d.Sign))
 			}
 		}
-		fmt.Fprintf(&b, "![ends over time](ends-%s.svg)\n\n![latency over time](latency-%s.svg)\n\n", n, n)
-		table(&b, []string{"at", "step"}, func(row func(...any)) {
-			for _, m := range by[n][0].Steps {
-				row(fmt.Sprintf("%.2f s", m.At), m.What)
-			}
-		})
+	})
+}
+
+// writeTimeline writes the plots of a variant, and the schedule of its first run.
+func (r *Results) writeTimeline(b *strings.Builder, dir, variant string, first *Summary) error {
+	fmt.Fprintf(b, "\n## `%s` over time\n\n", variant)
+	b.WriteString("Means over the runs; grey lines are the steps of the first run's schedule.\n\n")
+	for what, draw := range map[string]func(*plot.Plot, string) error{"ends": r.plotEnds, "latency": r.plotLatency} {
+		path := filepath.Join(dir, fmt.Sprintf("%s-%s.svg", what, variant))
+		if err := r.save(path, variant, first.Steps, draw); err != nil {
+			return err
+		}
 	}
-	return os.WriteFile(filepath.Join(dir, "report.md"), []byte(b.String()), 0o644)
+	fmt.Fprintf(b, "![ends over time](ends-%s.svg)\n\n![latency over time](latency-%s.svg)\n\n", variant, variant)
+	table(b, []string{"at", "step"}, func(row func(...any)) {
+		for _, step := range first.Steps {
+			row(fmt.Sprintf("%.2f s", step.At), step.What)
+		}
+	})
+	return nil
 }
 
 func broken(s *Summary) string {
@@ -250,7 +263,7 @@
 	return x
 }
 
-// paired returns a figure of the runs that both variants have, by seed and repeat.
+// paired returns a metric of the runs that both variants have, by seed and repeat.
 func paired(a, b []*Summary, f metric) (x, y []float64) {
 	type play struct {
 		seed   uint64
@@ -268,15 +281,15 @@
 	return x, y
 }
 
-var colours = []color.Color{color.RGBA{
-	0x2c,
-	0x7f,
-	0x4a,
-	255,
-}, color.RGBA{0xd9, 0x8b, 0x1f, 255}, color.RGBA{0xc0, 0x39, 0x2b, 255},
-	color.RGBA{0x5b, 0x5b, 0x9e, 255}, color.RGBA{0x7a, 0x7a, 0x7a, 255}}
+var colours = []color.Color{
+	color.RGBA{0x2c, 0x7f, 0x4a, 255},
+	color.RGBA{0xd9, 0x8b, 0x1f, 255},
+	color.RGBA{0xc0, 0x39, 0x2b, 255},
+	color.RGBA{0x5b, 0x5b, 0x9e, 255},
+	color.RGBA{0x7a, 0x7a, 0x7a, 255},
+}
 
-// line adds a figure of a variant's windows, as a mean over its runs, to a plot.
+// line adds a metric of a variant's windows, as a mean over its runs, to a plot.
 func (r *Results) line(p *plot.Plot, variant, name string, n int, of func(Window) (v float64, ok bool)) error {
 	sums, counts := map[float64]float64{}, map[float64]int{}
 	for _, w := range r.Windows {
--- a/internal/testbed/experiment/runner.go
+++ b/internal/testbed/experiment/runner.go
@@ -146,6 +146,8 @@
 
 // runRecord gathers a run's windows.
 type runRecord struct {
+	key     Key
+	began   time.Duration // on the testbed's clock
 	mu      sync.Mutex
 	windows []Window
 	hists   []*hdrhistogram.Histogram
@@ -155,7 +157,7 @@
 }
 
 func newRunRecord(f *File, key Key) *runRecord {
-	b := &runRecord{total: hdrhistogram.New(1, maxLatencyMillis*1000, 3)}
+	b := &runRecord{key: key, total: hdrhistogram.New(1, maxLatencyMillis*1000, 3)}
 	for at := time.Duration(0); at < f.Length; at += f.Window {
 		b.windows = append(b.windows, Window{
 			Kind: "window",
@@ -169,7 +171,7 @@
 	return b
 }
 
-// add books what became of an arrival in the window of its drawn time.
+// add records what became of an arrival in the window of its drawn time.
 func (b *runRecord) add(f *File, s testbed.ArrivalResult) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -185,8 +187,8 @@
 	}
 	if s.End == "served" || s.End == "late" {
 		us := min(max(s.Latency.Microseconds(), 1), maxLatencyMillis*1000)
-		b.hists[i].RecordValue(us) // in range
-		b.total.RecordValue(us)
+		_ = b.hists[i].RecordValue(us) // in range
+		_ = b.total.RecordValue(us)
 	}
 	if s.End == "unsent" {
 		w.Void = true
@@ -201,23 +203,14 @@
 	}
 }
 
+// runOnce runs one variant with one seed and writes its results.
 func (r *Runner) runOnce(ctx context.Context, v Variant, seed uint64, repeat int) (*Summary, error) {
 	f := r.File
-	w := f.World
-	w.Seed, w.Args, w.Env = seed, v.Args, v.Env
-	if v.Fleet != nil {
-		w.Fleet = v.Fleet
-	}
-	w.Binary = r.Binary
-	if v.Binary != "" {
-		w.Binary = v.Binary
-	}
-	path, err := filepath.Abs(w.Binary) // nodes run in folders of their own
+	w, err := r.worldOf(v, seed)
 	if err != nil {
 		return nil, err
 	}
-	w.Binary = path
-	hash, err := digest(path)
+	hash, err := digest(w.Binary)
 	if err != nil {
 		return nil, err
 	}
@@ -234,7 +227,46 @@
 	}
 	defer tb.Close()
 	b := newRunRecord(f, key)
-	began := tb.Now()
+	b.began = tb.Now()
+	took := r.drive(ctx, tb, b, steps, day)
+	s := b.summary(tb)
+	s.Seconds = took.Seconds()
+	s.Interrupted = ctx.Err() != nil
+	for _, w := range b.windows {
+		if err := r.write(w); err != nil {
+			return nil, err
+		}
+	}
+	if err := r.write(s); err != nil {
+		return nil, err
+	}
+	return s, ctx.Err()
+}
+
+// worldOf returns the world of one variant with one seed.
+func (r *Runner) worldOf(v Variant, seed uint64) (testbed.World, error) {
+	w := r.File.World
+	w.Seed, w.Args, w.Env = seed, v.Args, v.Env
+	if v.Fleet != nil {
+		w.Fleet = v.Fleet
+	}
+	binary := r.Binary
+	if v.Binary != "" {
+		binary = v.Binary
+	}
+	var err error
+	w.Binary, err = filepath.Abs(binary) // nodes run in folders of their own
+	return w, err
+}
+
+// drive runs load, faults and sampling side by side, and returns how long the load took.
+func (r *Runner) drive(
+	ctx context.Context,
+	tb *testbed.Testbed,
+	b *runRecord,
+	steps []testbed.Step,
+	day []testbed.Arrival,
+) time.Duration {
 	running, stop := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	background.Add(2)
@@ -244,23 +276,13 @@
 	}()
 	go func() {
 		defer background.Done()
-		r.sample(running, tb, b, began, v.Name)
+		r.sample(running, tb, b)
 	}()
-	tb.Drive(ctx, &f.Load, day, func(s testbed.ArrivalResult) { b.add(f, s) })
-	took := tb.Now() - began
+	tb.Drive(ctx, &r.File.Load, day, func(s testbed.ArrivalResult) { b.add(r.File, s) })
+	took := tb.Now() - b.began
 	stop()
 	background.Wait()
-	s := b.summary(f, key, tb, began)
-	s.Seconds, s.Interrupted = took.Seconds(), ctx.Err() != nil
-	for _, w := range b.windows {
-		if err := r.write(w); err != nil {
-			return nil, err
-		}
-	}
-	if err := r.write(s); err != nil {
-		return nil, err
-	}
-	return s, ctx.Err()
+	return took
 }
 
 func (r *Runner) progress(format string, args ...any) {
@@ -270,7 +292,8 @@
 }
 
 // sample reads at each window's end what the nodes took of the machine in it.
-func (r *Runner) sample(ctx context.Context, tb *testbed.Testbed, b *runRecord, began time.Duration, variant string) {
+func (r *Runner) sample(ctx context.Context, tb *testbed.Testbed, b *runRecord) {
+	variant := b.key.Variant
 	tick := time.NewTicker(r.File.Window)
 	defer tick.Stop()
 	before := map[*testbed.Node]testbed.Usage{}
@@ -303,19 +326,19 @@
 		attempts, crossZone = a, c
 		ended, served := b.ended, w.Ends["served"]
 		b.mu.Unlock()
-		r.progress("%s: %3.0f of %.0f s, %d ended, %d served in the last window", variant, (tb.Now() - began).Seconds(),
+		r.progress("%s: %3.0f of %.0f s, %d ended, %d served in the last window", variant, (tb.Now() - b.began).Seconds(),
 			r.File.Length.Seconds(), ended, served)
 	}
 	<-ctx.Done()
 }
 
 // summary closes the windows and sums them up.
-func (b *runRecord) summary(f *File, key Key, tb *testbed.Testbed, began time.Duration) *Summary {
+func (b *runRecord) summary(tb *testbed.Testbed) *Summary {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := &Summary{
 		Kind:    "summary",
-		Key:     key,
+		Key:     b.key,
 		Ends:    map[string]int{},
 		Worst:   1,
 		Account: tb.Checker().Account(),
@@ -324,7 +347,7 @@
 	var weight, earned float64
 	for i := range b.windows {
 		w := &b.windows[i]
-		from, to := began+time.Duration(w.From*1e9), began+time.Duration(w.To*1e9)
+		from, to := b.began+time.Duration(w.From*1e9), b.began+time.Duration(w.To*1e9)
 		w.Lateness = max(w.Lateness, float64(tb.Lateness(from, to))/1e6)
 		w.Void = w.Void || tb.Void(from, to)
 		w.P50, w.P99 = quantile(b.hists[i], 50), quantile(b.hists[i], 99)
@@ -349,10 +372,10 @@
 	if weight > 0 {
 		s.Served = earned / weight
 	}
-	s.P50, s.P90, s.P99, s.P999 = quantile(
-		b.total,
-		50,
-	), quantile(b.total, 90), quantile(b.total, 99), quantile(b.total, 99.9)
+	s.P50 = quantile(b.total, 50)
+	s.P90 = quantile(b.total, 90)
+	s.P99 = quantile(b.total, 99)
+	s.P999 = quantile(b.total, 99.9)
 	s.Imbalance = tb.Imbalance()
 	s.Found, s.Broken = tb.Findings()
 	s.Found = slices.Clip(s.Found[:min(maxFindings, len(s.Found))])
--- a/internal/testbed/experiment/statistics.go
+++ b/internal/testbed/experiment/statistics.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Difference compares a figure of one variant with that of the first, paired by seed and repeat.
+// Difference compares a metric of one variant with that of the first, paired by seed and repeat.
 type Difference struct {
 	Pairs     int
 	Mean      float64
@@ -19,7 +19,7 @@
 
 const resamples = 10_000
 
-// compare pairs a[i] with b[i]. The resampling is seeded, so the same figures give the same interval.
+// compare pairs a[i] with b[i]. The resampling is seeded, so the same values give the same interval.
 func compare(a, b []float64) Difference {
 	d := Difference{Pairs: len(a), Sign: 1}
 	if len(a) == 0 {
@@ -54,7 +54,7 @@
 	return d
 }
 
-// medianWorst returns the median and the worst of some figures, the worst being the lowest where low is true.
+// medianWorst returns the median and the worst of some values, the worst being the lowest where low is true.
 func medianWorst(x []float64, low bool) (median, worst float64) {
 	if len(x) == 0 {
 		return 0, 0
--- a/internal/testbed/notification_times.go
+++ b/internal/testbed/notification_times.go
@@ -1,36 +1,32 @@
-// What a node counts as notified, by the rules of the platform.
-
 package testbed
 
-import (
-	"time"
-)
+import "time"
 
-// watchState is what a node is held to, by the rules of the platform.
+// watchState is how a node follows discovery, which determines when it counts as notified of a change.
 type watchState struct {
-	watches  int           // open and well
-	silent   time.Duration // since when its watch says nothing; 0: it does not
-	lastPoll time.Duration // when it last asked, or its watch ended
+	watches  int           // open
+	silent   time.Duration // since when its watch is silent; 0: it is not
+	lastPoll time.Duration // when it last polled, or its watch ended
 }
 
-// notificationTime says when a node counts as notified of what changes now, if nothing is written to it before; d.mu
-// is held.
+// notificationTime returns when a node counts as notified, by the rules of the platform, of what changes now, if
+// nothing is written to it before; d.mu is held.
 func (d *discovery) notificationTime(n *Node) time.Duration {
-	now, e := d.testbed.now(), d.watchStates[n]
+	now, state := d.testbed.now(), d.watchStates[n]
 	switch {
-	case e == nil: // it has never asked
+	case state == nil: // it has never polled
 		return now + maxPollInterval
-	case e.silent > 0:
-		return max(now, e.silent+silentWatchDelay)
-	case e.watches > 0:
+	case state.silent > 0:
+		return max(now, state.silent+silentWatchDelay)
+	case state.watches > 0:
 		return now + silentWatchDelay
 	case d.testbed.world.Discovery.Asked || d.fault.Down || d.fault.Fail:
-		return max(now, e.lastPoll+maxPollInterval)
+		return max(now, state.lastPoll+maxPollInterval)
 	}
-	return now // the agent has it, and the node has no watch
+	return now // discovery has the change, and the node has no watch
 }
 
-// updateWatch changes what a node can hear.
+// updateWatch changes the watch state of a node, and returns it.
 func (d *discovery) updateWatch(n *Node, f func(*watchState)) *watchState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,16 +37,16 @@
 	return d.watchStates[n]
 }
 
-// recordNotified lets the checker know what a node has heard.
+// recordNotified tells the checker what was written to a node.
 func (d *discovery) recordNotified(n *Node, update endpointUpdate) {
-	listedNow := map[string]bool{}
+	listed := map[string]bool{}
 	for _, h := range update.Hosts {
 		d.testbed.checker.recordNotification(n.name, h.Host, h.Health == "in_service", d.testbed.now())
-		listedNow[h.Host] = true
+		listed[h.Host] = true
 	}
 	if update.Snapshot {
 		for name, s := range d.testbed.servers {
-			if s.tier == n.tier && !listedNow[name] {
+			if s.tier == n.tier && !listed[name] {
 				d.testbed.checker.recordNotification(n.name, name, false, d.testbed.now())
 			}
 		}
--- a/internal/testbed/shim/faults.go
+++ b/internal/testbed/shim/faults.go
@@ -23,8 +23,18 @@
 }
 
 var faults = map[uint64]fault{
-	syscall.SYS_ACCEPT4: {"accept4", []socketKind{listening}, []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
-		syscall.EPERM, syscall.ECONNABORTED, syscall.ENETDOWN, syscall.EMFILE, syscall.ENFILE, syscall.EINTR, syscall.EHOSTUNREACH}},
+	syscall.SYS_ACCEPT4: {"accept4", []socketKind{listening}, []syscall.Errno{
+		syscall.ENOBUFS,
+		syscall.ENOMEM,
+		syscall.EPROTO,
+		syscall.EPERM,
+		syscall.ECONNABORTED,
+		syscall.ENETDOWN,
+		syscall.EMFILE,
+		syscall.ENFILE,
+		syscall.EINTR,
+		syscall.EHOSTUNREACH,
+	}},
 	syscall.SYS_SOCKET: {"socket", nil, []syscall.Errno{
 		syscall.EMFILE,
 		syscall.ENFILE,
@@ -57,7 +67,7 @@
 	syscall.SYS_OPENAT:     {"openat", nil, []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EIO, syscall.EINTR}},
 }
 
-const epollAdd = 1 // EPOLL_CTL_ADD; failing removals have no page in the program's books
+const epollAdd = 1 // EPOLL_CTL_ADD; a program does not expect removals to fail
 
 // canFail reports whether a call may be failed.
 func canFail(number uint64, kind socketKind, second uint64) (fault, bool) {
--- a/internal/testbed/shim/trace.go
+++ b/internal/testbed/shim/trace.go
@@ -68,13 +68,18 @@
 	if err := c.Start(); err != nil {
 		return 0, err
 	}
-	t := &tracer{spec: spec, leader: c.Process.Pid, began: time.Now(), random: rand.New(
-		rand.NewPCG(spec.Seed, 3),
-	), log: log,
-		threads: map[int]*thread{}, sockets: map[uint64]socketKind{}}
+	t := &tracer{
+		spec:    spec,
+		leader:  c.Process.Pid,
+		began:   time.Now(),
+		random:  rand.New(rand.NewPCG(spec.Seed, 3)),
+		log:     log,
+		threads: map[int]*thread{},
+		sockets: map[uint64]socketKind{},
+	}
 	go func() { // ends with this process
 		for s := range signals {
-			syscall.Kill(t.leader, s.(syscall.Signal))
+			_ = syscall.Kill(t.leader, s.(syscall.Signal))
 		}
 	}()
 	return t.follow()
@@ -99,7 +104,7 @@
 		}
 	}
 	t.threads[t.leader] = &thread{}
-	syscall.PtraceSyscall(t.leader, 0)
+	_ = syscall.PtraceSyscall(t.leader, 0) // fails where it has just been killed
 	for {
 		id, err := syscall.Wait4(-1, &status, syscall.WALL|waitNoThread, nil)
 		if errors.Is(err, syscall.EINTR) {
@@ -118,7 +123,7 @@
 			}
 			return status.ExitStatus(), nil
 		}
-		syscall.PtraceSyscall(id, t.stopped(id, status)) // fails where the thread has just been killed
+		_ = syscall.PtraceSyscall(id, t.stopped(id, status)) // fails where the thread has just been killed
 	}
 }
 
@@ -169,14 +174,14 @@
 		th.fail = 0
 		return
 	}
-	fmt.Fprintf(t.log, "%.3f %s fd=%d %s\n", at.Seconds(), f.name, th.first, th.fail)
+	_, _ = fmt.Fprintf(t.log, "%.3f %s fd=%d %s\n", at.Seconds(), f.name, th.first, th.fail)
 }
 
-// leave sets what a failed call returns, keeps the books of sockets, and shifts the wall clock.
+// leave sets what a failed call returns, tracks sockets, and shifts the wall clock.
 func (t *tracer) leave(id int, th *thread, regs *syscall.PtraceRegs) {
 	if th.fail != 0 {
 		regs.Rax = uint64(-int64(th.fail))
-		syscall.PtraceSetRegs(id, regs)
+		_ = syscall.PtraceSetRegs(id, regs) // fails where it has just been killed
 		return
 	}
 	result := int64(regs.Rax)
@@ -204,11 +209,11 @@
 	}
 	seconds := binary.LittleEndian.Uint64(word) + uint64(int64(t.spec.ClockStep/time.Second))
 	binary.LittleEndian.PutUint64(word, seconds)
-	syscall.PtracePokeData(id, at, word)
+	_, _ = syscall.PtracePokeData(id, at, word) // fails where it has just been killed
 }
 
-// hideVDSO takes the page of calls that bypass the kernel out of what the program is told at its start: reading the
-// clock is a system call then.
+// hideVDSO removes the vDSO from the auxiliary vector that the program gets at its start, so that reading the clock is a
+// system call.
 func (t *tracer) hideVDSO() error {
 	var regs syscall.PtraceRegs
 	if err := syscall.PtraceGetRegs(t.leader, &regs); err != nil {
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -17,7 +17,7 @@
 	secondCluster   = 10 * time.Second
 	clusterDuration = 1500 * time.Millisecond // the faults of a cluster begin within it
 	length          = 18 * time.Second
-	quietAfter      = 5 * time.Second // for what is still out, before the counters are compared
+	quietAfter      = 5 * time.Second // for pending requests, before the counters are compared
 )
 
 // Shims: system calls of some nodes fail, and the wall clock of some jumps.
@@ -32,7 +32,7 @@
 	Seed   uint64
 	World  testbed.World
 	Load   testbed.Load
-	Faults []testbed.Fault // the order is the numbering by which some are left out
+	Faults []testbed.Fault // their indexes number them for Keep
 }
 
 // NewPlan draws the run of a seed.
@@ -124,7 +124,7 @@
 	discovery := false
 	for _, k := range kinds {
 		c := catalogue[k]
-		if c.discovery && discovery { // discovery fails in one way at a time
+		if c.discovery && discovery { // discovery has one fault at a time
 			continue
 		}
 		discovery = discovery || c.discovery
@@ -155,10 +155,10 @@
 
 // catalogue lists the kinds of fault. Their meaning is at testbed.Fault.
 var catalogue = []faultKind{
-	{draw: func(r *rand.Rand) testbed.Fault {
+	{draw: func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "term", Target: frontNodes, Pick: 2, For: time.Second}
 	}},
-	{draw: func(r *rand.Rand) testbed.Fault {
+	{draw: func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "kill", Target: frontNodes, Pick: 2, For: time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
@@ -172,7 +172,7 @@
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "stop", Target: "n*", Pick: 3, For: randomDuration(r, 300*time.Millisecond, 5*time.Second)}
 	}},
-	{draw: func(r *rand.Rand) testbed.Fault {
+	{draw: func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "reload", Target: "n*", Every: 20 * time.Millisecond}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
@@ -221,23 +221,23 @@
 			For:   3 * time.Second,
 		}
 	}},
-	{draw: func(r *rand.Rand) testbed.Fault {
+	{draw: func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "link", From: "n@*", To: "*-[1-3]", Rate: 3000, For: 3 * time.Second}
 	}},
-	{draw: func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "reset", From: "n*", To: "*-[1-4]"} }},
+	{draw: func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "reset", From: "n*", To: "*-[1-4]"} }},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "cut", From: "n[1-4]", To: "front-*", For: randomDuration(r, time.Second, 3*time.Second)}
 	}},
 	{true, func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "disc_down", For: randomDuration(r, time.Second, 6*time.Second)}
 	}},
-	{true, func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_fail", For: 3 * time.Second} }},
-	{true, func(r *rand.Rand) testbed.Fault {
+	{true, func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_fail", For: 3 * time.Second} }},
+	{true, func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "disc_slow", For: 3 * time.Second, Delay: 30 * time.Millisecond}
 	}},
-	{true, func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_cut", For: time.Second} }},
-	{true, func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_indent", For: 3 * time.Second} }},
-	{draw: func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_mute"} }},
+	{true, func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_cut", For: time.Second} }},
+	{true, func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_indent", For: 3 * time.Second} }},
+	{draw: func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_mute"} }},
 	{true, func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "disc_renumber", Factor: float64(1 + r.IntN(2))}
 	}},
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"maps"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -106,9 +105,9 @@
 
 var adminClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-const maxRequests = 5 // of one path: a shim may break some connections
+const maxRequests = 5 // of one path
 
-// getJSON reads what a node's admin endpoint shows.
+// getJSON reads what a node's admin endpoint shows; it tries again, as a shim may break some connections.
 func getJSON(ctx context.Context, n *testbed.Node, path string, into any) (err error) {
 	for range maxRequests {
 		if err = getJSONOnce(ctx, n, path, into); err == nil {
@@ -209,7 +208,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if slices.ContainsFunc(slices.Collect(maps.Keys(first.Broken)), func(rule testbed.Rule) bool { return r.Broken[rule] > 0 }) {
+		if breaksSameRule(first, r) {
 			kept = less
 			continue
 		}
@@ -217,3 +216,13 @@
 	}
 	return kept, ctx.Err()
 }
+
+// breaksSameRule reports whether a run broke one of the rules that another one broke.
+func breaksSameRule(first, other *Result) bool {
+	for rule := range first.Broken {
+		if other.Broken[rule] > 0 {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/testbed/testbedtest/testbedtest.go
+++ b/internal/testbed/testbedtest/testbedtest.go
@@ -1,4 +1,4 @@
-// Package labtest builds the node program for tests that start real processes.
+// Package testbedtest builds the node program for tests that start real processes.
 package testbedtest
 
 import (
@@ -17,7 +17,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // what cannot be removed stays in the temporary folder
 	*binary = filepath.Join(dir, "balancer")
 	if out, err := exec.Command("go", "build", "-o", *binary, "keelusher/cmd/balancer").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build of the node: %v\n%s", err, out)
