--- /dev/null
+++ b/internal/testbed/gate_test.go
@@ -0,0 +1,49 @@
+package testbed
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+)
+
+func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+
+func isTimeout(err error) bool {
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
+
+func TestGateRefusesAndComesBackAtItsAddress(t *testing.T) {
+	g, err := newGate("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeQuietly(g)
+	for range 3 {
+		for mode, isExpected := range map[gateMode]func(error) bool{gateRefuse: isRefused, gateSilent: isTimeout} {
+			if err := g.set(mode); err != nil {
+				t.Fatal(err)
+			}
+			c, err := net.DialTimeout("tcp", g.addr, 100*time.Millisecond)
+			if err == nil {
+				closeQuietly(c)
+			}
+			if !isExpected(err) {
+				t.Errorf("mode %d: %v", mode, err)
+			}
+		}
+		if err := g.set(gateOpen); err != nil {
+			t.Fatal(err)
+		}
+		client := dial(t, g.addr)
+		server, err := g.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if server.RemoteAddr().String() != client.LocalAddr().String() {
+			t.Errorf("accepted %v, want %v", server.RemoteAddr(), client.LocalAddr())
+		}
+	}
+}
--- /dev/null
+++ b/internal/testbed/link_test.go
@@ -0,0 +1,204 @@
+package testbed
+
+import (
+	"errors"
+	"io"
+	"math"
+	"net"
+	"os"
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// echo is a far side that gives back what it gets.
+func echo(t *testing.T) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				_, _ = io.Copy(c, c) // until either side ends
+			}()
+		}
+	}()
+	return ln.Addr().String()
+}
+
+// newLink returns a link to an echoing server, and its direction back.
+func newLink(t *testing.T) (l *tcpLink, back *direction) {
+	t.Helper()
+	back = newDirection()
+	l, err := newTCPLink("127.0.0.1:0", echo(t), newDirection(), back)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(l.close)
+	return l, back
+}
+
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	c, err := net.DialTimeout("tcp", addr, 5*time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return c
+}
+
+func TestLinkResetInMidBody(t *testing.T) {
+	l, back := newLink(t)
+	c := dial(t, l.gate.addr)
+	back.set(LinkCondition{Rate: 100_000})
+	// It is accepted at once; at that rate its echo takes a second.
+	if _, err := c.Write(make([]byte, 100_000)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.ReadFull(c, make([]byte, 1000)); err != nil {
+		t.Fatal(err)
+	}
+	l.gate.reset()
+	if _, err := io.Copy(io.Discard, c); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("the reader got %v, want a reset", err)
+	}
+	back.set(LinkCondition{})
+	c = dial(t, l.gate.addr)
+	writeText(t, c, "hello")
+	if _, err := io.ReadFull(c, make([]byte, 5)); err != nil {
+		t.Errorf("after the reset: %v", err)
+	}
+}
+
+// A cut one way holds back what goes that way only, new connections do not come up, and all goes on after it.
+func TestLinkCutOneWay(t *testing.T) {
+	l, back := newLink(t)
+	c := dial(t, l.gate.addr)
+	back.set(LinkCondition{Cut: true})
+	l.conditionsChanged()
+	writeText(t, c, "hello")
+	check(t, c.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
+	if n, err := c.Read(make([]byte, 5)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("%d bytes and %v came through the cut", n, err)
+	}
+	if c, err := net.DialTimeout("tcp", l.gate.addr, 100*time.Millisecond); err == nil {
+		c.Close()
+		t.Error("a connection came up through the cut")
+	}
+	back.set(LinkCondition{})
+	l.conditionsChanged()
+	check(t, c.SetReadDeadline(time.Now().Add(longEnough)))
+	got := make([]byte, 5)
+	if _, err := io.ReadFull(c, got); err != nil || string(got) != "hello" {
+		t.Errorf("after the cut: %q, %v", got, err)
+	}
+	dial(t, l.gate.addr)
+}
+
+// Of 4,000 datagrams as many are lost, doubled and out of order as the condition says, within five deviations.
+func TestUDPLinkLosesDoublesAndReorders(t *testing.T) {
+	const n, loss, dup, reorder = 4000, 0.2, 0.1, 0.1
+	server, client, there := newUDPTestLink(t)
+	exchangePingPong(t, client, server)
+	there.set(LinkCondition{Loss: loss, Dup: dup, Reorder: reorder})
+	seen := datagramCounts{received: map[int]int{}, last: -1}
+	for i := range n {
+		writeText(t, client, strconv.Itoa(i))
+		if i%20 == 19 {
+			seen.readAll(t, server)
+		}
+	}
+	checkShare := func(what string, got int, p float64) {
+		t.Helper()
+		if d := 5 * math.Sqrt(n*p*(1-p)); math.Abs(float64(got)-n*p) > d {
+			t.Errorf("%s: %d of %d, want %.0f within %.0f", what, got, n, n*p, d)
+		}
+	}
+	checkShare("lost", n-len(seen.received), loss)
+	checkShare("doubled", seen.doubled, dup*(1-loss)*(1-reorder/2)) // a reordered one is not doubled
+	if float64(seen.outOfOrder) < n*reorder*(1-loss)/3 {
+		t.Errorf("%d out of order", seen.outOfOrder)
+	}
+}
+
+// newUDPTestLink returns the two ends of a UDP link, and its direction to the server.
+func newUDPTestLink(t *testing.T) (server *net.UDPConn, client net.Conn, there *direction) {
+	t.Helper()
+	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeQuietly(server) })
+	there = newDirection()
+	l, err := newUDPLink("127.0.0.1:0", server.LocalAddr().String(), there, newDirection())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(l.close)
+	client, err = net.Dial("udp", l.addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeQuietly(client) })
+	return server, client, there
+}
+
+// exchangePingPong sends one datagram through a link and one back.
+func exchangePingPong(t *testing.T, client net.Conn, server *net.UDPConn) {
+	t.Helper()
+	buf := make([]byte, 100)
+	writeText(t, client, "ping")
+	check(t, server.SetReadDeadline(time.Now().Add(longEnough)))
+	_, from, err := server.ReadFromUDP(buf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := server.WriteToUDP([]byte("pong"), from); err != nil {
+		t.Fatal(err)
+	}
+	check(t, client.SetReadDeadline(time.Now().Add(longEnough)))
+	if k, err := client.Read(buf); err != nil || string(buf[:k]) != "pong" {
+		t.Fatalf("back came %q, %v", buf[:k], err)
+	}
+}
+
+// datagramCounts counts numbered datagrams as they come.
+type datagramCounts struct {
+	received   map[int]int // by number
+	doubled    int
+	outOfOrder int
+	last       int // the highest number so far
+}
+
+// readAll reads datagrams until none has come for 2 ms.
+func (c *datagramCounts) readAll(t *testing.T, server *net.UDPConn) {
+	t.Helper()
+	buf := make([]byte, 100)
+	check(t, server.SetReadDeadline(time.Now().Add(2*time.Millisecond)))
+	for {
+		k, err := server.Read(buf)
+		if err != nil {
+			return
+		}
+		x, err := strconv.Atoi(string(buf[:k]))
+		check(t, err)
+		c.received[x]++
+		if c.received[x] > 1 {
+			c.doubled++
+		}
+		if x < c.last {
+			c.outOfOrder++
+		}
+		c.last = max(c.last, x)
+	}
+}
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -16,7 +16,7 @@
 	return w
 }
 
-func sides(tb *Testbed, nodes []*Node) (all []string) {
+func sides(nodes []*Node) (all []string) {
 	for _, n := range nodes {
 		v, err := n.Fleet(context.Background())
 		if err != nil {
@@ -28,11 +28,11 @@
 	return all
 }
 
-func untilAgreed(t *testing.T, tb *Testbed, nodes []*Node, side string) {
+func untilAgreed(t *testing.T, nodes []*Node, side string) {
 	t.Helper()
 	defer func() {
 		if t.Failed() {
-			t.Log(sides(tb, nodes))
+			t.Log(sides(nodes))
 		}
 	}()
 	Until(
@@ -58,7 +58,7 @@
 	t.Parallel()
 	tb := Start(t, meshWorld(5))
 	nodes := tb.Nodes()
-	untilAgreed(t, tb, nodes, "whole")
+	untilAgreed(t, nodes, "whole")
 	load, day := draw(t, &tb.world, Load{Rate: 50, Retries: 1}, 12*time.Second)
 	driven := make(chan struct{})
 	var got tally
@@ -68,18 +68,18 @@
 	}()
 	nodes[4].Kill()
 	untilSeen(t, nodes[:4], "n5", "gone")
-	untilAgreed(t, tb, nodes[:4], "majority")
+	untilAgreed(t, nodes[:4], "majority")
 	if err := nodes[4].restart(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	untilAgreed(t, tb, nodes, "whole")
-	nodes[2].Stop()
+	untilAgreed(t, nodes, "whole")
+	check(t, nodes[2].Stop())
 	untilSeen(t, append(nodes[:2:2], nodes[3:]...), "n3", "gone")
-	nodes[2].Continue()
-	untilAgreed(t, tb, nodes, "whole")
+	check(t, nodes[2].Continue())
+	untilAgreed(t, nodes, "whole")
 	nodes[3].Terminate()
 	untilSeen(t, append(nodes[:3:3], nodes[4]), "n4", "left")
-	untilAgreed(t, tb, append(nodes[:3:3], nodes[4]), "whole")
+	untilAgreed(t, append(nodes[:3:3], nodes[4]), "whole")
 	<-driven
 	checkNoFindings(t, tb)
 }
@@ -89,17 +89,17 @@
 	t.Parallel()
 	tb := Start(t, meshWorld(5))
 	nodes := tb.Nodes()
-	untilAgreed(t, tb, nodes, "whole")
+	untilAgreed(t, nodes, "whole")
 	for _, from := range []string{"n1", "n2"} {
 		for _, to := range []string{"n3", "n4", "n5"} {
 			tb.SetLink(from, to, LinkCondition{Cut: true})
 			tb.SetLink(to, from, LinkCondition{Cut: true})
 		}
 	}
-	untilAgreed(t, tb, nodes[2:], "majority")
-	untilAgreed(t, tb, nodes[:2], "minority")
+	untilAgreed(t, nodes[2:], "majority")
+	untilAgreed(t, nodes[:2], "minority")
 	tb.SetLink("n*", "n*", LinkCondition{})
-	untilAgreed(t, tb, nodes, "whole")
+	untilAgreed(t, nodes, "whole")
 }
 
 // One node that cannot be heard by one other stays a member for all: its word gets there through the others.
@@ -109,7 +109,7 @@
 	w.Fleet = Tables{"mesh": map[string]any{"probe": "500ms"}} // a busy machine must not pass for a loss
 	tb := Start(t, w)
 	nodes := tb.Nodes()
-	untilAgreed(t, tb, nodes, "whole")
+	untilAgreed(t, nodes, "whole")
 	tb.SetLink("n4", "n3", LinkCondition{Cut: true})
 	from := tb.Now()
 	Until(t, "some time has passed", func() bool {
@@ -154,7 +154,7 @@
 
 // Beside a program that has one of its addresses a testbed takes another block.
 func TestTestbedTakesAnotherBlock(t *testing.T) {
-	first := Start(t, healthyStubs(1))
+	first := Start(t, healthyStub())
 	n := first.Node("n1")
 	n.Kill()
 	other, err := net.Listen("tcp", n.Listen())
@@ -163,7 +163,7 @@
 	}
 	defer other.Close()
 	first.lock.Close() // the next testbed may take the same block, beside the other program
-	tb, err := openFrom(context.Background(), healthyStubs(1), first.net-firstBlock)
+	tb, err := openFrom(context.Background(), healthyStub(), first.net-firstBlock)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -47,15 +47,13 @@
 			tb.Drive(context.Background(), &load, day, got.add)
 			<-played
 			checkNoFindings(t, tb)
-			if got.count("served") < len(day)/3 {
-				t.Errorf("served %d of %d", got.count("served"), len(day))
+			if got.served() < len(day)/3 {
+				t.Errorf("served %d of %d", got.served(), len(day))
 			}
 			tb.checker.mu.Lock()
 			defer tb.checker.mu.Unlock()
-			if at, notified := tb.checker.drainNotifiedAt[nodeAndServer{
-				"n1",
-				"front-2",
-			}]; !notified || at > tb.now()-drainWithin-slack {
+			at, notified := tb.checker.drainNotifiedAt[nodeAndServer{"n1", "front-2"}]
+			if !notified || at > tb.now()-drainWithin-slack {
 				t.Errorf("notified %v, at %v: the drain was not held to within the day", notified, at)
 			}
 		})
--- a/internal/testbed/stub_node_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -21,7 +21,7 @@
 // to be killed.
 func runStubNode(as string) {
 	if as == "testbed" {
-		os.Setenv("TESTBED_TEST_AS", "well")
+		_ = os.Setenv("TESTBED_TEST_AS", "well")
 		w := small(2, 1)
 		w.Binary = os.Args[0]
 		tb, err := Open(context.Background(), w)
@@ -51,7 +51,7 @@
 	}
 	go func() {
 		if resp, err := http.Get("http://" + cfg.Discovery + "/v1/endpoints?watch=1&from=0"); err == nil {
-			io.Copy(io.Discard, resp.Body)
+			_, _ = io.Copy(io.Discard, resp.Body)
 		}
 	}()
 	ln, err := net.Listen("tcp", cfg.Listen)
@@ -75,7 +75,7 @@
 		if err != nil {
 			return
 		}
-		io.Copy(io.Discard, r.Body)
+		_, _ = io.Copy(io.Discard, r.Body)
 		switch {
 		case r.URL.Path == "/ready":
 		case as == "overtell":
@@ -88,12 +88,12 @@
 		case as == "swallow":
 			return
 		case as == "give back":
-			c.(*net.TCPConn).SetLinger(0)
+			_ = c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 			time.Sleep(100 * time.Millisecond)
 		}
 		if r.URL.Path == "/ready" {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
 		answer := forward(r, hosts[0])
@@ -137,8 +137,18 @@
 // The checker finds each planted fault by its name, and nothing where none is planted. A run in which the testbed
 // itself was late proves nothing, by its own rule, and is run again; one that was not must show the fault.
 func TestCheckerFindsPlantedFaults(t *testing.T) {
-	for as, want := range map[string]Rule{"well": "", "twice": AnsweredTwice, "resend": DuplicateExecution, "lose": Lost, "drained": SentToDraining,
-		"overtell": BudgetTooLong, "linger": SentAfterDisconnect, "repeat": RetryAfterWindow, "swallow": Lost, "give back": ForwardedUnread} {
+	for as, want := range map[string]Rule{
+		"well":      "",
+		"twice":     AnsweredTwice,
+		"resend":    DuplicateExecution,
+		"lose":      Lost,
+		"drained":   SentToDraining,
+		"overtell":  BudgetTooLong,
+		"linger":    SentAfterDisconnect,
+		"repeat":    RetryAfterWindow,
+		"swallow":   Lost,
+		"give back": ForwardedUnread,
+	} {
 		t.Run(as, func(t *testing.T) {
 			t.Parallel()
 			end := time.Now().Add(longEnough)
@@ -198,16 +208,16 @@
 
 // An improper client that a node keeps is found.
 func TestCheckerFindsKeptImproperClients(t *testing.T) {
-	tb := Start(t, healthyStubs(1)) // waits for whole heads for good
+	tb := Start(t, healthyStub()) // waits for whole heads for good
 	tb.runImproperClients(context.Background(), tb.Node("n1"), 4)
 	if found, counts := tb.Checker().Findings(); counts[ImproperClientKept] == 0 || len(counts) > 1 {
 		t.Errorf("found %v", found)
 	}
 }
 
-// wellDouble is a world of doubles without a fault.
-func healthyStubs(nodes int) World {
-	w := small(nodes, 2)
+// healthyStub is a world with one stub node that has no fault.
+func healthyStub() World {
+	w := small(1, 2)
 	w.Binary, w.Env = os.Args[0], []string{"TESTBED_TEST_AS=well"}
 	return w
 }
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -3,6 +3,8 @@
 import (
 	"bytes"
 	"context"
+	"io"
+	"net"
 	"os"
 	"sync"
 	"testing"
@@ -61,10 +63,27 @@
 	x.all = append(x.all, s)
 }
 
-func (x *tally) count(end string) int {
+// served returns how many arrivals were served.
+func (x *tally) served() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.ends[end]
+	return x.ends["served"]
+}
+
+// check fails a test, and lets it go on, where there is an error.
+func check(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Error(err)
+	}
+}
+
+// writeText writes a text to a connection.
+func writeText(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
 }
 
 func draw(t *testing.T, w *World, l Load, length time.Duration) (Load, []Arrival) {
@@ -96,8 +115,8 @@
 	load, day := draw(t, &tb.world, Load{Rate: 100}, 2*time.Second)
 	var got tally
 	tb.Drive(context.Background(), &load, day, got.add)
-	if got.count("served") < len(day)*95/100 {
-		t.Errorf("served %d of %d: %v", got.count("served"), len(day), got.ends)
+	if got.served() < len(day)*95/100 {
+		t.Errorf("served %d of %d: %v", got.served(), len(day), got.ends)
 	}
 	checkNoFindings(t, tb)
 	if a := tb.Checker().Account(); a.Taken < 3*len(day)*95/100 {
