--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -36,7 +36,7 @@
 	maxBodySize    = 64 << 10
 	readBufferSize = 2 << 10
 	maxIdleConns   = 256             // connections kept by one client
-	maxIdleTime    = 5 * time.Second // a client closes what was idle for so long
+	maxIdleTime    = 5 * time.Second // a client closes connections that are idle for longer
 	dialTimeout    = time.Second
 )
 
--- a/internal/testbed/corrupt_response.go
+++ b/internal/testbed/corrupt_response.go
@@ -11,9 +11,9 @@
 	maxCloseDelay     = 20 * time.Millisecond // from an answer to the end of its connection
 )
 
-// writeCorruptResponse writes one answer in a way that the draw for the request names: twice, cut off and without a
-// length, or whole with an end of the connection a moment later, as the next request may come. The connection is over
-// in any case.
+// writeCorruptResponse writes one answer in a way that the request's draw chooses: twice, cut off and without a
+// length, or complete with an end of the connection a moment later, when the next request may come. The connection
+// ends in any case.
 func (s *Server) writeCorruptResponse(w http.ResponseWriter, id string) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -45,7 +45,7 @@
 
 const (
 	silentWatchDelay = 6 * time.Second  // a node counts as notified of what its silent watch misses, after this
-	maxPollInterval  = 10 * time.Second // a node without a watch polls at least so often
+	maxPollInterval  = 10 * time.Second // between two polls of a node without a watch
 )
 
 // tierList is the list of one tier, with the log of its changes.
@@ -149,7 +149,7 @@
 	return d.addressed(n, d.tiers[n.tier].since(0))
 }
 
-// addressed gives the servers the addresses that a node dials.
+// addressed fills in the addresses at which a node dials the servers.
 func (d *discovery) addressed(n *Node, update endpointUpdate) endpointUpdate {
 	for i := range update.Hosts {
 		update.Hosts[i].Dial = d.testbed.serverAddr(n, update.Hosts[i].Host)
@@ -246,7 +246,7 @@
 }
 
 const (
-	watchIdleLine  = 2 * time.Second // an idle watch gets an empty line so often
+	watchIdleLine  = 2 * time.Second // between two empty lines on an idle watch
 	trickleSpacing = 100 * time.Millisecond
 )
 
--- a/internal/testbed/discovery_fault.go
+++ b/internal/testbed/discovery_fault.go
@@ -9,7 +9,7 @@
 type DiscoveryFault struct {
 	Down bool          // watches end, calls are refused by a reset
 	Fail bool          // calls end in 503; watches go on
-	Slow time.Duration // each call takes so much longer; calls are handled one at a time
+	Slow time.Duration // added to the time of each call; calls are handled one at a time
 
 	Unresponsive bool // calls are accepted and never answered; watches that are open fall silent
 	Trickle      bool // instead of lines, spaces are sent without an end of line
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -66,12 +66,15 @@
 
 func TestLoadNamesLineAndKeyOfEachProblem(t *testing.T) {
 	for change, want := range map[[2]string]string{
-		{`length = "2s"`, `length = "0s"`}:           "x.toml:2: length: ",
-		{`nodes = 2`, `nodes = 0`}:                   "x.toml:11: world.tier[0].nodes: ",
-		{`work = ["5ms"]`, `work = []`}:              "x.toml:18: world.class[0].work: ",
-		{`rate = 40.0`, `rate = -1.0`}:               "x.toml:23: load.rate: ",
-		{`kind = "slow"`, `kind = "slwo"`}:           `x.toml:26: fault[0].kind: "slwo" is none of cra`,
-		{`"front-1"`, `"front-9"`}:                   `x.toml:27: fault[0].target: "front-9" matches nothing; there are front-1 front-2`,
+		{`length = "2s"`, `length = "0s"`}: "x.toml:2: length: ",
+		{`nodes = 2`, `nodes = 0`}:         "x.toml:11: world.tier[0].nodes: ",
+		{`work = ["5ms"]`, `work = []`}:    "x.toml:18: world.class[0].work: ",
+		{`rate = 40.0`, `rate = -1.0`}:     "x.toml:23: load.rate: ",
+		{`kind = "slow"`, `kind = "slwo"`}: `x.toml:26: fault[0].kind: "slwo" is none of cra`,
+		{
+			`"front-1"`,
+			`"front-9"`,
+		}: `x.toml:27: fault[0].target: "front-9" matches nothing; there are front-1 front-2`,
 		{`name = "on"`, `name = "off"`}:              "x.toml:35: variant[1].name: ",
 		{`factor = 3.0`, `facto = 3.0`}:              "x.toml:30: fault.facto: unknown key",
 		{`rate = 40.0`, "rate = 40.0\nretries = 11"}: "x.toml:24: load.retries: ",
@@ -188,7 +191,13 @@
 
 // The bootstrap interval covers a known mean about as often as it says, and the sign test has its textbook values.
 func TestCompare(t *testing.T) {
-	if d := compare([]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6}); d.Mean != 1 || d.Low != 1 || d.High != 1 || math.Abs(d.Sign-0.0625) > 1e-9 {
+	if d := compare([]float64{
+		1,
+		2,
+		3,
+		4,
+		5,
+	}, []float64{2, 3, 4, 5, 6}); d.Mean != 1 || d.Low != 1 || d.High != 1 || math.Abs(d.Sign-0.0625) > 1e-9 {
 		t.Errorf("always 1 more: %+v", d)
 	}
 	if d := compare([]float64{1, 2}, []float64{1, 2}); d.Mean != 0 || d.Sign != 1 {
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -23,10 +23,10 @@
 //	crash     end a server and its node; started again, in slow start, after For (0: never)
 //	slow      a server's work takes Factor times longer
 //	errors    a server answers a Share of its requests with 500
-//	hang      a server takes requests and answers none
+//	hang      a server accepts requests and answers none
 //	spoil     a server corrupts a Share of its answers: sends them twice, or half without a length, or closes after them
 //	silent    a server neither reads nor writes, as a vanished machine
-//	drain     discovery lists a server as draining, and For later it is gone
+//	drain     discovery lists a server as draining, and removes it after For
 //	replace   the same, and a new process starts in its place, in slow start; listed once its node is ready
 //	zone      all servers of a zone are silent and, where Nodes is set, its nodes stopped; discovery drops them Late
 //	          after; at the end they come back, in slow start
@@ -38,16 +38,16 @@
 //	link      Delay, Jittered, Loss, Dup, Reorder and Rate, in that direction
 //	reset     every connection from From to To is reset, once
 //
-// Discovery: disc_down, disc_fail, disc_slow (Delay); disc_dumb, disc_trickle, disc_cut and disc_indent as Outage has
-// them; once, disc_mute (open watches fall silent for good) and disc_renumber (it comes back with other numbers, higher
-// ones if Factor is above 1).
+// Discovery: disc_down, disc_fail, disc_slow (Delay); disc_dumb, disc_trickle, disc_cut and disc_indent as
+// DiscoveryFault has them; once, disc_mute (open watches fall silent for good) and disc_renumber (it comes back with
+// other sequence numbers, higher ones if Factor is above 1).
 type Fault struct {
 	Kind   string        `toml:"kind"`
 	At     time.Duration `toml:"at"`
 	For    time.Duration `toml:"for"`
 	Jitter time.Duration `toml:"jitter"`
 	Target string        `toml:"target"`
-	Pick   int           `toml:"pick"`  // so many of those that match, drawn; 0: all
+	Pick   int           `toml:"pick"`  // how many of those that match, drawn at random; 0: all
 	Every  time.Duration `toml:"every"` // between one target and the next
 	From   string        `toml:"from"`
 	To     string        `toml:"to"`
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -12,7 +12,7 @@
 const (
 	pollInterval  = 100 * time.Millisecond
 	readyTimeout  = time.Second
-	notReadyDelay = 200 * time.Millisecond // new connections still come so long after a node stops being ready
+	notReadyDelay = 200 * time.Millisecond // how long new connections still come after a node stops being ready
 )
 
 // front spreads the clients' connections over the nodes of their zone, and over all nodes when their zone has none. It
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -154,7 +154,7 @@
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) }) // fails only on a closed listener
 }
 
-// refuse takes no new connection any more; what is open stays.
+// refuse rejects new connections; open ones stay.
 func (g *gate) refuse() { _ = g.set(gateRefuse) } // fails only at the testbed's end
 
 // reset ends all open connections by a reset.
--- a/internal/testbed/improper_clients.go
+++ b/internal/testbed/improper_clients.go
@@ -1,5 +1,3 @@
-// Improper clients.
-
 package testbed
 
 import (
@@ -14,20 +12,20 @@
 )
 
 const (
-	improperClientTimeout = 3 * time.Second // an improper client gets an error or a close so long after it stopped
+	improperClientTimeout = 3 * time.Second // within which an improper client must get an error or a close
 	improperClientSpacing = 2 * time.Millisecond
-	// a process whose every call is traced takes connections up so much later, by the testbed's doing
+	// a process whose system calls are traced accepts connections later by this
 	shimDelay = time.Second
 )
 
-// improperRequest is one way to be an improper client: what is sent, and whether the client then stays.
+// improperRequest is what one sort of improper client sends, and whether the client then stays connected.
 type improperRequest struct {
 	name  string
 	text  string
 	stays bool
 }
 
-// improperRequests lists the ways. None is a whole request: nothing of them may reach a server.
+// improperRequests lists all sorts. None sends a complete request: nothing of them may reach a server.
 func improperRequests(class string) []improperRequest {
 	head := "POST /api HTTP/1.1\r\nHost: s\r\nX-Call-Id: improper\r\nX-Call-Class: " + class + "\r\nX-Budget: 5000m\r\n"
 	return []improperRequest{
@@ -43,7 +41,8 @@
 	}
 }
 
-// runImproperClients lets so many improper clients come to a node, a moment after each other, and waits for their ends.
+// runImproperClients connects a number of improper clients to a node, one shortly after another, and waits for their
+// ends.
 func (tb *Testbed) runImproperClients(ctx context.Context, n *Node, count int) {
 	kinds := improperRequests(tb.world.Classes[len(tb.world.Classes)-1].Name)
 	var all sync.WaitGroup
@@ -60,7 +59,7 @@
 	}
 }
 
-// runImproperClient is one such client. A node that the testbed stops or ends meanwhile owes it nothing.
+// runImproperClient runs one improper client. A node that the testbed stops or ends meanwhile need not answer it.
 func (tb *Testbed) runImproperClient(n *Node, kind improperRequest) {
 	from := tb.now()
 	c, err := net.DialTimeout("tcp", n.Listen(), time.Second)
--- a/internal/testbed/intervals.go
+++ b/internal/testbed/intervals.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// intervals remembers when each part of the world was out of order by the testbed's own doing, so that the checker
-// does not blame a node for it. Parts are named as in faults; a link is FROM->TO.
+// intervals records when the testbed itself disturbed each part of the world, so that the checker does not hold that
+// against a node. Parts are named as in faults; a link is FROM->TO.
 type intervals struct {
 	mu     sync.Mutex
 	byPart map[string][]interval
@@ -14,7 +14,7 @@
 
 type interval struct{ from, to time.Duration } // to 0: still open
 
-// begin opens a span of a part; an open one stays open.
+// begin opens an interval of a part; an open one stays open.
 func (s *intervals) begin(part string, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// touch reports that a part was out of order for a moment.
+// touch records that a part was disturbed for a moment.
 func (s *intervals) touch(part string, at time.Duration) {
 	if s.overlap(part, at, at) { // a longer fault goes on
 		return
@@ -43,7 +43,7 @@
 	s.end(part, at+1)
 }
 
-// overlap reports whether a part was out of order at any time from from to to.
+// overlap reports whether a part was disturbed at any time from from to to.
 func (s *intervals) overlap(part string, from, to time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// echo is a far side that gives back what it gets.
+// echo starts a server that sends back what it receives, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 	}
 }
 
-// A cut one way holds back what goes that way only, new connections do not come up, and all goes on after it.
+// A cut in one direction holds back only that direction, new connections do not come up, and all continues after it.
 func TestLinkCutOneWay(t *testing.T) {
 	l, back := newLink(t)
 	c := dial(t, l.gate.addr)
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -1,5 +1,3 @@
-// Links between any two parts, and their conditions.
-
 package testbed
 
 import (
@@ -43,7 +41,7 @@
 	if tb.links[key] == nil {
 		link, err := newTCPLink(tb.linkIP()+":0", target, tb.directionLocked(from, to), tb.directionLocked(to, from))
 		if err != nil {
-			return target // out of ports or descriptors: the fault then finds no link, and says so
+			return target // out of ports or descriptors: a fault of the link then reports that there is none
 		}
 		tb.links[key] = link
 	}
@@ -58,7 +56,7 @@
 	return tb.linkAddr(n.name, name, tb.servers[name].gate.addr)
 }
 
-// linksTo makes all links to a part meet new connections as the part does.
+// linksTo makes all links to a part treat new connections as the part does.
 func (tb *Testbed) linksTo(name string, mode gateMode) {
 	tb.mu.Lock()
 	var to []*tcpLink
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -17,10 +17,10 @@
 	Rate    float64   `toml:"rate"`    // first attempts a second over all zones
 	ByZone  []float64 `toml:"by_zone"` // shares of the zones; default: even
 	Bursts  []Burst   `toml:"burst"`   // times at which the rate is another
-	Retries int       `toml:"retries"` // most attempts after the first
+	Retries int       `toml:"retries"` // limit of attempts after the first
 	// before a retry, drawn evenly from a half to one and a half; default 200 ms
 	Backoff time.Duration `toml:"backoff"`
-	// an attempt is given up after this share of the deadline at the least; default 0.7
+	// smallest share of the deadline after which an attempt is given up; default 0.7
 	Patience  float64 `toml:"patience"`
 	Impatient float64 `toml:"impatient"` // share of clients that leave before their time is up
 	// requests of clients out at once; more are not sent and void the window; default 20,000
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -73,7 +73,7 @@
 	return addr, nil
 }
 
-// FleetView is what a node's admin endpoint says of the fleet.
+// FleetView is what a node's admin endpoint shows of the fleet.
 type FleetView struct {
 	Self    string `json:"self"`
 	Side    string `json:"side"`
@@ -123,7 +123,8 @@
 	return v, json.NewDecoder(resp.Body).Decode(v)
 }
 
-// Agree says that all of some nodes are on a side, have the same digest and no change of the roster under way.
+// Agree reports whether all of some nodes are on a partition side, have the same digest and no pending change of the
+// member list.
 func Agree(ctx context.Context, nodes []*Node, side string) bool {
 	digest := ""
 	for _, n := range nodes {
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Real processes find a killed one, take one back that stood still after they buried it, hear a planned leave, and
-// take a restarted one for the same member; clients are served all the while.
+// Real processes detect a killed one, readmit a stopped one after they declared it dead, handle a planned leave, and
+// recognize a restarted one as the same member; clients are served all the time.
 func TestMeshOfProcesses(t *testing.T) {
 	t.Parallel()
 	tb := Start(t, meshWorld(5))
@@ -102,7 +102,7 @@
 	untilAgreed(t, nodes, "whole")
 }
 
-// One node that cannot be heard by one other stays a member for all: its word gets there through the others.
+// A node that one other cannot hear from stays a member for all: its messages get there through the others.
 func TestMeshOneWayCutKeepsTheFleet(t *testing.T) {
 	t.Parallel()
 	w := meshWorld(4)
@@ -138,7 +138,8 @@
 	}
 }
 
-// A leader that hears nobody is replaced; its accusations, which all hear, take nobody out, in its own view either.
+// A leader that receives nothing is replaced; its suspicions, which all receive, remove no member, in its own view
+// either.
 func TestDeafLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
 	for _, sc := range Scenarios {
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -42,7 +42,7 @@
 // Control is the address of the admin endpoint.
 func (n *Node) Control() string { return net.JoinHostPort(n.address, "5001") }
 
-// Log is the file that holds what the process said, through all its starts.
+// Log is the file that holds the output of the process, through all its starts.
 func (n *Node) Log() string { return n.process.logPath() }
 
 // NodeOf names the node that belongs to a server and calls the next tier for it.
@@ -110,7 +110,7 @@
 // shimEnv is where a shim finds its spec, as JSON.
 const shimEnv = "SHIM_SPEC"
 
-// shimSpec gives each process that is started in the node's place draws of its own, and a log.
+// shimSpec returns the shim's spec with a seed that differs for each start of the process, and a log.
 func (n *Node) shimSpec(spec shim.Spec) string {
 	spec.Seed += uint64(n.starts)
 	spec.Log = filepath.Join(n.process.dir, "faults.log")
@@ -217,7 +217,7 @@
 // Paused reports that the testbed has stopped the process for a moment, or for longer.
 func (n *Node) Paused() bool { return n.paused.Load() }
 
-const oldDiscoveryFor = 1500 * time.Millisecond // the address of before closes its connections so long after a move
+const oldDiscoveryFor = 1500 * time.Millisecond // from a move to the end of the connections at the old address
 
 // Reload moves the node's discovery to another address, writes that into its configuration and sends SIGHUP. The old
 // address takes no new connection, and ends those that it has a moment later.
@@ -265,7 +265,7 @@
 	return err
 }
 
-// Usage is what the process takes now.
+// Usage returns the resources that the process uses now.
 func (n *Node) Usage() Usage { return n.process.usage() }
 
 // Ready asks the node whether clients may come.
@@ -274,8 +274,8 @@
 	return yes
 }
 
-// ended handles each end of the process. One that ended by itself after SIGTERM must have answered all that it accepted,
-// so that its end excuses nothing.
+// ended handles each end of the process. One that ended by itself after SIGTERM must have answered all that it
+// accepted, so that its end excuses nothing.
 func (n *Node) ended(crash string, clean bool) {
 	n.testbed.linksTo(n.name, gateRefuse)
 	select {
--- a/internal/testbed/notification_times.go
+++ b/internal/testbed/notification_times.go
@@ -37,7 +37,7 @@
 	return d.watchStates[n]
 }
 
-// recordNotified tells the checker what was written to a node.
+// recordNotified reports to the checker what was written to a node.
 func (d *discovery) recordNotified(n *Node, update endpointUpdate) {
 	listed := map[string]bool{}
 	for _, h := range update.Hosts {
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A drain that a node could not hear of binds it all the same once it counts as notified: for a node that was
+// A drain that a node could not learn of binds it all the same once the node counts as notified: for a node that was
 // stopped, when it was written; for a watch that fell silent, 6 s after that.
 func TestDrainsBindNodesThatMissedThem(t *testing.T) {
 	const drain = 1500 * time.Millisecond // after the load began
--- a/internal/testbed/one_sided_scenarios.go
+++ b/internal/testbed/one_sided_scenarios.go
@@ -8,8 +8,6 @@
 	"time"
 )
 
-// Scenarios of one-sided cuts, stops and bursts of loss.
-
 // bursts loses everything for 300 ms in each 1.5 s, and a tenth in between, for 30 s.
 func (s *scenarioRun) bursts(ctx context.Context) error {
 	at := s.testbed.now()
@@ -24,7 +22,8 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
-// waitUntilHealed ends the conditions of some links and books until all agree, and who was taken for gone since.
+// waitUntilHealed ends the conditions of some links, records how long it takes until all nodes agree, and counts the
+// members that were wrongly removed since.
 func (s *scenarioRun) waitUntilHealed(
 	ctx context.Context,
 	from, to string,
@@ -37,7 +36,7 @@
 	return errors.Join(err, s.countWronglyRemoved(since, names...))
 }
 
-// waitForNewLeader books how long it takes until some nodes know of a majority under another process than before.
+// waitForNewLeader records how long it takes until some nodes have a majority under another leader than before.
 func (s *scenarioRun) waitForNewLeader(ctx context.Context, by []*Node, before string) error {
 	took, err := s.waitUntil(ctx, "another leader has the majority", func() bool {
 		v, err := by[0].Fleet(ctx)
@@ -47,15 +46,15 @@
 	return err
 }
 
-// leaderLinkFailure makes the leader deaf, or mute, for 15 s. Of the others nobody is gone, in anybody's view.
-func (s *scenarioRun) leaderLinkFailure(ctx context.Context, deaf bool) error {
+// leaderLinkFailure makes the leader fail to receive, or to send, for 15 s. No other member may be removed by any node.
+func (s *scenarioRun) leaderLinkFailure(ctx context.Context, receiveFails bool) error {
 	at, rest := s.testbed.now(), s.nodes[1:]
 	v, err := s.nodes[0].Fleet(ctx)
 	if err != nil {
 		return err
 	}
 	from, to := "n1", "n*"
-	if deaf {
+	if receiveFails {
 		from, to = to, from
 	}
 	s.testbed.SetLink(from, to, LinkCondition{Cut: true})
@@ -68,7 +67,7 @@
 	return s.waitUntilHealed(ctx, from, to, at, names(rest)...)
 }
 
-// memberReceiveFailure lets the last node hear nobody for 15 s; its accusations are heard.
+// memberReceiveFailure lets the last node receive nothing for 15 s; its suspicions reach the others.
 func (s *scenarioRun) memberReceiveFailure(ctx context.Context) error {
 	at, last := s.testbed.now(), s.nodes[len(s.nodes)-1]
 	s.testbed.SetLink("n*", last.name, LinkCondition{Cut: true})
@@ -76,7 +75,7 @@
 	return s.waitUntilHealed(ctx, "n*", last.name, at, names(s.nodes[:len(s.nodes)-1])...)
 }
 
-// ring lets each hear only the next for 15 s.
+// ring lets each node receive only from the next for 15 s.
 func (s *scenarioRun) ring(ctx context.Context) error {
 	for i, a := range s.nodes {
 		for j, b := range s.nodes {
@@ -92,7 +91,7 @@
 	return err
 }
 
-// halfStopped stops the upper half for 4 s. Nobody of the lower half is gone.
+// halfStopped stops the upper half of the nodes for 4 s. No member of the lower half may be removed.
 func (s *scenarioRun) halfStopped(ctx context.Context) error {
 	at, half := s.testbed.now(), len(s.nodes)/2
 	for _, n := range s.nodes[half:] {
@@ -125,7 +124,7 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
-// slowOneByOne gives each process a tenth of a processor for 3 s.
+// slowOneByOne limits one process after another to a tenth of a processor for 3 s.
 func (s *scenarioRun) slowOneByOne(ctx context.Context) error {
 	at := s.testbed.now()
 	for _, n := range s.nodes {
@@ -145,8 +144,8 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
-// splitWithBridge leaves only n4 in reach of both n1 to n3 and n5 to n8, for 20 s. Nobody counts more than one
-// majority, and n4 is never gone.
+// splitWithBridge leaves only n4 in reach of both n1 to n3 and n5 to n8, for 20 s. There is never more than one
+// majority, and n4 is never removed.
 func (s *scenarioRun) splitWithBridge(ctx context.Context) error {
 	at := s.testbed.now()
 	for _, a := range s.nodes[:3] {
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -152,7 +152,7 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// running reports whether it runs, and gives what closes at its end.
+// running reports whether it runs, and returns a channel that closes at its end.
 func (p *process) running() (bool, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,7 +167,7 @@
 	}
 }
 
-// Usage is what a process takes of the machine.
+// Usage is the resources that a process uses.
 type Usage struct {
 	CPU   time.Duration // user and system time since its first start
 	RSS   int64         // bytes resident
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -1,5 +1,3 @@
-// Scenarios of leaves, splits, restarts and floods.
-
 package testbed
 
 import (
@@ -19,8 +17,7 @@
 	return s.waitForState(ctx, s.nodes[:len(s.nodes)-1], n.name, "left", "left", at)
 }
 
-// leaderLeaves books for how long some of the others are without a majority after the planned end of the one that
-// leads.
+// leaderLeaves records for how long some of the others are without a majority after a planned end of the leader.
 func (s *scenarioRun) leaderLeaves(ctx context.Context) error {
 	leader, rest := s.nodes[0], s.nodes[1:]
 	ended := make(chan struct{})
@@ -151,7 +148,7 @@
 	return err
 }
 
-// flood sends one node junk as fast as one sender can, for 10 s, and books how long it takes to answer meanwhile.
+// flood sends one node junk as fast as one sender can, for 10 s, and records how long it takes to answer meanwhile.
 func (s *scenarioRun) flood(ctx context.Context) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	to, err := net.Dial("udp4", n.meshListen())
--- a/internal/testbed/scenario_run.go
+++ b/internal/testbed/scenario_run.go
@@ -124,8 +124,8 @@
 	return s.testbed.now() - from, nil
 }
 
-// watchLeaders asks all admin endpoints repeatedly which process proves their majority. Two answers in one round count as
-// two majorities when the next round, right after it, has the same two.
+// watchLeaders asks all admin endpoints repeatedly which process proves their majority. Two answers in one round
+// count as two majorities when the next round, right after it, has the same two.
 func (s *scenarioRun) watchLeaders(ctx context.Context) {
 	var before []string
 	for sleep(ctx, 50*time.Millisecond) {
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -1,5 +1,3 @@
-// The scenarios of membership.
-
 package testbed
 
 import (
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -16,9 +16,9 @@
 
 // ServerFault is how a server fails. The zero value is a healthy one.
 type ServerFault struct {
-	Slow             float64 // work takes so many times longer; 0 and 1: no longer
+	Slow             float64 // factor by which work takes longer; 0 and 1: none
 	Errors           float64 // share of requests answered with 500
-	Hang             bool    // takes requests and answers none
+	Hang             bool    // accepts requests and answers none
 	CorruptResponses float64 // share of answers that are corrupted
 }
 
--- a/internal/testbed/server_test.go
+++ b/internal/testbed/server_test.go
@@ -13,7 +13,7 @@
 	tb := Start(t, healthyStub())
 	s := tb.Server("front-1")
 	c := tb.world.SlowStart
-	for _, times := range []float64{0.9, 1.1} { // of what it bears
+	for _, times := range []float64{0.9, 1.1} { // of what it can take
 		s.born, s.recent = time.Second, nil
 		bore := true
 		meanShare := (s.capacityShare(time.Second+c.OverloadWindow/2) + s.capacityShare(time.Second+3*c.OverloadWindow/2)) / 2
@@ -27,7 +27,7 @@
 	}
 }
 
-// A server with too many connections turns requests away, and says that they never ran.
+// A server with too many connections rejects requests, and reports that they never ran.
 func TestServerHoldsSoManyConnections(t *testing.T) {
 	w := healthyStub()
 	w.Tiers[0].Conns = 2
@@ -51,7 +51,7 @@
 	checkNoFindings(t, tb)
 }
 
-// Servers of a lost zone say nothing and come back in slow start; discovery drops them late.
+// Servers of a lost zone are silent and come back in slow start; discovery drops them late.
 func TestZoneLostAndBack(t *testing.T) {
 	w := small(2, 4)
 	w.Discovery.Late = 10 * time.Millisecond
--- a/internal/testbed/server_work.go
+++ b/internal/testbed/server_work.go
@@ -1,5 +1,3 @@
-// A server's work: cores, warm-up and choking.
-
 package testbed
 
 import (
@@ -19,7 +17,7 @@
 	return c.From + (1-c.From)*float64(now-s.born)/float64(c.Duration)
 }
 
-// withinCapacity adds work that came to a server in slow start and reports whether the server stands it.
+// withinCapacity adds work that came to a server in slow start and reports whether the server can take it.
 func (s *Server) withinCapacity(now, work time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +67,7 @@
 	}
 }
 
-// work holds a core for so much standard work; false: the request went away first.
+// work holds a core while work is done; it returns false when the request ended first.
 func (s *Server) work(ctx context.Context, w time.Duration) bool {
 	if w <= 0 {
 		return ctx.Err() == nil
@@ -111,7 +109,7 @@
 	return done
 }
 
-// drawn gives the same number from 0 to 1 for the same id and purpose, so that a request costs the same in each
+// drawn returns the same number from 0 to 1 for the same id and purpose, so that a request costs the same in each
 // variant.
 func (tb *Testbed) drawn(id, what string) float64 {
 	h := xxhash.Sum64String(id+"/"+what) ^ tb.world.Seed
--- a/internal/testbed/shim/faults.go
+++ b/internal/testbed/shim/faults.go
@@ -10,7 +10,7 @@
 const (
 	noSocket  socketKind = iota
 	made                 // by socket: it listens, or is connected to a server
-	accepted             // from a client, who is owed an answer: its calls are only interrupted
+	accepted             // from a client, which must get an answer: its calls are only interrupted
 	listening            // made, and listens
 )
 
--- a/internal/testbed/shim/shim_test.go
+++ b/internal/testbed/shim/shim_test.go
@@ -38,7 +38,7 @@
 	os.Exit(m.Run())
 }
 
-// dials opens and closes connections to itself, and says how many failed.
+// dials opens and closes connections to itself, and prints how many failed.
 func dials() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,7 +65,7 @@
 	os.Exit(0)
 }
 
-// clock says how far the wall clock went beside the monotonic one.
+// clock prints how far the wall clock went, and the monotonic one.
 func clock() {
 	start := time.Now()
 	time.Sleep(400 * time.Millisecond)
--- a/internal/testbed/shim/spec.go
+++ b/internal/testbed/shim/spec.go
@@ -1,6 +1,6 @@
 // Package shim runs an unmodified program and lets some of its system calls fail, and its wall clock jump. It is the
 // program's parent and traces it (ptrace), so the program needs no hooks and no rights. Each call of a traced process
-// costs two stops; a few processes of a testbed bear that.
+// costs two stops, which a few processes of a testbed can afford.
 package shim
 
 import "time"
@@ -13,7 +13,7 @@
 	Chance float64       `json:"chance"` // share of the calls that can fail
 
 	ClockAt   time.Duration `json:"clock_at"`   // the wall clock jumps then
-	ClockStep time.Duration `json:"clock_step"` // by so much; 0: never
+	ClockStep time.Duration `json:"clock_step"` // by this much; 0: never
 
 	Log string `json:"log"` // file that gets a line for each fault; empty: none
 }
--- a/internal/testbed/shim/trace.go
+++ b/internal/testbed/shim/trace.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// stopped handles one stop of a thread, and says which signal it gets as it goes on.
+// stopped handles one stop of a thread, and returns the signal that it gets as it continues.
 func (t *tracer) stopped(id int, status syscall.WaitStatus) (signal int) {
 	known := t.threads[id]
 	switch {
@@ -212,8 +212,8 @@
 	_, _ = syscall.PtracePokeData(id, at, word) // fails where it has just been killed
 }
 
-// hideVDSO removes the vDSO from the auxiliary vector that the program gets at its start, so that reading the clock is a
-// system call.
+// hideVDSO removes the vDSO from the auxiliary vector that the program gets at its start, so that reading the clock
+// is a system call.
 func (t *tracer) hideVDSO() error {
 	var regs syscall.PtraceRegs
 	if err := syscall.PtraceGetRegs(t.leader, &regs); err != nil {
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -72,7 +72,7 @@
 		return nil, ctx.Err()
 	}
 	for _, n := range tb.Nodes() {
-		if n.Running() { // the nodes of servers that are gone are not
+		if n.Running() { // the nodes of removed servers are not
 			r.compare(ctx, tb, n)
 		}
 	}
--- a/internal/testbed/stub_node_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// double stands in for the node program, with one planted fault: "twice" answers twice, "resend" sends bookings
+// runStubNode stands in for the node program, with one planted fault: "twice" answers twice, "resend" sends bookings
 // again, "lose" ends a connection without an answer, "drained" goes on sending to a server that drains, "mute" never
-// listens. "overtell" tells servers an hour, "linger" sends on 0.7 s late, whoever has left, "repeat" sends keyed
-// requests again when servers do not discard them any more, "swallow" reads and closes, "give back" resets a
+// listens. "overtell" gives servers an hour, "linger" forwards 0.7 s late, also after a disconnect, "repeat" sends
+// keyed requests again when servers do not discard them any more, "swallow" reads and closes, "give back" resets a
 // connection and sends on. "testbed" is another program: a testbed of its own that says its children's ids and waits
 // to be killed.
 func runStubNode(as string) {
@@ -179,7 +179,7 @@
 	tb := Start(t, w)
 	load, day := draw(t, &tb.world, Load{Rate: 40, Impatient: map[string]float64{"linger": 1}[as]}, length)
 	if as == "drained" {
-		for _, s := range tb.servers { // whichever the double knows first
+		for _, s := range tb.servers { // whichever the stub node knows first
 			tb.Drain(s, 0)
 		}
 	}
@@ -208,7 +208,7 @@
 
 // An improper client that a node keeps is found.
 func TestCheckerFindsKeptImproperClients(t *testing.T) {
-	tb := Start(t, healthyStub()) // waits for whole heads for good
+	tb := Start(t, healthyStub()) // waits for complete heads without a time limit
 	tb.runImproperClients(context.Background(), tb.Node("n1"), 4)
 	if found, counts := tb.Checker().Findings(); counts[ImproperClientKept] == 0 || len(counts) > 1 {
 		t.Errorf("found %v", found)
--- a/internal/testbed/tcp_link.go
+++ b/internal/testbed/tcp_link.go
@@ -26,7 +26,7 @@
 	owned       sync.WaitGroup
 
 	mu         sync.Mutex
-	serverMode gateMode // how the server meets new connections
+	serverMode gateMode // how the server treats new connections
 }
 
 func newTCPLink(listen, target string, there, back *direction) (*tcpLink, error) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// follow makes the link meet new connections as the server does, and as the directions allow.
+// follow makes the link treat new connections as the server does, and as the directions allow.
 func (l *tcpLink) follow(server gateMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/tcp_state.go
+++ b/internal/testbed/tcp_state.go
@@ -1,5 +1,3 @@
-// Whether the far side of a connection that has ended had read what was written to it.
-
 package testbed
 
 import (
@@ -15,9 +13,9 @@
 	tcpClosed   = 7                     // TCP_CLOSE: a reset has come
 )
 
-// peerReadAll says of a connection whose far side has ended its sending that no reset followed: a system that closes a
-// socket over unread bytes, or gets bytes for one that is closed, answers with a reset. So the far side has read them.
-// It says so only of connections that have no proxy of the testbed's in between.
+// peerReadAll reports of a connection whose peer has ended its sending that no reset followed: a system that closes a
+// socket over unread bytes, or gets bytes for one that is closed, answers with a reset. So the peer has read them.
+// It is valid only for connections without a proxy of the testbed in between.
 func peerReadAll(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -15,11 +15,12 @@
 
 // World describes the platform. The zero value of a field with a default, named beside it, means that default.
 type World struct {
-	Zones           []string      `toml:"zones"`
-	Tiers           []Tier        `toml:"tier"` // first the one that clients' nodes call
-	Classes         []Class       `toml:"class"`
-	Tenants         []Tenant      `toml:"tenant"`
-	OverQuotaWeight float64       `toml:"over_worth"` // what a request beyond its tenant's quota keeps of its worth
+	Zones   []string `toml:"zones"`
+	Tiers   []Tier   `toml:"tier"` // first the one that clients' nodes call
+	Classes []Class  `toml:"class"`
+	Tenants []Tenant `toml:"tenant"`
+	// factor on the priority weight of a request beyond its tenant's quota
+	OverQuotaWeight float64       `toml:"over_worth"`
 	Limits          Limits        `toml:"limits"`
 	SlowStart       SlowStart     `toml:"cold"`
 	Choke           Choke         `toml:"choke"`
@@ -42,13 +43,13 @@
 	Shims map[string]shim.Spec `toml:"-"` // by node
 
 	TrustNodes bool          `toml:"-"` // nodes are stubs that make answers themselves
-	Ready      time.Duration `toml:"-"` // a node that is not ready after so long never will be; default 30 s
+	Ready      time.Duration `toml:"-"` // limit for a node to become ready; default 30 s
 }
 
-// Tables are TOML tables that the testbed passes on to the nodes without reading them.
+// Tables are TOML tables that the testbed passes to the nodes without reading them.
 type Tables map[string]any
 
-// UnmarshalTOML takes a table as it is.
+// UnmarshalTOML keeps a table as it is.
 func (t *Tables) UnmarshalTOML(v any) error {
 	table, ok := v.(map[string]any)
 	if !ok {
@@ -80,8 +81,9 @@
 	Wait             time.Duration   `toml:"wait"`
 	LatencyObjective time.Duration   `toml:"aim"`
 	Deadline         time.Duration   `toml:"deadline"`
-	PriorityWeight   float64         `toml:"worth"`  // default 1
-	Window           time.Duration   `toml:"window"` // servers discard repeats of a keyed request for so long; default 5 s
+	PriorityWeight   float64         `toml:"worth"` // default 1
+	// servers discard retries with the same key within this time; default 5 s
+	Window time.Duration `toml:"window"`
 }
 
 // Tenant is a customer. Share is its part of the traffic, Quota what it may send a second over the whole fleet.
@@ -120,18 +122,18 @@
 	Idle    time.Duration `toml:"idle"`
 }
 
-// DiscoverySpec says how late notifications are and how long one call takes.
+// DiscoverySpec sets how late notifications are and how long one call takes.
 type DiscoverySpec struct {
 	Late   time.Duration `toml:"late"`    // from a change to the notification; default 1 s
-	Call   time.Duration `toml:"call"`    // calls are handled in turn, each for so long; default 1 ms
+	Call   time.Duration `toml:"call"`    // time of each call; they are handled one at a time; default 1 ms
 	Asked  bool          `toml:"asked"`   // the list follows only a watch that the module asks for
 	MaxLag time.Duration `toml:"max_lag"` // a call that waited longer fails; default 1 s
 }
 
 const (
-	slack       = 50 * time.Millisecond // what every limit in time is longer on sockets
-	drainWithin = 3 * time.Second       // nothing new to a draining or removed server after so long
-	keyedWindow = 5 * time.Second       // servers discard repeats of keyed requests for so long
+	slack       = 50 * time.Millisecond // added to every limit in time, as sockets and timers are late
+	drainWithin = 3 * time.Second       // after which a draining or removed server must get nothing new
+	keyedWindow = 5 * time.Second       // servers discard retries with the same key within this time
 )
 
 func orDefault[T comparable](v *T, d T) {
