--- a/cmd/balancer-testbed/main_test.go
+++ b/cmd/balancer-testbed/main_test.go
@@ -31,7 +31,7 @@
 
 func TestExitCodes(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
-	if err := os.WriteFile(bad, []byte("name = \"x\"\nlenght = \"1s\"\n"), 0o600); err != nil {
+	if err := os.WriteFile(bad, []byte("name = \"x\"\nduration = \"1s\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range []struct {
@@ -39,7 +39,7 @@
 		code int
 		says string
 	}{
-		{[]string{"check", bad}, 2, "bad.toml:2: lenght: unknown key"},
+		{[]string{"check", bad}, 2, "bad.toml:2: duration: unknown key"},
 		{[]string{"check"}, 2, "arg"},
 		{[]string{"run", "nowhere.toml"}, 2, "nowhere.toml"},
 		{[]string{"report", t.TempDir()}, 1, "holds no results"},
@@ -57,7 +57,7 @@
 	}
 }
 
-// SIGINT ends all children, and what there is has been written.
+// SIGINT ends all children, and the results so far have been written.
 func TestInterrupt(t *testing.T) {
 	dir := t.TempDir()
 	c := program("run", "../../experiments/first.toml", "--binary", binary, "--out", dir)
@@ -76,7 +76,9 @@
 			logs, _ := filepath.Glob(filepath.Join(dir, "balancer-testbed-*", "n1", "n1.log"))
 			for _, l := range logs {
 				if text, _ := os.ReadFile(l); strings.Contains(string(text), "to=serving") {
-					c.Process.Signal(syscall.SIGINT)
+					if err := c.Process.Signal(syscall.SIGINT); err != nil {
+						t.Error(err)
+					}
 					return
 				}
 			}
@@ -85,7 +87,7 @@
 	for lines := bufio.NewScanner(out); lines.Scan(); {
 		t.Log(lines.Text())
 	}
-	c.Wait()
+	_ = c.Wait() // its exit code is checked below
 	<-watched
 	if code := c.ProcessState.ExitCode(); code != 1 {
 		t.Errorf("exit %d, want 1", code)
@@ -101,7 +103,8 @@
 func TestCapacityAgainstStubs(t *testing.T) {
 	c := program("capacity", "--rate", "200", "--length", "1s", "--links")
 	out, err := c.CombinedOutput()
-	if err != nil || !strings.Contains(string(out), "lost 0; broken map[]") || !strings.Contains(string(out), "processor time of the testbed") {
+	if err != nil || !strings.Contains(string(out), "lost 0; broken map[]") ||
+		!strings.Contains(string(out), "processor time of the testbed") {
 		t.Errorf("%v: %s", err, out)
 	}
 }
@@ -115,7 +118,8 @@
 		}
 		days = append(days, string(out))
 	}
-	if days[0] != days[1] || days[0] == days[2] || strings.Count(days[0], "\n") < 5000 || !strings.Contains(days[0], " cut n2->front-[12]\n") {
+	if days[0] != days[1] || days[0] == days[2] || strings.Count(days[0], "\n") < 5000 ||
+		!strings.Contains(days[0], " cut n2->front-[12]\n") {
 		t.Errorf("days of %d, %d and %d bytes", len(days[0]), len(days[1]), len(days[2]))
 	}
 }
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -110,19 +110,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	checkSummaries(t, r.Summaries)
+	if len(r.Windows) != 4*4 {
+		t.Errorf("%d windows, want 4 for each of 4 runs", len(r.Windows))
+	}
+	checkReport(t, dir)
+}
+
+// checkSummaries checks the accounts of all runs, and that variants have the same arrivals for a seed.
+func checkSummaries(t *testing.T, summaries []Summary) {
+	t.Helper()
 	arrived := map[uint64]map[string]int{3: {}, 4: {}}
-	for _, s := range r.Summaries {
+	for _, s := range summaries {
 		arrived[s.Seed][s.Variant] = s.Arrived
-		if a := s.Account; a.Taken == 0 || a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || len(s.Steps) != 2 || s.Binary == "" {
-			t.Errorf("seed %d %s: account %+v, marks %v, binary %q", s.Seed, s.Variant, a, s.Steps, s.Binary)
+		a := s.Account
+		if a.Taken == 0 || a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || len(s.Steps) != 2 || s.Binary == "" {
+			t.Errorf("seed %d %s: account %+v, steps %v, binary %q", s.Seed, s.Variant, a, s.Steps, s.Binary)
 		}
 	}
-	if a := arrived; a[3]["off"] == 0 || a[3]["off"] != a[3]["on"] || a[4]["off"] != a[4]["on"] || a[3]["on"] == a[4]["on"] {
-		t.Errorf("arrivals by seed and variant: %v", a)
-	}
-	if len(r.Windows) != 4*4 {
-		t.Errorf("%d windows, want 4 for each of 4 runs", len(r.Windows))
+	a, b := arrived[3], arrived[4]
+	if a["off"] == 0 || a["off"] != a["on"] || b["off"] != b["on"] || a["on"] == b["on"] {
+		t.Errorf("arrivals by seed and variant: %v", arrived)
 	}
+}
+
+// checkReport writes the report of a folder and checks what it names, and its plots.
+func checkReport(t *testing.T, dir string) {
+	t.Helper()
 	if err := Report(dir); err != nil {
 		t.Fatal(err)
 	}
@@ -191,13 +205,8 @@
 
 // The bootstrap interval covers a known mean about as often as it says, and the sign test has its textbook values.
 func TestCompare(t *testing.T) {
-	if d := compare([]float64{
-		1,
-		2,
-		3,
-		4,
-		5,
-	}, []float64{2, 3, 4, 5, 6}); d.Mean != 1 || d.Low != 1 || d.High != 1 || math.Abs(d.Sign-0.0625) > 1e-9 {
+	d := compare([]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6})
+	if d.Mean != 1 || d.Low != 1 || d.High != 1 || math.Abs(d.Sign-0.0625) > 1e-9 {
 		t.Errorf("always 1 more: %+v", d)
 	}
 	if d := compare([]float64{1, 2}, []float64{1, 2}); d.Mean != 0 || d.Sign != 1 {
--- a/internal/testbed/shim/shim_test.go
+++ b/internal/testbed/shim/shim_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -19,7 +20,7 @@
 	case "shim":
 		var spec Spec
 		err := json.Unmarshal([]byte(os.Getenv("SHIM_TEST_SPEC")), &spec)
-		os.Setenv("SHIM_TEST_AS", os.Getenv("SHIM_TEST_PROGRAM"))
+		_ = os.Setenv("SHIM_TEST_AS", os.Getenv("SHIM_TEST_PROGRAM"))
 		code := 1
 		if err == nil {
 			code, err = Run(spec, os.Args[0], nil)
@@ -124,7 +125,8 @@
 
 func TestExitCodeIsPassedOn(t *testing.T) {
 	_, err := run(t, "exits", Spec{})
-	if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != 7 {
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) || exit.ExitCode() != 7 {
 		t.Errorf("ended with %v, want exit 7", err)
 	}
 }
