--- a/cmd/balancer-testbed/capacity.go
+++ b/cmd/balancer-testbed/capacity.go
@@ -88,7 +88,7 @@
 		Tiers:      []testbed.Tier{{Name: "front", Nodes: 4, Servers: 1}},
 		Classes: []testbed.Class{{
 			Name:             "view",
-			Effect:           "read_like",
+			Effect:           testbed.Idempotent,
 			Share:            1,
 			Work:             make([]time.Duration, 1),
 			LatencyObjective: time.Second,
@@ -125,7 +125,7 @@
 func (m *measurement) record() {
 	defer close(m.recorded)
 	for s := range m.ended {
-		if s.End == "served" {
+		if s.End == testbed.EndServed {
 			_ = m.latency.RecordValue(min(max(1, s.Latency.Microseconds()), maxMicros)) // in range
 		}
 		_ = m.lateness.RecordValue(min(max(1, s.Late.Microseconds()), maxMicros)) // in range
@@ -134,7 +134,7 @@
 
 // add takes the result of one arrival; it is safe for concurrent use.
 func (m *measurement) add(s testbed.ArrivalResult) {
-	if s.End == "served" {
+	if s.End == testbed.EndServed {
 		m.served.Add(1)
 	}
 	m.ended <- s
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -72,8 +72,8 @@
 		drainNotifiedAt: map[nodeAndServer]time.Duration{},
 	}
 	for _, c := range w.Classes {
-		r.nonIdempotent[c.Name] = c.Effect == "non_idempotent"
-		if c.Effect == "idempotency_key" {
+		r.nonIdempotent[c.Name] = c.Effect == NotIdempotent
+		if c.Effect == IdempotentWithKey {
 			r.dedupWindows[c.Name] = c.Window
 		}
 	}
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -27,7 +27,7 @@
 
 // String returns the name that results have for the outcome.
 func (o outcome) String() string {
-	return [...]string{"served", "refused", "failed", "left", "unreached"}[o]
+	return [...]string{EndServed, EndRejected, EndFailed, EndDisconnected, EndUnreached}[o]
 }
 
 const (
@@ -362,7 +362,7 @@
 // format formats a request as the protocol has it.
 func (c *client) format(req clientRequest, to sender) []byte {
 	method := http.MethodGet
-	if req.class.Effect != "read_like" {
+	if req.class.Effect != Idempotent {
 		method = http.MethodPost
 	}
 	budget := max(1, (req.deadline - c.testbed.now()).Milliseconds())
@@ -376,7 +376,7 @@
 	if req.isRetry {
 		b = append(b, "X-Again: 1\r\n"...)
 	}
-	if req.class.Effect == "idempotency_key" {
+	if req.class.Effect == IdempotentWithKey {
 		b = fmt.Appendf(b, "Idempotency-Key: k-%s\r\n", req.id)
 	}
 	if method == http.MethodPost {
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -8,6 +8,13 @@
 	"time"
 )
 
+// Health of an endpoint, as discovery lists it.
+const (
+	healthInService = "in_service"
+	healthDraining  = "terminating"
+	healthRemoved   = "terminated"
+)
+
 // endpointEntry is an entry of discovery's list. Its address differs between nodes.
 type endpointEntry struct {
 	Host   string  `json:"host"`
@@ -94,13 +101,13 @@
 		defer d.mu.Unlock()
 		t := d.tiers[tier]
 		t.seq++
-		if h.Health == "terminated" {
+		if h.Health == healthRemoved {
 			delete(t.hosts, h.Host)
 		} else {
 			t.hosts[h.Host] = h
 		}
 		t.log = append(t.log, change{t.seq, h})
-		if h.Health != "in_service" {
+		if h.Health != healthInService {
 			for _, n := range d.testbed.nodeOrder {
 				if n.tier == tier {
 					d.testbed.checker.recordNotification(n.name, h.Host, false, d.notificationTime(n))
@@ -194,7 +201,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if !d.waitForTurn(w, r) {
+	if !d.acquireCallSlot(w, r) {
 		return
 	}
 	fault, _ := d.state()
@@ -227,9 +234,9 @@
 	d.write(n, w, update, fault)
 }
 
-// waitForTurn waits while other calls are handled, and takes the time of one call. It returns false when the caller has
-// left or has waited for too long.
-func (d *discovery) waitForTurn(w http.ResponseWriter, r *http.Request) bool {
+// acquireCallSlot waits while other calls are handled, and takes the time of one call. It returns false when the
+// caller has left or has waited for too long.
+func (d *discovery) acquireCallSlot(w http.ResponseWriter, r *http.Request) bool {
 	wait := time.NewTimer(d.testbed.world.Discovery.MaxLag)
 	defer wait.Stop()
 	select {
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -12,6 +12,8 @@
 	"sort"
 	"strings"
 
+	"keelusher/internal/testbed"
+
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
@@ -87,9 +89,11 @@
 var metrics = []metric{
 	{"served in time, share of the worth", "%.4f", true, func(s *Summary) float64 { return s.Served }},
 	{"the same in the worst window", "%.3f", true, func(s *Summary) float64 { return s.Worst }},
-	{"late", "%.4f", false, func(s *Summary) float64 { return share(s, "late") }},
-	{"refused", "%.4f", false, func(s *Summary) float64 { return share(s, "refused") }},
-	{"failed", "%.4f", false, func(s *Summary) float64 { return share(s, "failed") + share(s, "unreached") }},
+	{"late", "%.4f", false, func(s *Summary) float64 { return share(s, testbed.EndLate) }},
+	{"refused", "%.4f", false, func(s *Summary) float64 { return share(s, testbed.EndRejected) }},
+	{"failed", "%.4f", false, func(s *Summary) float64 {
+		return share(s, testbed.EndFailed) + share(s, testbed.EndUnreached)
+	}},
 	{"median latency, ms", "%.1f", false, func(s *Summary) float64 { return s.P50 }},
 	{"99th percentile, ms", "%.0f", false, func(s *Summary) float64 { return s.P99 }},
 	{"99.9th percentile, ms", "%.0f", false, func(s *Summary) float64 { return s.P999 }},
@@ -318,7 +322,13 @@
 
 func (r *Results) plotEnds(p *plot.Plot, variant string) error {
 	p.Y.Label.Text = "arrivals a second"
-	for i, ends := range [][]string{{"served"}, {"refused"}, {"failed", "unreached"}, {"late"}, {"left", "unsent"}} {
+	for i, ends := range [][]string{
+		{testbed.EndServed},
+		{testbed.EndRejected},
+		{testbed.EndFailed, testbed.EndUnreached},
+		{testbed.EndLate},
+		{testbed.EndDisconnected, testbed.EndUnsent},
+	} {
 		if err := r.line(p, variant, ends[0], i, func(w Window) (v float64, ok bool) {
 			for _, e := range ends {
 				v += float64(w.Ends[e])
--- a/internal/testbed/experiment/runner.go
+++ b/internal/testbed/experiment/runner.go
@@ -182,15 +182,15 @@
 	w.PriorityWeight += s.PriorityWeight
 	w.Lateness = max(w.Lateness, float64(s.Late)/1e6)
 	b.ended++
-	if s.End == "served" {
+	if s.End == testbed.EndServed {
 		w.Earned += s.PriorityWeight
 	}
-	if s.End == "served" || s.End == "late" {
+	if s.End == testbed.EndServed || s.End == testbed.EndLate {
 		us := min(max(s.Latency.Microseconds(), 1), maxLatencyMillis*1000)
 		_ = b.hists[i].RecordValue(us) // in range
 		_ = b.total.RecordValue(us)
 	}
-	if s.End == "unsent" {
+	if s.End == testbed.EndUnsent {
 		w.Void = true
 	}
 }
@@ -324,7 +324,7 @@
 		w.MaxRSS, w.MaxFiles = float64(rss)/(1<<20), files
 		w.Attempts, w.CrossZone = a-attempts, c-crossZone
 		attempts, crossZone = a, c
-		ended, served := b.ended, w.Ends["served"]
+		ended, served := b.ended, w.Ends[testbed.EndServed]
 		b.mu.Unlock()
 		r.progress("%s: %3.0f of %.0f s, %d ended, %d served in the last window", variant, (tb.Now() - b.began).Seconds(),
 			r.File.Length.Seconds(), ended, served)
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -270,7 +270,7 @@
 		_ = server.node.Stop() // fails where it has ended
 	}
 	removed := server.entry()
-	removed.Health = "terminated"
+	removed.Health = healthRemoved
 	tb.disc.publish(server.tier, removed, late+tb.disc.late)
 }
 
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -151,10 +151,21 @@
 	return nil
 }
 
+// Ends of arrivals, as results name them.
+const (
+	EndServed       = "served"
+	EndLate         = "late"      // served, but not within the latency objective
+	EndRejected     = "refused"   // 429 or 503
+	EndFailed       = "failed"    // any other answer, or none
+	EndDisconnected = "left"      // the client disconnected first
+	EndUnreached    = "unreached" // no connection came up
+	EndUnsent       = "unsent"    // too many requests were in flight
+)
+
 // ArrivalResult is what became of one arrival, with all its attempts.
 type ArrivalResult struct {
 	Arrival        Arrival
-	End            string        // served, late, refused, failed, left, unreached or unsent
+	End            string        // EndServed, or another of the ends
 	Latency        time.Duration // from the drawn arrival to the last byte; coordinated omission cannot hide a stall
 	Late           time.Duration // how late the testbed itself was with the first attempt
 	Attempts       int
@@ -176,7 +187,7 @@
 		select {
 		case inFlight <- struct{}{}:
 		default:
-			done(ArrivalResult{Arrival: a, End: "unsent"})
+			done(ArrivalResult{Arrival: a, End: EndUnsent})
 			continue
 		}
 		running.Add(1)
@@ -212,7 +223,7 @@
 		s.Attempts++
 		s.Latency, s.Node, s.End = resp.at-from, resp.node, resp.end.String()
 		if resp.end == outcomeServed && s.Latency > class.LatencyObjective {
-			s.End = "late"
+			s.End = EndLate
 		}
 		if resp.end == outcomeServed || resp.end == outcomeDisconnected || attempt >= load.Retries || ctx.Err() != nil {
 			return s
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -73,6 +73,22 @@
 	return addr, nil
 }
 
+// Sides of a partition, as nodes name them.
+const (
+	SideComplete = "whole"
+	SideMajority = "majority"
+	SideMinority = "minority"
+	SideIsolated = "alone"
+)
+
+// States of members, as nodes name and log them.
+const (
+	stateSuspected = "suspect"
+	stateDead      = "gone"
+	stateLeft      = "left"
+	stateConflict  = "conflict"
+)
+
 // FleetView is what a node's admin endpoint shows of the fleet.
 type FleetView struct {
 	Self    string `json:"self"`
--- a/internal/testbed/notification_times.go
+++ b/internal/testbed/notification_times.go
@@ -41,7 +41,7 @@
 func (d *discovery) recordNotified(n *Node, update endpointUpdate) {
 	listed := map[string]bool{}
 	for _, h := range update.Hosts {
-		d.testbed.checker.recordNotification(n.name, h.Host, h.Health == "in_service", d.testbed.now())
+		d.testbed.checker.recordNotification(n.name, h.Host, h.Health == healthInService, d.testbed.now())
 		listed[h.Host] = true
 	}
 	if update.Snapshot {
--- a/internal/testbed/one_sided_scenarios.go
+++ b/internal/testbed/one_sided_scenarios.go
@@ -31,8 +31,7 @@
 	names ...string,
 ) error {
 	s.testbed.SetLink(from, to, LinkCondition{})
-	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
-	s.times["whole again"] = append(s.times["whole again"], took)
+	err := s.recordAgreement(ctx, completeAgainMetric)
 	return errors.Join(err, s.countWronglyRemoved(since, names...))
 }
 
@@ -40,9 +39,9 @@
 func (s *scenarioRun) waitForNewLeader(ctx context.Context, by []*Node, before string) error {
 	took, err := s.waitUntil(ctx, "another leader has the majority", func() bool {
 		v, err := by[0].Fleet(ctx)
-		return err == nil && v.Under != before && v.Side == "majority" && Agree(ctx, by, "majority")
+		return err == nil && v.Under != before && v.Side == SideMajority && Agree(ctx, by, SideMajority)
 	})
-	s.times["leader replaced"] = append(s.times["leader replaced"], took)
+	s.record("leader replaced", took)
 	return err
 }
 
@@ -86,8 +85,7 @@
 	}
 	sleep(ctx, 15*time.Second)
 	s.testbed.SetLink("n*", "n*", LinkCondition{})
-	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
-	s.times["whole again"] = append(s.times["whole again"], took)
+	err := s.recordAgreement(ctx, completeAgainMetric)
 	return err
 }
 
@@ -164,13 +162,16 @@
 	s.testbed.SetLink(n7.name, "n*", LinkCondition{Loss: 0.8})
 	_, _ = s.waitUntil(ctx, "n7 suspects somebody", func() bool {
 		all, err := s.changes(n7)
-		return err != nil || slices.ContainsFunc(all, func(c memberChange) bool { return c.at >= at && c.state == "suspect" })
+		return err != nil || slices.ContainsFunc(
+			all,
+			func(c memberChange) bool { return c.at >= at && c.state == stateSuspected },
+		)
 	})
 	n7.Kill()
 	killed := s.testbed.now()
 	s.testbed.SetLink(n7.name, "n*", LinkCondition{})
 	rest := append(slices.Clone(s.nodes[:6]), n8)
-	if err := s.waitForState(ctx, rest, n7.name, "gone", "gone", killed); err != nil {
+	if err := s.waitForState(ctx, rest, n7.name, stateDead, deadMetric, killed); err != nil {
 		return err
 	}
 	return s.countWronglyRemoved(at, names(rest)...)
--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -97,7 +97,7 @@
 			return err
 		}
 		if metric != "" {
-			s.times[metric] = append(s.times[metric], s.testbed.now()-from)
+			s.record(metric, s.testbed.now()-from)
 		}
 	}
 	return nil
@@ -208,7 +208,7 @@
 			case !is && !ended[n]:
 				ended[n] = true
 				early := max(0, lasts-(s.testbed.now()-issued))
-				s.times["ended early by"] = append(s.times["ended early by"], early)
+				s.record("ended early by", early)
 			}
 		}
 		if !sleep(ctx, 20*time.Millisecond) {
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -14,7 +14,7 @@
 	n := s.nodes[len(s.nodes)-1]
 	at := s.testbed.now()
 	n.Terminate()
-	return s.waitForState(ctx, s.nodes[:len(s.nodes)-1], n.name, "left", "left", at)
+	return s.waitForState(ctx, s.nodes[:len(s.nodes)-1], n.name, stateLeft, leftMetric, at)
 }
 
 // leaderLeaves records for how long some of the others are without a majority after a planned end of the leader.
@@ -30,7 +30,7 @@
 	for from := before; before-from < 5*time.Second; {
 		missing := false
 		for _, n := range rest {
-			if v, err := n.Fleet(ctx); err == nil && v.Side != "majority" && v.Side != "whole" {
+			if v, err := n.Fleet(ctx); err == nil && v.Side != SideMajority && v.Side != SideComplete {
 				missing = true
 			}
 		}
@@ -43,8 +43,8 @@
 			before = now
 		}
 	}
-	s.times["some without a majority for"] = append(s.times["some without a majority for"], without)
-	_, err := s.waitForAgreement(ctx, rest, "whole")
+	s.record("some without a majority for", without)
+	_, err := s.waitForAgreement(ctx, rest, SideComplete)
 	return err
 }
 
@@ -88,8 +88,7 @@
 		}
 	}
 	set(LinkCondition{})
-	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
-	s.times["healed"] = append(s.times["healed"], took)
+	err := s.recordAgreement(ctx, "healed")
 	return err
 }
 
@@ -100,8 +99,7 @@
 	if err := n.restart(ctx); err != nil {
 		return err
 	}
-	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
-	s.times["whole again"] = append(s.times["whole again"], took)
+	err := s.recordAgreement(ctx, completeAgainMetric)
 	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
@@ -119,8 +117,7 @@
 			return err
 		}
 	}
-	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
-	s.times["whole again"] = append(s.times["whole again"], took)
+	err := s.recordAgreement(ctx, completeAgainMetric)
 	return err
 }
 
@@ -135,7 +132,7 @@
 			return err
 		}
 	}
-	if _, err := s.waitForAgreement(ctx, s.nodes[seeds:seeds+1], "alone"); err != nil {
+	if _, err := s.waitForAgreement(ctx, s.nodes[seeds:seeds+1], SideIsolated); err != nil {
 		return err
 	}
 	for _, n := range s.nodes[:seeds] {
@@ -143,8 +140,7 @@
 			return err
 		}
 	}
-	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
-	s.times["whole after the seeds"] = append(s.times["whole after the seeds"], took)
+	err := s.recordAgreement(ctx, "whole after the seeds")
 	return err
 }
 
@@ -168,7 +164,7 @@
 	for time.Now().Before(until) && sleep(ctx, 10*time.Millisecond) {
 		from := s.testbed.now()
 		if n.Ready(ctx) {
-			s.times["an answer of the flooded"] = append(s.times["an answer of the flooded"], s.testbed.now()-from)
+			s.record("an answer of the flooded", s.testbed.now()-from)
 		} else {
 			s.count["no answer"]++
 		}
@@ -192,8 +188,7 @@
 			return ctx.Err()
 		}
 	}
-	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
-	s.times["whole again"] = append(s.times["whole again"], took)
+	err := s.recordAgreement(ctx, completeAgainMetric)
 	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
@@ -216,27 +211,27 @@
 		}
 		return v.State(older.name), v.Side
 	}
-	note := func(figure, what string, is func() bool) {
+	note := func(metric, what string, is func() bool) {
 		if err == nil {
 			var took time.Duration
 			took, err = s.waitUntil(ctx, what, is)
-			s.times[figure] = append(s.times[figure], took)
+			s.record(metric, took)
 		}
 	}
 	note("both see the conflict", "both see the conflict", func() bool {
 		a, _ := state(older)
 		b, _ := state(twin)
-		return a == "conflict" && b == "conflict"
+		return a == stateConflict && b == stateConflict
 	})
 	note("then the older is out", "the older is alone and says so", func() bool {
 		is, side := state(older)
-		return is == "conflict" && side == "alone"
+		return is == stateConflict && side == SideIsolated
 	})
 	with := append(slices.Clone(s.nodes[:len(s.nodes)-1]), twin)
 	note(
 		"then the others agree with the newer",
 		"all agree with the newer",
-		func() bool { return Agree(ctx, with, "whole") },
+		func() bool { return Agree(ctx, with, SideComplete) },
 	)
 	if err == nil && !older.Ready(ctx) {
 		err = errors.New("the older does not take clients any more")
@@ -245,7 +240,7 @@
 	note(
 		"the older is back after the newer's end",
 		"the older is back",
-		func() bool { return Agree(ctx, s.nodes, "whole") },
+		func() bool { return Agree(ctx, s.nodes, SideComplete) },
 	)
 	return err
 }
--- a/internal/testbed/scenario_run.go
+++ b/internal/testbed/scenario_run.go
@@ -66,8 +66,8 @@
 		s.watchLeaders(watching)
 	}()
 	out := ScenarioResult{Scenario: sc.Name, Seed: seed, Times: s.times, Counts: s.count}
-	if _, err = s.waitForAgreement(ctx, s.nodes, "whole"); err == nil {
-		err = sc.play(s, ctx)
+	if _, err = s.waitForAgreement(ctx, s.nodes, SideComplete); err == nil {
+		err = sc.run(s, ctx)
 	}
 	stop()
 	watched.Wait()
@@ -93,7 +93,7 @@
 		Tiers: []Tier{{Name: "front", Nodes: nodes, Servers: 1}},
 		Classes: []Class{{
 			Name:             "view",
-			Effect:           "read_like",
+			Effect:           Idempotent,
 			Share:            1,
 			Work:             []time.Duration{time.Millisecond},
 			LatencyObjective: time.Second,
@@ -104,12 +104,31 @@
 
 const scenarioTimeout = time.Minute
 
+// Names of metrics in the results of scenarios.
+const (
+	deadMetric          = "gone"
+	leftMetric          = "left"
+	completeAgainMetric = "whole again"
+)
+
 // waitForAgreement waits until some nodes are on a partition side with one digest, and returns how long that took.
 func (s *scenarioRun) waitForAgreement(ctx context.Context, nodes []*Node, side string) (time.Duration, error) {
 	what := fmt.Sprintf("%d nodes agree on %s", len(nodes), side)
 	return s.waitUntil(ctx, what, func() bool { return Agree(ctx, nodes, side) })
 }
 
+// recordAgreement waits until all nodes agree that the fleet is complete, and records how long that took.
+func (s *scenarioRun) recordAgreement(ctx context.Context, metric string) error {
+	took, err := s.waitForAgreement(ctx, s.nodes, SideComplete)
+	s.record(metric, took)
+	return err
+}
+
+// record adds a duration to a metric.
+func (s *scenarioRun) record(metric string, d time.Duration) {
+	s.times[metric] = append(s.times[metric], d)
+}
+
 // waitUntil waits for a condition, and returns how long that took.
 func (s *scenarioRun) waitUntil(ctx context.Context, what string, is func() bool) (time.Duration, error) {
 	from := s.testbed.now()
@@ -153,7 +172,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if v, err := n.Fleet(ctx); err == nil && (v.Side == "majority" || v.Side == "whole") {
+			if v, err := n.Fleet(ctx); err == nil && (v.Side == SideMajority || v.Side == SideComplete) {
 				under[i] = v.Under
 			}
 		}()
@@ -213,7 +232,7 @@
 			}
 			for _, c := range all {
 				if !found && c.name == name && c.state == state && c.at >= after {
-					s.times[metric] = append(s.times[metric], c.at-after)
+					s.record(metric, c.at-after)
 					found = true
 				}
 			}
@@ -233,7 +252,7 @@
 			return err
 		}
 		for _, c := range all {
-			if c.at >= after && c.state == "gone" && (len(names) == 0 || slices.Contains(names, c.name)) {
+			if c.at >= after && c.state == stateDead && (len(names) == 0 || slices.Contains(names, c.name)) {
 				s.count["wrongly gone"]++
 			}
 		}
@@ -256,16 +275,16 @@
 		n.Kill()
 	}
 	for _, n := range dead {
-		if err := s.waitForState(ctx, rest, n.name, "gone", "gone", at); err != nil {
+		if err := s.waitForState(ctx, rest, n.name, stateDead, deadMetric, at); err != nil {
 			return err
 		}
 	}
-	side := "majority"
+	side := SideMajority
 	if 2*k > len(s.nodes) {
-		side = "minority"
+		side = SideMinority
 	}
 	took, err := s.waitForAgreement(ctx, rest, side)
-	s.times["then agreed"] = append(s.times["then agreed"], took)
+	s.record("then agreed", took)
 	return errors.Join(err, s.countWronglyRemoved(at, names(rest)...))
 }
 
@@ -278,8 +297,7 @@
 	if err := n.Continue(); err != nil {
 		return err
 	}
-	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
-	s.times["whole again"] = append(s.times["whole again"], took)
+	err := s.recordAgreement(ctx, completeAgainMetric)
 	if d > time.Second { // it is rightly taken for gone, but no other member may be
 		return errors.Join(err, s.countWronglyRemoved(at, names(s.nodes[:len(s.nodes)-1])...))
 	}
@@ -293,7 +311,6 @@
 	s.testbed.SetLink(from, to, c)
 	sleep(ctx, d)
 	s.testbed.SetLink(from, to, LinkCondition{})
-	took, err := s.waitForAgreement(ctx, s.nodes, "whole")
-	s.times["whole again"] = append(s.times["whole again"], took)
+	err := s.recordAgreement(ctx, completeAgainMetric)
 	return errors.Join(err, s.countWronglyRemoved(at))
 }
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -9,107 +9,107 @@
 type Scenario struct {
 	Name  string
 	Nodes int // 0: as many as asked for
-	play  func(*scenarioRun, context.Context) error
+	run   func(*scenarioRun, context.Context) error
 	Bare  bool // without links: two processes of one name have no link of that name in common
 }
 
 // Scenarios are all there are.
 var Scenarios = []Scenario{
-	{Name: "kill one", play: func(s *scenarioRun, ctx context.Context) error { return s.kill(ctx, 1) }},
-	{Name: "kill one of 8", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error { return s.kill(ctx, 1) }},
-	{Name: "kill 7 of 10", Nodes: 10, play: func(s *scenarioRun, ctx context.Context) error { return s.kill(ctx, 7) }},
-	{Name: "leave", play: (*scenarioRun).terminateOne},
-	{Name: "leader leaves", play: (*scenarioRun).leaderLeaves},
-	{Name: "stop 1 s", play: func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, time.Second) }},
-	{Name: "stop 4 s", play: func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, 4*time.Second) }},
+	{Name: "kill one", run: func(s *scenarioRun, ctx context.Context) error { return s.kill(ctx, 1) }},
+	{Name: "kill one of 8", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error { return s.kill(ctx, 1) }},
+	{Name: "kill 7 of 10", Nodes: 10, run: func(s *scenarioRun, ctx context.Context) error { return s.kill(ctx, 7) }},
+	{Name: "leave", run: (*scenarioRun).terminateOne},
+	{Name: "leader leaves", run: (*scenarioRun).leaderLeaves},
+	{Name: "stop 1 s", run: func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, time.Second) }},
+	{Name: "stop 4 s", run: func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, 4*time.Second) }},
 	{
 		Name:  "stop 15 s",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, 15*time.Second) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, 15*time.Second) },
 	},
-	{Name: "one-way cut", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error {
+	{Name: "one-way cut", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n8", "n3", LinkCondition{Cut: true}, 20*time.Second)
 	}},
-	{Name: "20% loss, 50 ms jitter", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error {
+	{Name: "20% loss, 50 ms jitter", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n*", "n*", LinkCondition{Loss: 0.2, Jitter: 50 * time.Millisecond}, 30*time.Second)
 	}},
-	{Name: "30% loss, 50 ms jitter", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error {
+	{Name: "30% loss, 50 ms jitter", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n*", "n*", LinkCondition{Loss: 0.3, Jitter: 50 * time.Millisecond}, 30*time.Second)
 	}},
-	{Name: "20% loss, long", play: func(s *scenarioRun, ctx context.Context) error {
+	{Name: "20% loss, long", run: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n*", "n*", LinkCondition{Loss: 0.2, Jitter: 50 * time.Millisecond}, 10*time.Minute)
 	}},
-	{Name: "loss in bursts", Nodes: 8, play: (*scenarioRun).bursts},
-	{Name: "link of 800 ms", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error {
+	{Name: "loss in bursts", Nodes: 8, run: (*scenarioRun).bursts},
+	{Name: "link of 800 ms", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n7", "n8", LinkCondition{Delay: 800 * time.Millisecond}, 20*time.Second)
 	}},
 	{
 		Name:  "deaf leader",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.leaderLinkFailure(ctx, true) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.leaderLinkFailure(ctx, true) },
 	},
 	{
 		Name:  "mute leader",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.leaderLinkFailure(ctx, false) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.leaderLinkFailure(ctx, false) },
 	},
-	{Name: "deaf member", Nodes: 8, play: (*scenarioRun).memberReceiveFailure},
-	{Name: "ring of one-way cuts", Nodes: 8, play: (*scenarioRun).ring},
-	{Name: "half stopped 4 s", Nodes: 8, play: (*scenarioRun).halfStopped},
+	{Name: "deaf member", Nodes: 8, run: (*scenarioRun).memberReceiveFailure},
+	{Name: "ring of one-way cuts", Nodes: 8, run: (*scenarioRun).ring},
+	{Name: "half stopped 4 s", Nodes: 8, run: (*scenarioRun).halfStopped},
 	{
 		Name:  "leader stopped 1 s",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, time.Second) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, time.Second) },
 	},
 	{
 		Name:  "leader stopped 2.5 s",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, 2500*time.Millisecond) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, 2500*time.Millisecond) },
 	},
 	{
 		Name:  "leader stopped 10 s",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, 10*time.Second) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.leaderStopped(ctx, 10*time.Second) },
 	},
-	{Name: "a tenth of a processor in turn", Nodes: 8, play: (*scenarioRun).slowOneByOne},
-	{Name: "joined by one", Nodes: 8, play: (*scenarioRun).splitWithBridge},
-	{Name: "killed as it accuses", Nodes: 8, play: (*scenarioRun).killWhileSuspecting},
-	{Name: "10% loss", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error {
+	{Name: "a tenth of a processor in turn", Nodes: 8, run: (*scenarioRun).slowOneByOne},
+	{Name: "joined by one", Nodes: 8, run: (*scenarioRun).splitWithBridge},
+	{Name: "killed as it accuses", Nodes: 8, run: (*scenarioRun).killWhileSuspecting},
+	{Name: "10% loss", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n*", "n*", LinkCondition{Loss: 0.1}, 2*time.Minute)
 	}},
 	{
 		Name:  "split 3/5",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 3, 5) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 3, 5) },
 	},
 	{
 		Name:  "split 4/4",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 4, 4) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 4, 4) },
 	},
 	{
 		Name:  "split 3/3/2",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 3, 3, 2) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, false, 3, 3, 2) },
 	},
 	{
 		Name:  "split in a rolling restart",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, true, 3, 5) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, true, 3, 5) },
 	},
-	{Name: "restart at once", play: (*scenarioRun).restartOne},
-	{Name: "all restart at once", play: (*scenarioRun).restartAll},
-	{Name: "seeds dead at start", Nodes: 8, play: (*scenarioRun).seedsDead},
+	{Name: "restart at once", run: (*scenarioRun).restartOne},
+	{Name: "all restart at once", run: (*scenarioRun).restartAll},
+	{Name: "seeds dead at start", Nodes: 8, run: (*scenarioRun).seedsDead},
 	{
 		Name:  "overrides",
 		Nodes: 8,
-		play:  func(s *scenarioRun, ctx context.Context) error { return s.overrides(ctx, LinkCondition{}) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.overrides(ctx, LinkCondition{}) },
 	},
-	{Name: "overrides, 20% loss", Nodes: 8, play: func(s *scenarioRun, ctx context.Context) error {
+	{Name: "overrides, 20% loss", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error {
 		return s.overrides(ctx, LinkCondition{Loss: 0.2, Jitter: 50 * time.Millisecond})
 	}},
-	{Name: "leader killed under an override", Nodes: 8, play: (*scenarioRun).overrideThroughLeaderKill},
-	{Name: "flood", Nodes: 8, play: (*scenarioRun).flood},
-	{Name: "half a processor", Nodes: 8, play: (*scenarioRun).halfProcessorTime},
-	{Name: "two of one name", Nodes: 8, play: (*scenarioRun).duplicateName, Bare: true},
+	{Name: "leader killed under an override", Nodes: 8, run: (*scenarioRun).overrideThroughLeaderKill},
+	{Name: "flood", Nodes: 8, run: (*scenarioRun).flood},
+	{Name: "half a processor", Nodes: 8, run: (*scenarioRun).halfProcessorTime},
+	{Name: "two of one name", Nodes: 8, run: (*scenarioRun).duplicateName, Bare: true},
 }
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -72,7 +72,7 @@
 		spec:    spec,
 		testbed: tb,
 		gate:    g,
-		health:  "in_service",
+		health:  healthInService,
 		cores:   make(chan struct{}, spec.Cores),
 		slots:   make(chan struct{}, spec.Slots),
 	}
@@ -349,7 +349,7 @@
 	}
 	s.mu.Lock()
 	s.down, s.silent, s.choked, s.recent = false, false, false, nil
-	s.born, s.health = s.testbed.now(), "in_service"
+	s.born, s.health = s.testbed.now(), healthInService
 	s.mu.Unlock()
 	s.reachable()
 	s.testbed.intervals.end(s.name, s.testbed.now())
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -71,7 +71,7 @@
 		Classes: []testbed.Class{
 			{
 				Name:             "view",
-				Effect:           "read_like",
+				Effect:           testbed.Idempotent,
 				Share:            0.4,
 				Work:             work(8 * time.Millisecond),
 				LatencyObjective: time.Second,
@@ -79,7 +79,7 @@
 			},
 			{
 				Name:             "glance",
-				Effect:           "read_like",
+				Effect:           testbed.Idempotent,
 				Share:            0.2,
 				Work:             work(4 * time.Millisecond),
 				LatencyObjective: 200 * time.Millisecond,
@@ -87,7 +87,7 @@
 			},
 			{
 				Name:             "order",
-				Effect:           "idempotency_key",
+				Effect:           testbed.IdempotentWithKey,
 				Share:            0.2,
 				Work:             work(8 * time.Millisecond),
 				LatencyObjective: 1500 * time.Millisecond,
@@ -96,7 +96,7 @@
 			},
 			{
 				Name:             "booking",
-				Effect:           "non_idempotent",
+				Effect:           testbed.NotIdempotent,
 				Share:            0.2,
 				Work:             work(8 * time.Millisecond),
 				LatencyObjective: time.Second,
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -247,7 +247,7 @@
 // Drain makes discovery list a server as draining; after the time it is removed, and answers no more.
 func (tb *Testbed) Drain(s *Server, removeAfter time.Duration) {
 	s.mu.Lock()
-	s.health = "terminating"
+	s.health = healthDraining
 	s.mu.Unlock()
 	tb.disc.publish(s.tier, s.entry(), -1)
 	if removeAfter <= 0 {
@@ -260,7 +260,7 @@
 		default:
 		}
 		s.mu.Lock()
-		s.health = "terminated"
+		s.health = healthRemoved
 		s.mu.Unlock()
 		tb.disc.publish(s.tier, s.entry(), -1)
 		s.crash()
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -72,10 +72,17 @@
 	Calls   float64 `toml:"calls"`    // mean calls on the next tier for each request, one after another
 }
 
+// Values of Class.Effect: what a second execution of a request does.
+const (
+	Idempotent        = "read_like"
+	IdempotentWithKey = "idempotency_key"
+	NotIdempotent     = "non_idempotent"
+)
+
 // Class is a class of requests. Work is time on a standard core, by tier; Wait is spent on others.
 type Class struct {
 	Name             string          `toml:"name"`
-	Effect           string          `toml:"effect"` // read_like, idempotency_key or non_idempotent
+	Effect           string          `toml:"effect"` // Idempotent, IdempotentWithKey or NotIdempotent
 	Share            float64         `toml:"share"`
 	Work             []time.Duration `toml:"work"`
 	Wait             time.Duration   `toml:"wait"`
@@ -207,7 +214,7 @@
 	switch {
 	case c.Name == "":
 		return &KeyError{key + "name", "is empty"}
-	case c.Effect != "read_like" && c.Effect != "idempotency_key" && c.Effect != "non_idempotent":
+	case c.Effect != Idempotent && c.Effect != IdempotentWithKey && c.Effect != NotIdempotent:
 		why := fmt.Sprintf("%q is none of read_like, idempotency_key, non_idempotent", c.Effect)
 		return &KeyError{key + "effect", why}
 	case !(c.Share > 0):
