--- a/cmd/balancer-testbed/capacity.go
+++ b/cmd/balancer-testbed/capacity.go
@@ -63,13 +63,13 @@
 		return err
 	}
 	defer tb.Close()
-	day := testbed.Draw(&w, &load, length, 1)
+	arrivals := testbed.Draw(&w, &load, length, 1)
 	var m measurement
 	m.start()
-	tb.Drive(ctx, &load, day, m.add)
+	tb.Drive(ctx, &load, arrivals, m.add)
 	m.stop()
 	fmt.Printf("links=%t rate=%.0f/s served=%d of %d in %.2f s\n",
-		linked, float64(m.served.Load())/m.took.Seconds(), m.served.Load(), len(day), m.took.Seconds())
+		linked, float64(m.served.Load())/m.took.Seconds(), m.served.Load(), len(arrivals), m.took.Seconds())
 	m.print(cores)
 	a := tb.Checker().Account()
 	_, broken := tb.Findings()
--- a/cmd/balancer-testbed/main.go
+++ b/cmd/balancer-testbed/main.go
@@ -247,7 +247,7 @@
 			return err
 		}
 		w := bufio.NewWriter(os.Stdout)
-		if err := testbed.WriteDay(w, testbed.Draw(&f.World, &f.Load, f.Length, seed), steps); err != nil {
+		if err := testbed.WriteArrivals(w, testbed.Draw(&f.World, &f.Load, f.Length, seed), steps); err != nil {
 			return err
 		}
 		return w.Flush()
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -171,7 +171,7 @@
 		return "", err
 	}
 	server := &http.Server{
-		ErrorLog: d.testbed.discard,
+		ErrorLog: d.testbed.discardLog,
 		Handler:  http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(n, w, r) }),
 	}
 	d.testbed.goOwned(func() { _ = server.Serve(g) }) // returns an error when the gate closes
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -1,5 +1,5 @@
 // Package experiment runs experiments in the testbed: one file describes the world, the load, the schedule of faults,
-// the variants to compare and the seeds. Variants are paired by seed: each seed's day is the same for all.
+// the variants to compare and the seeds. Variants are paired by seed: each seed's arrivals are the same for all.
 package experiment
 
 import (
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -269,16 +269,16 @@
 
 // paired returns a metric of the runs that both variants have, by seed and repeat.
 func paired(a, b []*Summary, f metric) (x, y []float64) {
-	type play struct {
+	type runKey struct {
 		seed   uint64
 		repeat int
 	}
-	first := map[play]*Summary{}
+	first := map[runKey]*Summary{}
 	for _, s := range a {
-		first[play{s.Seed, s.Repeat}] = s
+		first[runKey{s.Seed, s.Repeat}] = s
 	}
 	for _, s := range b {
-		if p := first[play{s.Seed, s.Repeat}]; p != nil {
+		if p := first[runKey{s.Seed, s.Repeat}]; p != nil {
 			x, y = append(x, f.value(p)), append(y, f.value(s))
 		}
 	}
--- a/internal/testbed/experiment/runner.go
+++ b/internal/testbed/experiment/runner.go
@@ -219,7 +219,7 @@
 	if err != nil {
 		return nil, err
 	}
-	day := testbed.Draw(&w, &f.Load, f.Length, seed)
+	arrivals := testbed.Draw(&w, &f.Load, f.Length, seed)
 	r.progress("%s seed %d: starting", v.Name, seed)
 	tb, err := testbed.Open(ctx, w)
 	if err != nil {
@@ -228,7 +228,7 @@
 	defer tb.Close()
 	b := newRunRecord(f, key)
 	b.began = tb.Now()
-	took := r.drive(ctx, tb, b, steps, day)
+	took := r.drive(ctx, tb, b, steps, arrivals)
 	s := b.summary(tb)
 	s.Seconds = took.Seconds()
 	s.Interrupted = ctx.Err() != nil
@@ -265,7 +265,7 @@
 	tb *testbed.Testbed,
 	b *runRecord,
 	steps []testbed.Step,
-	day []testbed.Arrival,
+	arrivals []testbed.Arrival,
 ) time.Duration {
 	running, stop := context.WithCancel(ctx)
 	var background sync.WaitGroup
@@ -278,7 +278,7 @@
 		defer background.Done()
 		r.sample(running, tb, b)
 	}()
-	tb.Drive(ctx, &r.File.Load, day, func(s testbed.ArrivalResult) { b.add(r.File, s) })
+	tb.Drive(ctx, &r.File.Load, arrivals, func(s testbed.ArrivalResult) { b.add(r.File, s) })
 	took := tb.Now() - b.began
 	stop()
 	background.Wait()
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -137,7 +137,7 @@
 	case "disc_renumber":
 		tb.disc.renumber(s.Fault.Factor > 1)
 	default:
-		tb.Discovery(discoveryFaultOf(s))
+		tb.SetDiscoveryFault(discoveryFaultOf(s))
 	}
 }
 
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -38,14 +38,14 @@
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	key := from + "->" + to
-	if tb.links[key] == nil {
+	if tb.tcpLinks[key] == nil {
 		link, err := newTCPLink(tb.linkIP()+":0", target, tb.directionLocked(from, to), tb.directionLocked(to, from))
 		if err != nil {
 			return target // out of ports or descriptors: a fault of the link then reports that there is none
 		}
-		tb.links[key] = link
+		tb.tcpLinks[key] = link
 	}
-	return tb.links[key].gate.addr
+	return tb.tcpLinks[key].gate.addr
 }
 
 func (tb *Testbed) nodeAddr(from string, n *Node) string {
@@ -60,7 +60,7 @@
 func (tb *Testbed) linksTo(name string, mode gateMode) {
 	tb.mu.Lock()
 	var to []*tcpLink
-	for key, link := range tb.links {
+	for key, link := range tb.tcpLinks {
 		if _, b, _ := strings.Cut(key, "->"); b == name {
 			to = append(to, link)
 		}
@@ -76,7 +76,7 @@
 func (tb *Testbed) SetLink(from, to string, c LinkCondition) (n int) {
 	tb.mu.Lock()
 	touched := map[string]*direction{}
-	for key := range tb.links {
+	for key := range tb.tcpLinks {
 		a, b, _ := strings.Cut(key, "->")
 		for _, d := range [][2]string{{a, b}, {b, a}} {
 			if matches(from, d[0]) && matches(to, d[1]) {
@@ -85,7 +85,7 @@
 		}
 	}
 	var links []*tcpLink
-	for key, link := range tb.links {
+	for key, link := range tb.tcpLinks {
 		a, b, _ := strings.Cut(key, "->")
 		if touched[a+"->"+b] != nil || touched[b+"->"+a] != nil {
 			links = append(links, link)
@@ -110,7 +110,7 @@
 func (tb *Testbed) ResetLink(from, to string) (n int) {
 	tb.mu.Lock()
 	var hit []*tcpLink
-	for key, link := range tb.links {
+	for key, link := range tb.tcpLinks {
 		if a, b, _ := strings.Cut(key, "->"); matches(from, a) && matches(to, b) {
 			hit = append(hit, link)
 			tb.intervals.touch(key, tb.now())
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -66,14 +66,14 @@
 
 // Arrival is one client's first attempt, as drawn.
 type Arrival struct {
-	At       time.Duration // since the load began
-	ID       string
-	Class    int
-	Tenant   int // -1: there are none
-	Zone     int
-	Patience float64 // share of the deadline after which an attempt is given up
-	Leaves   float64 // share of the deadline after which the client goes away; 0: it stays
-	Over     bool    // beyond its tenant's quota in that second
+	At              time.Duration // since the load began
+	ID              string
+	Class           int
+	Tenant          int // -1: there are none
+	Zone            int
+	Patience        float64 // share of the deadline after which an attempt is given up
+	DisconnectAfter float64 // share of the deadline after which the client goes away; 0: it stays
+	OverQuota       bool    // beyond its tenant's quota in that second
 }
 
 func pickShare(r *rand.Rand, shares func(int) float64, n int) int {
@@ -90,7 +90,7 @@
 	return n - 1
 }
 
-// Draw draws a day's arrivals. The same world, load, length and seed give the same day.
+// Draw draws the arrivals of a run. The same world, load, length and seed give the same arrivals.
 func Draw(w *World, l *Load, length time.Duration, seed uint64) []Arrival {
 	r := rand.New(rand.NewPCG(seed, 1))
 	rate := func(at time.Duration) float64 {
@@ -106,39 +106,43 @@
 	for _, b := range l.Bursts {
 		maxRate = max(maxRate, l.Rate*b.Times)
 	}
-	var day []Arrival
+	var arrivals []Arrival
 	sent := map[[2]int64]float64{} // by tenant and second
 	for at := time.Duration(0); ; {
 		at += time.Duration(r.ExpFloat64() / maxRate * float64(time.Second))
 		if at >= length {
-			return day
+			return arrivals
 		}
 		if r.Float64()*maxRate >= rate(at) { // thinning
 			continue
 		}
-		a := Arrival{At: at, Tenant: -1, ID: strconv.FormatUint(xxhash.Sum64String(fmt.Sprintf("%d/%d", seed, len(day))), 16)}
+		a := Arrival{
+			At:     at,
+			Tenant: -1,
+			ID:     strconv.FormatUint(xxhash.Sum64String(fmt.Sprintf("%d/%d", seed, len(arrivals))), 16),
+		}
 		a.Class = pickShare(r, func(i int) float64 { return w.Classes[i].Share }, len(w.Classes))
 		a.Zone = pickShare(r, func(i int) float64 { return l.ByZone[i] }, len(w.Zones))
 		a.Patience = l.Patience + (1-l.Patience)*r.Float64()
 		if r.Float64() < l.Impatient {
-			a.Leaves = a.Patience * r.Float64()
+			a.DisconnectAfter = a.Patience * r.Float64()
 		}
 		if len(w.Tenants) > 0 {
 			a.Tenant = pickShare(r, func(i int) float64 { return w.Tenants[i].Share }, len(w.Tenants))
 			key := [2]int64{int64(a.Tenant), int64(at / time.Second)}
 			sent[key]++
 			q := w.Tenants[a.Tenant].Quota
-			a.Over = q > 0 && sent[key] > q
+			a.OverQuota = q > 0 && sent[key] > q
 		}
-		day = append(day, a)
+		arrivals = append(arrivals, a)
 	}
 }
 
-// WriteDay writes a drawn day, one arrival or step a line, so that two can be compared byte by byte.
-func WriteDay(to io.Writer, day []Arrival, steps []Step) error {
-	for _, a := range day {
+// WriteArrivals writes drawn arrivals and steps, one a line, so that two drawings can be compared byte by byte.
+func WriteArrivals(to io.Writer, arrivals []Arrival, steps []Step) error {
+	for _, a := range arrivals {
 		_, err := fmt.Fprintf(to, "%d %s class=%d tenant=%d zone=%d patience=%.4f leaves=%.4f over=%t\n",
-			a.At.Microseconds(), a.ID, a.Class, a.Tenant, a.Zone, a.Patience, a.Leaves, a.Over)
+			a.At.Microseconds(), a.ID, a.Class, a.Tenant, a.Zone, a.Patience, a.DisconnectAfter, a.OverQuota)
 		if err != nil {
 			return err
 		}
@@ -173,14 +177,14 @@
 	PriorityWeight float64 // of the request, whether earned or not
 }
 
-// Drive runs a drawn day and calls done, from several goroutines, with what became of each arrival. It returns once
-// every arrival has ended, or soon after ctx ends.
-func (tb *Testbed) Drive(ctx context.Context, load *Load, day []Arrival, done func(ArrivalResult)) {
+// Drive sends the requests of drawn arrivals and calls done, from several goroutines, with what became of each
+// arrival. It returns once every arrival has ended, or soon after ctx ends.
+func (tb *Testbed) Drive(ctx context.Context, load *Load, arrivals []Arrival, done func(ArrivalResult)) {
 	began := tb.now()
 	var running sync.WaitGroup
 	defer running.Wait()
 	inFlight := make(chan struct{}, load.MaxInFlight)
-	for _, a := range day {
+	for _, a := range arrivals {
 		if !sleepUntil(tb.began.Add(began+a.At), ctx.Done()) {
 			return
 		}
@@ -205,7 +209,7 @@
 	from := began + a.At
 	s := ArrivalResult{Arrival: a, Late: tb.now() - from, PriorityWeight: class.PriorityWeight}
 	tb.lateness.note(tb.now(), s.Late)
-	if a.Over {
+	if a.OverQuota {
 		s.PriorityWeight *= tb.world.OverQuotaWeight
 	}
 	end := from + class.Deadline
@@ -213,8 +217,8 @@
 	if a.Tenant >= 0 {
 		req.tenant = tb.world.Tenants[a.Tenant].Name
 	}
-	if a.Leaves > 0 {
-		req.disconnectAt = from + time.Duration(a.Leaves*float64(class.Deadline))
+	if a.DisconnectAfter > 0 {
+		req.disconnectAt = from + time.Duration(a.DisconnectAfter*float64(class.Deadline))
 	}
 	start := from
 	for attempt := 0; ; attempt++ {
--- a/internal/testbed/load_test.go
+++ b/internal/testbed/load_test.go
@@ -10,7 +10,7 @@
 func TestArrivalsStayOpenLoopWhileTheSystemStalls(t *testing.T) {
 	w := healthyStub()
 	tb := Start(t, w)
-	load, day := draw(t, &tb.world, Load{Rate: 100}, 2*time.Second)
+	load, arrivals := draw(t, &tb.world, Load{Rate: 100}, 2*time.Second)
 	const stall, until = 500 * time.Millisecond, 1300 * time.Millisecond
 	n, began := tb.Node("n1"), tb.now()
 	done := make(chan struct{})
@@ -22,7 +22,7 @@
 		check(t, n.Continue())
 	}()
 	var got tally
-	tb.Drive(context.Background(), &load, day, got.add)
+	tb.Drive(context.Background(), &load, arrivals, got.add)
 	<-done
 	stalled, inTime := 0, 0
 	for _, s := range got.all {
@@ -37,8 +37,8 @@
 			inTime++
 		}
 	}
-	if len(got.all) != len(day) || stalled < 20 || inTime < stalled/2 {
-		t.Errorf("%d arrivals of %d, %d in the stall, %d of them sent in time", len(got.all), len(day), stalled, inTime)
+	if len(got.all) != len(arrivals) || stalled < 20 || inTime < stalled/2 {
+		t.Errorf("%d arrivals of %d, %d in the stall, %d of them sent in time", len(got.all), len(arrivals), stalled, inTime)
 	}
 	const late = 300 * time.Millisecond // of the testbed itself
 	s := tb.runClient(context.Background(), &load, tb.now()-late, Arrival{ID: "late", Patience: 1, Tenant: -1})
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -60,15 +60,15 @@
 	key := n.name + "->" + o.name
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	if tb.links[key] == nil {
+	if tb.tcpLinks[key] == nil {
 		return "", fmt.Errorf("no link %s", key)
 	}
-	if tb.udp[key] == nil {
+	if tb.udpLinks[key] == nil {
 		u, err := newUDPLink(addr, o.meshListen(), tb.directionLocked(n.name, o.name), tb.directionLocked(o.name, n.name))
 		if err != nil {
 			return "", err
 		}
-		tb.udp[key] = u
+		tb.udpLinks[key] = u
 	}
 	return addr, nil
 }
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -59,12 +59,12 @@
 	tb := Start(t, meshWorld(5))
 	nodes := tb.Nodes()
 	untilAgreed(t, nodes, "whole")
-	load, day := draw(t, &tb.world, Load{Rate: 50, Retries: 1}, 12*time.Second)
+	load, arrivals := draw(t, &tb.world, Load{Rate: 50, Retries: 1}, 12*time.Second)
 	driven := make(chan struct{})
 	var got tally
 	go func() {
 		defer close(driven)
-		tb.Drive(context.Background(), &load, day, got.add)
+		tb.Drive(context.Background(), &load, arrivals, got.add)
 	}()
 	nodes[4].Kill()
 	untilSeen(t, nodes[:4], "n5", "gone")
@@ -163,13 +163,13 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	first.lock.Close() // the next testbed may take the same block, beside the other program
-	tb, err := openFrom(context.Background(), healthyStub(), first.net-firstBlock)
+	first.blockLock.Close() // the next testbed may take the same block, beside the other program
+	tb, err := openFrom(context.Background(), healthyStub(), first.block-firstBlock)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer tb.Close()
-	if tb.net == first.net {
+	if tb.block == first.block {
 		t.Error("the block is the taken one")
 	}
 }
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -60,7 +60,7 @@
 		tier:           tier,
 		index:          index,
 		testbed:        tb,
-		address:        fmt.Sprintf("127.%d.1.%d", tb.net, 10+i),
+		address:        fmt.Sprintf("127.%d.1.%d", tb.block, 10+i),
 	}
 	var err error
 	if n.discovery, err = tb.disc.serve(n); err != nil {
@@ -167,7 +167,7 @@
 func (n *Node) Start() error {
 	listener, err := net.Listen("tcp", n.Listen())
 	if err != nil {
-		return fmt.Errorf("the address of %s is taken: %w: %w", n.name, errTaken, err)
+		return fmt.Errorf("the address of %s is taken: %w: %w", n.name, errAddressTaken, err)
 	}
 	closeQuietly(listener)
 	if err := n.configure(); err != nil {
--- a/internal/testbed/node_test.go
+++ b/internal/testbed/node_test.go
@@ -16,7 +16,7 @@
 	w := small(2, 2)
 	w.Zones = []string{"a"}
 	tb := Start(t, w)
-	load, day := draw(t, &tb.world, Load{Rate: 60, Retries: 1}, 4*time.Second)
+	load, arrivals := draw(t, &tb.world, Load{Rate: 60, Retries: 1}, 4*time.Second)
 	go func() {
 		n := tb.Node("n1")
 		Until(t, "n1 has requests", func() bool { return tb.Checker().Account().Taken > 20 })
@@ -25,7 +25,7 @@
 		check(t, n.Continue())
 	}()
 	var got tally
-	tb.Drive(context.Background(), &load, day, got.add)
+	tb.Drive(context.Background(), &load, arrivals, got.add)
 	checkNoFindings(t, tb)
 	if a := tb.Checker().Account(); a.CutOff == 0 {
 		t.Errorf("nothing was cut off: %+v", a)
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -27,16 +27,16 @@
 			}
 			w.Zones, w.Discovery.Late, w.Discovery.Asked = []string{"a"}, 50*time.Millisecond, true
 			tb := Start(t, w)
-			load, day := draw(t, &tb.world, Load{Rate: 100}, c.load)
+			load, arrivals := draw(t, &tb.world, Load{Rate: 100}, c.load)
 			steps, err := Schedule(&tb.world, []Fault{
 				{Kind: c.fault, Target: "n1", At: c.from, For: c.length},
 				{Kind: "drain", Target: "front-2", At: drain, For: time.Minute}}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			played := make(chan struct{})
+			scheduleDone := make(chan struct{})
 			go func() {
-				defer close(played)
+				defer close(scheduleDone)
 				tb.RunSchedule(
 					context.Background(),
 					steps,
@@ -44,11 +44,11 @@
 				)
 			}()
 			var got tally
-			tb.Drive(context.Background(), &load, day, got.add)
-			<-played
+			tb.Drive(context.Background(), &load, arrivals, got.add)
+			<-scheduleDone
 			checkNoFindings(t, tb)
-			if got.served() < len(day)/3 {
-				t.Errorf("served %d of %d", got.served(), len(day))
+			if got.served() < len(arrivals)/3 {
+				t.Errorf("served %d of %d", got.served(), len(arrivals))
 			}
 			tb.checker.mu.Lock()
 			defer tb.checker.mu.Unlock()
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -79,7 +79,7 @@
 	s.http = &http.Server{
 		Handler:     s,
 		IdleTimeout: tb.world.Limits.ConnIdle,
-		ErrorLog:    tb.discard,
+		ErrorLog:    tb.discardLog,
 		ConnState:   s.track,
 	}
 	tb.goOwned(func() { _ = s.http.Serve(g) }) // returns an error when the gate closes
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -83,7 +83,13 @@
 }
 
 // drive runs load and faults side by side.
-func (r *Result) drive(ctx context.Context, tb *testbed.Testbed, p *Plan, steps []testbed.Step, day []testbed.Arrival) {
+func (r *Result) drive(
+	ctx context.Context,
+	tb *testbed.Testbed,
+	p *Plan,
+	steps []testbed.Step,
+	arrivals []testbed.Arrival,
+) {
 	var mu sync.Mutex
 	var both sync.WaitGroup
 	both.Add(1)
@@ -95,7 +101,7 @@
 			r.Events = append(r.Events, fmt.Sprintf("%.3f %s", at.Seconds(), what))
 		})
 	}()
-	tb.Drive(ctx, &p.Load, day, func(s testbed.ArrivalResult) {
+	tb.Drive(ctx, &p.Load, arrivals, func(s testbed.ArrivalResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		r.Ends[s.End]++
--- a/internal/testbed/stub_node_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// plantedFault runs a day with one fault. It reports whether the testbed was too late for the checker to hold
+// plantedFault runs a load with one fault. It reports whether the testbed was too late for the checker to hold
 // anything against the node; all that it did hold against it counts.
 func plantedFault(t *testing.T, as string, want Rule) (late bool) {
 	w := small(1, 2)
@@ -177,14 +177,14 @@
 		length = drainWithin + 2*time.Second
 	}
 	tb := Start(t, w)
-	load, day := draw(t, &tb.world, Load{Rate: 40, Impatient: map[string]float64{"linger": 1}[as]}, length)
+	load, arrivals := draw(t, &tb.world, Load{Rate: 40, Impatient: map[string]float64{"linger": 1}[as]}, length)
 	if as == "drained" {
 		for _, s := range tb.servers { // whichever the stub node knows first
 			tb.Drain(s, 0)
 		}
 	}
 	var got tally
-	tb.Drive(context.Background(), &load, day, got.add)
+	tb.Drive(context.Background(), &load, arrivals, got.add)
 	found, counts := tb.Findings()
 	switch {
 	case want == "":
@@ -198,7 +198,8 @@
 	return false
 }
 
-// plantedClasses is how many classes a day of a planted fault has: a copy of a booking would break a rule of its own.
+// plantedClasses is how many classes the load of a planted fault has: a second attempt of a booking would break
+// another rule.
 func plantedClasses(as string) int {
 	if as == "repeat" || as == "give back" {
 		return 1
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -19,35 +19,35 @@
 
 // Testbed is a running world.
 type Testbed struct {
-	world     World
-	dir       string
-	scratch   bool // dir is the testbed's own
-	began     time.Time
-	intervals intervals
-	checker   *Checker
-	spawner   *spawner
-	disc      *discovery
-	front     *front
-	clients   []*client // by zone
-	nodes     map[string]*Node
-	servers   map[string]*Server
-	nodeOrder []*Node // as started
-	classes   map[string]*Class
-	discard   *log.Logger
-	lock      net.Listener // holds this testbed's loopback addresses
-	net       int          // 127.net.0.0/16 is this testbed's
-	done      chan struct{}
-	owned     sync.WaitGroup
-	closing   sync.Once
-	lateness  lateness
-	attempts  atomic.Int64 // that reached servers
-	sent      sync.Map     // of them, by node: *atomic.Int64
-	crossZone atomic.Int64 // of them, from another zone
+	world      World
+	dir        string
+	scratch    bool // dir is the testbed's own
+	began      time.Time
+	intervals  intervals
+	checker    *Checker
+	spawner    *spawner
+	disc       *discovery
+	front      *front
+	clients    []*client // by zone
+	nodes      map[string]*Node
+	servers    map[string]*Server
+	nodeOrder  []*Node // as started
+	classes    map[string]*Class
+	discardLog *log.Logger
+	blockLock  net.Listener // holds this testbed's loopback addresses
+	block      int          // 127.block.0.0/16 is this testbed's
+	done       chan struct{}
+	owned      sync.WaitGroup
+	closing    sync.Once
+	lateness   lateness
+	attempts   atomic.Int64 // that reached servers
+	sent       sync.Map     // of them, by node: *atomic.Int64
+	crossZone  atomic.Int64 // of them, from another zone
 
 	mu         sync.Mutex
 	directions map[string]*direction
-	links      map[string]*tcpLink // by FROM->TO
-	udp        map[string]*udpLink // beside some of them, at the same address
+	tcpLinks   map[string]*tcpLink // by FROM->TO
+	udpLinks   map[string]*udpLink // beside some of them, at the same address
 }
 
 // Blocks of loopback addresses, 127.N.0.0/16 each.
@@ -57,7 +57,7 @@
 	maxBlocks  = 5 // that a testbed tries
 )
 
-var errTaken = errors.New("another program has it")
+var errAddressTaken = errors.New("another program has it")
 
 // Open builds a world and starts its processes. It returns once the front has taken in every node, and fails, with
 // nothing left running, when one does not come up. Beside a program that has one of its addresses it takes others.
@@ -68,10 +68,10 @@
 // openFrom is Open that tries the blocks of addresses from one on.
 func openFrom(ctx context.Context, w World, block int) (tb *Testbed, err error) {
 	for range maxBlocks {
-		if tb, err = open(ctx, w, block); !errors.Is(err, errTaken) {
+		if tb, err = open(ctx, w, block); !errors.Is(err, errAddressTaken) {
 			break
 		}
-		block = tb.net - firstBlock + 1
+		block = tb.block - firstBlock + 1
 	}
 	return tb, err
 }
@@ -90,7 +90,7 @@
 			tb.Close()
 		}
 	}()
-	if tb.lock, tb.net, err = claimNet(block); err != nil {
+	if tb.blockLock, tb.block, err = claimNet(block); err != nil {
 		return tb, err
 	}
 	if tb.dir == "" {
@@ -121,11 +121,11 @@
 		nodes:      map[string]*Node{},
 		servers:    map[string]*Server{},
 		classes:    map[string]*Class{},
-		discard:    log.New(io.Discard, "", 0),
+		discardLog: log.New(io.Discard, "", 0),
 		done:       make(chan struct{}),
 		directions: map[string]*direction{},
-		links:      map[string]*tcpLink{},
-		udp:        map[string]*udpLink{},
+		tcpLinks:   map[string]*tcpLink{},
+		udpLinks:   map[string]*udpLink{},
 	}
 }
 
@@ -140,9 +140,9 @@
 	return nil, 0, errors.New("no part of the loopback range is free")
 }
 
-func (tb *Testbed) serverIP() string    { return fmt.Sprintf("127.%d.0.2", tb.net) }
-func (tb *Testbed) linkIP() string      { return fmt.Sprintf("127.%d.0.3", tb.net) }
-func (tb *Testbed) discoveryIP() string { return fmt.Sprintf("127.%d.0.4", tb.net) }
+func (tb *Testbed) serverIP() string    { return fmt.Sprintf("127.%d.0.2", tb.block) }
+func (tb *Testbed) linkIP() string      { return fmt.Sprintf("127.%d.0.3", tb.block) }
+func (tb *Testbed) discoveryIP() string { return fmt.Sprintf("127.%d.0.4", tb.block) }
 
 // startAll starts the last tier's nodes first, and waits until the front has all of its own.
 func (tb *Testbed) startAll(ctx context.Context) error {
@@ -267,8 +267,8 @@
 	})
 }
 
-// Discovery changes how discovery fails.
-func (tb *Testbed) Discovery(o DiscoveryFault) {
+// SetDiscoveryFault changes how discovery fails.
+func (tb *Testbed) SetDiscoveryFault(o DiscoveryFault) {
 	tb.disc.set(o)
 	if (o == DiscoveryFault{}) {
 		tb.intervals.end("discovery", tb.now())
@@ -307,8 +307,8 @@
 	tb.closeLinks()
 	tb.owned.Wait()
 	close(tb.spawner.done)
-	if tb.lock != nil {
-		closeQuietly(tb.lock)
+	if tb.blockLock != nil {
+		closeQuietly(tb.blockLock)
 	}
 	if tb.scratch {
 		_ = os.RemoveAll(tb.dir) // what cannot be removed stays in the temporary folder
@@ -317,9 +317,9 @@
 
 func (tb *Testbed) closeLinks() {
 	tb.mu.Lock()
-	links, udp := tb.links, tb.udp
-	tb.links = map[string]*tcpLink{}
-	tb.udp = nil
+	links, udp := tb.tcpLinks, tb.udpLinks
+	tb.tcpLinks = map[string]*tcpLink{}
+	tb.udpLinks = nil
 	tb.mu.Unlock()
 	for _, link := range links {
 		link.close()
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -112,15 +112,15 @@
 // Three tiers of the real program serve a drawn load, and every request is accounted for.
 func TestThreeTiersServe(t *testing.T) {
 	tb := Start(t, small(2, 2, 2, 2))
-	load, day := draw(t, &tb.world, Load{Rate: 100}, 2*time.Second)
+	load, arrivals := draw(t, &tb.world, Load{Rate: 100}, 2*time.Second)
 	var got tally
-	tb.Drive(context.Background(), &load, day, got.add)
-	if got.served() < len(day)*95/100 {
-		t.Errorf("served %d of %d: %v", got.served(), len(day), got.ends)
+	tb.Drive(context.Background(), &load, arrivals, got.add)
+	if got.served() < len(arrivals)*95/100 {
+		t.Errorf("served %d of %d: %v", got.served(), len(arrivals), got.ends)
 	}
 	checkNoFindings(t, tb)
-	if a := tb.Checker().Account(); a.Taken < 3*len(day)*95/100 {
-		t.Errorf("taken %d at three tiers for %d arrivals", a.Taken, len(day))
+	if a := tb.Checker().Account(); a.Taken < 3*len(arrivals)*95/100 {
+		t.Errorf("taken %d at three tiers for %d arrivals", a.Taken, len(arrivals))
 	}
 }
 
@@ -143,7 +143,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := WriteDay(&out[i], Draw(&w, &load, 5*time.Second, seed), steps); err != nil {
+		if err := WriteArrivals(&out[i], Draw(&w, &load, 5*time.Second, seed), steps); err != nil {
 			t.Fatal(err)
 		}
 	}
