--- a/cmd/balancer-testbed/soak.go
+++ b/cmd/balancer-testbed/soak.go
@@ -13,20 +13,24 @@
 	"github.com/spf13/cobra"
 )
 
-// soakCommand plays seeds of overlapping troubles.
+// soakCommand runs seeds of overlapping faults.
 func soakCommand() *cobra.Command {
 	var binary, out string
 	var from, count uint64
 	var beside int
 	var keep []int
 	var reduce bool
-	c := &cobra.Command{Use: "soak", Short: "Play a few dozen nodes through overlapping troubles, by seeds", Args: cobra.NoArgs}
+	c := &cobra.Command{
+		Use:   "soak",
+		Short: "Run a few dozen nodes through overlapping faults, by seeds",
+		Args:  cobra.NoArgs,
+	}
 	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program")
 	c.Flags().StringVar(&out, "out", "lab-results/soak", "folder for logs and results")
 	c.Flags().Uint64Var(&from, "seed", 1, "the first seed")
 	c.Flags().Uint64Var(&count, "count", 1, "how many seeds")
-	c.Flags().IntVar(&beside, "beside", 2, "plays at once")
-	c.Flags().IntSliceVar(&keep, "keep", nil, "numbers of the faults to play; default all")
+	c.Flags().IntVar(&beside, "beside", 2, "runs at once")
+	c.Flags().IntSliceVar(&keep, "keep", nil, "numbers of the faults to inject; default all")
 	c.Flags().BoolVar(&reduce, "reduce", false, "cut a failing seed down to the faults that it needs")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		self, err := os.Executable()
@@ -39,21 +43,21 @@
 		if out, err = filepath.Abs(out); err != nil {
 			return err
 		}
-		play := func(ctx context.Context, p *soak.Plan) (*soak.Result, error) {
-			return soak.Play(ctx, p, binary, []string{self, "shim"}, out)
+		run := func(ctx context.Context, p *soak.Plan) (*soak.Result, error) {
+			return soak.Run(ctx, p, binary, []string{self, "shim"}, out)
 		}
 		if reduce {
-			return reduceSeed(c.Context(), from, play)
+			return reduceSeed(c.Context(), from, run)
 		}
-		return playSeeds(c.Context(), from, count, beside, keep, play)
+		return runSeeds(c.Context(), from, count, beside, keep, run)
 	}
 	return c
 }
 
-type player func(context.Context, *soak.Plan) (*soak.Result, error)
+type runner func(context.Context, *soak.Plan) (*soak.Result, error)
 
-func reduceSeed(ctx context.Context, seed uint64, play player) error {
-	kept, err := soak.Reduce(ctx, seed, func(p *soak.Plan) (*soak.Result, error) { return play(ctx, p) })
+func reduceSeed(ctx context.Context, seed uint64, run runner) error {
+	kept, err := soak.Reduce(ctx, seed, func(p *soak.Plan) (*soak.Result, error) { return run(ctx, p) })
 	if err != nil {
 		return err
 	}
@@ -61,12 +65,12 @@
 	return nil
 }
 
-func playSeeds(ctx context.Context, from, count uint64, beside int, keep []int, play player) error {
+func runSeeds(ctx context.Context, from, count uint64, beside int, keep []int, run runner) error {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var failed error
 	broken := map[testbed.Rule]int{}
-	places := make(chan struct{}, max(1, beside))
+	slots := make(chan struct{}, max(1, beside))
 	for seed := from; seed < from+count; seed++ {
 		p := soak.NewPlan(seed)
 		if keep != nil {
@@ -74,12 +78,12 @@
 				return usageError{err}
 			}
 		}
-		places <- struct{}{}
+		slots <- struct{}{}
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			defer func() { <-places }()
-			r, err := play(ctx, p)
+			defer func() { <-slots }()
+			r, err := run(ctx, p)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -104,8 +108,9 @@
 
 func printResult(r *soak.Result) {
 	a := r.Account
-	fmt.Printf("seed %d: taken %d = answered %d + left %d + cut off %d + lost %d; ends %v; lab late %v; own violations %v; broken: %v\n",
-		r.Seed, a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, r.Ends, r.Lateness, r.Violations, r.Broken)
+	fmt.Printf("seed %d: taken %d = answered %d + left %d + cut off %d + lost %d; ",
+		r.Seed, a.Taken, a.Answered, a.Left, a.CutOff, a.Lost)
+	fmt.Printf("ends %v; testbed late %v; own violations %v; broken: %v\n", r.Ends, r.Lateness, r.Violations, r.Broken)
 	for i, f := range r.Faults {
 		fmt.Printf("   fault %d: %s\n", i, f)
 	}
@@ -114,9 +119,14 @@
 	}
 }
 
-// shimCommand runs a program under a shim; the lab starts it.
+// shimCommand runs a program under a shim; the testbed starts it.
 func shimCommand() *cobra.Command {
-	c := &cobra.Command{Use: "shim PROGRAM [ARGS]", Short: "Run a program whose system calls fail now and then", Hidden: true, Args: cobra.MinimumNArgs(1)}
+	c := &cobra.Command{
+		Use:    "shim PROGRAM [ARGS]",
+		Short:  "Run a program whose system calls fail now and then",
+		Hidden: true,
+		Args:   cobra.MinimumNArgs(1),
+	}
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		code, err := testbed.RunShim(args[0], args[1:])
 		if err != nil {
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -66,12 +66,15 @@
 
 func TestLoadNamesLineAndKeyOfEachProblem(t *testing.T) {
 	for change, want := range map[[2]string]string{
-		{`length = "2s"`, `length = "0s"`}:           "x.toml:2: length: ",
-		{`nodes = 2`, `nodes = 0`}:                   "x.toml:11: world.tier[0].nodes: ",
-		{`work = ["5ms"]`, `work = []`}:              "x.toml:18: world.class[0].work: ",
-		{`rate = 40.0`, `rate = -1.0`}:               "x.toml:23: load.rate: ",
-		{`kind = "slow"`, `kind = "slwo"`}:           `x.toml:26: fault[0].kind: "slwo" is none of cra`,
-		{`"front-1"`, `"front-9"`}:                   `x.toml:27: fault[0].target: "front-9" matches nothing; there are front-1 front-2`,
+		{`length = "2s"`, `length = "0s"`}: "x.toml:2: length: ",
+		{`nodes = 2`, `nodes = 0`}:         "x.toml:11: world.tier[0].nodes: ",
+		{`work = ["5ms"]`, `work = []`}:    "x.toml:18: world.class[0].work: ",
+		{`rate = 40.0`, `rate = -1.0`}:     "x.toml:23: load.rate: ",
+		{`kind = "slow"`, `kind = "slwo"`}: `x.toml:26: fault[0].kind: "slwo" is none of cra`,
+		{
+			`"front-1"`,
+			`"front-9"`,
+		}: `x.toml:27: fault[0].target: "front-9" matches nothing; there are front-1 front-2`,
 		{`name = "on"`, `name = "off"`}:              "x.toml:35: variant[1].name: ",
 		{`factor = 3.0`, `facto = 3.0`}:              "x.toml:30: fault.facto: unknown key",
 		{`rate = 40.0`, "rate = 40.0\nretries = 11"}: "x.toml:24: load.retries: ",
@@ -82,12 +85,12 @@
 		}
 	}
 	f, err := Load(write(t, tiny))
-	if err != nil || f.Plays() != 4 {
-		t.Errorf("the file itself: %d plays, %v", f.Plays(), err)
+	if err != nil || f.Runs() != 4 {
+		t.Errorf("the file itself: %d runs, %v", f.Runs(), err)
 	}
 }
 
-// Each seed is played by all variants with the same arrivals, each play has all its windows, and the report names what
+// Each seed is run by all variants with the same arrivals, each run has all its windows, and the report names what
 // was found.
 func TestRunPairsVariantsAndReports(t *testing.T) {
 	f, err := Load(write(t, tiny))
@@ -107,19 +110,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	checkSummaries(t, r.Summaries)
+	if len(r.Windows) != 4*4 {
+		t.Errorf("%d windows, want 4 for each of 4 runs", len(r.Windows))
+	}
+	checkReport(t, dir)
+}
+
+// checkSummaries checks the accounts of all runs, and that variants have the same arrivals for a seed.
+func checkSummaries(t *testing.T, summaries []Summary) {
+	t.Helper()
 	arrived := map[uint64]map[string]int{3: {}, 4: {}}
-	for _, s := range r.Summaries {
+	for _, s := range summaries {
 		arrived[s.Seed][s.Variant] = s.Arrived
-		if a := s.Account; a.Taken == 0 || a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || len(s.Marks) != 2 || s.Binary == "" {
-			t.Errorf("seed %d %s: account %+v, marks %v, binary %q", s.Seed, s.Variant, a, s.Marks, s.Binary)
+		a := s.Account
+		if a.Taken == 0 || a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || len(s.Steps) != 2 || s.Binary == "" {
+			t.Errorf("seed %d %s: account %+v, steps %v, binary %q", s.Seed, s.Variant, a, s.Steps, s.Binary)
 		}
 	}
-	if a := arrived; a[3]["off"] == 0 || a[3]["off"] != a[3]["on"] || a[4]["off"] != a[4]["on"] || a[3]["on"] == a[4]["on"] {
-		t.Errorf("arrivals by seed and variant: %v", a)
-	}
-	if len(r.Windows) != 4*4 {
-		t.Errorf("%d windows, want 4 for each of 4 plays", len(r.Windows))
+	a, b := arrived[3], arrived[4]
+	if a["off"] == 0 || a["off"] != a["on"] || b["off"] != b["on"] || a["on"] == b["on"] {
+		t.Errorf("arrivals by seed and variant: %v", arrived)
 	}
+}
+
+// checkReport writes the report of a folder and checks what it names, and its plots.
+func checkReport(t *testing.T, dir string) {
+	t.Helper()
 	if err := Report(dir); err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +144,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"# tiny", "Difference to `off`", "| served in time, share of the worth | on | 2 |", "slow front-1", "| kept |"} {
+	for _, want := range []string{
+		"# tiny",
+		"Difference to `off`",
+		"| served in time, share of the worth | on | 2 |",
+		"slow front-1",
+		"| kept |",
+	} {
 		if !strings.Contains(string(text), want) {
 			t.Errorf("the report lacks %q:\n%s", want, text)
 		}
@@ -139,7 +162,7 @@
 	}
 }
 
-// An interrupted play is written with what it has.
+// An interrupted run is written with what it has.
 func TestInterruptedRunWritesWhatItHas(t *testing.T) {
 	f, err := Load(write(t, strings.Replace(tiny, `length = "2s"`, `length = "60s"`, 1)))
 	if err != nil {
@@ -170,7 +193,7 @@
 	if err := Report(dir); err == nil || !strings.Contains(err.Error(), "holds no results") {
 		t.Errorf("an empty folder: %v", err)
 	}
-	for text, want := range map[string]string{"": "no play has ended", "{\n{}\n": ResultsFile + ":1"} {
+	for text, want := range map[string]string{"": "no run has ended", "{\n{}\n": ResultsFile + ":1"} {
 		if err := os.WriteFile(filepath.Join(dir, ResultsFile), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -182,7 +205,8 @@
 
 // The bootstrap interval covers a known mean about as often as it says, and the sign test has its textbook values.
 func TestCompare(t *testing.T) {
-	if d := compare([]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6}); d.Mean != 1 || d.Low != 1 || d.High != 1 || math.Abs(d.Sign-0.0625) > 1e-9 {
+	d := compare([]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6})
+	if d.Mean != 1 || d.Low != 1 || d.High != 1 || math.Abs(d.Sign-0.0625) > 1e-9 {
 		t.Errorf("always 1 more: %+v", d)
 	}
 	if d := compare([]float64{1, 2}, []float64{1, 2}); d.Mean != 0 || d.Sign != 1 {
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -10,27 +10,33 @@
 )
 
 const (
-	frontPolls   = 100 * time.Millisecond
-	frontAsks    = time.Second            // for one answer
-	drainLateFor = 200 * time.Millisecond // new connections still come so long after the first no
+	pollInterval  = 100 * time.Millisecond
+	readyTimeout  = time.Second
+	notReadyDelay = 200 * time.Millisecond // how long new connections still come after a node stops being ready
 )
 
 // front spreads the clients' connections over the nodes of their zone, and over all nodes when their zone has none. It
 // takes a node in once /ready answered 200, out shortly after another answer, and out late when it stops answering.
 type front struct {
-	lab   *Lab
-	nodes []*Node
-	stop  context.CancelFunc
-	owned sync.WaitGroup
+	testbed *Testbed
+	nodes   []*Node
+	stop    context.CancelFunc
+	owned   sync.WaitGroup
 
-	mu    sync.Mutex
-	in    map[*Node]bool
-	next  map[string]int // by zone
-	moved chan struct{}  // closed when a node comes in or goes out
+	mu      sync.Mutex
+	ready   map[*Node]bool
+	next    map[string]int // by zone
+	changed chan struct{}  // closed when a node comes in or goes out
 }
 
-func newFront(l *Lab, nodes []*Node) *front {
-	return &front{lab: l, nodes: nodes, in: map[*Node]bool{}, next: map[string]int{}, moved: make(chan struct{})}
+func newFront(tb *Testbed, nodes []*Node) *front {
+	return &front{
+		testbed: tb,
+		nodes:   nodes,
+		ready:   map[*Node]bool{},
+		next:    map[string]int{},
+		changed: make(chan struct{}),
+	}
 }
 
 func (f *front) start() {
@@ -52,31 +58,37 @@
 
 // watch polls one node.
 func (f *front) watch(ctx context.Context, n *Node) {
-	client := &http.Client{Timeout: frontAsks, Transport: &http.Transport{DisableKeepAlives: true,
-		DialContext: (&net.Dialer{Timeout: frontAsks}).DialContext}}
-	tick := time.NewTicker(frontPolls)
+	client := &http.Client{
+		Timeout: readyTimeout,
+		Transport: &http.Transport{
+			DisableKeepAlives: true,
+			DialContext:       (&net.Dialer{Timeout: readyTimeout}).DialContext,
+		},
+	}
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	var noSince, deadSince time.Time
+	var notReadySince, unresponsiveSince time.Time
 	for {
-		yes, heard := ready(ctx, client, f.lab.nodeAddr(clientsOf(n.zone), n))
+		yes, answered := checkReady(ctx, client, f.testbed.nodeAddr(clientsOf(n.zone), n))
 		now := time.Now()
-		if yes {
-			noSince, deadSince = time.Time{}, time.Time{}
-			f.turn(n, true)
-		} else if heard {
-			deadSince = time.Time{}
-			if noSince.IsZero() {
-				noSince = now
+		switch {
+		case yes:
+			notReadySince, unresponsiveSince = time.Time{}, time.Time{}
+			f.setReady(n, true)
+		case answered:
+			unresponsiveSince = time.Time{}
+			if notReadySince.IsZero() {
+				notReadySince = now
 			}
-			if now.Sub(noSince) >= drainLateFor {
-				f.turn(n, false)
+			if now.Sub(notReadySince) >= notReadyDelay {
+				f.setReady(n, false)
 			}
-		} else {
-			if deadSince.IsZero() {
-				deadSince = now
+		default:
+			if unresponsiveSince.IsZero() {
+				unresponsiveSince = now
 			}
-			if now.Sub(deadSince) >= f.lab.world.Notice {
-				f.turn(n, false)
+			if now.Sub(unresponsiveSince) >= f.testbed.world.Notice {
+				f.setReady(n, false)
 			}
 		}
 		select {
@@ -87,8 +99,8 @@
 	}
 }
 
-// ready asks a node whether clients may come; heard says that it answered at all.
-func ready(ctx context.Context, client *http.Client, addr string) (yes, heard bool) {
+// checkReady asks a node whether clients may come; answered reports that it answered at all.
+func checkReady(ctx context.Context, client *http.Client, addr string) (yes, answered bool) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/ready", nil)
 	if err != nil {
 		return false, false
@@ -97,43 +109,43 @@
 	if err != nil {
 		return false, false
 	}
-	resp.Body.Close()
+	closeQuietly(resp.Body)
 	return resp.StatusCode == http.StatusOK, true
 }
 
-func (f *front) turn(n *Node, in bool) {
+func (f *front) setReady(n *Node, in bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.in[n] != in {
-		f.in[n] = in
-		close(f.moved)
-		f.moved = make(chan struct{})
+	if f.ready[n] != in {
+		f.ready[n] = in
+		close(f.changed)
+		f.changed = make(chan struct{})
 	}
 }
 
-// isIn says whether the front deals connections to a node, and gives what closes at the next change.
-func (f *front) isIn(n *Node) (bool, <-chan struct{}) {
+// isReady reports whether the front sends connections to a node, and returns what closes at the next change.
+func (f *front) isReady(n *Node) (bool, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.in[n], f.moved
+	return f.ready[n], f.changed
 }
 
 var errNoNode = errors.New("the front has no node")
 
-// pick takes the next node of a zone in turn.
+// pick returns the next ready node of a zone, round robin.
 func (f *front) pick(zone string) (*Node, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, near := range []bool{true, false} {
-		var in []*Node
+	for _, sameZone := range []bool{true, false} {
+		var candidates []*Node
 		for _, n := range f.nodes {
-			if f.in[n] && (n.zone == zone || !near) {
-				in = append(in, n)
+			if f.ready[n] && (n.zone == zone || !sameZone) {
+				candidates = append(candidates, n)
 			}
 		}
-		if len(in) > 0 {
+		if len(candidates) > 0 {
 			f.next[zone]++
-			return in[f.next[zone]%len(in)], nil
+			return candidates[f.next[zone]%len(candidates)], nil
 		}
 	}
 	return nil, errNoNode
@@ -146,7 +158,7 @@
 		if err != nil {
 			return nil, "", err
 		}
-		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", f.lab.nodeAddr(clientsOf(zone), n))
+		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", f.testbed.nodeAddr(clientsOf(zone), n))
 		return c, n.name, err
 	}
 }
--- a/internal/testbed/lateness.go
+++ b/internal/testbed/lateness.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	beat    = 10 * time.Millisecond
-	tooLate = 25 * time.Millisecond // half of the rules' slack: a lab this late proves nothing
+	heartbeat    = 10 * time.Millisecond
+	voidLateness = 25 * time.Millisecond // half of the rules' slack: a testbed this late proves nothing
 )
 
-// asker asks nodes whether they are ready.
-var asker = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
+// readinessClient asks nodes whether they are ready.
+var readinessClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 
 // lateness watches how late this process itself is: a timer every 10 ms, and the arrivals as they are sent.
@@ -22,21 +22,21 @@
 	worst map[int64]time.Duration // by second
 }
 
-// run beats until the lab closes.
-func (x *lateness) run(l *Lab) {
+// run beats until the testbed closes.
+func (x *lateness) run(tb *Testbed) {
 	x.worst = map[int64]time.Duration{}
-	l.own(func() {
-		tick := time.NewTicker(beat)
+	tb.goOwned(func() {
+		tick := time.NewTicker(heartbeat)
 		defer tick.Stop()
-		last := l.now()
+		last := tb.now()
 		for {
 			select {
 			case <-tick.C:
-			case <-l.done:
+			case <-tb.done:
 				return
 			}
-			now := l.now()
-			x.note(now, now-last-beat)
+			now := tb.now()
+			x.note(now, now-last-heartbeat)
 			last = now
 		}
 	})
@@ -51,9 +51,9 @@
 	}
 }
 
-// Lateness is the worst lateness of the lab itself from one time to another, by whole seconds around them.
-func (l *Lab) Lateness(from, to time.Duration) (worst time.Duration) {
-	x := &l.lateness
+// Lateness is the worst lateness of the testbed itself from one time to another, by whole seconds around them.
+func (tb *Testbed) Lateness(from, to time.Duration) (worst time.Duration) {
+	x := &tb.lateness
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for s := int64(from / time.Second); s <= int64(to/time.Second); s++ {
@@ -62,16 +62,16 @@
 	return worst
 }
 
-// Void says that the lab was too late from one time to another to hold anything against a node.
-func (l *Lab) Void(from, to time.Duration) bool { return l.Lateness(from, to) > tooLate }
+// Void reports that the testbed was too late from one time to another to hold anything against a node.
+func (tb *Testbed) Void(from, to time.Duration) bool { return tb.Lateness(from, to) > voidLateness }
 
-// Findings returns what broke a rule. Those in a time when the lab itself was too late are marked void; the counts are
-// of the others.
-func (l *Lab) Findings() (found []Finding, counts map[Rule]int) {
-	found, _ = l.referee.Findings()
+// Findings returns what broke a rule. Those in a time when the testbed itself was too late are marked void; the
+// counts are of the others.
+func (tb *Testbed) Findings() (found []Finding, counts map[Rule]int) {
+	found, _ = tb.checker.Findings()
 	counts = map[Rule]int{}
 	for i, f := range found {
-		if f.Rule != Crash && l.Void(f.At-2*time.Second, f.At) {
+		if f.Rule != Crash && tb.Void(f.At-2*time.Second, f.At) {
 			found[i].Void = true
 			continue
 		}
--- /dev/null
+++ b/internal/testbed/links.go
@@ -0,0 +1,124 @@
+package testbed
+
+import (
+	"path"
+	"strings"
+)
+
+// directionLocked returns the direction from one part to another; tb.mu is held.
+func (tb *Testbed) directionLocked(from, to string) *direction {
+	key := from + "->" + to
+	if tb.directions[key] == nil {
+		tb.directions[key] = newDirection()
+	}
+	return tb.directions[key]
+}
+
+// linked reports whether a link is to have a proxy.
+func (tb *Testbed) linked(from, to string) bool {
+	for _, p := range tb.world.Links {
+		a, b, _ := strings.Cut(p, "->")
+		if matches(a, from) && matches(b, to) || matches(a, to) && matches(b, from) {
+			return true
+		}
+	}
+	return false
+}
+
+func matches(pattern, name string) bool {
+	ok, _ := path.Match(pattern, name) // patterns were checked
+	return ok
+}
+
+// linkAddr is the address at which one part dials another, whose own address is target.
+func (tb *Testbed) linkAddr(from, to, target string) string {
+	if !tb.linked(from, to) {
+		return target
+	}
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	key := from + "->" + to
+	if tb.tcpLinks[key] == nil {
+		link, err := newTCPLink(tb.linkIP()+":0", target, tb.directionLocked(from, to), tb.directionLocked(to, from))
+		if err != nil {
+			return target // out of ports or descriptors: a fault of the link then reports that there is none
+		}
+		tb.tcpLinks[key] = link
+	}
+	return tb.tcpLinks[key].gate.addr
+}
+
+func (tb *Testbed) nodeAddr(from string, n *Node) string {
+	return tb.linkAddr(from, n.name, n.Listen())
+}
+
+func (tb *Testbed) serverAddr(n *Node, name string) string {
+	return tb.linkAddr(n.name, name, tb.servers[name].gate.addr)
+}
+
+// linksTo makes all links to a part treat new connections as the part does.
+func (tb *Testbed) linksTo(name string, mode gateMode) {
+	tb.mu.Lock()
+	var to []*tcpLink
+	for key, link := range tb.tcpLinks {
+		if _, b, _ := strings.Cut(key, "->"); b == name {
+			to = append(to, link)
+		}
+	}
+	tb.mu.Unlock()
+	for _, link := range to {
+		link.follow(mode)
+	}
+}
+
+// SetLink changes the direction from one part to another, both path patterns as in "n*" or "rooms-?", on every link of
+// the world that has a proxy. It returns how many directions that were.
+func (tb *Testbed) SetLink(from, to string, c LinkCondition) (n int) {
+	tb.mu.Lock()
+	touched := map[string]*direction{}
+	for key := range tb.tcpLinks {
+		a, b, _ := strings.Cut(key, "->")
+		for _, d := range [][2]string{{a, b}, {b, a}} {
+			if matches(from, d[0]) && matches(to, d[1]) {
+				touched[d[0]+"->"+d[1]] = tb.directionLocked(d[0], d[1])
+			}
+		}
+	}
+	var links []*tcpLink
+	for key, link := range tb.tcpLinks {
+		a, b, _ := strings.Cut(key, "->")
+		if touched[a+"->"+b] != nil || touched[b+"->"+a] != nil {
+			links = append(links, link)
+		}
+	}
+	tb.mu.Unlock()
+	for key, p := range touched {
+		p.set(c)
+		if (c == LinkCondition{}) {
+			tb.intervals.end(key, tb.now())
+		} else {
+			tb.intervals.begin(key, tb.now())
+		}
+	}
+	for _, link := range links {
+		link.conditionsChanged()
+	}
+	return len(touched)
+}
+
+// ResetLink resets every connection on the links from one part to another.
+func (tb *Testbed) ResetLink(from, to string) (n int) {
+	tb.mu.Lock()
+	var hit []*tcpLink
+	for key, link := range tb.tcpLinks {
+		if a, b, _ := strings.Cut(key, "->"); matches(from, a) && matches(to, b) {
+			hit = append(hit, link)
+			tb.intervals.touch(key, tb.now())
+		}
+	}
+	tb.mu.Unlock()
+	for _, link := range hit {
+		link.gate.reset()
+	}
+	return len(hit)
+}
--- a/internal/testbed/shim/shim_test.go
+++ b/internal/testbed/shim/shim_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -19,7 +20,7 @@
 	case "shim":
 		var spec Spec
 		err := json.Unmarshal([]byte(os.Getenv("SHIM_TEST_SPEC")), &spec)
-		os.Setenv("SHIM_TEST_AS", os.Getenv("SHIM_TEST_PROGRAM"))
+		_ = os.Setenv("SHIM_TEST_AS", os.Getenv("SHIM_TEST_PROGRAM"))
 		code := 1
 		if err == nil {
 			code, err = Run(spec, os.Args[0], nil)
@@ -38,7 +39,7 @@
 	os.Exit(m.Run())
 }
 
-// dials opens and closes connections to itself, and says how many failed.
+// dials opens and closes connections to itself, and prints how many failed.
 func dials() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,12 +66,17 @@
 	os.Exit(0)
 }
 
-// clock says how far the wall clock went beside the monotonic one.
+// clock prints how far the wall clock went, and the monotonic one.
 func clock() {
 	start := time.Now()
 	time.Sleep(400 * time.Millisecond)
 	end := time.Now()
-	fmt.Println("wall", end.Round(0).Sub(start.Round(0)).Round(time.Second), "monotonic", end.Sub(start).Round(time.Second))
+	fmt.Println(
+		"wall",
+		end.Round(0).Sub(start.Round(0)).Round(time.Second),
+		"monotonic",
+		end.Sub(start).Round(time.Second),
+	)
 	os.Exit(0)
 }
 
@@ -92,12 +98,12 @@
 	if err != nil || !strings.HasPrefix(out, "failed ") || strings.HasPrefix(out, "failed 0") {
 		t.Errorf("%v: %s", err, out)
 	}
-	told, err := os.ReadFile(log)
+	logged, err := os.ReadFile(log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, call := range []string{"socket", "connect", "accept4", "epoll_ctl"} {
-		if !strings.Contains(string(told), " "+call+" ") {
+		if !strings.Contains(string(logged), " "+call+" ") {
 			t.Errorf("no %s failed", call)
 		}
 	}
@@ -107,7 +113,10 @@
 }
 
 func TestClockJumpsAndTheMonotonicOneDoesNot(t *testing.T) {
-	for step, want := range map[time.Duration]string{time.Hour: "wall 1h0m0s monotonic 0s\n", -time.Hour: "wall -1h0m0s monotonic 0s\n"} {
+	for step, want := range map[time.Duration]string{
+		time.Hour:  "wall 1h0m0s monotonic 0s\n",
+		-time.Hour: "wall -1h0m0s monotonic 0s\n",
+	} {
 		if out, err := run(t, "clock", Spec{ClockAt: 200 * time.Millisecond, ClockStep: step}); err != nil || out != want {
 			t.Errorf("%v: %v: %s", step, err, out)
 		}
@@ -116,7 +125,8 @@
 
 func TestExitCodeIsPassedOn(t *testing.T) {
 	_, err := run(t, "exits", Spec{})
-	if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != 7 {
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) || exit.ExitCode() != 7 {
 		t.Errorf("ended with %v, want exit 7", err)
 	}
 }
--- a/internal/testbed/start.go
+++ b/internal/testbed/start.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// T is what the lab needs of a test.
+// T is what the testbed needs of a test.
 type T interface {
 	Helper()
 	Cleanup(func())
@@ -19,23 +19,23 @@
 
 // Start opens a world for a test and closes it at the test's end. A test that has failed logs the end of what each
 // node said.
-func Start(t T, w World) *Lab {
+func Start(t T, w World) *Testbed {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), longEnough)
 	defer cancel()
-	l, err := Open(ctx, w)
+	tb, err := Open(ctx, w)
 	if err != nil {
-		t.Fatalf("lab: %v", err)
+		t.Fatalf("testbed: %v", err)
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			for _, n := range l.order {
-				t.Logf("%s said: %s", n.name, n.process.tail(4))
+			for _, n := range tb.nodeOrder {
+				t.Logf("%s logged: %s", n.name, n.process.tail(4))
 			}
 		}
-		l.Close()
+		tb.Close()
 	})
-	return l
+	return tb
 }
 
 // Until waits for a condition, looking at it every 5 ms.
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/testbed_test.go
@@ -3,6 +3,8 @@
 import (
 	"bytes"
 	"context"
+	"io"
+	"net"
 	"os"
 	"sync"
 	"testing"
@@ -14,8 +16,8 @@
 var binary string // the node program, built once
 
 func TestMain(m *testing.M) {
-	if as := os.Getenv("LAB_TEST_AS"); as != "" {
-		double(as)
+	if as := os.Getenv("TESTBED_TEST_AS"); as != "" {
+		runStubNode(as)
 		return
 	}
 	os.Exit(testbedtest.Main(m, &binary))
@@ -24,8 +26,8 @@
 // small is a world of one tier, or two, with little work.
 func small(nodes int, servers ...int) World {
 	w := World{Binary: binary, Seed: 1, Zones: []string{"a", "b"}, Classes: []Class{
-		{Name: "view", Effect: "read_like", Share: 0.7, Aim: time.Second, Deadline: 2 * time.Second},
-		{Name: "booking", Effect: "non_idempotent", Share: 0.3, Aim: time.Second, Deadline: 2 * time.Second},
+		{Name: "view", Effect: "read_like", Share: 0.7, LatencyObjective: time.Second, Deadline: 2 * time.Second},
+		{Name: "booking", Effect: "non_idempotent", Share: 0.3, LatencyObjective: time.Second, Deadline: 2 * time.Second},
 	}}
 	names := []string{"front", "schedule", "rooms"}
 	for i, n := range servers {
@@ -48,10 +50,10 @@
 type tally struct {
 	mu   sync.Mutex
 	ends map[string]int
-	all  []Served
+	all  []ArrivalResult
 }
 
-func (x *tally) add(s Served) {
+func (x *tally) add(s ArrivalResult) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.ends == nil {
@@ -61,10 +63,27 @@
 	x.all = append(x.all, s)
 }
 
-func (x *tally) count(end string) int {
+// served returns how many arrivals were served.
+func (x *tally) served() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.ends[end]
+	return x.ends["served"]
+}
+
+// check fails a test, and lets it go on, where there is an error.
+func check(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Error(err)
+	}
+}
+
+// writeText writes a text to a connection.
+func writeText(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
 }
 
 func draw(t *testing.T, w *World, l Load, length time.Duration) (Load, []Arrival) {
@@ -75,16 +94,16 @@
 	return l, Draw(w, &l, length, 7)
 }
 
-func clean(t *testing.T, l *Lab) {
+func checkNoFindings(t *testing.T, tb *Testbed) {
 	t.Helper()
-	found, counts := l.Findings()
+	found, counts := tb.Findings()
 	if len(counts) > 0 {
 		t.Errorf("findings: %s", summary(counts))
 		for _, f := range found[:min(5, len(found))] {
 			t.Log(f)
 		}
 	}
-	a := l.Referee().Account()
+	a := tb.Checker().Account()
 	if a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || a.Open != 0 {
 		t.Errorf("the account does not add up: %+v", a)
 	}
@@ -92,16 +111,16 @@
 
 // Three tiers of the real program serve a drawn load, and every request is accounted for.
 func TestThreeTiersServe(t *testing.T) {
-	l := Start(t, small(2, 2, 2, 2))
-	load, day := draw(t, &l.world, Load{Rate: 100}, 2*time.Second)
+	tb := Start(t, small(2, 2, 2, 2))
+	load, arrivals := draw(t, &tb.world, Load{Rate: 100}, 2*time.Second)
 	var got tally
-	l.Drive(context.Background(), &load, day, got.add)
-	if got.count("served") < len(day)*95/100 {
-		t.Errorf("served %d of %d: %v", got.count("served"), len(day), got.ends)
+	tb.Drive(context.Background(), &load, arrivals, got.add)
+	if got.served() < len(arrivals)*95/100 {
+		t.Errorf("served %d of %d: %v", got.served(), len(arrivals), got.ends)
 	}
-	clean(t, l)
-	if a := l.Referee().Account(); a.Taken < 3*len(day)*95/100 {
-		t.Errorf("taken %d at three tiers for %d arrivals", a.Taken, len(day))
+	checkNoFindings(t, tb)
+	if a := tb.Checker().Account(); a.Taken < 3*len(arrivals)*95/100 {
+		t.Errorf("taken %d at three tiers for %d arrivals", a.Taken, len(arrivals))
 	}
 }
 
@@ -116,11 +135,15 @@
 		if err := load.Fill(&w); err != nil {
 			t.Fatal(err)
 		}
-		steps, err := Schedule(&w, []Fault{{Kind: "kill", Target: "n*", Pick: 2, At: time.Second, Jitter: time.Second, For: time.Second}}, seed)
+		steps, err := Schedule(
+			&w,
+			[]Fault{{Kind: "kill", Target: "n*", Pick: 2, At: time.Second, Jitter: time.Second, For: time.Second}},
+			seed,
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := WriteDay(&out[i], Draw(&w, &load, 5*time.Second, seed), steps); err != nil {
+		if err := WriteArrivals(&out[i], Draw(&w, &load, 5*time.Second, seed), steps); err != nil {
 			t.Fatal(err)
 		}
 	}
