--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -89,7 +89,7 @@
 		reported := m.reachability.isReportedDead(id)
 		m.confirmDead(p)
 		if !reported {
-			m.reachability.markUnreported(id)
+			m.reachability.recordUnreported(id)
 		}
 	case assessmentOpen:
 	}
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -78,8 +78,8 @@
 // recordIndirect notes that a process has answered another one.
 func (r *reachability) recordIndirect(id string, now time.Duration) { r.indirectAt[id] = now }
 
-// markUnreported notes that a process was confirmed dead without a report.
-func (r *reachability) markUnreported(id string) { r.unreported[id] = true }
+// recordUnreported notes that a process was confirmed dead without a report.
+func (r *reachability) recordUnreported(id string) { r.unreported[id] = true }
 
 // reachableAt is when a process last answered this one, or another that reported so; -1: never.
 func (r *reachability) reachableAt(id string) time.Duration {
--- a/tools/packagemap/main.go
+++ b/tools/packagemap/main.go
@@ -1,8 +1,9 @@
-// Command packagemap draws the packages of the module and what they import from each other, as a Mermaid graph made from
-// the source, and keeps it in a page between two marker lines.
+// Command packagemap draws the packages of the module and what they import from each other, as a Mermaid graph made
+// from the source, and keeps it in a page between two marker lines. It compares, and exits with 1 if the page is out of
+// date; with -write it brings the page up to date:
 //
-//	cd tools && go run ./packagemap -root .. -page docs/architecture.md           # compares; exit 1 if the page is out of date
-//	cd tools && go run ./packagemap -root .. -page docs/architecture.md -write    # brings the page up to date
+//	cd tools && go run ./packagemap -root .. -page docs/architecture.md
+//	cd tools && go run ./packagemap -root .. -page docs/architecture.md -write
 package main
 
 import (
