--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -12,6 +12,8 @@
 	"sort"
 	"strings"
 
+	"keelusher/internal/testbed"
+
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
@@ -26,7 +28,7 @@
 	Summaries []Summary
 }
 
-const mostLine = 4 << 20
+const maxLineSize = 4 << 20
 
 // Read reads a results file. A last line that was cut off is passed over; any other unreadable line is an error that
 // names it.
@@ -38,7 +40,7 @@
 	defer f.Close()
 	r := &Results{}
 	in := bufio.NewScanner(f)
-	in.Buffer(nil, mostLine)
+	in.Buffer(nil, maxLineSize)
 	var failed error
 	for n := 1; in.Scan(); n++ {
 		if failed != nil {
@@ -64,17 +66,17 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(r.Summaries) == 0 {
-		return nil, fmt.Errorf("%s: no play has ended", path)
+		return nil, fmt.Errorf("%s: no run has ended", path)
 	}
 	return r, nil
 }
 
-// figure is one row of the report.
-type figure struct {
+// metric is one row of the report.
+type metric struct {
 	name   string
 	format string
 	low    bool // the lowest is the worst
-	of     func(*Summary) float64
+	value  func(*Summary) float64
 }
 
 func share(s *Summary, end string) float64 {
@@ -84,21 +86,33 @@
 	return float64(s.Ends[end]) / float64(s.Arrived)
 }
 
-var figures = []figure{
+var metrics = []metric{
 	{"served in time, share of the worth", "%.4f", true, func(s *Summary) float64 { return s.Served }},
 	{"the same in the worst window", "%.3f", true, func(s *Summary) float64 { return s.Worst }},
-	{"late", "%.4f", false, func(s *Summary) float64 { return share(s, "late") }},
-	{"refused", "%.4f", false, func(s *Summary) float64 { return share(s, "refused") }},
-	{"failed", "%.4f", false, func(s *Summary) float64 { return share(s, "failed") + share(s, "unreached") }},
+	{"late", "%.4f", false, func(s *Summary) float64 { return share(s, testbed.EndLate) }},
+	{"refused", "%.4f", false, func(s *Summary) float64 { return share(s, testbed.EndRejected) }},
+	{"failed", "%.4f", false, func(s *Summary) float64 {
+		return share(s, testbed.EndFailed) + share(s, testbed.EndUnreached)
+	}},
 	{"median latency, ms", "%.1f", false, func(s *Summary) float64 { return s.P50 }},
 	{"99th percentile, ms", "%.0f", false, func(s *Summary) float64 { return s.P99 }},
 	{"99.9th percentile, ms", "%.0f", false, func(s *Summary) float64 { return s.P999 }},
-	{"attempts for each arrival", "%.3f", false, func(s *Summary) float64 { return float64(s.Attempts) / float64(max(1, s.Arrived)) }},
-	{"of them between zones", "%.4f", false, func(s *Summary) float64 { return float64(s.Crossed) / float64(max(1, s.Attempts)) }},
-	{"calls a server, most over mean", "%.2f", false, func(s *Summary) float64 { return s.Uneven }},
+	{
+		"attempts for each arrival",
+		"%.3f",
+		false,
+		func(s *Summary) float64 { return float64(s.Attempts) / float64(max(1, s.Arrived)) },
+	},
+	{
+		"of them between zones",
+		"%.4f",
+		false,
+		func(s *Summary) float64 { return float64(s.CrossZone) / float64(max(1, s.Attempts)) },
+	},
+	{"calls a server, most over mean", "%.2f", false, func(s *Summary) float64 { return s.Imbalance }},
 	{"processor, all nodes, cores", "%.3f", false, func(s *Summary) float64 { return s.CPU }},
-	{"memory, largest node, MB", "%.1f", false, func(s *Summary) float64 { return s.MostRSS }},
-	{"descriptors, most of a node", "%.0f", false, func(s *Summary) float64 { return float64(s.MostFiles) }},
+	{"memory, largest node, MB", "%.1f", false, func(s *Summary) float64 { return s.MaxRSS }},
+	{"descriptors, most of a node", "%.0f", false, func(s *Summary) float64 { return float64(s.MaxFiles) }},
 }
 
 // variants returns the summaries by variant, in order of appearance.
@@ -124,23 +138,49 @@
 		return err
 	}
 	names, by := r.variants()
+	sortVariants(names)
+	var b strings.Builder
+	r.writeHeader(&b, names, by)
+	writeRules(&b, names, by)
+	writeMetrics(&b, names, by)
+	if len(names) > 1 {
+		writeDifferences(&b, names, by)
+	}
+	for _, n := range names {
+		if err := r.writeTimeline(&b, dir, n, by[n][0]); err != nil {
+			return err
+		}
+	}
+	return os.WriteFile(filepath.Join(dir, "report.md"), []byte(b.String()), 0o644)
+}
+
+// sortVariants sorts the variants by name, with the one that the others are compared with in front.
+func sortVariants(names []string) {
 	sort.Strings(names)
-	for i, n := range names { // the first to be compared with is the one that the file names first; "off" or "base" else
+	for i, n := range names {
 		if n == "off" || n == "base" || n == "before" {
 			names[0], names[i] = names[i], names[0]
 		}
 	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "# %s\n\n", r.Summaries[0].Experiment)
+}
+
+func (r *Results) writeHeader(b *strings.Builder, names []string, by map[string][]*Summary) {
+	fmt.Fprintf(b, "# %s\n\n", r.Summaries[0].Experiment)
 	for _, n := range names {
 		var seeds []string
 		for _, s := range by[n] {
 			seeds = append(seeds, fmt.Sprint(s.Seed))
 		}
-		fmt.Fprintf(&b, "- `%s`: binary %s, seeds %s\n", n, by[n][0].Binary, strings.Join(seeds, " "))
+		fmt.Fprintf(b, "- `%s`: binary %s, seeds %s\n", n, by[n][0].Binary, strings.Join(seeds, " "))
 	}
+}
+
+func writeRules(b *strings.Builder, names []string, by map[string][]*Summary) {
 	b.WriteString("\n## Rules and accounts\n\n")
-	table(&b, []string{"variant", "seed", "arrived", "taken", "answered", "left", "cut off", "lost", "void windows", "rules"}, func(row func(...any)) {
+	head := []string{
+		"variant", "seed", "arrived", "taken", "answered", "left", "cut off", "lost", "void windows", "rules",
+	}
+	table(b, head, func(row func(...any)) {
 		for _, n := range names {
 			for _, s := range by[n] {
 				a := s.Account
@@ -148,44 +188,54 @@
 			}
 		}
 	})
-	b.WriteString("\n## Figures, median and worst over plays\n\n")
-	table(&b, append([]string{"figure"}, names...), func(row func(...any)) {
-		for _, f := range figures {
-			cells := []any{f.name}
+}
+
+func writeMetrics(b *strings.Builder, names []string, by map[string][]*Summary) {
+	b.WriteString("\n## Metrics, median and worst over runs\n\n")
+	table(b, append([]string{"metric"}, names...), func(row func(...any)) {
+		for _, m := range metrics {
+			cells := []any{m.name}
 			for _, n := range names {
-				median, worst := medianWorst(values(by[n], f), f.low)
-				cells = append(cells, fmt.Sprintf(f.format+" / "+f.format, median, worst))
+				median, worst := medianWorst(values(by[n], m), m.low)
+				cells = append(cells, fmt.Sprintf(m.format+" / "+m.format, median, worst))
 			}
 			row(cells...)
 		}
 	})
-	if len(names) > 1 {
-		fmt.Fprintf(&b, "\n## Difference to `%s`, paired by seed\n\nMean of the differences with its 95%% bootstrap interval, and the sign test's p.\n\n", names[0])
-		table(&b, []string{"figure", "variant", "pairs", "difference", "from", "to", "p"}, func(row func(...any)) {
-			for _, f := range figures {
-				for _, n := range names[1:] {
-					d := compare(paired(by[names[0]], by[n], f))
-					row(f.name, n, d.Pairs, fmt.Sprintf(f.format, d.Mean), fmt.Sprintf(f.format, d.Low), fmt.Sprintf(f.format, d.High), fmt.Sprintf("%.3f", d.Sign))
-				}
-			}
-		})
-	}
-	for _, n := range names {
-		fmt.Fprintf(&b, "\n## `%s` over time\n\nMeans over the plays; grey lines are the steps of the first play's schedule.\n\n", n)
-		for what, draw := range map[string]func(*plot.Plot, string) error{"ends": r.plotEnds, "latency": r.plotLatency} {
-			name := fmt.Sprintf("%s-%s.svg", what, n)
-			if err := r.save(filepath.Join(dir, name), n, by[n][0].Marks, draw); err != nil {
-				return err
+}
+
+func writeDifferences(b *strings.Builder, names []string, by map[string][]*Summary) {
+	fmt.Fprintf(b, "\n## Difference to `%s`, paired by seed\n\n", names[0])
+	b.WriteString("Mean of the differences with its 95% bootstrap interval, and the sign test's p.\n\n")
+	head := []string{"metric", "variant", "pairs", "difference", "from", "to", "p"}
+	table(b, head, func(row func(...any)) {
+		for _, m := range metrics {
+			for _, n := range names[1:] {
+				d := compare(paired(by[names[0]], by[n], m))
+				format := func(v float64) string { return fmt.Sprintf(m.format, v) }
+				row(m.name, n, d.Pairs, format(d.Mean), format(d.Low), format(d.High), fmt.Sprintf("%.3f", d.Sign))
 			}
 		}
-		fmt.Fprintf(&b, "![ends over time](ends-%s.svg)\n\n![latency over time](latency-%s.svg)\n\n", n, n)
-		table(&b, []string{"at", "step"}, func(row func(...any)) {
-			for _, m := range by[n][0].Marks {
-				row(fmt.Sprintf("%.2f s", m.At), m.What)
-			}
-		})
+	})
+}
+
+// writeTimeline writes the plots of a variant, and the schedule of its first run.
+func (r *Results) writeTimeline(b *strings.Builder, dir, variant string, first *Summary) error {
+	fmt.Fprintf(b, "\n## `%s` over time\n\n", variant)
+	b.WriteString("Means over the runs; grey lines are the steps of the first run's schedule.\n\n")
+	for what, draw := range map[string]func(*plot.Plot, string) error{"ends": r.plotEnds, "latency": r.plotLatency} {
+		path := filepath.Join(dir, fmt.Sprintf("%s-%s.svg", what, variant))
+		if err := r.save(path, variant, first.Steps, draw); err != nil {
+			return err
+		}
 	}
-	return os.WriteFile(filepath.Join(dir, "report.md"), []byte(b.String()), 0o644)
+	fmt.Fprintf(b, "![ends over time](ends-%s.svg)\n\n![latency over time](latency-%s.svg)\n\n", variant, variant)
+	table(b, []string{"at", "step"}, func(row func(...any)) {
+		for _, step := range first.Steps {
+			row(fmt.Sprintf("%.2f s", step.At), step.What)
+		}
+	})
+	return nil
 }
 
 func broken(s *Summary) string {
@@ -210,35 +260,40 @@
 	})
 }
 
-func values(s []*Summary, f figure) (x []float64) {
+func values(s []*Summary, f metric) (x []float64) {
 	for _, one := range s {
-		x = append(x, f.of(one))
+		x = append(x, f.value(one))
 	}
 	return x
 }
 
-// paired returns a figure of the plays that both variants have, by seed and repeat.
-func paired(a, b []*Summary, f figure) (x, y []float64) {
-	type play struct {
-		seed uint64
-		rep  int
+// paired returns a metric of the runs that both variants have, by seed and repeat.
+func paired(a, b []*Summary, f metric) (x, y []float64) {
+	type runKey struct {
+		seed   uint64
+		repeat int
 	}
-	first := map[play]*Summary{}
+	first := map[runKey]*Summary{}
 	for _, s := range a {
-		first[play{s.Seed, s.Repeat}] = s
+		first[runKey{s.Seed, s.Repeat}] = s
 	}
 	for _, s := range b {
-		if p := first[play{s.Seed, s.Repeat}]; p != nil {
-			x, y = append(x, f.of(p)), append(y, f.of(s))
+		if p := first[runKey{s.Seed, s.Repeat}]; p != nil {
+			x, y = append(x, f.value(p)), append(y, f.value(s))
 		}
 	}
 	return x, y
 }
 
-var colours = []color.Color{color.RGBA{0x2c, 0x7f, 0x4a, 255}, color.RGBA{0xd9, 0x8b, 0x1f, 255}, color.RGBA{0xc0, 0x39, 0x2b, 255},
-	color.RGBA{0x5b, 0x5b, 0x9e, 255}, color.RGBA{0x7a, 0x7a, 0x7a, 255}}
+var colours = []color.Color{
+	color.RGBA{0x2c, 0x7f, 0x4a, 255},
+	color.RGBA{0xd9, 0x8b, 0x1f, 255},
+	color.RGBA{0xc0, 0x39, 0x2b, 255},
+	color.RGBA{0x5b, 0x5b, 0x9e, 255},
+	color.RGBA{0x7a, 0x7a, 0x7a, 255},
+}
 
-// line adds a figure of a variant's windows, as a mean over its plays, to a plot.
+// line adds a metric of a variant's windows, as a mean over its runs, to a plot.
 func (r *Results) line(p *plot.Plot, variant, name string, n int, of func(Window) (v float64, ok bool)) error {
 	sums, counts := map[float64]float64{}, map[float64]int{}
 	for _, w := range r.Windows {
@@ -267,7 +322,13 @@
 
 func (r *Results) plotEnds(p *plot.Plot, variant string) error {
 	p.Y.Label.Text = "arrivals a second"
-	for i, ends := range [][]string{{"served"}, {"refused"}, {"failed", "unreached"}, {"late"}, {"left", "unsent"}} {
+	for i, ends := range [][]string{
+		{testbed.EndServed},
+		{testbed.EndRejected},
+		{testbed.EndFailed, testbed.EndUnreached},
+		{testbed.EndLate},
+		{testbed.EndDisconnected, testbed.EndUnsent},
+	} {
 		if err := r.line(p, variant, ends[0], i, func(w Window) (v float64, ok bool) {
 			for _, e := range ends {
 				v += float64(w.Ends[e])
@@ -288,7 +349,7 @@
 	return r.line(p, variant, "99th percentile", 2, func(w Window) (float64, bool) { return w.P99, w.P99 > 0 })
 }
 
-func (r *Results) save(path, variant string, marks []Mark, draw func(*plot.Plot, string) error) error {
+func (r *Results) save(path, variant string, steps []ExecutedStep, draw func(*plot.Plot, string) error) error {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
 	p.Y.Min = 0
@@ -298,7 +359,7 @@
 	}
 	p.Y.Max *= 1.05
 	p.X.Max *= 1.15 // room for the legend
-	for _, m := range marks {
+	for _, m := range steps {
 		l, err := plotter.NewLine(plotter.XYs{{X: m.At, Y: 0}, {X: m.At, Y: p.Y.Max}})
 		if err != nil {
 			return err
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// gateMode is how a listener meets new connections.
+// gateMode is how a listener treats new connections.
 type gateMode int
 
 const (
 	gateOpen   gateMode = iota
-	gateRefuse          // as of a dead process: refused at once
-	gateSilent          // as of a vanished machine: they never come up, and open ones say nothing
+	gateRefuse          // as of a dead process: connections are refused at once
+	gateSilent          // as of a vanished machine: connections never come up, and open ones are silent
 )
 
 const backlog = 512
 
-// gate is a listener that can refuse and fall silent, and come back at the same address. Silence is made by a full
-// accept queue: the kernel then drops connection requests, so that they neither come up nor fail.
+// gate is a listener that can refuse connections or fall silent, and come back at the same address. Silence is made
+// by a full accept queue: the kernel then drops connection requests, so that they neither come up nor fail.
 type gate struct {
 	addr     string
 	accepted chan net.Conn
 	done     chan struct{}
 	owned    sync.WaitGroup
 
-	mu      sync.Mutex
-	mode    gateMode
-	ln      *net.TCPListener // nil while refusing
-	fillers map[string]net.Conn
-	conns   map[*gatedConn]struct{}
-	thawed  chan struct{} // closed while not silent
+	mu       sync.Mutex
+	mode     gateMode
+	listener *net.TCPListener // nil while refusing
+	fillers  map[string]net.Conn
+	conns    map[*gatedConn]struct{}
+	thawed   chan struct{} // closed while not silent
 }
 
 // newGate opens a gate; port 0 picks one, kept from then on.
@@ -43,26 +43,26 @@
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
-	g.addr = g.ln.Addr().String()
+	g.addr = g.listener.Addr().String()
 	return g, nil
 }
 
 func (g *gate) listen() error {
-	ln, err := net.Listen("tcp", g.addr)
+	listener, err := net.Listen("tcp", g.addr)
 	if err != nil {
 		return err
 	}
-	g.ln = ln.(*net.TCPListener)
+	g.listener = listener.(*net.TCPListener)
 	g.owned.Add(1)
-	go g.take(g.ln)
+	go g.take(g.listener)
 	return nil
 }
 
 // take accepts until its listener is closed.
-func (g *gate) take(ln *net.TCPListener) {
+func (g *gate) take(listener *net.TCPListener) {
 	defer g.owned.Done()
 	for {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -92,7 +92,7 @@
 		select {
 		case g.accepted <- gc:
 		case <-g.done:
-			gc.Close()
+			closeQuietly(gc)
 			return
 		}
 	}
@@ -111,30 +111,30 @@
 		return nil
 	}
 	if g.mode == gateSilent {
-		if g.ln != nil {
-			setBacklog(g.ln, backlog)
-			g.ln.SetDeadline(time.Time{})
+		if g.listener != nil {
+			setBacklog(g.listener, backlog)
+			_ = g.listener.SetDeadline(time.Time{}) // fails only on a closed listener
 		}
 		close(g.thawed)
 	}
 	g.mode = mode
 	switch mode {
 	case gateOpen:
-		if g.ln == nil {
+		if g.listener == nil {
 			return g.listen()
 		}
 	case gateRefuse:
-		g.ln.Close()
-		g.ln = nil
+		g.listener.Close()
+		g.listener = nil
 	case gateSilent:
 		g.thawed = make(chan struct{})
-		if g.ln == nil {
+		if g.listener == nil {
 			if err := g.listen(); err != nil {
 				return err
 			}
 		}
-		g.ln.SetDeadline(time.Now())
-		setBacklog(g.ln, 0)
+		_ = g.listener.SetDeadline(time.Now())
+		setBacklog(g.listener, 0)
 		for range 4 { // a queue of length 0 holds one
 			c, err := net.DialTimeout("tcp", g.addr, 10*time.Millisecond)
 			if err != nil {
@@ -146,14 +146,16 @@
 	return nil
 }
 
-func setBacklog(ln *net.TCPListener, n int) {
-	if raw, err := ln.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
+func setBacklog(listener *net.TCPListener, n int) {
+	raw, err := listener.SyscallConn()
+	if err != nil {
+		return
 	}
+	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) }) // fails only on a closed listener
 }
 
-// refuse takes no new connection any more; what is open stays.
-func (g *gate) refuse() { g.set(gateRefuse) } // fails only at the lab's end
+// refuse rejects new connections; open ones stay.
+func (g *gate) refuse() { _ = g.set(gateRefuse) } // fails only at the testbed's end
 
 // reset ends all open connections by a reset.
 func (g *gate) reset() {
@@ -180,6 +182,7 @@
 	}
 }
 
+// Close ends the gate and resets its connections. It never fails.
 func (g *gate) Close() error {
 	g.mu.Lock()
 	select {
@@ -189,8 +192,8 @@
 	default:
 	}
 	close(g.done)
-	if g.ln != nil {
-		g.ln.Close()
+	if g.listener != nil {
+		g.listener.Close()
 	}
 	for _, f := range g.fillers {
 		f.Close()
@@ -201,12 +204,13 @@
 	return nil
 }
 
+// Addr returns the address, also while the gate refuses connections.
 func (g *gate) Addr() net.Addr {
 	a, _ := net.ResolveTCPAddr("tcp", g.addr)
 	return a
 }
 
-// gatedConn says and hears nothing while its gate is silent.
+// gatedConn neither reads nor writes while its gate is silent.
 type gatedConn struct {
 	net.Conn
 	gate   *gate
@@ -233,8 +237,8 @@
 
 func (c *gatedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if held := c.hold(); held != nil {
-		return 0, held
+	if err := c.hold(); err != nil {
+		return 0, err
 	}
 	return n, err
 }
@@ -246,7 +250,7 @@
 	return c.Conn.Write(p)
 }
 
-// Close of a silent connection says nothing to the peer before the gate speaks again.
+// Close of a silent connection does not reach the peer before the silence ends.
 func (c *gatedConn) Close() (err error) {
 	c.once.Do(func() {
 		close(c.closed)
@@ -274,13 +278,13 @@
 
 func (c *gatedConn) reset() {
 	reset(c.Conn)
-	c.Close()
+	closeQuietly(c)
 }
 
 // reset ends a connection so that the peer sees a reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		_ = t.SetLinger(0) // fails only on a closed connection
 	}
-	c.Close()
+	closeQuietly(c)
 }
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -14,14 +14,17 @@
 
 // Load says what clients do. Arrivals are a Poisson process that does not wait for answers.
 type Load struct {
-	Rate       float64       `toml:"rate"`        // first tries a second over all zones
-	ByZone     []float64     `toml:"by_zone"`     // shares of the zones; default: even
-	Bursts     []Burst       `toml:"burst"`       // times at which the rate is another
-	Retries    int           `toml:"retries"`     // most tries after the first
-	Backoff    time.Duration `toml:"backoff"`     // before a retry, drawn evenly from a half to one and a half; default 200 ms
-	Patience   float64       `toml:"patience"`    // a try is given up after this share of the deadline at the least; default 0.7
-	Impatient  float64       `toml:"impatient"`   // share of clients that leave before their time is up
-	MostFlight int           `toml:"most_flight"` // requests of clients out at once; more are not sent and void the window; default 20,000
+	Rate    float64   `toml:"rate"`    // first attempts a second over all zones
+	ByZone  []float64 `toml:"by_zone"` // shares of the zones; default: even
+	Bursts  []Burst   `toml:"burst"`   // times at which the rate is another
+	Retries int       `toml:"retries"` // limit of attempts after the first
+	// before a retry, drawn evenly from a half to one and a half; default 200 ms
+	Backoff time.Duration `toml:"backoff"`
+	// smallest share of the deadline after which an attempt is given up; default 0.7
+	Patience  float64 `toml:"patience"`
+	Impatient float64 `toml:"impatient"` // share of clients that leave before their time is up
+	// requests of clients out at once; more are not sent and void the window; default 20,000
+	MaxInFlight int `toml:"most_flight"`
 }
 
 // Burst multiplies the rate for a while.
@@ -35,7 +38,7 @@
 func (l *Load) Fill(w *World) error {
 	orDefault(&l.Backoff, 200*time.Millisecond)
 	orDefault(&l.Patience, 0.7)
-	orDefault(&l.MostFlight, 20000)
+	orDefault(&l.MaxInFlight, 20000)
 	if l.ByZone == nil {
 		for range w.Zones {
 			l.ByZone = append(l.ByZone, 1)
@@ -61,16 +64,16 @@
 	return nil
 }
 
-// Arrival is one client's first try, as drawn.
+// Arrival is one client's first attempt, as drawn.
 type Arrival struct {
-	At       time.Duration // since the load began
-	ID       string
-	Class    int
-	Tenant   int // -1: there are none
-	Zone     int
-	Patience float64 // share of the deadline after which a try is given up
-	Leaves   float64 // share of the deadline after which the client goes away; 0: it stays
-	Over     bool    // beyond its tenant's quota in that second
+	At              time.Duration // since the load began
+	ID              string
+	Class           int
+	Tenant          int // -1: there are none
+	Zone            int
+	Patience        float64 // share of the deadline after which an attempt is given up
+	DisconnectAfter float64 // share of the deadline after which the client goes away; 0: it stays
+	OverQuota       bool    // beyond its tenant's quota in that second
 }
 
 func pickShare(r *rand.Rand, shares func(int) float64, n int) int {
@@ -87,7 +90,7 @@
 	return n - 1
 }
 
-// Draw draws a day's arrivals. The same world, load, length and seed give the same day.
+// Draw draws the arrivals of a run. The same world, load, length and seed give the same arrivals.
 func Draw(w *World, l *Load, length time.Duration, seed uint64) []Arrival {
 	r := rand.New(rand.NewPCG(seed, 1))
 	rate := func(at time.Duration) float64 {
@@ -99,43 +102,48 @@
 		}
 		return v
 	}
-	most := l.Rate
+	maxRate := l.Rate
 	for _, b := range l.Bursts {
-		most = max(most, l.Rate*b.Times)
+		maxRate = max(maxRate, l.Rate*b.Times)
 	}
-	var day []Arrival
+	var arrivals []Arrival
 	sent := map[[2]int64]float64{} // by tenant and second
 	for at := time.Duration(0); ; {
-		at += time.Duration(r.ExpFloat64() / most * float64(time.Second))
+		at += time.Duration(r.ExpFloat64() / maxRate * float64(time.Second))
 		if at >= length {
-			return day
+			return arrivals
 		}
-		if r.Float64()*most >= rate(at) { // thinning
+		if r.Float64()*maxRate >= rate(at) { // thinning
 			continue
 		}
-		a := Arrival{At: at, Tenant: -1, ID: strconv.FormatUint(xxhash.Sum64String(fmt.Sprintf("%d/%d", seed, len(day))), 16)}
+		a := Arrival{
+			At:     at,
+			Tenant: -1,
+			ID:     strconv.FormatUint(xxhash.Sum64String(fmt.Sprintf("%d/%d", seed, len(arrivals))), 16),
+		}
 		a.Class = pickShare(r, func(i int) float64 { return w.Classes[i].Share }, len(w.Classes))
 		a.Zone = pickShare(r, func(i int) float64 { return l.ByZone[i] }, len(w.Zones))
 		a.Patience = l.Patience + (1-l.Patience)*r.Float64()
 		if r.Float64() < l.Impatient {
-			a.Leaves = a.Patience * r.Float64()
+			a.DisconnectAfter = a.Patience * r.Float64()
 		}
 		if len(w.Tenants) > 0 {
 			a.Tenant = pickShare(r, func(i int) float64 { return w.Tenants[i].Share }, len(w.Tenants))
 			key := [2]int64{int64(a.Tenant), int64(at / time.Second)}
 			sent[key]++
 			q := w.Tenants[a.Tenant].Quota
-			a.Over = q > 0 && sent[key] > q
+			a.OverQuota = q > 0 && sent[key] > q
 		}
-		day = append(day, a)
+		arrivals = append(arrivals, a)
 	}
 }
 
-// WriteDay writes a drawn day, one arrival or step a line, so that two can be compared byte by byte.
-func WriteDay(to io.Writer, day []Arrival, steps []Step) error {
-	for _, a := range day {
-		if _, err := fmt.Fprintf(to, "%d %s class=%d tenant=%d zone=%d patience=%.4f leaves=%.4f over=%t\n", a.At.Microseconds(), a.ID,
-			a.Class, a.Tenant, a.Zone, a.Patience, a.Leaves, a.Over); err != nil {
+// WriteArrivals writes drawn arrivals and steps, one a line, so that two drawings can be compared byte by byte.
+func WriteArrivals(to io.Writer, arrivals []Arrival, steps []Step) error {
+	for _, a := range arrivals {
+		_, err := fmt.Fprintf(to, "%d %s class=%d tenant=%d zone=%d patience=%.4f leaves=%.4f over=%t\n",
+			a.At.Microseconds(), a.ID, a.Class, a.Tenant, a.Zone, a.Patience, a.DisconnectAfter, a.OverQuota)
+		if err != nil {
 			return err
 		}
 	}
@@ -147,77 +155,91 @@
 	return nil
 }
 
-// Served is what became of one arrival, with all its tries.
-type Served struct {
-	Arrival Arrival
-	End     string        // served, late, refused, failed, left, unreached or unsent
-	Latency time.Duration // from the drawn arrival to the last byte; coordinated omission cannot hide a stall
-	Late    time.Duration // how late the lab itself was with the first try
-	Tries   int
-	Node    string
-	Worth   float64 // of the request, whether earned or not
+// Ends of arrivals, as results name them.
+const (
+	EndServed       = "served"
+	EndLate         = "late"      // served, but not within the latency objective
+	EndRejected     = "refused"   // 429 or 503
+	EndFailed       = "failed"    // any other answer, or none
+	EndDisconnected = "left"      // the client disconnected first
+	EndUnreached    = "unreached" // no connection came up
+	EndUnsent       = "unsent"    // too many requests were in flight
+)
+
+// ArrivalResult is what became of one arrival, with all its attempts.
+type ArrivalResult struct {
+	Arrival        Arrival
+	End            string        // EndServed, or another of the ends
+	Latency        time.Duration // from the drawn arrival to the last byte; coordinated omission cannot hide a stall
+	Late           time.Duration // how late the testbed itself was with the first attempt
+	Attempts       int
+	Node           string
+	PriorityWeight float64 // of the request, whether earned or not
 }
 
-// Drive plays a drawn day and calls done, from several goroutines, with what became of each arrival. It returns once
-// every arrival has ended, or soon after ctx ends.
-func (l *Lab) Drive(ctx context.Context, load *Load, day []Arrival, done func(Served)) {
-	began := l.now()
-	var flight sync.WaitGroup
-	defer flight.Wait()
-	places := make(chan struct{}, load.MostFlight)
-	for _, a := range day {
-		if !sleepUntil(l.began.Add(began+a.At), ctx.Done()) {
+// Drive sends the requests of drawn arrivals and calls done, from several goroutines, with what became of each
+// arrival. It returns once every arrival has ended, or soon after ctx ends.
+func (tb *Testbed) Drive(ctx context.Context, load *Load, arrivals []Arrival, done func(ArrivalResult)) {
+	began := tb.now()
+	var running sync.WaitGroup
+	defer running.Wait()
+	inFlight := make(chan struct{}, load.MaxInFlight)
+	for _, a := range arrivals {
+		if !sleepUntil(tb.began.Add(began+a.At), ctx.Done()) {
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
-			done(Served{Arrival: a, End: "unsent"})
+			done(ArrivalResult{Arrival: a, End: EndUnsent})
 			continue
 		}
-		flight.Add(1)
+		running.Add(1)
 		go func() {
-			defer flight.Done()
-			defer func() { <-places }()
-			done(l.client(ctx, load, began, a))
+			defer running.Done()
+			defer func() { <-inFlight }()
+			done(tb.runClient(ctx, load, began, a))
 		}()
 	}
 }
 
-// client is one client from its first try to its end.
-func (l *Lab) client(ctx context.Context, load *Load, began time.Duration, a Arrival) Served {
-	class := &l.world.Classes[a.Class]
+// runClient is one client from its first attempt to its end.
+func (tb *Testbed) runClient(ctx context.Context, load *Load, began time.Duration, a Arrival) ArrivalResult {
+	class := &tb.world.Classes[a.Class]
 	from := began + a.At
-	s := Served{Arrival: a, Late: l.now() - from, Worth: class.Worth}
-	l.lateness.note(l.now(), s.Late)
-	if a.Over {
-		s.Worth *= l.world.OverWorth
+	s := ArrivalResult{Arrival: a, Late: tb.now() - from, PriorityWeight: class.PriorityWeight}
+	tb.lateness.note(tb.now(), s.Late)
+	if a.OverQuota {
+		s.PriorityWeight *= tb.world.OverQuotaWeight
 	}
 	end := from + class.Deadline
-	q := call{id: a.ID, class: class}
+	req := clientRequest{id: a.ID, class: class}
 	if a.Tenant >= 0 {
-		q.tenant = l.world.Tenants[a.Tenant].Name
+		req.tenant = tb.world.Tenants[a.Tenant].Name
 	}
-	if a.Leaves > 0 {
-		q.leaves = from + time.Duration(a.Leaves*float64(class.Deadline))
+	if a.DisconnectAfter > 0 {
+		req.disconnectAt = from + time.Duration(a.DisconnectAfter*float64(class.Deadline))
 	}
 	start := from
-	for try := 0; ; try++ {
-		q.deadline = min(end, start+time.Duration(a.Patience*float64(class.Deadline)))
-		ans := l.clients[a.Zone].do(ctx, q)
-		s.Tries++
-		s.Latency, s.Node, s.End = ans.at-from, ans.node, ans.end.String()
-		if ans.end == servedEnd && s.Latency > class.Aim {
-			s.End = "late"
-		}
-		if ans.end == servedEnd || ans.end == leftEnd || try >= load.Retries || ctx.Err() != nil {
+	for attempt := 0; ; attempt++ {
+		req.deadline = min(end, start+time.Duration(a.Patience*float64(class.Deadline)))
+		resp := tb.clients[a.Zone].do(ctx, req)
+		s.Attempts++
+		s.Latency, s.Node, s.End = resp.at-from, resp.node, resp.end.String()
+		if resp.end == outcomeServed && s.Latency > class.LatencyObjective {
+			s.End = EndLate
+		}
+		if resp.end == outcomeServed || resp.end == outcomeDisconnected || attempt >= load.Retries || ctx.Err() != nil {
+			return s
+		}
+		wait := time.Duration((0.5 + tb.drawn(a.ID, "backoff"+strconv.Itoa(attempt))) * float64(load.Backoff))
+		start = resp.at + max(wait, resp.retryAfter)
+		if start >= end || req.disconnectAt != 0 && start >= req.disconnectAt {
 			return s
 		}
-		wait := time.Duration((0.5 + l.drawn(a.ID, "backoff"+strconv.Itoa(try))) * float64(load.Backoff))
-		start = ans.at + max(wait, ans.retryAfter)
-		if start >= end || q.leaves != 0 && start >= q.leaves || !sleepUntil(l.began.Add(start), ctx.Done()) {
+		if !sleepUntil(tb.began.Add(start), ctx.Done()) {
 			return s
 		}
-		q.id, q.again = subID(a.ID, -1-try), true
+		req.id, req.isRetry = subID(a.ID, -1-attempt), true
 	}
 }
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -15,29 +15,29 @@
 )
 
 // meshListen is where a node's mesh listens, for UDP and TCP.
-func (n *Node) meshListen() string { return net.JoinHostPort(n.ip, "5002") }
+func (n *Node) meshListen() string { return net.JoinHostPort(n.address, "5002") }
 
 // writeFleet writes a node's fleet configuration and returns its path; empty: there is none. The world's tables are as
-// they are; to [mesh] the lab adds addresses: the node's own, the seeds', and its own links to peers.
-func (l *Lab) writeFleet(n *Node) (string, error) {
-	if len(l.world.Fleet) == 0 {
+// they are; to [mesh] the testbed adds addresses: the node's own, the seeds', and its own links to peers.
+func (tb *Testbed) writeFleet(n *Node) (string, error) {
+	if len(tb.world.Fleet) == 0 {
 		return "", nil
 	}
-	all := maps.Clone(l.world.Fleet)
+	all := maps.Clone(tb.world.Fleet)
 	if all["name"] == nil {
 		all["name"] = "lab"
 	}
 	if given, ok := all["mesh"].(map[string]any); ok {
 		mesh := maps.Clone(given)
 		seeds, dial := []string{}, map[string]string{}
-		for _, s := range l.front.nodes[:min(l.world.Seeds, len(l.front.nodes))] {
+		for _, s := range tb.front.nodes[:min(tb.world.Seeds, len(tb.front.nodes))] {
 			seeds = append(seeds, s.name+"="+s.meshListen())
 		}
-		for _, o := range l.order {
-			if o == n || !l.linked(n.name, o.name) {
+		for _, o := range tb.nodeOrder {
+			if o == n || !tb.linked(n.name, o.name) {
 				continue
 			}
-			addr, err := l.meshLink(n, o)
+			addr, err := tb.meshLink(n, o)
 			if err != nil {
 				return "", err
 			}
@@ -55,25 +55,41 @@
 }
 
 // meshLink is the address of the link from one node's mesh to another's, for both protocols.
-func (l *Lab) meshLink(n, o *Node) (string, error) {
-	addr := l.linkAddr(n.name, o.name, o.meshListen())
+func (tb *Testbed) meshLink(n, o *Node) (string, error) {
+	addr := tb.linkAddr(n.name, o.name, o.meshListen())
 	key := n.name + "->" + o.name
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.links[key] == nil {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	if tb.tcpLinks[key] == nil {
 		return "", fmt.Errorf("no link %s", key)
 	}
-	if l.udp[key] == nil {
-		u, err := newUDPLink(addr, o.meshListen(), l.wayLocked(n.name, o.name), l.wayLocked(o.name, n.name))
+	if tb.udpLinks[key] == nil {
+		u, err := newUDPLink(addr, o.meshListen(), tb.directionLocked(n.name, o.name), tb.directionLocked(o.name, n.name))
 		if err != nil {
 			return "", err
 		}
-		l.udp[key] = u
+		tb.udpLinks[key] = u
 	}
 	return addr, nil
 }
 
-// FleetView is what a node's door says of the fleet.
+// Sides of a partition, as nodes name them.
+const (
+	SideComplete = "whole"
+	SideMajority = "majority"
+	SideMinority = "minority"
+	SideIsolated = "alone"
+)
+
+// States of members, as nodes name and log them.
+const (
+	stateSuspected = "suspect"
+	stateDead      = "gone"
+	stateLeft      = "left"
+	stateConflict  = "conflict"
+)
+
+// FleetView is what a node's admin endpoint shows of the fleet.
 type FleetView struct {
 	Self    string `json:"self"`
 	Side    string `json:"side"`
@@ -86,7 +102,7 @@
 		Name  string `json:"name"`
 		State string `json:"state"`
 	} `json:"members"`
-	Figures struct {
+	Metrics struct {
 		PacketsOut int64            `json:"packets_out"`
 		BytesOut   int64            `json:"bytes_out"`
 		Dropped    map[string]int64 `json:"dropped"`
@@ -103,15 +119,15 @@
 	return ""
 }
 
-var doorCaller = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var adminClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Fleet asks a node's door what it knows of the fleet.
+// Fleet asks a node's admin endpoint what it knows of the fleet.
 func (n *Node) Fleet(ctx context.Context) (*FleetView, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/control/members", nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := doorCaller.Do(r)
+	resp, err := adminClient.Do(r)
 	if err != nil {
 		return nil, err
 	}
@@ -123,7 +139,8 @@
 	return v, json.NewDecoder(resp.Body).Decode(v)
 }
 
-// Agree says that all of some nodes are on a side, have the same digest and no change of the roster under way.
+// Agree reports whether all of some nodes are on a partition side, have the same digest and no pending change of the
+// member list.
 func Agree(ctx context.Context, nodes []*Node, side string) bool {
 	digest := ""
 	for _, n := range nodes {
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -9,14 +9,14 @@
 )
 
 // meshed is a world of front nodes that know of each other, with a link between any two.
-func meshed(nodes int) World {
+func meshWorld(nodes int) World {
 	w := small(nodes, 1)
 	w.Fleet = Tables{"mesh": map[string]any{"probe": "200ms"}}
 	w.Links = []string{"n*->n*"}
 	return w
 }
 
-func sides(l *Lab, nodes []*Node) (all []string) {
+func sides(nodes []*Node) (all []string) {
 	for _, n := range nodes {
 		v, err := n.Fleet(context.Background())
 		if err != nil {
@@ -28,14 +28,18 @@
 	return all
 }
 
-func untilAgreed(t *testing.T, l *Lab, nodes []*Node, side string) {
+func untilAgreed(t *testing.T, nodes []*Node, side string) {
 	t.Helper()
 	defer func() {
 		if t.Failed() {
-			t.Log(sides(l, nodes))
+			t.Log(sides(nodes))
 		}
 	}()
-	Until(t, fmt.Sprintf("%d nodes agree on %s", len(nodes), side), func() bool { return Agree(context.Background(), nodes, side) })
+	Until(
+		t,
+		fmt.Sprintf("%d nodes agree on %s", len(nodes), side),
+		func() bool { return Agree(context.Background(), nodes, side) },
+	)
 }
 
 func untilSeen(t *testing.T, nodes []*Node, name, state string) {
@@ -48,66 +52,66 @@
 	}
 }
 
-// Real processes find a killed one, take one back that stood still after they buried it, hear a planned leave, and take a
-// restarted one for the same member; clients are served all the while.
+// Real processes detect a killed one, readmit a stopped one after they declared it dead, handle a planned leave, and
+// recognize a restarted one as the same member; clients are served all the time.
 func TestMeshOfProcesses(t *testing.T) {
 	t.Parallel()
-	l := Start(t, meshed(5))
-	nodes := l.Nodes()
-	untilAgreed(t, l, nodes, "whole")
-	load, day := draw(t, &l.world, Load{Rate: 50, Retries: 1}, 12*time.Second)
+	tb := Start(t, meshWorld(5))
+	nodes := tb.Nodes()
+	untilAgreed(t, nodes, "whole")
+	load, arrivals := draw(t, &tb.world, Load{Rate: 50, Retries: 1}, 12*time.Second)
 	driven := make(chan struct{})
 	var got tally
 	go func() {
 		defer close(driven)
-		l.Drive(context.Background(), &load, day, got.add)
+		tb.Drive(context.Background(), &load, arrivals, got.add)
 	}()
 	nodes[4].Kill()
 	untilSeen(t, nodes[:4], "n5", "gone")
-	untilAgreed(t, l, nodes[:4], "majority")
+	untilAgreed(t, nodes[:4], "majority")
 	if err := nodes[4].restart(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	untilAgreed(t, l, nodes, "whole")
-	nodes[2].Stop()
+	untilAgreed(t, nodes, "whole")
+	check(t, nodes[2].Stop())
 	untilSeen(t, append(nodes[:2:2], nodes[3:]...), "n3", "gone")
-	nodes[2].Continue()
-	untilAgreed(t, l, nodes, "whole")
+	check(t, nodes[2].Continue())
+	untilAgreed(t, nodes, "whole")
 	nodes[3].Terminate()
 	untilSeen(t, append(nodes[:3:3], nodes[4]), "n4", "left")
-	untilAgreed(t, l, append(nodes[:3:3], nodes[4]), "whole")
+	untilAgreed(t, append(nodes[:3:3], nodes[4]), "whole")
 	<-driven
-	clean(t, l)
+	checkNoFindings(t, tb)
 }
 
 // A split leaves one majority; the others know that they have none, and all find each other when it ends.
 func TestMeshSplitAndHealed(t *testing.T) {
 	t.Parallel()
-	l := Start(t, meshed(5))
-	nodes := l.Nodes()
-	untilAgreed(t, l, nodes, "whole")
+	tb := Start(t, meshWorld(5))
+	nodes := tb.Nodes()
+	untilAgreed(t, nodes, "whole")
 	for _, from := range []string{"n1", "n2"} {
 		for _, to := range []string{"n3", "n4", "n5"} {
-			l.SetLink(from, to, Cond{Cut: true})
-			l.SetLink(to, from, Cond{Cut: true})
+			tb.SetLink(from, to, LinkCondition{Cut: true})
+			tb.SetLink(to, from, LinkCondition{Cut: true})
 		}
 	}
-	untilAgreed(t, l, nodes[2:], "majority")
-	untilAgreed(t, l, nodes[:2], "minority")
-	l.SetLink("n*", "n*", Cond{})
-	untilAgreed(t, l, nodes, "whole")
+	untilAgreed(t, nodes[2:], "majority")
+	untilAgreed(t, nodes[:2], "minority")
+	tb.SetLink("n*", "n*", LinkCondition{})
+	untilAgreed(t, nodes, "whole")
 }
 
-// One node that cannot be heard by one other stays a member for all: its word gets there through the others.
+// A node that one other cannot hear from stays a member for all: its messages get there through the others.
 func TestMeshOneWayCutKeepsTheFleet(t *testing.T) {
 	t.Parallel()
-	w := meshed(4)
+	w := meshWorld(4)
 	w.Fleet = Tables{"mesh": map[string]any{"probe": "500ms"}} // a busy machine must not pass for a loss
-	l := Start(t, w)
-	nodes := l.Nodes()
-	untilAgreed(t, l, nodes, "whole")
-	l.SetLink("n4", "n3", Cond{Cut: true})
-	from := l.Now()
+	tb := Start(t, w)
+	nodes := tb.Nodes()
+	untilAgreed(t, nodes, "whole")
+	tb.SetLink("n4", "n3", LinkCondition{Cut: true})
+	from := tb.Now()
 	Until(t, "some time has passed", func() bool {
 		for _, n := range nodes {
 			v, err := n.Fleet(context.Background())
@@ -120,21 +124,22 @@
 				}
 			}
 		}
-		return l.Now()-from > 5*time.Second
+		return tb.Now()-from > 5*time.Second
 	})
 }
 
-// Without a fleet configuration the door knows of no members.
+// Without a fleet configuration the admin endpoint knows of no members.
 func TestNoMeshWithoutAFleetConfiguration(t *testing.T) {
-	w := meshed(1)
+	w := meshWorld(1)
 	w.Fleet = nil
-	l := Start(t, w)
-	if v, err := l.Nodes()[0].Fleet(context.Background()); err == nil {
-		t.Errorf("the door says %+v", v)
+	tb := Start(t, w)
+	if v, err := tb.Nodes()[0].Fleet(context.Background()); err == nil {
+		t.Errorf("the admin endpoint says %+v", v)
 	}
 }
 
-// A leader that hears nobody is replaced; its accusations, which all hear, take nobody out, in its own view either.
+// A leader that receives nothing is replaced; its suspicions, which all receive, remove no member, in its own view
+// either.
 func TestDeafLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
 	for _, sc := range Scenarios {
@@ -142,15 +147,15 @@
 			continue
 		}
 		got, err := RunScenario(context.Background(), sc, binary, sc.Nodes, 1, 400*time.Millisecond)
-		if err != nil || got.Drawback != "" || got.Counts["wrongly gone"] > 0 || got.Counts["two majorities"] > 0 {
-			t.Errorf("%v %s: %v", err, got.Drawback, got.Counts)
+		if err != nil || got.Failure != "" || got.Counts["wrongly gone"] > 0 || got.Counts["two majorities"] > 0 {
+			t.Errorf("%v %s: %v", err, got.Failure, got.Counts)
 		}
 	}
 }
 
-// Beside a program that has one of its addresses a lab takes another block.
-func TestLabTakesAnotherBlock(t *testing.T) {
-	first := Start(t, wellDouble(1))
+// Beside a program that has one of its addresses a testbed takes another block.
+func TestTestbedTakesAnotherBlock(t *testing.T) {
+	first := Start(t, healthyStub())
 	n := first.Node("n1")
 	n.Kill()
 	other, err := net.Listen("tcp", n.Listen())
@@ -158,13 +163,13 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	first.lock.Close() // the next lab may take the same block, beside the other program
-	l, err := openFrom(context.Background(), wellDouble(1), first.net-firstBlock)
+	first.blockLock.Close() // the next testbed may take the same block, beside the other program
+	tb, err := openFrom(context.Background(), healthyStub(), first.block-firstBlock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	if l.net == first.net {
+	defer tb.Close()
+	if tb.block == first.block {
 		t.Error("the block is the taken one")
 	}
 }
--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -10,33 +10,35 @@
 	"time"
 )
 
-// Order calls /control/overrides/ID at the node's door; body may be empty. It returns the answer's status.
-func (n *Node) Order(ctx context.Context, method, id, body string) (int, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.Control()+"/control/overrides/"+id, strings.NewReader(body))
+// SendOverride calls /control/overrides/ID at the node's admin endpoint; body may be empty. It returns the answer's
+// status.
+func (n *Node) SendOverride(ctx context.Context, method, id, body string) (int, error) {
+	url := "http://" + n.Control() + "/control/overrides/" + id
+	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
-	resp, err := asker.Do(req)
+	resp, err := readinessClient.Do(req)
 	if err != nil {
 		return 0, err
 	}
-	resp.Body.Close()
+	closeQuietly(resp.Body)
 	return resp.StatusCode, nil
 }
 
-// InForce asks the node's door which overrides act there, and how long they have left.
-func (n *Node) InForce(ctx context.Context) (map[string]time.Duration, error) {
+// OverridesInForce asks the node's admin endpoint which overrides act there, and how long they have left.
+func (n *Node) OverridesInForce(ctx context.Context) (map[string]time.Duration, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/control/overrides", nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := asker.Do(req)
+	resp, err := readinessClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
 	var v struct {
-		InForce []struct {
+		OverridesInForce []struct {
 			ID   string        `json:"id"`
 			Left time.Duration `json:"left"`
 		} `json:"in_force"`
@@ -45,134 +47,173 @@
 		return nil, errors.Join(err, fmt.Errorf("%s answered %s", n.name, resp.Status))
 	}
 	all := map[string]time.Duration{}
-	for _, f := range v.InForce {
+	for _, f := range v.OverridesInForce {
 		all[f.ID] = f.Left
 	}
 	return all, nil
 }
 
-func away(zone string, lasts time.Duration) string {
+// evacuationOverride is the body of an override that evacuates a zone for a while.
+func evacuationOverride(zone string, lasts time.Duration) string {
 	return fmt.Sprintf(`{"kind":"evacuate","scope":%q,"reason":"lab","author":"lab","for":%q}`, zone, lasts)
 }
 
-// issue orders until some door takes it, and returns when the last call that did was made.
-func (s *study) issue(ctx context.Context, by *Node, id, body string) (at time.Duration, err error) {
-	_, err = s.until(ctx, id+" is taken", func() bool {
-		at = s.lab.now()
-		status, err := by.Order(ctx, http.MethodPut, id, body)
+// issueOverride issues an override until some admin endpoint accepts it, and returns when the call that did was made.
+func (s *scenarioRun) issueOverride(ctx context.Context, by *Node, id, body string) (at time.Duration, err error) {
+	_, err = s.waitUntil(ctx, id+" is accepted", func() bool {
+		at = s.testbed.now()
+		status, err := by.SendOverride(ctx, http.MethodPut, id, body)
 		return err == nil && status == http.StatusOK
 	})
 	return at, err
 }
 
-// revoke ends an override through a node, and returns when the last call that did was made.
-func (s *study) revoke(ctx context.Context, by *Node, id string) (at time.Duration, err error) {
-	_, err = s.until(ctx, "the revocation is taken", func() bool {
-		at = s.lab.now()
-		status, err := by.Order(ctx, http.MethodDelete, id, "")
+// revokeOverride ends an override through a node, and returns when the last call that did was made.
+func (s *scenarioRun) revokeOverride(ctx context.Context, by *Node, id string) (at time.Duration, err error) {
+	_, err = s.waitUntil(ctx, "the revocation is accepted", func() bool {
+		at = s.testbed.now()
+		status, err := by.SendOverride(ctx, http.MethodDelete, id, "")
 		return err == nil && (status == http.StatusOK || status == http.StatusNotFound)
 	})
 	return at, err
 }
 
-// acts waits until an override acts, or does not, on some nodes, and books how long that took from a time on.
-func (s *study) acts(ctx context.Context, on []*Node, id string, want bool, figure string, from time.Duration) error {
+// waitForOverride waits until an override is in force, or is not, on some nodes, and records under a metric, where one
+// is named, how long that took from a time on.
+func (s *scenarioRun) waitForOverride(
+	ctx context.Context,
+	on []*Node,
+	id string,
+	want bool,
+	metric string,
+	from time.Duration,
+) error {
 	for _, n := range on {
-		if _, err := s.until(ctx, figure+" at "+n.name, func() bool {
-			all, err := n.InForce(ctx)
-			_, is := all[id]
+		if _, err := s.waitUntil(ctx, metric+" at "+n.name, func() bool {
+			inForce, err := n.OverridesInForce(ctx)
+			_, is := inForce[id]
 			return err == nil && is == want
 		}); err != nil {
 			return err
 		}
-		if figure != "" {
-			s.times[figure] = append(s.times[figure], s.lab.now()-from)
+		if metric != "" {
+			s.record(metric, s.testbed.now()-from)
 		}
 	}
 	return nil
 }
 
-// overrides issues overrides at any door under a condition of all links, revokes some, and lets the others end. One node is
-// cut off, and one stopped, across all of that.
-func (s *study) overrides(ctx context.Context, c Cond) error {
+// issueAndWait issues an override and waits until it is in force on some nodes.
+func (s *scenarioRun) issueAndWait(
+	ctx context.Context,
+	by *Node,
+	id, body string,
+	on []*Node,
+	metric string,
+) (issued time.Duration, err error) {
+	issued, err = s.issueOverride(ctx, by, id, body)
+	if err != nil {
+		return 0, err
+	}
+	return issued, s.waitForOverride(ctx, on, id, true, metric, issued)
+}
+
+const (
+	issuedMetric  = "issued: in force"
+	revokedMetric = "revoked: out of force"
+	actsPastEnd   = "acts past its end"
+)
+
+// overrides issues overrides at any admin endpoint under a condition of all links, revokes some, and lets the others
+// end. One node is isolated, and one stopped, while all of that happens.
+func (s *scenarioRun) overrides(ctx context.Context, c LinkCondition) error {
 	const lasts = 6 * time.Second
 	last := len(s.nodes) - 1
-	lone, asleep, rest := s.nodes[last], s.nodes[last-1], s.nodes[:last-1]
-	s.lab.SetLink("n*", "n*", c)
+	isolated, stopped, rest := s.nodes[last], s.nodes[last-1], s.nodes[:last-1]
+	s.testbed.SetLink("n*", "n*", c)
 	for round := range 2 {
 		by := rest[(int(s.seed)+round)%len(rest)]
-		id := fmt.Sprint("revoked-", round)
-		at, err := s.issue(ctx, by, id, away("x", time.Minute))
-		if err == nil {
-			err = s.acts(ctx, s.nodes, id, true, "issued: in force", at)
-		}
-		if err != nil {
-			return err
-		}
-		revoked, err := s.revoke(ctx, by, id)
-		if err == nil {
-			err = s.acts(ctx, s.nodes, id, false, "revoked: out of force", revoked)
-		}
-		if err != nil {
+		if err := s.issueAndRevoke(ctx, by, fmt.Sprint("revoked-", round)); err != nil {
 			return err
 		}
 	}
-	at, err := s.issue(ctx, rest[1], "ends", away("x", lasts))
-	if err == nil {
-		err = s.acts(ctx, s.nodes, "ends", true, "issued: in force", at)
-	}
+	issued, err := s.issueAndWait(ctx, rest[1], "ends", evacuationOverride("x", lasts), s.nodes, issuedMetric)
 	if err != nil {
 		return err
 	}
-	s.lab.SetLink("n*", lone.name, Cond{Cut: true})
-	s.lab.SetLink(lone.name, "n*", Cond{Cut: true})
-	if err := asleep.Stop(); err != nil {
+	s.testbed.SetLink("n*", isolated.name, LinkCondition{Cut: true})
+	s.testbed.SetLink(isolated.name, "n*", LinkCondition{Cut: true})
+	if err := stopped.Stop(); err != nil {
 		return err
 	}
-	ended := map[*Node]bool{}
-	for s.lab.now()-at < lasts+time.Second {
-		for _, n := range append(rest[:len(rest):len(rest)], lone) {
-			asked := s.lab.now()
-			all, err := n.InForce(ctx)
-			_, is := all["ends"]
-			switch {
-			case err != nil:
-			case is && asked-at > lasts+200*time.Millisecond: // 200 ms: the call itself, and what a busy machine adds to it
-				s.count["acts past its end"]++
-			case !is && !ended[n]:
-				ended[n] = true
-				s.times["ended early by"] = append(s.times["ended early by"], max(0, lasts-(s.lab.now()-at)))
-			}
-		}
-		if !sleep(ctx, 20*time.Millisecond) {
-			return ctx.Err()
-		}
-	}
-	at, err = s.issue(ctx, rest[0], "missed", away("y", time.Minute))
-	if err == nil {
-		err = s.acts(ctx, rest, "missed", true, "", at)
+	if err := s.watchOverrideEnd(ctx, append(rest[:len(rest):len(rest)], isolated), "ends", issued, lasts); err != nil {
+		return err
 	}
-	if err != nil {
+	if _, err := s.issueAndWait(ctx, rest[0], "missed", evacuationOverride("y", time.Minute), rest, ""); err != nil {
 		return err
 	}
-	woken := s.lab.now()
-	if err := asleep.Continue(); err != nil {
+	continued := s.testbed.now()
+	if err := stopped.Continue(); err != nil {
 		return err
 	}
-	if all, err := asleep.InForce(ctx); err == nil {
-		if _, is := all["ends"]; is {
-			s.count["acts past its end"]++
+	if inForce, err := stopped.OverridesInForce(ctx); err == nil {
+		if _, is := inForce["ends"]; is {
+			s.count[actsPastEnd]++
 		}
 	}
-	s.lab.SetLink("n*", "n*", c)
-	if err := s.acts(ctx, []*Node{asleep}, "missed", true, "woken: reconciled", woken); err != nil {
+	s.testbed.SetLink("n*", "n*", c)
+	if err := s.waitForOverride(ctx, []*Node{stopped}, "missed", true, "woken: reconciled", continued); err != nil {
 		return err
 	}
-	if err := s.acts(ctx, []*Node{lone}, "missed", true, "cut healed: reconciled", woken); err != nil {
+	if err := s.waitForOverride(ctx, []*Node{isolated}, "missed", true, "cut healed: reconciled", continued); err != nil {
 		return err
 	}
-	if s.count["acts past its end"] > 0 {
+	if s.count[actsPastEnd] > 0 {
 		return errors.New("an override acted past its end")
 	}
 	return nil
 }
+
+// issueAndRevoke issues an override, waits until it is in force on all nodes, and revokes it.
+func (s *scenarioRun) issueAndRevoke(ctx context.Context, by *Node, id string) error {
+	_, err := s.issueAndWait(ctx, by, id, evacuationOverride("x", time.Minute), s.nodes, issuedMetric)
+	if err != nil {
+		return err
+	}
+	revoked, err := s.revokeOverride(ctx, by, id)
+	if err != nil {
+		return err
+	}
+	return s.waitForOverride(ctx, s.nodes, id, false, revokedMetric, revoked)
+}
+
+// watchOverrideEnd polls some nodes until an override must have ended on all, and records how early it did on each.
+func (s *scenarioRun) watchOverrideEnd(
+	ctx context.Context,
+	nodes []*Node,
+	id string,
+	issued, lasts time.Duration,
+) error {
+	const pollTolerance = 200 * time.Millisecond // the call itself, and what a busy machine adds to it
+	ended := map[*Node]bool{}
+	for s.testbed.now()-issued < lasts+time.Second {
+		for _, n := range nodes {
+			asked := s.testbed.now()
+			inForce, err := n.OverridesInForce(ctx)
+			_, is := inForce[id]
+			switch {
+			case err != nil:
+			case is && asked-issued > lasts+pollTolerance:
+				s.count[actsPastEnd]++
+			case !is && !ended[n]:
+				ended[n] = true
+				early := max(0, lasts-(s.testbed.now()-issued))
+				s.record("ended early by", early)
+			}
+		}
+		if !sleep(ctx, 20*time.Millisecond) {
+			return ctx.Err()
+		}
+	}
+	return nil
+}
--- a/internal/testbed/restarts.go
+++ b/internal/testbed/restart_scenarios.go
@@ -1,5 +1,3 @@
-// Scenarios of leaves, splits, restarts and floods.
-
 package testbed
 
 import (
@@ -12,15 +10,15 @@
 	"time"
 )
 
-func (s *study) leaveOne(ctx context.Context) error {
+func (s *scenarioRun) terminateOne(ctx context.Context) error {
 	n := s.nodes[len(s.nodes)-1]
-	at := s.lab.now()
+	at := s.testbed.now()
 	n.Terminate()
-	return s.heard(ctx, s.nodes[:len(s.nodes)-1], n.name, "left", "left", at)
+	return s.waitForState(ctx, s.nodes[:len(s.nodes)-1], n.name, stateLeft, leftMetric, at)
 }
 
-// leaderLeaves books for how long some of the others are without a majority after the planned end of the one that leads.
-func (s *study) leaderLeaves(ctx context.Context) error {
+// leaderLeaves records for how long some of the others are without a majority after a planned end of the leader.
+func (s *scenarioRun) leaderLeaves(ctx context.Context) error {
 	leader, rest := s.nodes[0], s.nodes[1:]
 	ended := make(chan struct{})
 	go func() {
@@ -28,36 +26,36 @@
 		leader.Terminate()
 	}()
 	defer func() { <-ended }()
-	without, before := time.Duration(0), s.lab.now()
+	without, before := time.Duration(0), s.testbed.now()
 	for from := before; before-from < 5*time.Second; {
-		lacks := false
+		missing := false
 		for _, n := range rest {
-			if v, err := n.Fleet(ctx); err == nil && v.Side != "majority" && v.Side != "whole" {
-				lacks = true
+			if v, err := n.Fleet(ctx); err == nil && v.Side != SideMajority && v.Side != SideComplete {
+				missing = true
 			}
 		}
 		if !sleep(ctx, 10*time.Millisecond) {
 			return ctx.Err()
 		}
-		if now := s.lab.now(); lacks {
+		if now := s.testbed.now(); missing {
 			without, before = without+now-before, now
 		} else {
 			before = now
 		}
 	}
-	s.times["some without a majority for"] = append(s.times["some without a majority for"], without)
-	_, err := s.agreed(ctx, rest, "whole")
+	s.record("some without a majority for", without)
+	_, err := s.waitForAgreement(ctx, rest, SideComplete)
 	return err
 }
 
 // split cuts the nodes into groups for 20 s.
-func (s *study) split(ctx context.Context, rolling bool, sizes ...int) error {
+func (s *scenarioRun) split(ctx context.Context, rolling bool, sizes ...int) error {
 	var groups [][]*Node
 	rest := s.nodes
 	for _, n := range sizes {
 		groups, rest = append(groups, rest[:n]), rest[n:]
 	}
-	set := func(c Cond) {
+	set := func(c LinkCondition) {
 		for i, g := range groups {
 			for j, h := range groups {
 				if i == j {
@@ -65,14 +63,14 @@
 				}
 				for _, a := range g {
 					for _, b := range h {
-						s.lab.SetLink(a.name, b.name, c)
+						s.testbed.SetLink(a.name, b.name, c)
 					}
 				}
 			}
 		}
 	}
-	set(Cond{Cut: true})
-	until := s.lab.now() + 20*time.Second
+	set(LinkCondition{Cut: true})
+	until := s.testbed.now() + 20*time.Second
 	if rolling {
 		for _, n := range []*Node{s.nodes[0], s.nodes[4], s.nodes[6]} {
 			n.Terminate()
@@ -81,7 +79,7 @@
 			}
 		}
 	}
-	sleepUntil(s.lab.began.Add(until), ctx.Done())
+	sleepUntil(s.testbed.began.Add(until), ctx.Done())
 	for i, g := range groups {
 		for _, n := range g {
 			if v, err := n.Fleet(ctx); err == nil {
@@ -89,25 +87,23 @@
 			}
 		}
 	}
-	set(Cond{})
-	took, err := s.agreed(ctx, s.nodes, "whole")
-	s.times["healed"] = append(s.times["healed"], took)
+	set(LinkCondition{})
+	err := s.recordAgreement(ctx, "healed")
 	return err
 }
 
 // restartOne kills a node and starts it again at once: within the time in which it is suspected.
-func (s *study) restartOne(ctx context.Context) error {
-	n, at := s.nodes[len(s.nodes)-1], s.lab.now()
+func (s *scenarioRun) restartOne(ctx context.Context) error {
+	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	n.Kill()
 	if err := n.restart(ctx); err != nil {
 		return err
 	}
-	took, err := s.agreed(ctx, s.nodes, "whole")
-	s.times["whole again"] = append(s.times["whole again"], took)
-	return errors.Join(err, s.wronglyGone(at))
+	err := s.recordAgreement(ctx, completeAgainMetric)
+	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
-func (s *study) restartAll(ctx context.Context) error {
+func (s *scenarioRun) restartAll(ctx context.Context) error {
 	for _, n := range s.nodes {
 		n.Kill()
 	}
@@ -121,14 +117,13 @@
 			return err
 		}
 	}
-	took, err := s.agreed(ctx, s.nodes, "whole")
-	s.times["whole again"] = append(s.times["whole again"], took)
+	err := s.recordAgreement(ctx, completeAgainMetric)
 	return err
 }
 
 // seedsDead kills all, starts those that are no seeds, and only later the seeds.
-func (s *study) seedsDead(ctx context.Context) error {
-	seeds := min(s.lab.world.Seeds, len(s.nodes))
+func (s *scenarioRun) seedsDead(ctx context.Context) error {
+	seeds := min(s.testbed.world.Seeds, len(s.nodes))
 	for _, n := range s.nodes {
 		n.Kill()
 	}
@@ -137,7 +132,7 @@
 			return err
 		}
 	}
-	if _, err := s.agreed(ctx, s.nodes[seeds:seeds+1], "alone"); err != nil {
+	if _, err := s.waitForAgreement(ctx, s.nodes[seeds:seeds+1], SideIsolated); err != nil {
 		return err
 	}
 	for _, n := range s.nodes[:seeds] {
@@ -145,44 +140,43 @@
 			return err
 		}
 	}
-	took, err := s.agreed(ctx, s.nodes, "whole")
-	s.times["whole after the seeds"] = append(s.times["whole after the seeds"], took)
+	err := s.recordAgreement(ctx, "whole after the seeds")
 	return err
 }
 
-// flood sends one node junk as fast as one sender can, for 10 s, and books how long it takes to answer meanwhile.
-func (s *study) flood(ctx context.Context) error {
-	n, at := s.nodes[len(s.nodes)-1], s.lab.now()
+// flood sends one node junk as fast as one sender can, for 10 s, and records how long it takes to answer meanwhile.
+func (s *scenarioRun) flood(ctx context.Context) error {
+	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	to, err := net.Dial("udp4", n.meshListen())
 	if err != nil {
 		return err
 	}
 	defer to.Close()
 	ended := make(chan int)
-	until := s.lab.began.Add(at + 10*time.Second)
+	until := s.testbed.began.Add(at + 10*time.Second)
 	go func() {
 		junk, sent := make([]byte, 200), 0
 		for ; time.Now().Before(until) && ctx.Err() == nil; sent++ {
-			to.Write(junk) // one that finds no room is as good
+			_, _ = to.Write(junk) // one that is not sent does no harm
 		}
 		ended <- sent
 	}()
 	for time.Now().Before(until) && sleep(ctx, 10*time.Millisecond) {
-		from := s.lab.now()
+		from := s.testbed.now()
 		if n.Ready(ctx) {
-			s.times["an answer of the flooded"] = append(s.times["an answer of the flooded"], s.lab.now()-from)
+			s.record("an answer of the flooded", s.testbed.now()-from)
 		} else {
 			s.count["no answer"]++
 		}
 	}
 	s.count["packets sent"] += <-ended
-	return errors.Join(ctx.Err(), s.wronglyGone(at))
+	return errors.Join(ctx.Err(), s.countWronglyRemoved(at))
 }
 
-// halfProcessor lets one node run for half of every tenth of a second.
-func (s *study) halfProcessor(ctx context.Context) error {
-	n, at := s.nodes[len(s.nodes)-1], s.lab.now()
-	for s.lab.now()-at < 30*time.Second {
+// halfProcessorTime lets one node run for half of every tenth of a second.
+func (s *scenarioRun) halfProcessorTime(ctx context.Context) error {
+	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
+	for s.testbed.now()-at < 30*time.Second {
 		if err := n.process.signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
@@ -194,20 +188,19 @@
 			return ctx.Err()
 		}
 	}
-	took, err := s.agreed(ctx, s.nodes, "whole")
-	s.times["whole again"] = append(s.times["whole again"], took)
-	return errors.Join(err, s.wronglyGone(at))
+	err := s.recordAgreement(ctx, completeAgainMetric)
+	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
-// twoOfOneName starts a second process with the last node's name, at an address of its own, and ends it once the older
+// duplicateName starts a second process with the last node's name, at an address of its own, and ends it once the older
 // one has stepped out of the mesh.
-func (s *study) twoOfOneName(ctx context.Context) error {
+func (s *scenarioRun) duplicateName(ctx context.Context) error {
 	older := s.nodes[len(s.nodes)-1]
-	twin, err := s.lab.newNode("twin", older.zone, older.tier, older.self)
+	twin, err := s.testbed.newNode("twin", older.zone, older.tier, older.index)
 	if err != nil {
 		return err
 	}
-	twin.called = older.name
+	twin.configuredName = older.name
 	if err := twin.restart(ctx); err != nil {
 		return err
 	}
@@ -218,28 +211,36 @@
 		}
 		return v.State(older.name), v.Side
 	}
-	note := func(figure, what string, is func() bool) {
+	note := func(metric, what string, is func() bool) {
 		if err == nil {
 			var took time.Duration
-			took, err = s.until(ctx, what, is)
-			s.times[figure] = append(s.times[figure], took)
+			took, err = s.waitUntil(ctx, what, is)
+			s.record(metric, took)
 		}
 	}
 	note("both see the conflict", "both see the conflict", func() bool {
 		a, _ := state(older)
 		b, _ := state(twin)
-		return a == "conflict" && b == "conflict"
+		return a == stateConflict && b == stateConflict
 	})
 	note("then the older is out", "the older is alone and says so", func() bool {
 		is, side := state(older)
-		return is == "conflict" && side == "alone"
+		return is == stateConflict && side == SideIsolated
 	})
 	with := append(slices.Clone(s.nodes[:len(s.nodes)-1]), twin)
-	note("then the others agree with the newer", "all agree with the newer", func() bool { return Agree(ctx, with, "whole") })
+	note(
+		"then the others agree with the newer",
+		"all agree with the newer",
+		func() bool { return Agree(ctx, with, SideComplete) },
+	)
 	if err == nil && !older.Ready(ctx) {
 		err = errors.New("the older does not take clients any more")
 	}
 	twin.Kill()
-	note("the older is back after the newer's end", "the older is back", func() bool { return Agree(ctx, s.nodes, "whole") })
+	note(
+		"the older is back after the newer's end",
+		"the older is back",
+		func() bool { return Agree(ctx, s.nodes, SideComplete) },
+	)
 	return err
 }
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -14,12 +14,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Trouble is what ails a server. The zero value is a well one.
-type Trouble struct {
-	Slow   float64 // work takes so many times longer; 0 and 1: as ever
-	Errors float64 // share of requests answered with 500
-	Hang   bool    // takes requests and answers none
-	Spoil  float64 // share of answers that are spoilt
+// ServerFault is how a server fails. The zero value is a healthy one.
+type ServerFault struct {
+	Slow             float64 // factor by which work takes longer; 0 and 1: none
+	Errors           float64 // share of requests answered with 500
+	Hang             bool    // accepts requests and answers none
+	CorruptResponses float64 // share of answers that are corrupted
 }
 
 // Server stands for one machine of a tier: cores that work, slots that hold requests, a queue before them. Work is time
@@ -28,19 +28,19 @@
 	name, zone string
 	tier       int
 	spec       Tier
-	lab        *Lab
+	testbed    *Testbed
 	gate       *gate
 	http       *http.Server
-	own        *Node   // its node for the next tier; nil in the last
-	next       *caller // calls through it
+	node       *Node   // its node for the next tier; nil in the last
+	nextTier   *client // calls through it
 
 	cores chan struct{}
 	slots chan struct{}
 
 	mu        sync.Mutex
-	trouble   Trouble
-	health    string // as discovery has it
-	down      bool   // no process: refuses
+	fault     ServerFault
+	health    string // as discovery lists it
+	down      bool   // no process: connections are refused
 	silent    bool
 	born      time.Duration // 0: long ago
 	queued    int           // wait for a slot
@@ -50,7 +50,7 @@
 	overSince time.Duration
 	idleSince time.Duration
 	choked    bool
-	recent    []sentWork // while cold
+	recent    []sentWork // while in slow start
 	served    int
 }
 
@@ -59,16 +59,30 @@
 	work time.Duration
 }
 
-func newServer(l *Lab, name, zone string, tier int) (*Server, error) {
-	g, err := newGate(l.serverIP() + ":0")
+func newServer(tb *Testbed, name, zone string, tier int) (*Server, error) {
+	g, err := newGate(tb.serverIP() + ":0")
 	if err != nil {
 		return nil, err
 	}
-	spec := l.world.Tiers[tier]
-	s := &Server{name: name, zone: zone, tier: tier, spec: spec, lab: l, gate: g, health: "in_service",
-		cores: make(chan struct{}, spec.Cores), slots: make(chan struct{}, spec.Slots)}
-	s.http = &http.Server{Handler: s, IdleTimeout: l.world.Limits.ConnIdle, ErrorLog: l.discard, ConnState: s.track}
-	l.own(func() { s.http.Serve(g) }) // ends with the gate
+	spec := tb.world.Tiers[tier]
+	s := &Server{
+		name:    name,
+		zone:    zone,
+		tier:    tier,
+		spec:    spec,
+		testbed: tb,
+		gate:    g,
+		health:  healthInService,
+		cores:   make(chan struct{}, spec.Cores),
+		slots:   make(chan struct{}, spec.Slots),
+	}
+	s.http = &http.Server{
+		Handler:     s,
+		IdleTimeout: tb.world.Limits.ConnIdle,
+		ErrorLog:    tb.discardLog,
+		ConnState:   s.track,
+	}
+	tb.goOwned(func() { _ = s.http.Serve(g) }) // returns an error when the gate closes
 	return s, nil
 }
 
@@ -87,11 +101,11 @@
 // Name is the server's name in discovery's list.
 func (s *Server) Name() string { return s.name }
 
-// Set changes what ails the server.
-func (s *Server) Set(t Trouble) {
+// Set changes the fault of the server.
+func (s *Server) Set(t ServerFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
+	s.fault = t
 }
 
 // Served is how many answers it has made.
@@ -107,7 +121,7 @@
 
 // ServeHTTP handles one attempt.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	first := s.lab.now()
+	first := s.testbed.now()
 	id := r.Header.Get("X-Call-Id")
 	if _, err := io.Copy(io.Discard, r.Body); err != nil || r.Context().Err() != nil {
 		return // its last byte never came
@@ -117,14 +131,20 @@
 		return
 	}
 	budget := parseBudget(r.Header.Get("X-Budget"))
-	v, from, attempt := s.lab.referee.arrived(id, s.name, senderOf(r), first, budget)
-	s.lab.count(from, s)
-	class := s.lab.classes[r.Header.Get("X-Call-Class")]
-	if v == unknown || class == nil {
+	verdict, from, number := s.testbed.checker.recordAttempt(arrivedAttempt{
+		id:        id,
+		server:    s.name,
+		from:      senderOf(r),
+		firstByte: first,
+		budget:    budget,
+	})
+	s.testbed.count(from, s)
+	class := s.testbed.classes[r.Header.Get("X-Call-Class")]
+	switch {
+	case verdict == verdictUnknown || class == nil:
 		w.WriteHeader(http.StatusBadRequest)
 		return
-	}
-	if v == duplicate {
+	case verdict == verdictDuplicate:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -133,59 +153,94 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), budget)
 	defer cancel()
-	work := s.lab.workOf(class, s.tier, id)
-	if !s.bears(first, work) {
-		s.fall()
+	s.handle(ctx, w, r, execution{
+		id:       id,
+		number:   number,
+		class:    class,
+		tenant:   r.Header.Get("X-Caller"),
+		arrived:  first,
+		deadline: first + budget,
+	})
+}
+
+// execution is an attempt that a server handles.
+type execution struct {
+	id       string
+	number   int // of the attempt
+	class    *Class
+	tenant   string
+	arrived  time.Duration
+	deadline time.Duration
+}
+
+// handle executes an attempt as far as the server's faults and capacity allow.
+func (s *Server) handle(ctx context.Context, w http.ResponseWriter, r *http.Request, e execution) {
+	work := s.testbed.workOf(e.class, s.tier, e.id)
+	if !s.withinCapacity(e.arrived, work) {
+		s.failOverloaded()
 		return
 	}
 	s.mu.Lock()
-	t, crowded := s.trouble, s.conns > s.spec.Conns
+	fault, overConnLimit := s.fault, s.conns > s.spec.Conns
 	s.mu.Unlock()
 	switch {
-	case t.Hang:
+	case fault.Hang:
 		<-r.Context().Done()
 		return
-	case t.Errors > 0 && s.lab.drawn(id, s.name) < t.Errors:
+	case fault.Errors > 0 && s.testbed.drawn(e.id, s.name) < fault.Errors:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if crowded {
+	if overConnLimit {
 		w.Header().Set("Connection", "close")
 	}
-	if crowded || !s.slot(ctx) {
-		s.lab.referee.neverRan(id)
-		w.Header().Set("X-Rejected", "1")
-		if ctx.Err() != nil {
-			w.WriteHeader(http.StatusGatewayTimeout)
-		} else {
-			w.WriteHeader(http.StatusServiceUnavailable)
-		}
+	if overConnLimit || !s.acquireSlot(ctx) {
+		s.reject(ctx, w, e.id)
 		return
 	}
 	defer func() { <-s.slots }()
-	if !s.work(ctx, work) || !sleep(ctx, class.Wait) || !s.callOn(ctx, fmt.Sprintf("%s.%d", id, attempt), class, r.Header.Get("X-Caller"), first+budget) {
+	if !s.execute(ctx, e, work) {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	s.mu.Lock()
 	s.served++
 	s.mu.Unlock()
-	if t.Spoil > 0 && s.lab.drawn(id, "spoil "+s.name) < t.Spoil {
-		s.spoil(w, id)
+	if fault.CorruptResponses > 0 && s.testbed.drawn(e.id, "spoil "+s.name) < fault.CorruptResponses {
+		s.writeCorruptResponse(w, e.id)
+		return
+	}
+	_, _ = io.WriteString(w, s.testbed.checker.recordServed(e.id)) // fails where the node has closed the connection
+}
+
+// execute does the work of an attempt, waits, and calls the next tier.
+func (s *Server) execute(ctx context.Context, e execution, work time.Duration) bool {
+	if !s.work(ctx, work) || !sleep(ctx, e.class.Wait) {
+		return false
+	}
+	return s.callNextTier(ctx, e)
+}
+
+// reject answers that an attempt never ran.
+func (s *Server) reject(ctx context.Context, w http.ResponseWriter, id string) {
+	s.testbed.checker.recordNotRun(id)
+	w.Header().Set("X-Rejected", "1")
+	if ctx.Err() != nil {
+		w.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
-	io.WriteString(w, s.lab.referee.serve(id))
+	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// senderOf reads what a caller has added to its request for the referee.
+// senderOf reads the header that a client has added for the checker.
 func senderOf(r *http.Request) sender {
 	node, writing, _ := strings.Cut(r.Header.Get(senderHeader), " ")
 	n, _ := strconv.Atoi(writing)
 	return sender{node, n}
 }
 
-// slot waits for a place among the requests that the server holds; false: turned away.
-func (s *Server) slot(ctx context.Context) bool {
+// acquireSlot waits for a slot; it returns false when the request is rejected.
+func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
 		return true
@@ -211,15 +266,21 @@
 	}
 }
 
-// callOn makes the calls of an attempt on the next tier, one after another, each with the time that is left and an id
-// of its own: another attempt of the same request may make its calls at the same time.
-func (s *Server) callOn(ctx context.Context, id string, class *Class, tenant string, deadline time.Duration) bool {
-	if s.next == nil {
+// callNextTier makes the calls of an attempt on the next tier, one after another, each with the time that is left and
+// an id of its own: another attempt of the same request may make its calls at the same time.
+func (s *Server) callNextTier(ctx context.Context, e execution) bool {
+	if s.nextTier == nil {
 		return true
 	}
-	for i := range s.lab.callsOf(s.spec.Calls, id) {
-		a := s.next.do(ctx, call{id: subID(id, i), class: class, tenant: tenant, deadline: deadline})
-		if a.end != servedEnd {
+	id := fmt.Sprintf("%s.%d", e.id, e.number)
+	for i := range s.testbed.callsOf(s.spec.Calls, id) {
+		resp := s.nextTier.do(ctx, clientRequest{
+			id:       subID(id, i),
+			class:    e.class,
+			tenant:   e.tenant,
+			deadline: e.deadline,
+		})
+		if resp.end != outcomeServed {
 			return false
 		}
 	}
@@ -248,60 +309,67 @@
 	return time.Duration(n * float64(unit))
 }
 
-// fall takes a cold server down that was sent more than it bears. It stays down.
-func (s *Server) fall() {
+// failOverloaded takes a server in slow start down that was sent more than it can take. It stays down.
+func (s *Server) failOverloaded() {
 	s.mu.Lock()
 	was := s.down
 	s.mu.Unlock()
 	if !was {
-		s.lab.referee.find(ColdPushed, "", "", s.name+" was sent more than it bears over "+s.lab.world.Cold.Fall.String())
+		over := s.testbed.world.SlowStart.OverloadWindow
+		s.testbed.checker.addFinding(
+			SlowStartOverloaded,
+			"",
+			"",
+			fmt.Sprintf("%s was sent more than it can take over %s", s.name, over),
+		)
 		go s.crash() // not from here: it ends this connection too
 	}
 }
 
-// crash ends the server as a killed process ends: its connections are reset and new ones refused. Its node dies with it.
+// crash ends the server as a killed process ends: its connections are reset and new ones refused. Its node dies with
+// it.
 func (s *Server) crash() {
 	s.mu.Lock()
 	s.down = true
 	s.mu.Unlock()
-	s.lab.spans.begin(s.name, s.lab.now())
+	s.testbed.intervals.begin(s.name, s.testbed.now())
 	s.reachable()
 	s.gate.reset()
-	if s.own != nil {
-		s.own.Kill()
+	if s.node != nil {
+		s.node.Kill()
 	}
 }
 
-// restart starts a crashed server again, cold, with its node.
+// restart starts a crashed server again, in slow start, with its node.
 func (s *Server) restart() error {
-	if s.own != nil {
-		if err := s.own.Start(); err != nil {
+	if s.node != nil {
+		if err := s.node.Start(); err != nil {
 			return err
 		}
 	}
 	s.mu.Lock()
 	s.down, s.silent, s.choked, s.recent = false, false, false, nil
-	s.born, s.health = s.lab.now(), "in_service"
+	s.born, s.health = s.testbed.now(), healthInService
 	s.mu.Unlock()
 	s.reachable()
-	s.lab.spans.end(s.name, s.lab.now())
+	s.testbed.intervals.end(s.name, s.testbed.now())
 	return nil
 }
 
-// silence makes the server say nothing at all, as a vanished machine, and ends that.
+// silence makes the server silent, as a vanished machine, or ends that.
 func (s *Server) silence(on bool) {
 	s.mu.Lock()
 	s.silent = on
 	s.mu.Unlock()
 	if on {
-		s.lab.spans.begin(s.name, s.lab.now())
+		s.testbed.intervals.begin(s.name, s.testbed.now())
 	} else {
-		s.lab.spans.end(s.name, s.lab.now())
+		s.testbed.intervals.end(s.name, s.testbed.now())
 	}
 	s.reachable()
 }
 
-// reachable sets the gate, and the links to it, to what the server is.
+// reachable sets the gate, and the links to it, to the state of the server.
 func (s *Server) reachable() {
 	s.mu.Lock()
 	mode := gateOpen
@@ -312,6 +380,6 @@
 		mode = gateRefuse
 	}
 	s.mu.Unlock()
-	s.gate.set(mode)
-	s.lab.linksTo(s.name, mode)
+	_ = s.gate.set(mode) // fails only at the end of the testbed, or where the port is taken
+	s.testbed.linksTo(s.name, mode)
 }
--- a/internal/testbed/shim/trace.go
+++ b/internal/testbed/shim/trace.go
@@ -31,7 +31,7 @@
 // thread is what is known of one thread of the program.
 type thread struct {
 	inCall bool
-	nr     uint64
+	number uint64
 	first  uint64 // arguments at the entry
 	second uint64
 	fail   syscall.Errno // what the call is to return; 0: what it does
@@ -48,7 +48,7 @@
 	sockets map[uint64]socketKind
 }
 
-// Run starts a program, plays the spec to it and returns its exit code. SIGTERM, SIGHUP and SIGINT are passed on.
+// Run starts a program, applies the spec to it and returns its exit code. SIGTERM, SIGHUP and SIGINT are passed on.
 func Run(spec Spec, path string, args []string) (int, error) {
 	runtime.LockOSThread() // only the thread that started it may trace it; it ends with this process
 	log := io.Discard
@@ -68,11 +68,18 @@
 	if err := c.Start(); err != nil {
 		return 0, err
 	}
-	t := &tracer{spec: spec, leader: c.Process.Pid, began: time.Now(), random: rand.New(rand.NewPCG(spec.Seed, 3)), log: log,
-		threads: map[int]*thread{}, sockets: map[uint64]socketKind{}}
+	t := &tracer{
+		spec:    spec,
+		leader:  c.Process.Pid,
+		began:   time.Now(),
+		random:  rand.New(rand.NewPCG(spec.Seed, 3)),
+		log:     log,
+		threads: map[int]*thread{},
+		sockets: map[uint64]socketKind{},
+	}
 	go func() { // ends with this process
 		for s := range signals {
-			syscall.Kill(t.leader, s.(syscall.Signal))
+			_ = syscall.Kill(t.leader, s.(syscall.Signal))
 		}
 	}()
 	return t.follow()
@@ -97,7 +104,7 @@
 		}
 	}
 	t.threads[t.leader] = &thread{}
-	syscall.PtraceSyscall(t.leader, 0)
+	_ = syscall.PtraceSyscall(t.leader, 0) // fails where it has just been killed
 	for {
 		id, err := syscall.Wait4(-1, &status, syscall.WALL|waitNoThread, nil)
 		if errors.Is(err, syscall.EINTR) {
@@ -116,11 +123,11 @@
 			}
 			return status.ExitStatus(), nil
 		}
-		syscall.PtraceSyscall(id, t.stopped(id, status)) // fails where the thread has just been killed
+		_ = syscall.PtraceSyscall(id, t.stopped(id, status)) // fails where the thread has just been killed
 	}
 }
 
-// stopped handles one stop of a thread, and says which signal it gets as it goes on.
+// stopped handles one stop of a thread, and returns the signal that it gets as it continues.
 func (t *tracer) stopped(id int, status syscall.WaitStatus) (signal int) {
 	known := t.threads[id]
 	switch {
@@ -152,12 +159,12 @@
 
 // enter decides whether a call fails. One that does is not made at all.
 func (t *tracer) enter(id int, th *thread, regs *syscall.PtraceRegs) {
-	th.nr, th.first, th.second, th.fail = regs.Orig_rax, regs.Rdi, regs.Rsi, 0
-	if th.nr == syscall.SYS_CLOSE {
+	th.number, th.first, th.second, th.fail = regs.Orig_rax, regs.Rdi, regs.Rsi, 0
+	if th.number == syscall.SYS_CLOSE {
 		delete(t.sockets, th.first)
 	}
 	at := time.Since(t.began)
-	f, can := canFail(th.nr, t.sockets[th.first], th.second)
+	f, can := canFail(th.number, t.sockets[th.first], th.second)
 	if !can || at < t.spec.From || at >= t.spec.Until || t.random.Float64() >= t.spec.Chance {
 		return
 	}
@@ -167,26 +174,26 @@
 		th.fail = 0
 		return
 	}
-	fmt.Fprintf(t.log, "%.3f %s fd=%d %s\n", at.Seconds(), f.name, th.first, th.fail)
+	_, _ = fmt.Fprintf(t.log, "%.3f %s fd=%d %s\n", at.Seconds(), f.name, th.first, th.fail)
 }
 
-// leave sets what a failed call returns, keeps the books of sockets, and shifts the wall clock.
+// leave sets what a failed call returns, tracks sockets, and shifts the wall clock.
 func (t *tracer) leave(id int, th *thread, regs *syscall.PtraceRegs) {
 	if th.fail != 0 {
 		regs.Rax = uint64(-int64(th.fail))
-		syscall.PtraceSetRegs(id, regs)
+		_ = syscall.PtraceSetRegs(id, regs) // fails where it has just been killed
 		return
 	}
 	result := int64(regs.Rax)
 	switch {
 	case result < 0:
-	case th.nr == syscall.SYS_SOCKET:
+	case th.number == syscall.SYS_SOCKET:
 		t.sockets[uint64(result)] = made
-	case th.nr == syscall.SYS_ACCEPT4:
+	case th.number == syscall.SYS_ACCEPT4:
 		t.sockets[uint64(result)] = accepted
-	case th.nr == syscall.SYS_LISTEN:
+	case th.number == syscall.SYS_LISTEN:
 		t.sockets[th.first] = listening
-	case th.nr == syscall.SYS_CLOCK_GETTIME && th.first == realtimeClock:
+	case th.number == syscall.SYS_CLOCK_GETTIME && th.first == realtimeClock:
 		t.shiftClock(id, uintptr(th.second))
 	}
 }
@@ -202,11 +209,11 @@
 	}
 	seconds := binary.LittleEndian.Uint64(word) + uint64(int64(t.spec.ClockStep/time.Second))
 	binary.LittleEndian.PutUint64(word, seconds)
-	syscall.PtracePokeData(id, at, word)
+	_, _ = syscall.PtracePokeData(id, at, word) // fails where it has just been killed
 }
 
-// hideVDSO takes the page of calls that bypass the kernel out of what the program is told at its start: reading the
-// clock is a system call then.
+// hideVDSO removes the vDSO from the auxiliary vector that the program gets at its start, so that reading the clock
+// is a system call.
 func (t *tracer) hideVDSO() error {
 	var regs syscall.PtraceRegs
 	if err := syscall.PtraceGetRegs(t.leader, &regs); err != nil {
@@ -232,7 +239,7 @@
 	for {
 		key, err := next()
 		if err != nil || key == 0 {
-			return errors.Join(err, errors.New("the program is told of no page of calls"))
+			return errors.Join(err, errors.New("the auxiliary vector names no vDSO"))
 		}
 		if key == vdsoEntry {
 			binary.LittleEndian.PutUint64(word, ignoreEntry)
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -1,4 +1,4 @@
-// Package soak plays many real nodes through troubles that overlap, drawn from a seed, and judges the play by what
+// Package soak runs many real nodes through faults that overlap, drawn from a seed, and judges the run by what
 // clients, servers and discovery saw and by what the nodes counted themselves.
 package soak
 
@@ -11,13 +11,13 @@
 	"keelusher/internal/testbed/shim"
 )
 
-// Times of a play, from the beginning of the load.
+// Times of a run, from the beginning of the load.
 const (
-	firstCluster  = 3 * time.Second
-	secondCluster = 10 * time.Second
-	clusterSpread = 1500 * time.Millisecond // the troubles of a cluster begin within it
-	length        = 18 * time.Second
-	quietAfter    = 5 * time.Second // for what is still out, before the counters are compared
+	firstCluster    = 3 * time.Second
+	secondCluster   = 10 * time.Second
+	clusterDuration = 1500 * time.Millisecond // the faults of a cluster begin within it
+	length          = 18 * time.Second
+	quietAfter      = 5 * time.Second // for pending requests, before the counters are compared
 )
 
 // Shims: system calls of some nodes fail, and the wall clock of some jumps.
@@ -27,15 +27,15 @@
 	clockStepMax = time.Hour
 )
 
-// Plan is a play as drawn from its seed.
+// Plan is a run as drawn from its seed.
 type Plan struct {
 	Seed   uint64
 	World  testbed.World
 	Load   testbed.Load
-	Faults []testbed.Fault // the order is the numbering by which some are left out
+	Faults []testbed.Fault // their indexes number them for Keep
 }
 
-// NewPlan draws the play of a seed.
+// NewPlan draws the run of a seed.
 func NewPlan(seed uint64) *Plan {
 	r := rand.New(rand.NewPCG(seed, 11))
 	p := &Plan{Seed: seed, World: world(seed, r), Load: testbed.Load{Rate: 70, Retries: 1, Impatient: 0.2}}
@@ -69,10 +69,39 @@
 			{Name: "rooms", Servers: 8},
 		},
 		Classes: []testbed.Class{
-			{Name: "view", Effect: "read_like", Share: 0.4, Work: work(8 * time.Millisecond), Aim: time.Second, Deadline: 2 * time.Second},
-			{Name: "glance", Effect: "read_like", Share: 0.2, Work: work(4 * time.Millisecond), Aim: 200 * time.Millisecond, Deadline: 350 * time.Millisecond},
-			{Name: "order", Effect: "idempotency_key", Share: 0.2, Work: work(8 * time.Millisecond), Aim: 1500 * time.Millisecond, Deadline: 3 * time.Second, Window: 600 * time.Millisecond},
-			{Name: "booking", Effect: "non_idempotent", Share: 0.2, Work: work(8 * time.Millisecond), Aim: time.Second, Deadline: 2 * time.Second},
+			{
+				Name:             "view",
+				Effect:           testbed.Idempotent,
+				Share:            0.4,
+				Work:             work(8 * time.Millisecond),
+				LatencyObjective: time.Second,
+				Deadline:         2 * time.Second,
+			},
+			{
+				Name:             "glance",
+				Effect:           testbed.Idempotent,
+				Share:            0.2,
+				Work:             work(4 * time.Millisecond),
+				LatencyObjective: 200 * time.Millisecond,
+				Deadline:         350 * time.Millisecond,
+			},
+			{
+				Name:             "order",
+				Effect:           testbed.IdempotentWithKey,
+				Share:            0.2,
+				Work:             work(8 * time.Millisecond),
+				LatencyObjective: 1500 * time.Millisecond,
+				Deadline:         3 * time.Second,
+				Window:           600 * time.Millisecond,
+			},
+			{
+				Name:             "booking",
+				Effect:           testbed.NotIdempotent,
+				Share:            0.2,
+				Work:             work(8 * time.Millisecond),
+				LatencyObjective: time.Second,
+				Deadline:         2 * time.Second,
+			},
 		},
 		Limits:    testbed.Limits{ConnectTimeout: 2 * time.Second},
 		Discovery: testbed.DiscoverySpec{Asked: r.IntN(2) == 0, Late: 200 * time.Millisecond},
@@ -89,18 +118,18 @@
 	return w
 }
 
-// cluster draws two or three troubles that overlap.
+// cluster draws two or three faults that overlap.
 func cluster(r *rand.Rand, at time.Duration) (faults []testbed.Fault) {
 	kinds := r.Perm(len(catalogue))
 	discovery := false
 	for _, k := range kinds {
 		c := catalogue[k]
-		if c.discovery && discovery { // discovery fails in one way at a time
+		if c.discovery && discovery { // discovery has one fault at a time
 			continue
 		}
 		discovery = discovery || c.discovery
 		f := c.draw(r)
-		f.At += at + time.Duration(r.Int64N(int64(clusterSpread)))
+		f.At += at + time.Duration(r.Int64N(int64(clusterDuration)))
 		faults = append(faults, f)
 		if len(faults) == 3 || len(faults) == 2 && r.IntN(3) == 0 {
 			return faults
@@ -109,13 +138,13 @@
 	return faults
 }
 
-// drawn is one kind of trouble.
-type drawn struct {
+// faultKind is one kind of fault.
+type faultKind struct {
 	discovery bool
 	draw      func(*rand.Rand) testbed.Fault
 }
 
-func span(r *rand.Rand, from, to time.Duration) time.Duration {
+func randomDuration(r *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(r.Int64N(int64(to-from)))
 }
 
@@ -124,28 +153,38 @@
 
 const frontNodes = "n[0-9]*"
 
-// catalogue lists the kinds of trouble. Their meaning is at lab.Fault.
-var catalogue = []drawn{
-	{draw: func(r *rand.Rand) testbed.Fault {
+// catalogue lists the kinds of fault. Their meaning is at testbed.Fault.
+var catalogue = []faultKind{
+	{draw: func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "term", Target: frontNodes, Pick: 2, For: time.Second}
 	}},
-	{draw: func(r *rand.Rand) testbed.Fault {
+	{draw: func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "kill", Target: frontNodes, Pick: 2, For: time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "hold", Target: "n*", Pick: 10, For: span(r, 20*time.Millisecond, 150*time.Millisecond)}
+		return testbed.Fault{
+			Kind:   "hold",
+			Target: "n*",
+			Pick:   10,
+			For:    randomDuration(r, 20*time.Millisecond, 150*time.Millisecond),
+		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "stop", Target: "n*", Pick: 3, For: span(r, 300*time.Millisecond, 5*time.Second)}
+		return testbed.Fault{Kind: "stop", Target: "n*", Pick: 3, For: randomDuration(r, 300*time.Millisecond, 5*time.Second)}
 	}},
-	{draw: func(r *rand.Rand) testbed.Fault {
+	{draw: func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "reload", Target: "n*", Every: 20 * time.Millisecond}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "peers", Target: frontNodes, Pick: 9 + r.IntN(200)}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "crash", Target: anyServers(r), Pick: 2, For: span(r, time.Second, 4*time.Second)}
+		return testbed.Fault{
+			Kind:   "crash",
+			Target: anyServers(r),
+			Pick:   2,
+			For:    randomDuration(r, time.Second, 4*time.Second),
+		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "slow", Target: anyServers(r), Pick: 3, For: 3 * time.Second, Factor: 10}
@@ -154,7 +193,12 @@
 		return testbed.Fault{Kind: "errors", Target: anyServers(r), Pick: 4, For: 4 * time.Second, Share: 0.5}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "hang", Target: anyServers(r), Pick: 2 + r.IntN(7), For: span(r, 2*time.Second, 6*time.Second)}
+		return testbed.Fault{
+			Kind:   "hang",
+			Target: anyServers(r),
+			Pick:   2 + r.IntN(7),
+			For:    randomDuration(r, 2*time.Second, 6*time.Second),
+		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "spoil", Target: anyServers(r), Pick: 4, For: 5 * time.Second, Share: 0.4}
@@ -169,25 +213,31 @@
 		return testbed.Fault{Kind: "replace", Target: anyServers(r), Pick: 3, For: 4 * time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "link", From: frontNodes, To: "front-[1-3]", Delay: span(r, 300*time.Millisecond, 1500*time.Millisecond), For: 3 * time.Second}
+		return testbed.Fault{
+			Kind:  "link",
+			From:  frontNodes,
+			To:    "front-[1-3]",
+			Delay: randomDuration(r, 300*time.Millisecond, 1500*time.Millisecond),
+			For:   3 * time.Second,
+		}
 	}},
-	{draw: func(r *rand.Rand) testbed.Fault {
+	{draw: func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "link", From: "n@*", To: "*-[1-3]", Rate: 3000, For: 3 * time.Second}
 	}},
-	{draw: func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "reset", From: "n*", To: "*-[1-4]"} }},
+	{draw: func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "reset", From: "n*", To: "*-[1-4]"} }},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "cut", From: "n[1-4]", To: "front-*", For: span(r, time.Second, 3*time.Second)}
+		return testbed.Fault{Kind: "cut", From: "n[1-4]", To: "front-*", For: randomDuration(r, time.Second, 3*time.Second)}
 	}},
 	{true, func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "disc_down", For: span(r, time.Second, 6*time.Second)}
+		return testbed.Fault{Kind: "disc_down", For: randomDuration(r, time.Second, 6*time.Second)}
 	}},
-	{true, func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_fail", For: 3 * time.Second} }},
-	{true, func(r *rand.Rand) testbed.Fault {
+	{true, func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_fail", For: 3 * time.Second} }},
+	{true, func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "disc_slow", For: 3 * time.Second, Delay: 30 * time.Millisecond}
 	}},
-	{true, func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_cut", For: time.Second} }},
-	{true, func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_indent", For: 3 * time.Second} }},
-	{draw: func(r *rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_mute"} }},
+	{true, func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_cut", For: time.Second} }},
+	{true, func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_indent", For: 3 * time.Second} }},
+	{draw: func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_mute"} }},
 	{true, func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: "disc_renumber", Factor: float64(1 + r.IntN(2))}
 	}},
--- /dev/null
+++ b/internal/testbed/soak/run.go
@@ -0,0 +1,234 @@
+package soak
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"time"
+
+	"keelusher/internal/testbed"
+)
+
+// Result is what came of a run.
+type Result struct {
+	Seed       uint64               `json:"seed"`
+	Faults     []string             `json:"faults"`
+	Events     []string             `json:"story"`
+	Ends       map[string]int       `json:"ends"` // of requests, by how they ended
+	Account    testbed.Account      `json:"account"`
+	Broken     map[testbed.Rule]int `json:"broken"`
+	Found      []testbed.Finding    `json:"found"`
+	Violations map[string]int64     `json:"violations"` // as the nodes counted them
+	NotSent    map[string]int64     `json:"attempts_not_sent"`
+	Rejected   map[string]int64     `json:"requests_turned_away"`
+	Lateness   time.Duration        `json:"lateness"` // of the testbed itself, at worst
+}
+
+// Run runs a plan with a node program. Logs of the nodes and the result stay in dir.
+func Run(ctx context.Context, p *Plan, binary string, shim []string, dir string) (*Result, error) {
+	w := p.World
+	w.Binary, w.Shim, w.Dir = binary, shim, filepath.Join(dir, fmt.Sprint("seed-", p.Seed))
+	w.Links = testbed.LinksOfFaults(p.Faults)
+	if err := os.RemoveAll(w.Dir); err != nil {
+		return nil, err
+	}
+	if err := w.Fill(); err != nil {
+		return nil, err
+	}
+	if err := p.Load.Fill(&w); err != nil {
+		return nil, err
+	}
+	steps, err := testbed.Schedule(&w, p.Faults, p.Seed)
+	if err != nil {
+		return nil, err
+	}
+	tb, err := testbed.Open(ctx, w)
+	if err != nil {
+		return nil, fmt.Errorf("seed %d: %w", p.Seed, err)
+	}
+	defer tb.Close()
+	r := &Result{
+		Seed:       p.Seed,
+		Ends:       map[string]int{},
+		Violations: map[string]int64{},
+		NotSent:    map[string]int64{},
+		Rejected:   map[string]int64{},
+	}
+	for _, f := range p.Faults {
+		r.Faults = append(
+			r.Faults,
+			fmt.Sprintf("%s %s%s->%s at %v for %v", f.Kind, f.Target, f.From, f.To, f.At.Round(time.Millisecond), f.For),
+		)
+	}
+	r.drive(ctx, tb, p, steps, testbed.Draw(&w, &p.Load, length, p.Seed))
+	select {
+	case <-time.After(quietAfter):
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+	for _, n := range tb.Nodes() {
+		if n.Running() { // the nodes of removed servers are not
+			r.compare(ctx, tb, n)
+		}
+	}
+	r.Found, r.Broken = tb.Findings()
+	r.Account = tb.Checker().Account()
+	r.Lateness = tb.Lateness(0, tb.Now())
+	return r, r.write(w.Dir)
+}
+
+// drive runs load and faults side by side.
+func (r *Result) drive(
+	ctx context.Context,
+	tb *testbed.Testbed,
+	p *Plan,
+	steps []testbed.Step,
+	arrivals []testbed.Arrival,
+) {
+	var mu sync.Mutex
+	var both sync.WaitGroup
+	both.Add(1)
+	go func() {
+		defer both.Done()
+		tb.RunSchedule(ctx, steps, func(at time.Duration, what string) {
+			mu.Lock()
+			defer mu.Unlock()
+			r.Events = append(r.Events, fmt.Sprintf("%.3f %s", at.Seconds(), what))
+		})
+	}()
+	tb.Drive(ctx, &p.Load, arrivals, func(s testbed.ArrivalResult) {
+		mu.Lock()
+		defer mu.Unlock()
+		r.Ends[s.End]++
+	})
+	both.Wait()
+}
+
+var adminClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+
+const maxRequests = 5 // of one path
+
+// getJSON reads what a node's admin endpoint shows; it tries again, as a shim may break some connections.
+func getJSON(ctx context.Context, n *testbed.Node, path string, into any) (err error) {
+	for range maxRequests {
+		if err = getJSONOnce(ctx, n, path, into); err == nil {
+			return nil
+		}
+	}
+	return err
+}
+
+func getJSONOnce(ctx context.Context, n *testbed.Node, path string, into any) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+path, nil)
+	if err != nil {
+		return err
+	}
+	resp, err := adminClient.Do(req)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	return json.NewDecoder(resp.Body).Decode(into)
+}
+
+// compare holds a node's own counters against what the testbed saw of it. A violation that a node counts for itself
+// is one, unless the testbed has held the process up: it may have been between its write and its second look.
+func (r *Result) compare(ctx context.Context, tb *testbed.Testbed, n *testbed.Node) {
+	var counters struct {
+		Written  int64 `json:"backend_calls"`
+		Inflight int64 `json:"inflight"`
+	}
+	var decisions struct {
+		NotSent    map[string]int64 `json:"attempts_not_sent"`
+		Rejected   map[string]int64 `json:"requests_turned_away"`
+		Violations map[string]int64 `json:"violations"`
+	}
+	if err := getJSON(ctx, n, "/control/counters", &counters); err != nil {
+		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
+		return
+	}
+	if err := getJSON(ctx, n, "/control/decisions", &decisions); err != nil {
+		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
+		return
+	}
+	add(r.NotSent, decisions.NotSent)
+	add(r.Rejected, decisions.Rejected)
+	add(r.Violations, decisions.Violations)
+	if len(decisions.Violations) > 0 && !n.Paused() {
+		tb.Checker().Report(testbed.SelfReportedViolation, n.Name(), fmt.Sprint(decisions.Violations))
+	}
+	if counters.Inflight != 0 {
+		tb.Checker().Report(
+			testbed.CountersDiffer,
+			n.Name(),
+			fmt.Sprintf("%d requests in flight after all have ended", counters.Inflight),
+		)
+	}
+	if arrived := tb.AttemptsOf(n.Name()); n.Starts() == 1 && arrived > counters.Written {
+		tb.Checker().Report(
+			testbed.CountersDiffer,
+			n.Name(),
+			fmt.Sprintf("%d attempts came to servers, it counts %d", arrived, counters.Written),
+		)
+	}
+}
+
+func add(to, from map[string]int64) {
+	for k, n := range from {
+		to[k] += n
+	}
+}
+
+// write keeps the result beside the nodes' logs.
+func (r *Result) write(dir string) error {
+	text, err := json.MarshalIndent(r, "", "  ")
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Join(dir, "result.json"), append(text, '\n'), 0o600)
+}
+
+// Reduce leaves out one fault after another as long as the run still breaks one of the same rules, and returns the
+// numbers of the faults that are left.
+func Reduce(ctx context.Context, seed uint64, run func(*Plan) (*Result, error)) ([]int, error) {
+	first, err := run(NewPlan(seed))
+	if err != nil || len(first.Broken) == 0 {
+		return nil, err
+	}
+	kept := make([]int, len(NewPlan(seed).Faults))
+	for i := range kept {
+		kept[i] = i
+	}
+	for i := 0; i < len(kept) && ctx.Err() == nil; {
+		less := slices.Delete(slices.Clone(kept), i, i+1)
+		p := NewPlan(seed)
+		if err := p.Keep(less); err != nil {
+			return nil, err
+		}
+		r, err := run(p)
+		if err != nil {
+			return nil, err
+		}
+		if breaksSameRule(first, r) {
+			kept = less
+			continue
+		}
+		i++
+	}
+	return kept, ctx.Err()
+}
+
+// breaksSameRule reports whether a run broke one of the rules that another one broke.
+func breaksSameRule(first, other *Result) bool {
+	for rule := range first.Broken {
+		if other.Broken[rule] > 0 {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -1,7 +1,7 @@
-// Package lab is an emulator of the platform that keelusher runs on. It starts the real node program in several
-// processes on loopback addresses of their own and plays everything around them in this process: clients, the front,
+// Package testbed is an emulator of the platform that keelusher runs on. It starts the real node program in several
+// processes on loopback addresses of their own and emulates everything around them in this process: clients, the front,
 // servers of up to three tiers, discovery, and links between any two of them that can fail in one direction. A
-// Referee checks the four rules for every request id. The processes run unmodified; the lab imports none of the
+// Checker checks the four rules for every request id. The processes run unmodified; the testbed imports none of the
 // node's insides and speaks to it as the protocol says.
 package testbed
 
@@ -15,19 +15,21 @@
 
 // World describes the platform. The zero value of a field with a default, named beside it, means that default.
 type World struct {
-	Zones     []string      `toml:"zones"`
-	Tiers     []Tier        `toml:"tier"` // first the one that clients' nodes call
-	Classes   []Class       `toml:"class"`
-	Tenants   []Tenant      `toml:"tenant"`
-	OverWorth float64       `toml:"over_worth"` // what a request beyond its tenant's quota keeps of its worth
-	Limits    Limits        `toml:"limits"`
-	Cold      Cold          `toml:"cold"`
-	Choke     Choke         `toml:"choke"`
-	Discovery DiscoverySpec `toml:"discovery"`
-	Notice    time.Duration `toml:"front_notice"` // how late the front sees that a node has died; default 2 s
-	Links     []string      `toml:"links"`        // FROM->TO patterns of the links that get a proxy; faults add theirs
-
-	Fleet Tables `toml:"fleet"` // fleet configuration of all nodes; the lab adds addresses. Empty: none
+	Zones   []string `toml:"zones"`
+	Tiers   []Tier   `toml:"tier"` // first the one that clients' nodes call
+	Classes []Class  `toml:"class"`
+	Tenants []Tenant `toml:"tenant"`
+	// factor on the priority weight of a request beyond its tenant's quota
+	OverQuotaWeight float64       `toml:"over_worth"`
+	Limits          Limits        `toml:"limits"`
+	SlowStart       SlowStart     `toml:"cold"`
+	Choke           Choke         `toml:"choke"`
+	Discovery       DiscoverySpec `toml:"discovery"`
+	Notice          time.Duration `toml:"front_notice"` // how late the front sees that a node has died; default 2 s
+	// FROM->TO patterns of the links that get a proxy; faults add theirs
+	Links []string `toml:"links"`
+
+	Fleet Tables `toml:"fleet"` // fleet configuration of all nodes; the testbed adds addresses. Empty: none
 	Seeds int    `toml:"seeds"` // front nodes that are the mesh's seeds; default 3
 
 	Binary string   `toml:"-"` // the node program; required
@@ -36,17 +38,18 @@
 	Dir    string   `toml:"-"` // scratch folder; default: a new one, removed at Close
 	Seed   uint64   `toml:"-"`
 
-	Shim  []string             `toml:"-"` // program and arguments that run a node under a shim; it gets the spec in SHIM_SPEC
+	// program and arguments that run a node under a shim; it gets the spec in SHIM_SPEC
+	Shim  []string             `toml:"-"`
 	Shims map[string]shim.Spec `toml:"-"` // by node
 
 	TrustNodes bool          `toml:"-"` // nodes are stubs that make answers themselves
-	Ready      time.Duration `toml:"-"` // a node that is not ready after so long never will be; default 30 s
+	Ready      time.Duration `toml:"-"` // limit for a node to become ready; default 30 s
 }
 
-// Tables are TOML tables that the lab passes on to the nodes without reading them.
+// Tables are TOML tables that the testbed passes to the nodes without reading them.
 type Tables map[string]any
 
-// UnmarshalTOML takes a table as it is.
+// UnmarshalTOML keeps a table as it is.
 func (t *Tables) UnmarshalTOML(v any) error {
 	table, ok := v.(map[string]any)
 	if !ok {
@@ -69,17 +72,25 @@
 	Calls   float64 `toml:"calls"`    // mean calls on the next tier for each request, one after another
 }
 
+// Values of Class.Effect: what a second execution of a request does.
+const (
+	Idempotent        = "read_like"
+	IdempotentWithKey = "idempotency_key"
+	NotIdempotent     = "non_idempotent"
+)
+
 // Class is a class of requests. Work is time on a standard core, by tier; Wait is spent on others.
 type Class struct {
-	Name     string          `toml:"name"`
-	Effect   string          `toml:"effect"` // read_like, idempotency_key or non_idempotent
-	Share    float64         `toml:"share"`
-	Work     []time.Duration `toml:"work"`
-	Wait     time.Duration   `toml:"wait"`
-	Aim      time.Duration   `toml:"aim"`
-	Deadline time.Duration   `toml:"deadline"`
-	Worth    float64         `toml:"worth"`  // default 1
-	Window   time.Duration   `toml:"window"` // servers discard repeats of a keyed request for so long; default 5 s
+	Name             string          `toml:"name"`
+	Effect           string          `toml:"effect"` // Idempotent, IdempotentWithKey or NotIdempotent
+	Share            float64         `toml:"share"`
+	Work             []time.Duration `toml:"work"`
+	Wait             time.Duration   `toml:"wait"`
+	LatencyObjective time.Duration   `toml:"aim"`
+	Deadline         time.Duration   `toml:"deadline"`
+	PriorityWeight   float64         `toml:"worth"` // default 1
+	// servers discard retries with the same key within this time; default 5 s
+	Window time.Duration `toml:"window"`
 }
 
 // Tenant is a customer. Share is its part of the traffic, Quota what it may send a second over the whole fleet.
@@ -100,13 +111,13 @@
 	MaxRetryAfter  time.Duration `toml:"max_retry_after"` // default 2 s
 }
 
-// Cold says how servers start: with From of their capacity, with all of it after Warm. One that is sent more than
+// SlowStart says how servers start: with From of their capacity, with all of it after Warm. One that is sent more than
 // Multiple times what it can do at that moment, over Fall, by all nodes together, falls over.
-type Cold struct {
-	From     float64       `toml:"from"`     // default 0.38
-	Warm     time.Duration `toml:"warm"`     // default 8.5 s
-	Multiple float64       `toml:"multiple"` // default 4
-	Fall     time.Duration `toml:"fall"`     // default 3 s
+type SlowStart struct {
+	From           float64       `toml:"from"`     // default 0.38
+	Duration       time.Duration `toml:"warm"`     // default 8.5 s
+	OverloadFactor float64       `toml:"multiple"` // default 4
+	OverloadWindow time.Duration `toml:"fall"`     // default 3 s
 }
 
 // Choke slows a server down Factor times once more than Waiting requests a core have waited for a core for After, until
@@ -118,18 +129,18 @@
 	Idle    time.Duration `toml:"idle"`
 }
 
-// DiscoverySpec says how late news are and how long one call takes.
+// DiscoverySpec sets how late notifications are and how long one call takes.
 type DiscoverySpec struct {
-	Late   time.Duration `toml:"late"`    // from a change to its news; default 1 s
-	Call   time.Duration `toml:"call"`    // calls are handled in turn, each for so long; default 1 ms
+	Late   time.Duration `toml:"late"`    // from a change to the notification; default 1 s
+	Call   time.Duration `toml:"call"`    // time of each call; they are handled one at a time; default 1 ms
 	Asked  bool          `toml:"asked"`   // the list follows only a watch that the module asks for
 	MaxLag time.Duration `toml:"max_lag"` // a call that waited longer fails; default 1 s
 }
 
 const (
-	slack       = 50 * time.Millisecond // what every limit in time is longer on sockets
-	drainWithin = 3 * time.Second       // nothing new to a draining or gone server after so long
-	keyedWindow = 5 * time.Second       // servers discard repeats of keyed requests for so long
+	slack       = 50 * time.Millisecond // added to every limit in time, as sockets and timers are late
+	drainWithin = 3 * time.Second       // after which a draining or removed server must get nothing new
+	keyedWindow = 5 * time.Second       // servers discard retries with the same key within this time
 )
 
 func orDefault[T comparable](v *T, d T) {
@@ -139,28 +150,10 @@
 	}
 }
 
-// Fill sets the defaults and checks the world. The error starts with the TOML key at fault, such as "tier[1].cores".
+// Fill sets the defaults and checks the world. The error is a KeyError that names the TOML key at fault, such as
+// "tier[1].cores".
 func (w *World) Fill() error {
-	orDefault(&w.Limits.Cores, 1)
-	orDefault(&w.Limits.MemoryMB, 192)
-	orDefault(&w.Limits.Sockets, 1024)
-	orDefault(&w.Limits.ConnectTimeout, 250*time.Millisecond)
-	orDefault(&w.Limits.ConnIdle, 10*time.Second)
-	orDefault(&w.Limits.MaxAttempts, 5)
-	orDefault(&w.Limits.MaxRetryAfter, 2*time.Second)
-	orDefault(&w.Cold.From, 0.38)
-	orDefault(&w.Cold.Warm, 8500*time.Millisecond)
-	orDefault(&w.Cold.Multiple, 4)
-	orDefault(&w.Cold.Fall, 3*time.Second)
-	orDefault(&w.Discovery.Late, time.Second)
-	orDefault(&w.Discovery.Call, time.Millisecond)
-	orDefault(&w.Discovery.MaxLag, time.Second)
-	orDefault(&w.Notice, 2*time.Second)
-	orDefault(&w.Ready, 30*time.Second)
-	orDefault(&w.Seeds, 3)
-	if len(w.Zones) == 0 {
-		w.Zones = []string{"a"}
-	}
+	w.setDefaults()
 	if len(w.Tiers) == 0 || len(w.Tiers) > 3 {
 		return &KeyError{"tier", fmt.Sprintf("%d tiers, 1 to 3 are possible", len(w.Tiers))}
 	}
@@ -173,33 +166,68 @@
 		}
 	}
 	for i := range w.Classes {
-		c, key := &w.Classes[i], fmt.Sprintf("class[%d].", i)
-		orDefault(&c.Worth, 1)
-		orDefault(&c.Window, keyedWindow)
-		switch {
-		case c.Name == "":
-			return &KeyError{key + "name", "is empty"}
-		case c.Effect != "read_like" && c.Effect != "idempotency_key" && c.Effect != "non_idempotent":
-			return &KeyError{key + "effect", fmt.Sprintf("%q is none of read_like, idempotency_key, non_idempotent", c.Effect)}
-		case !(c.Share > 0):
-			return &KeyError{key + "share", "must be above 0"}
-		case len(c.Work) != len(w.Tiers):
-			return &KeyError{key + "work", fmt.Sprintf("%d figures for %d tiers", len(c.Work), len(w.Tiers))}
-		case c.Aim <= 0 || c.Deadline < c.Aim:
-			return &KeyError{key + "deadline", "aim and deadline must be above 0, the deadline no shorter than the aim"}
+		if err := w.Classes[i].fill(i, len(w.Tiers)); err != nil {
+			return err
 		}
 	}
 	for i, t := range w.Tenants {
 		if t.Name == "" || !(t.Share > 0) || !(t.Quota >= 0) {
-			return &KeyError{fmt.Sprintf("tenant[%d].share", i), "a tenant needs a name, a share above 0 and a quota from 0"}
+			key := fmt.Sprintf("tenant[%d].share", i)
+			return &KeyError{key, "a tenant needs a name, a share above 0 and a quota from 0"}
 		}
 	}
-	if !(w.Cold.From > 0 && w.Cold.From <= 1) || w.Cold.Multiple <= 1 {
+	if !(w.SlowStart.From > 0 && w.SlowStart.From <= 1) || w.SlowStart.OverloadFactor <= 1 {
 		return &KeyError{"cold.from", "from must be above 0 and at most 1, multiple above 1"}
 	}
 	return nil
 }
 
+// setDefaults sets the defaults of all fields that concern the world as a whole.
+func (w *World) setDefaults() {
+	orDefault(&w.Limits.Cores, 1)
+	orDefault(&w.Limits.MemoryMB, 192)
+	orDefault(&w.Limits.Sockets, 1024)
+	orDefault(&w.Limits.ConnectTimeout, 250*time.Millisecond)
+	orDefault(&w.Limits.ConnIdle, 10*time.Second)
+	orDefault(&w.Limits.MaxAttempts, 5)
+	orDefault(&w.Limits.MaxRetryAfter, 2*time.Second)
+	orDefault(&w.SlowStart.From, 0.38)
+	orDefault(&w.SlowStart.Duration, 8500*time.Millisecond)
+	orDefault(&w.SlowStart.OverloadFactor, 4)
+	orDefault(&w.SlowStart.OverloadWindow, 3*time.Second)
+	orDefault(&w.Discovery.Late, time.Second)
+	orDefault(&w.Discovery.Call, time.Millisecond)
+	orDefault(&w.Discovery.MaxLag, time.Second)
+	orDefault(&w.Notice, 2*time.Second)
+	orDefault(&w.Ready, 30*time.Second)
+	orDefault(&w.Seeds, 3)
+	if len(w.Zones) == 0 {
+		w.Zones = []string{"a"}
+	}
+}
+
+// fill sets the defaults of a class and checks it.
+func (c *Class) fill(i, tiers int) error {
+	key := fmt.Sprintf("class[%d].", i)
+	orDefault(&c.PriorityWeight, 1)
+	orDefault(&c.Window, keyedWindow)
+	switch {
+	case c.Name == "":
+		return &KeyError{key + "name", "is empty"}
+	case c.Effect != Idempotent && c.Effect != IdempotentWithKey && c.Effect != NotIdempotent:
+		why := fmt.Sprintf("%q is none of read_like, idempotency_key, non_idempotent", c.Effect)
+		return &KeyError{key + "effect", why}
+	case !(c.Share > 0):
+		return &KeyError{key + "share", "must be above 0"}
+	case len(c.Work) != tiers:
+		return &KeyError{key + "work", fmt.Sprintf("%d figures for %d tiers", len(c.Work), tiers)}
+	case c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective:
+		return &KeyError{key + "deadline", "aim and deadline must be above 0, the deadline no shorter than the aim"}
+	}
+	return nil
+}
+
+// fill sets the defaults of a tier and checks it.
 func (t *Tier) fill(i, tiers int, zones []string) error {
 	key := fmt.Sprintf("tier[%d].", i)
 	orDefault(&t.Cores, 2)
@@ -221,7 +249,10 @@
 	case t.Name == "":
 		return &KeyError{key + "name", "is empty"}
 	case len(t.PerZone) != len(zones) || sum != t.Servers || sum == 0 || sum > 200:
-		return &KeyError{key + "servers", fmt.Sprintf("%d servers, %v by zone, %d zones: 1 to 200 are possible", t.Servers, t.PerZone, len(zones))}
+		return &KeyError{
+			key + "servers",
+			fmt.Sprintf("%d servers, %v by zone, %d zones: 1 to 200 are possible", t.Servers, t.PerZone, len(zones)),
+		}
 	case i == 0 && (t.Nodes < 1 || t.Nodes > 100):
 		return &KeyError{key + "nodes", "the first tier needs 1 to 100"}
 	case i > 0 && t.Nodes != 0:
@@ -237,48 +268,115 @@
 // KeyError says what is wrong with one key of a world or an experiment.
 type KeyError struct{ Key, Why string }
 
+// Error names the key and what is wrong with it.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Why }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// settings is the object that the platform gives to a node of a tier.
-func (w *World) settings(tier, self int, zone string) json.RawMessage {
-	type object = map[string]any
-	balancers := w.Tiers[0].Nodes
-	if tier > 0 {
-		balancers = w.Tiers[tier-1].Servers
+// object is a JSON object of the node's configuration.
+type object = map[string]any
+
+// settings returns the object that the platform gives to a node of a tier.
+func (w *World) settings(tier, index int, zone string) json.RawMessage {
+	text, err := json.Marshal(object{
+		"balancers":        w.replicasOf(tier),
+		"me":               index,
+		"tier":             tier,
+		"tiers":            w.tierNames(),
+		"zone":             zone,
+		"localities":       w.Zones,
+		"blend":            object{"whole": 0.75, "worst-class": 0.1, "worst-tenant": 0.1, "worst-window": 0.05},
+		"callers":          object{"marks-retry": true},
+		"family":           "chain",
+		"family-info":      object{"passes-deadline": true},
+		"lanes":            w.classSettings(),
+		"tenants":          w.tenantSettings(),
+		"over-share-worth": w.OverQuotaWeight,
+		"tick-ms":          5,
+		"worth-by":         "request",
+		"registry-mode":    w.registryMode(),
+		"shapes":           []string{"m2"},
+		"weights":          "silent",
+		"telemetry":        object{"fields": []string{}, "via": "silent"},
+		"limits":           w.limitSettings(),
+		"rules":            w.ruleSettings(),
+	})
+	if err != nil {
+		panic(err) // plain maps of plain values
+	}
+	return text
+}
+
+// replicasOf returns how many nodes serve a tier.
+func (w *World) replicasOf(tier int) int {
+	if tier == 0 {
+		return w.Tiers[0].Nodes
 	}
-	var lanes, tenants []object
+	return w.Tiers[tier-1].Servers
+}
+
+func (w *World) tierNames() (names []string) {
+	for _, t := range w.Tiers {
+		names = append(names, t.Name)
+	}
+	return names
+}
+
+func (w *World) registryMode() string {
+	if w.Discovery.Asked {
+		return "on_request"
+	}
+	return "pushed"
+}
+
+func (w *World) classSettings() (lanes []object) {
 	for _, c := range w.Classes {
-		lanes = append(lanes, object{"name": c.Name, "effect": c.Effect, "key-scope": "all", "late-share": 0, "stream": false,
-			"target-ms": ms(c.Aim), "deadline-ms": ms(c.Deadline), "window-ms": ms(c.Window), "worth": c.Worth})
+		lanes = append(lanes, object{
+			"name":        c.Name,
+			"effect":      c.Effect,
+			"key-scope":   "all",
+			"late-share":  0,
+			"stream":      false,
+			"target-ms":   ms(c.LatencyObjective),
+			"deadline-ms": ms(c.Deadline),
+			"window-ms":   ms(c.Window),
+			"worth":       c.PriorityWeight,
+		})
 	}
+	return lanes
+}
+
+func (w *World) tenantSettings() (tenants []object) {
 	for _, t := range w.Tenants {
 		tenants = append(tenants, object{"name": t.Name, "quota-per-s": t.Quota, "share": t.Share})
 	}
-	var tiers []string
-	for _, t := range w.Tiers {
-		tiers = append(tiers, t.Name)
-	}
-	registry := "pushed"
-	if w.Discovery.Asked {
-		registry = "on_request"
+	return tenants
+}
+
+func (w *World) limitSettings() object {
+	return object{
+		"cancelling":         true,
+		"conn-idle-ms":       ms(w.Limits.ConnIdle),
+		"connect-timeout-ms": ms(w.Limits.ConnectTimeout),
+		"max-attempts":       w.Limits.MaxAttempts,
+		"max-retry-after-ms": ms(w.Limits.MaxRetryAfter),
+		"max-streams":        1,
+		"may-probe":          false,
+		"open-cap":           20000,
+		"peers":              false,
+		"retry-after":        true,
+		"second-copies":      true,
 	}
-	text, err := json.Marshal(object{
-		"balancers": balancers, "me": self, "tier": tier, "tiers": tiers, "zone": zone, "localities": w.Zones,
-		"blend":   object{"whole": 0.75, "worst-class": 0.1, "worst-tenant": 0.1, "worst-window": 0.05},
-		"callers": object{"marks-retry": true}, "family": "chain", "family-info": object{"passes-deadline": true},
-		"lanes": lanes, "tenants": tenants, "over-share-worth": w.OverWorth, "tick-ms": 5, "worth-by": "request",
-		"registry-mode": registry, "shapes": []string{"m2"}, "weights": "silent",
-		"telemetry": object{"fields": []string{}, "via": "silent"},
-		"limits": object{"cancelling": true, "conn-idle-ms": ms(w.Limits.ConnIdle), "connect-timeout-ms": ms(w.Limits.ConnectTimeout),
-			"max-attempts": w.Limits.MaxAttempts, "max-retry-after-ms": ms(w.Limits.MaxRetryAfter), "max-streams": 1,
-			"may-probe": false, "open-cap": 20000, "peers": false, "retry-after": true, "second-copies": true},
-		"rules": object{"answer-slack-ms": ms(slack), "ask-within-ms": 10000, "cold-from": w.Cold.From, "fall-ms": ms(w.Cold.Fall),
-			"fall-multiple": w.Cold.Multiple, "stop-sending-within-ms": ms(drainWithin), "warm-after-ms": ms(w.Cold.Warm)},
-	})
-	if err != nil {
-		panic(err) // plain maps of plain values
+}
+
+func (w *World) ruleSettings() object {
+	return object{
+		"answer-slack-ms":        ms(slack),
+		"ask-within-ms":          10000,
+		"cold-from":              w.SlowStart.From,
+		"fall-ms":                ms(w.SlowStart.OverloadWindow),
+		"fall-multiple":          w.SlowStart.OverloadFactor,
+		"stop-sending-within-ms": ms(drainWithin),
+		"warm-after-ms":          ms(w.SlowStart.Duration),
 	}
-	return text
 }
