--- a/internal/node/client_handler.go
+++ b/internal/node/client_handler.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"keelusher/internal/inbound"
+	"keelusher/internal/lifecycle"
 	"keelusher/policy"
 	"keelusher/policy/guard"
 )
@@ -34,8 +35,8 @@
 	metrics     *metrics
 	decisions   *decisions
 	buffers     buffers
-	methods     map[string]string   // by class; other classes are unknown
-	suspension  *suspensionDetector // nil: suspensions of the process are not noticed
+	methods     map[string]string             // by class; other classes are unknown
+	suspension  *lifecycle.SuspensionDetector // nil: suspensions of the process are not noticed
 	ready       func() bool
 
 	closeConnections func() bool // whether every response closes its connection
--- a/internal/node/client_handler_test.go
+++ b/internal/node/client_handler_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"keelusher/internal/inbound"
+	"keelusher/internal/lifecycle"
 )
 
 func TestRequestIsForwarded(t *testing.T) {
@@ -279,7 +280,7 @@
 	}()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	n.stop()
-	eventually(t, "shutting down", func() bool { return n.lifecycle.current() == phaseShuttingDown })
+	eventually(t, "shutting down", func() bool { return n.lifecycle.Current() == lifecycle.ShuttingDown })
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := fresh.Do(newRequest(t, n.url, "unsafe", "late", "x"))
 	if err != nil {
--- a/internal/node/gated_conn_test.go
+++ b/internal/node/gated_conn_test.go
@@ -227,14 +227,6 @@
 	}
 }
 
-// setReadTimeout bounds the reads of a connection from now on.
-func setReadTimeout(t *testing.T, c net.Conn, timeout time.Duration) {
-	t.Helper()
-	if err := c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // answered reads one complete response and returns its status; 0: the connection ended without one.
 func (c *gatedClient) answered() int {
 	if err := c.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,6 +9,8 @@
 	"sync/atomic"
 	"time"
 
+	"keelusher/internal/handover"
+	"keelusher/internal/lifecycle"
 	"keelusher/internal/membership"
 	"keelusher/policy"
 )
@@ -23,10 +25,10 @@
 	loop      *eventLoop
 	pool      *pool
 	discovery *discovery
-	lifecycle *lifecycle
+	lifecycle *lifecycle.Machine
 	buffers   buffers
 	inbound   *limitedListener // client connections; nil until serve
-	handover  *handoverServer  // nil until serve
+	handover  *handover.Server // nil until serve
 
 	// Each of these holds a token after the phase has changed; each has one receiver.
 	phaseChanges           chan struct{} // for closeIdleWhileDrained
@@ -58,7 +60,7 @@
 		phaseChanges:           make(chan struct{}, 1),
 		membershipPhaseChanges: make(chan struct{}, 1),
 	}
-	n.lifecycle = &lifecycle{onTransition: n.phaseChanged}
+	n.lifecycle = lifecycle.New(n.phaseChanged)
 	n.pool = newPool(cfg, cfg.Sockets-cfg.reservedDescriptors()-clientConnections, n.loop, n.buffers)
 	n.discovery = newDiscovery(cfg, logger, n.deliverWatchEvent)
 	n.loop.sender = n.pool
@@ -69,7 +71,7 @@
 }
 
 // phaseChanged logs a transition and notifies those who wait for one.
-func (n *Node) phaseChanged(from, to phase) {
+func (n *Node) phaseChanged(from, to lifecycle.Phase) {
 	n.log.Info("phase", "from", from.String(), "to", to.String())
 	for _, changes := range []chan struct{}{n.phaseChanges, n.membershipPhaseChanges} {
 		select {
@@ -83,7 +85,7 @@
 func (n *Node) deliverWatchEvent(ctx context.Context, event watchEvent) error {
 	select {
 	case n.loop.endpointUpdates <- event:
-		n.lifecycle.transition(eventListReceived)
+		n.lifecycle.Transition(lifecycle.ListReceived)
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -105,14 +107,16 @@
 		n.membership.Store(joined)
 		defer joined.Close()
 	}
-	before, err := RetryOnShortage(ctx, func() (*predecessor, error) { return connectPredecessor(n.cfg.handoverSocket) })
+	before, err := RetryOnShortage(ctx, func() (*handover.Predecessor, error) {
+		return handover.Connect(n.cfg.handoverSocket)
+	})
 	if err != nil {
 		n.log.Warn("nothing was handed over", "err", err)
 	}
 	if before != nil {
-		return n.serve(ctx, before.listener, adminListener, before)
+		return n.serve(ctx, before.Listener, adminListener, before)
 	}
-	listener, err := RetryOnShortage(ctx, func() (net.Listener, error) { return listenShared(n.cfg.Listen) })
+	listener, err := RetryOnShortage(ctx, func() (net.Listener, error) { return handover.Listen(n.cfg.Listen) })
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
