--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -96,7 +96,7 @@
 	<-c.done // the shutdown has begun
 	close(up)
 	if r := <-ended; r.result != policy.ConnectFailed {
-		t.Errorf("it ended with %v, want Unreachable", r.result)
+		t.Errorf("it ended with %v, want ConnectFailed", r.result)
 	}
 	<-shut
 	if got := b.requests(); got != 1 {
