--- a/internal/node/server_conn.go
+++ b/internal/node/server_conn.go
@@ -121,17 +121,15 @@
 func (c *serverConn) claimForReuse() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
-	silent := false
 	err := c.raw.Control(func(fd uintptr) {
+		event := requestEnded
 		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = errors.Is(err, syscall.EAGAIN)
+		if errors.Is(err, syscall.EAGAIN) { // nothing has come
+			event = requestStarted
+		}
+		c.exchange = c.exchange.transition(event)
 	})
-	if err != nil || !silent {
-		c.exchange = c.exchange.transition(requestEnded)
-		return false
-	}
-	c.exchange = c.exchange.transition(requestStarted)
-	return c.exchange == exchangeAwaiting
+	return err == nil && c.exchange == exchangeAwaiting
 }
 
 // endRequest ends the time in which received bytes are a response: it is complete, or no request was written.
