--- a/cmd/balancer-testbed/main.go
+++ b/cmd/balancer-testbed/main.go
@@ -1,4 +1,4 @@
-// Command balancer-testbed plays experiments with several real nodes on loopback and reports on them.
+// Command balancer-testbed runs experiments with several real nodes on loopback and reports on them.
 package main
 
 import (
@@ -24,38 +24,59 @@
 	exitUsage  = 2 // the call or a file is wrong
 )
 
-// usageError is a mistake of the caller's.
+// usageError is a mistake in the invocation.
 type usageError struct{ error }
 
 func main() {
+	if code := execute(); code != 0 {
+		os.Exit(code)
+	}
+}
+
+// execute runs the command line and returns the exit code.
+func execute() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	err := command().ExecuteContext(ctx)
 	if err == nil {
-		return
+		return 0
 	}
 	for _, line := range strings.Split(err.Error(), "\n") {
 		fmt.Fprintf(os.Stderr, "balancer-testbed: %s\n", line)
 	}
-	stop()
 	if errors.As(err, &usageError{}) {
-		os.Exit(exitUsage)
+		return exitUsage
 	}
-	os.Exit(exitBroken)
+	return exitBroken
 }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "balancer-testbed", Short: "Play experiments with several real nodes and faults between them",
-		SilenceUsage: true, SilenceErrors: true,
-		Args: cobra.ArbitraryArgs,
-		RunE: func(c *cobra.Command, args []string) error {
+	root := &cobra.Command{
+		Use:           "balancer-testbed",
+		Short:         "Run experiments with several real nodes and faults between them",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		Args:          cobra.ArbitraryArgs,
+		RunE: func(_ *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				return usageError{errors.New("no command; see --help")}
 			}
 			return usageError{fmt.Errorf("unknown command %q; see --help", args[0])}
-		}}
+		},
+	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	root.AddCommand(runCommand(), checkCommand(), listCommand(), reportCommand(), dayCommand(), capacityCommand(), stubCommand(), meshCommand(), soakCommand(), shimCommand())
+	root.AddCommand(
+		runCommand(),
+		checkCommand(),
+		listCommand(),
+		reportCommand(),
+		dayCommand(),
+		capacityCommand(),
+		stubCommand(),
+		meshCommand(),
+		soakCommand(),
+		shimCommand(),
+	)
 	for _, c := range root.Commands() {
 		if check := c.Args; check != nil {
 			c.Args = func(c *cobra.Command, args []string) error {
@@ -69,7 +90,7 @@
 	return root
 }
 
-// load reads an experiment; what is wrong with the file is a mistake of the caller's.
+// load reads an experiment; what is wrong with the file is a mistake in the invocation.
 func load(path string) (*experiment.File, error) {
 	f, err := experiment.Load(path)
 	if err != nil {
@@ -81,7 +102,7 @@
 func runCommand() *cobra.Command {
 	var binary, out string
 	var seeds []uint
-	c := &cobra.Command{Use: "run FILE", Short: "Play an experiment and report on it", Args: cobra.ExactArgs(1)}
+	c := &cobra.Command{Use: "run FILE", Short: "Run an experiment and report on it", Args: cobra.ExactArgs(1)}
 	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program, for variants that name none")
 	c.Flags().StringVar(&out, "out", "", "folder for results and report (default lab-results/NAME)")
 	c.Flags().UintSliceVar(&seeds, "seeds", nil, "seeds in place of the file's")
@@ -99,13 +120,13 @@
 		if out == "" {
 			out = filepath.Join("lab-results", f.Name)
 		}
-		return play(c.Context(), f, binary, out)
+		return run(c.Context(), f, binary, out)
 	}
 	return c
 }
 
-// play runs an experiment into a folder, and reports on what there is, interrupted or not.
-func play(ctx context.Context, f *experiment.File, binary, out string) error {
+// run runs an experiment into a folder, and reports on what there is, interrupted or not.
+func run(ctx context.Context, f *experiment.File, binary, out string) error {
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return err
 	}
@@ -114,14 +135,16 @@
 		return err
 	}
 	defer results.Close()
-	say, end := progress()
+	show, end := progress()
 	rules := map[testbed.Rule]int{}
-	r := &experiment.Runner{File: f, Binary: binary, Out: results, Progress: say}
+	r := &experiment.Runner{File: f, Binary: binary, Out: results, Progress: show}
 	r.Done = func(k experiment.Key, s *experiment.Summary) {
 		end()
 		a := s.Account
-		fmt.Printf("%s seed %d: served %.4f, worst window %.3f, p99 %.0f ms; taken %d = answered %d + left %d + cut off %d + lost %d; %d void windows; broken: %v\n",
-			k.Variant, k.Seed, s.Served, s.Worst, s.P99, a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, s.VoidWindows, s.Broken)
+		fmt.Printf("%s seed %d: served %.4f, worst window %.3f, p99 %.0f ms; ", k.Variant, k.Seed, s.Served, s.Worst, s.P99)
+		fmt.Printf("taken %d = answered %d + left %d + cut off %d + lost %d; ",
+			a.Taken, a.Answered, a.Left, a.CutOff, a.Lost)
+		fmt.Printf("%d void windows; broken: %v\n", s.VoidWindows, s.Broken)
 		for _, x := range s.Found {
 			fmt.Println("  ", x)
 		}
@@ -148,17 +171,17 @@
 }
 
 // progress writes over one line on a terminal, and nothing elsewhere.
-func progress() (say func(string), end func()) {
+func progress() (show func(string), end func()) {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil, func() {}
 	}
 	w := bufio.NewWriter(os.Stderr)
-	say = func(s string) {
-		fmt.Fprintf(w, "\r\x1b[K%.120s", s)
-		w.Flush()
+	show = func(s string) {
+		_, _ = fmt.Fprintf(w, "\r\x1b[K%.120s", s)
+		_ = w.Flush() // progress that cannot be shown is no failure
 	}
-	return say, func() { say("") }
+	return show, func() { show("") }
 }
 
 func checkCommand() *cobra.Command {
@@ -189,7 +212,7 @@
 					all = append(all, err)
 					continue
 				}
-				fmt.Printf("%-34s %4d plays of %-6s %s\n", path, f.Plays(), f.Length, f.About)
+				fmt.Printf("%-34s %4d runs of %-6s %s\n", path, f.Runs(), f.Length, f.About)
 			}
 			return errors.Join(all...)
 		}}
@@ -198,13 +221,21 @@
 }
 
 func reportCommand() *cobra.Command {
-	return &cobra.Command{Use: "report DIR", Short: "Write report.md and plots from a folder's results", Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error { return experiment.Report(args[0]) }}
+	return &cobra.Command{
+		Use:   "report DIR",
+		Short: "Write report.md and plots from a folder's results",
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(_ *cobra.Command, args []string) error { return experiment.Report(args[0]) },
+	}
 }
 
 func dayCommand() *cobra.Command {
 	var seed uint64
-	c := &cobra.Command{Use: "day FILE", Short: "Print the drawn day of a seed: arrivals and steps", Args: cobra.ExactArgs(1)}
+	c := &cobra.Command{
+		Use:   "day FILE",
+		Short: "Print the drawn day of a seed: arrivals and steps",
+		Args:  cobra.ExactArgs(1),
+	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		f, err := load(args[0])
@@ -216,7 +247,7 @@
 			return err
 		}
 		w := bufio.NewWriter(os.Stdout)
-		if err := testbed.WriteDay(w, testbed.Draw(&f.World, &f.Load, f.Length, seed), steps); err != nil {
+		if err := testbed.WriteArrivals(w, testbed.Draw(&f.World, &f.Load, f.Length, seed), steps); err != nil {
 			return err
 		}
 		return w.Flush()
--- /dev/null
+++ b/internal/testbed/fault_handlers.go
@@ -0,0 +1,289 @@
+package testbed
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+)
+
+// RunSchedule carries out steps at their times, counted from now. It calls report for each step and for each failure,
+// from several goroutines, and returns when the last step is done, or once ctx ends.
+func (tb *Testbed) RunSchedule(ctx context.Context, steps []Step, report func(at time.Duration, what string)) {
+	began := tb.now()
+	var running sync.WaitGroup
+	defer running.Wait()
+	for _, s := range steps {
+		if !sleepUntil(tb.began.Add(began+s.At), ctx.Done()) {
+			return
+		}
+		report(tb.now()-began, s.String())
+		running.Add(1)
+		go func() { // some steps wait until a node is ready again
+			defer running.Done()
+			if err := tb.Apply(ctx, s); err != nil && ctx.Err() == nil {
+				report(tb.now()-began, fmt.Sprintf("%s: %v", s, err))
+			}
+		}()
+	}
+}
+
+// Apply carries out one step now.
+func (tb *Testbed) Apply(ctx context.Context, s Step) error {
+	kind, ok := faultKinds[s.Fault.Kind]
+	switch {
+	case !ok:
+		return nil
+	case kind.zones:
+		return tb.applyZoneFault(ctx, s)
+	case kind.nodes:
+		return tb.applyNodeFault(ctx, tb.nodes[s.Target], s)
+	case kind.servers:
+		return tb.applyServerFault(ctx, tb.servers[s.Target], s)
+	case kind.link:
+		return tb.applyLinkFault(s)
+	}
+	tb.applyDiscoveryFault(s)
+	return nil
+}
+
+// applyNodeFault carries out a step of a fault whose target is a node.
+func (tb *Testbed) applyNodeFault(ctx context.Context, node *Node, s Step) error {
+	switch s.Fault.Kind {
+	case "kill":
+		if s.Ends {
+			return node.restart(ctx)
+		}
+		node.Kill()
+	case "term":
+		return tb.terminateAndRestart(ctx, node, s.Fault.For)
+	case "stop":
+		if s.Ends {
+			return node.Continue()
+		}
+		return node.Stop()
+	case "hold":
+		for range max(1, s.Fault.Pick) {
+			if err := node.Pause(s.Fault.For); err != nil || !sleep(ctx, s.Fault.For) {
+				return nil // it has ended meanwhile
+			}
+		}
+	case "reload":
+		return node.Reload()
+	case "peers":
+		tb.runImproperClients(ctx, node, s.Fault.Pick)
+	}
+	return nil
+}
+
+// terminateAndRestart ends a node with SIGTERM and starts it again after a while.
+func (tb *Testbed) terminateAndRestart(ctx context.Context, node *Node, after time.Duration) error {
+	if node.Terminate() {
+		tb.checker.addFinding(Crash, "", node.name, "did not end in time after SIGTERM")
+	}
+	if !sleep(ctx, after) {
+		return nil
+	}
+	return node.restart(ctx)
+}
+
+// applyServerFault carries out a step of a fault whose target is a server.
+func (tb *Testbed) applyServerFault(ctx context.Context, server *Server, s Step) error {
+	switch s.Fault.Kind {
+	case "crash":
+		if s.Ends {
+			return tb.revive(ctx, server)
+		}
+		server.crash()
+	case "slow", "errors", "hang", "spoil":
+		server.Set(serverFaultOf(s))
+	case "silent":
+		server.silence(!s.Ends)
+	case "drain":
+		tb.Drain(server, s.Fault.For)
+	case "replace":
+		if s.Ends {
+			server.crash()
+			return tb.revive(ctx, server)
+		}
+		tb.Drain(server, 0)
+	}
+	return nil
+}
+
+// serverFaultOf returns the fault that a server has from a step on.
+func serverFaultOf(s Step) ServerFault {
+	if s.Ends {
+		return ServerFault{}
+	}
+	fault := ServerFault{
+		Slow: s.Fault.Factor,
+		Hang: s.Fault.Kind == "hang",
+	}
+	if s.Fault.Kind == "spoil" {
+		fault.CorruptResponses = s.Fault.Share
+	} else {
+		fault.Errors = s.Fault.Share
+	}
+	return fault
+}
+
+// applyDiscoveryFault carries out a step of a fault of discovery.
+func (tb *Testbed) applyDiscoveryFault(s Step) {
+	switch s.Fault.Kind {
+	case "disc_mute":
+		tb.disc.mute()
+	case "disc_renumber":
+		tb.disc.renumber(s.Fault.Factor > 1)
+	default:
+		tb.SetDiscoveryFault(discoveryFaultOf(s))
+	}
+}
+
+// discoveryFaultOf returns the fault that discovery has from a step on.
+func discoveryFaultOf(s Step) DiscoveryFault {
+	if s.Ends {
+		return DiscoveryFault{}
+	}
+	kind := s.Fault.Kind
+	return DiscoveryFault{
+		Down:         kind == "disc_down",
+		Fail:         kind == "disc_fail",
+		Slow:         s.Fault.Delay,
+		Unresponsive: kind == "disc_dumb",
+		Trickle:      kind == "disc_trickle",
+		Cut:          kind == "disc_cut",
+		Indent:       kind == "disc_indent",
+	}
+}
+
+var errNoLink = errors.New("no link of the world matches")
+
+// applyLinkFault carries out a step of a fault whose target is a link.
+func (tb *Testbed) applyLinkFault(s Step) error {
+	f := s.Fault
+	if f.Kind == "reset" {
+		if tb.ResetLink(f.From, f.To) == 0 {
+			return errNoLink
+		}
+		return nil
+	}
+	condition := linkConditionOf(s)
+	n := tb.SetLink(f.From, f.To, condition)
+	if f.Kind == "split" {
+		n += tb.SetLink(f.To, f.From, condition)
+	}
+	if n == 0 {
+		return errNoLink
+	}
+	return nil
+}
+
+// linkConditionOf returns the condition that a link has from a step on.
+func linkConditionOf(s Step) LinkCondition {
+	if s.Ends {
+		return LinkCondition{}
+	}
+	f := s.Fault
+	return LinkCondition{
+		Delay:   f.Delay,
+		Jitter:  f.Jittered,
+		Loss:    f.Loss,
+		Dup:     f.Dup,
+		Reorder: f.Reorder,
+		Rate:    f.Rate,
+		Cut:     f.Kind != "link",
+	}
+}
+
+// restart starts a node that has ended and waits until it is ready.
+func (n *Node) restart(ctx context.Context) error {
+	if err := n.Start(); err != nil {
+		return err
+	}
+	return n.Up(ctx)
+}
+
+// revive starts a crashed server again, and lists it once its node is ready.
+func (tb *Testbed) revive(ctx context.Context, s *Server) error {
+	if err := s.restart(); err != nil {
+		return err
+	}
+	if s.node != nil {
+		if err := s.node.Up(ctx); err != nil {
+			return err
+		}
+	}
+	tb.disc.publish(s.tier, s.entry(), -1)
+	return nil
+}
+
+// applyZoneFault makes a whole zone silent, or brings it back in slow start.
+func (tb *Testbed) applyZoneFault(ctx context.Context, s Step) error {
+	var servers []*Server
+	for _, server := range tb.servers {
+		if server.zone == s.Target {
+			servers = append(servers, server)
+		}
+	}
+	if s.Fault.Nodes {
+		if err := tb.applyZoneFaultToNodes(ctx, s); err != nil {
+			return err
+		}
+	}
+	if s.Ends {
+		tb.restoreZone(ctx, servers)
+		return nil
+	}
+	for _, server := range servers {
+		tb.loseServer(server, s.Fault.Late)
+	}
+	return nil
+}
+
+// applyZoneFaultToNodes stops the front nodes of a zone, or starts new processes in their place.
+func (tb *Testbed) applyZoneFaultToNodes(ctx context.Context, s Step) error {
+	for _, n := range tb.front.nodes {
+		if n.zone != s.Target {
+			continue
+		}
+		if !s.Ends {
+			if err := n.Stop(); err != nil {
+				return err
+			}
+			continue
+		}
+		n.Kill()
+		if err := n.Start(); err != nil {
+			return err
+		}
+		tb.goOwned(func() { _ = n.Up(ctx) }) // one that does not come up stays out of the front
+	}
+	return nil
+}
+
+// loseServer makes a server and its node vanish; discovery drops the server late.
+func (tb *Testbed) loseServer(server *Server, late time.Duration) {
+	server.silence(true)
+	if server.node != nil {
+		_ = server.node.Stop() // fails where it has ended
+	}
+	removed := server.entry()
+	removed.Health = healthRemoved
+	tb.disc.publish(server.tier, removed, late+tb.disc.late)
+}
+
+// restoreZone starts the servers of a zone again, all at once.
+func (tb *Testbed) restoreZone(ctx context.Context, servers []*Server) {
+	var restarts sync.WaitGroup
+	for _, server := range servers {
+		restarts.Add(1)
+		go func() {
+			defer restarts.Done()
+			server.crash()
+			_ = tb.revive(ctx, server) // a node that does not come back is a finding of its own
+		}()
+	}
+	restarts.Wait()
+}
--- /dev/null
+++ b/internal/testbed/leader_killed_scenario.go
@@ -0,0 +1,36 @@
+package testbed
+
+import (
+	"context"
+	"time"
+)
+
+// overrideThroughLeaderKill issues an override, kills the leader while it is in force, and holds that the override
+// stays in force at all others until it is revoked through a member that has not led before.
+func (s *scenarioRun) overrideThroughLeaderKill(ctx context.Context) error {
+	const id = "survives"
+	leader, others := s.nodes[0], s.nodes[1:]
+	view, err := leader.Fleet(ctx)
+	if err != nil {
+		return err
+	}
+	issued, err := s.issueOverride(ctx, others[0], id, evacuationOverride("x", time.Minute))
+	if err != nil {
+		return err
+	}
+	if err := s.waitForOverride(ctx, s.nodes, id, true, issuedMetric, issued); err != nil {
+		return err
+	}
+	leader.Kill()
+	if err := s.waitForNewLeader(ctx, others, view.Under); err != nil {
+		return err
+	}
+	if err := s.waitForOverride(ctx, others, id, true, "", issued); err != nil {
+		return err
+	}
+	revoked, err := s.revokeOverride(ctx, others[len(others)-1], id)
+	if err != nil {
+		return err
+	}
+	return s.waitForOverride(ctx, others, id, false, revokedMetric, revoked)
+}
--- /dev/null
+++ b/internal/testbed/notification_times_test.go
@@ -0,0 +1,61 @@
+package testbed
+
+import (
+	"context"
+	"testing"
+	"time"
+)
+
+// A drain that a node could not learn of binds it all the same once the node counts as notified: for a node that was
+// stopped, when it was written; for a watch that fell silent, 6 s after that.
+func TestDrainsBindNodesThatMissedThem(t *testing.T) {
+	const drain = 1500 * time.Millisecond // after the load began
+	for name, c := range map[string]struct {
+		fault  string
+		from   time.Duration // of the fault
+		length time.Duration // of it
+		load   time.Duration
+	}{
+		"stopped": {"stop", time.Second, 4500 * time.Millisecond, 6 * time.Second},
+		"mute":    {"disc_mute", time.Second, 0, 11 * time.Second},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			w := small(2, 3)
+			for i := range w.Classes { // clients that still wait when a stopped node goes on
+				w.Classes[i].LatencyObjective, w.Classes[i].Deadline = 2500*time.Millisecond, 8*time.Second
+			}
+			w.Zones, w.Discovery.Late, w.Discovery.Asked = []string{"a"}, 50*time.Millisecond, true
+			tb := Start(t, w)
+			load, arrivals := draw(t, &tb.world, Load{Rate: 100}, c.load)
+			steps, err := Schedule(&tb.world, []Fault{
+				{Kind: c.fault, Target: "n1", At: c.from, For: c.length},
+				{Kind: "drain", Target: "front-2", At: drain, For: time.Minute}}, 1)
+			if err != nil {
+				t.Fatal(err)
+			}
+			scheduleDone := make(chan struct{})
+			go func() {
+				defer close(scheduleDone)
+				tb.RunSchedule(
+					context.Background(),
+					steps,
+					func(at time.Duration, what string) { t.Logf("%.2fs %s", at.Seconds(), what) },
+				)
+			}()
+			var got tally
+			tb.Drive(context.Background(), &load, arrivals, got.add)
+			<-scheduleDone
+			checkNoFindings(t, tb)
+			if got.served() < len(arrivals)/3 {
+				t.Errorf("served %d of %d", got.served(), len(arrivals))
+			}
+			tb.checker.mu.Lock()
+			defer tb.checker.mu.Unlock()
+			at, notified := tb.checker.drainNotifiedAt[nodeAndServer{"n1", "front-2"}]
+			if !notified || at > tb.now()-drainWithin-slack {
+				t.Errorf("notified %v, at %v: the drain was not held to within the day", notified, at)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/testbed/scenario_run.go
@@ -0,0 +1,316 @@
+package testbed
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+)
+
+// scenarioRun is one run of a scenario.
+type scenarioRun struct {
+	testbed *Testbed
+	nodes   []*Node
+	times   map[string][]time.Duration // durations by metric
+	count   map[string]int
+	seed    uint64
+}
+
+// ScenarioResult is what one run of a scenario showed.
+type ScenarioResult struct {
+	Scenario string
+	Seed     uint64
+	Times    map[string][]time.Duration
+	Counts   map[string]int
+	Failure  string // why it could not be run to its end; empty: it was
+}
+
+// RunScenario runs a scenario once, with nodes that have links between any two.
+func RunScenario(
+	ctx context.Context,
+	sc Scenario,
+	binary string,
+	nodes int,
+	seed uint64,
+	probe time.Duration,
+) (ScenarioResult, error) {
+	if sc.Nodes > 0 {
+		nodes = sc.Nodes
+	}
+	w := scenarioWorld(binary, nodes, seed, probe)
+	if sc.Bare {
+		w.Links = nil
+	}
+	tb, err := Open(ctx, w)
+	if err != nil {
+		return ScenarioResult{}, err
+	}
+	defer tb.Close()
+	s := &scenarioRun{
+		testbed: tb,
+		nodes:   tb.Nodes(),
+		times:   map[string][]time.Duration{},
+		count:   map[string]int{},
+		seed:    seed,
+	}
+	watching, stop := context.WithCancel(ctx)
+	var watched sync.WaitGroup
+	watched.Add(1)
+	go func() {
+		defer watched.Done()
+		s.watchLeaders(watching)
+	}()
+	out := ScenarioResult{Scenario: sc.Name, Seed: seed, Times: s.times, Counts: s.count}
+	if _, err = s.waitForAgreement(ctx, s.nodes, SideComplete); err == nil {
+		err = sc.run(s, ctx)
+	}
+	stop()
+	watched.Wait()
+	if ctx.Err() != nil {
+		return out, ctx.Err()
+	}
+	if err != nil {
+		out.Failure = err.Error()
+	}
+	return out, nil
+}
+
+// scenarioWorld is a world of nodes with links between any two.
+func scenarioWorld(binary string, nodes int, seed uint64, probe time.Duration) World {
+	return World{
+		Binary: binary,
+		Seed:   seed,
+		Links:  []string{"n*->n*"},
+		Fleet: Tables{
+			"mesh":   map[string]any{"probe": probe.String()},
+			"orders": map[string]any{},
+		},
+		Tiers: []Tier{{Name: "front", Nodes: nodes, Servers: 1}},
+		Classes: []Class{{
+			Name:             "view",
+			Effect:           Idempotent,
+			Share:            1,
+			Work:             []time.Duration{time.Millisecond},
+			LatencyObjective: time.Second,
+			Deadline:         time.Second,
+		}},
+	}
+}
+
+const scenarioTimeout = time.Minute
+
+// Names of metrics in the results of scenarios.
+const (
+	deadMetric          = "gone"
+	leftMetric          = "left"
+	completeAgainMetric = "whole again"
+)
+
+// waitForAgreement waits until some nodes are on a partition side with one digest, and returns how long that took.
+func (s *scenarioRun) waitForAgreement(ctx context.Context, nodes []*Node, side string) (time.Duration, error) {
+	what := fmt.Sprintf("%d nodes agree on %s", len(nodes), side)
+	return s.waitUntil(ctx, what, func() bool { return Agree(ctx, nodes, side) })
+}
+
+// recordAgreement waits until all nodes agree that the fleet is complete, and records how long that took.
+func (s *scenarioRun) recordAgreement(ctx context.Context, metric string) error {
+	took, err := s.waitForAgreement(ctx, s.nodes, SideComplete)
+	s.record(metric, took)
+	return err
+}
+
+// record adds a duration to a metric.
+func (s *scenarioRun) record(metric string, d time.Duration) {
+	s.times[metric] = append(s.times[metric], d)
+}
+
+// waitUntil waits for a condition, and returns how long that took.
+func (s *scenarioRun) waitUntil(ctx context.Context, what string, is func() bool) (time.Duration, error) {
+	from := s.testbed.now()
+	for !is() {
+		if !sleep(ctx, 20*time.Millisecond) {
+			return 0, ctx.Err()
+		}
+		if s.testbed.now()-from > scenarioTimeout {
+			return 0, fmt.Errorf("not within %v: %s", scenarioTimeout, what)
+		}
+	}
+	return s.testbed.now() - from, nil
+}
+
+// watchLeaders asks all admin endpoints repeatedly which process proves their majority. Two answers in one round
+// count as two majorities when the next round, right after it, has the same two.
+func (s *scenarioRun) watchLeaders(ctx context.Context) {
+	var before []string
+	for sleep(ctx, 50*time.Millisecond) {
+		for range 2 {
+			leaders := s.leaders(ctx)
+			if len(leaders) < 2 {
+				before = nil
+				break
+			}
+			if slices.Equal(before, leaders) {
+				s.testbed.checker.mu.Lock()
+				s.count["two majorities"]++
+				s.testbed.checker.mu.Unlock()
+			}
+			before = leaders
+		}
+	}
+}
+
+// leaders asks all nodes at once which process proves their majority, and returns the different answers, sorted.
+func (s *scenarioRun) leaders(ctx context.Context) []string {
+	under := make([]string, len(s.nodes))
+	var all sync.WaitGroup
+	for i, n := range s.nodes {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			if v, err := n.Fleet(ctx); err == nil && (v.Side == SideMajority || v.Side == SideComplete) {
+				under[i] = v.Under
+			}
+		}()
+	}
+	all.Wait()
+	seen := slices.Compact(slices.Sorted(slices.Values(under)))
+	if len(seen) > 0 && seen[0] == "" {
+		seen = seen[1:]
+	}
+	return seen
+}
+
+// memberChange is a line of a node's log about a member.
+type memberChange struct {
+	at          time.Duration // on the testbed's clock
+	name, state string
+}
+
+// changes reads what a node has logged about members.
+func (s *scenarioRun) changes(n *Node) (all []memberChange, err error) {
+	f, err := os.Open(n.Log())
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	for in := bufio.NewScanner(f); in.Scan(); {
+		line := in.Text()
+		if !strings.Contains(line, " msg=member ") {
+			continue
+		}
+		fields := map[string]string{}
+		for _, kv := range strings.Fields(line) {
+			k, v, _ := strings.Cut(kv, "=")
+			fields[k] = v
+		}
+		at, err := time.Parse(time.RFC3339Nano, fields["time"])
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, memberChange{at.Sub(s.testbed.began.Round(0)), fields["name"], fields["is"]})
+	}
+	return all, nil
+}
+
+// waitForState waits until some nodes have logged a member's state after a time, and records how long that took.
+func (s *scenarioRun) waitForState(
+	ctx context.Context,
+	by []*Node,
+	name, state, metric string,
+	after time.Duration,
+) error {
+	for _, n := range by {
+		for found := false; !found; {
+			all, err := s.changes(n)
+			if err != nil {
+				return err
+			}
+			for _, c := range all {
+				if !found && c.name == name && c.state == state && c.at >= after {
+					s.record(metric, c.at-after)
+					found = true
+				}
+			}
+			if !found && (!sleep(ctx, 20*time.Millisecond) || s.testbed.now()-after > scenarioTimeout) {
+				return errors.Join(ctx.Err(), fmt.Errorf("%s did not see %s as %s within %v", n.name, name, state, scenarioTimeout))
+			}
+		}
+	}
+	return nil
+}
+
+// countWronglyRemoved counts how often nodes took members for gone since a time, of the given names or of all.
+func (s *scenarioRun) countWronglyRemoved(after time.Duration, names ...string) error {
+	for _, n := range s.nodes {
+		all, err := s.changes(n)
+		if err != nil {
+			return err
+		}
+		for _, c := range all {
+			if c.at >= after && c.state == stateDead && (len(names) == 0 || slices.Contains(names, c.name)) {
+				s.count["wrongly gone"]++
+			}
+		}
+	}
+	return nil
+}
+
+func names(nodes []*Node) (all []string) {
+	for _, n := range nodes {
+		all = append(all, n.name)
+	}
+	return all
+}
+
+func (s *scenarioRun) kill(ctx context.Context, k int) error {
+	sleep(ctx, time.Duration(s.seed%7)*100*time.Millisecond) // a different phase of the probe interval for each seed
+	at := s.testbed.now()
+	rest, dead := s.nodes[:len(s.nodes)-k], s.nodes[len(s.nodes)-k:]
+	for _, n := range dead {
+		n.Kill()
+	}
+	for _, n := range dead {
+		if err := s.waitForState(ctx, rest, n.name, stateDead, deadMetric, at); err != nil {
+			return err
+		}
+	}
+	side := SideMajority
+	if 2*k > len(s.nodes) {
+		side = SideMinority
+	}
+	took, err := s.waitForAgreement(ctx, rest, side)
+	s.record("then agreed", took)
+	return errors.Join(err, s.countWronglyRemoved(at, names(rest)...))
+}
+
+func (s *scenarioRun) stopOne(ctx context.Context, d time.Duration) error {
+	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
+	if err := n.Stop(); err != nil {
+		return err
+	}
+	sleep(ctx, d)
+	if err := n.Continue(); err != nil {
+		return err
+	}
+	err := s.recordAgreement(ctx, completeAgainMetric)
+	if d > time.Second { // it is rightly taken for gone, but no other member may be
+		return errors.Join(err, s.countWronglyRemoved(at, names(s.nodes[:len(s.nodes)-1])...))
+	}
+	sleep(ctx, 3*time.Second) // a suspicion times out by then
+	return errors.Join(err, s.countWronglyRemoved(at))
+}
+
+// holdCondition sets a link condition for a while; no member may be taken for gone under it.
+func (s *scenarioRun) holdCondition(ctx context.Context, from, to string, c LinkCondition, d time.Duration) error {
+	at := s.testbed.now()
+	s.testbed.SetLink(from, to, c)
+	sleep(ctx, d)
+	s.testbed.SetLink(from, to, LinkCondition{})
+	err := s.recordAgreement(ctx, completeAgainMetric)
+	return errors.Join(err, s.countWronglyRemoved(at))
+}
