--- a/internal/node/client_handler_test.go
+++ b/internal/node/client_handler_test.go
@@ -280,7 +280,7 @@
 	}()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.lifecycle.Current() == lifecycle.ShuttingDown })
+	eventually(t, "shutting down", func() bool { return n.lifecycle.Current() == lifecycle.ShuttingDown })
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := fresh.Do(newRequest(t, n.url, "unsafe", "late", "x"))
 	if err != nil {
