--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -99,7 +99,7 @@
 	case "slow", "errors", "hang", "spoil":
 		server.Set(serverFaultOf(s))
 	case "silent":
-		server.silence(!s.Ends)
+		server.setSilent(!s.Ends)
 	case "drain":
 		tb.Drain(server, s.Fault.For)
 	case "replace":
@@ -265,7 +265,7 @@
 
 // loseServer makes a server and its node vanish; discovery drops the server late.
 func (tb *Testbed) loseServer(server *Server, late time.Duration) {
-	server.silence(true)
+	server.setSilent(true)
 	if server.node != nil {
 		_ = server.node.Stop() // fails where it has ended
 	}
--- a/internal/testbed/lateness.go
+++ b/internal/testbed/lateness.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	heartbeat    = 10 * time.Millisecond
-	voidLateness = 25 * time.Millisecond // half of the rules' slack: a testbed this late proves nothing
+	latenessInterval = 10 * time.Millisecond
+	voidLateness     = 25 * time.Millisecond // half of the rules' slack: a testbed this late proves nothing
 )
 
 // readinessClient asks nodes whether they are ready.
@@ -22,11 +22,11 @@
 	worst map[int64]time.Duration // by second
 }
 
-// run beats until the testbed closes.
+// run measures until the testbed closes.
 func (x *lateness) run(tb *Testbed) {
 	x.worst = map[int64]time.Duration{}
 	tb.goOwned(func() {
-		tick := time.NewTicker(heartbeat)
+		tick := time.NewTicker(latenessInterval)
 		defer tick.Stop()
 		last := tb.now()
 		for {
@@ -36,7 +36,7 @@
 				return
 			}
 			now := tb.now()
-			x.note(now, now-last-heartbeat)
+			x.note(now, now-last-latenessInterval)
 			last = now
 		}
 	})
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -193,7 +193,7 @@
 }
 
 // duplicateName starts a second process with the last node's name, at an address of its own, and ends it once the older
-// one has stepped out of the mesh.
+// one has left the mesh.
 func (s *scenarioRun) duplicateName(ctx context.Context) error {
 	older := s.nodes[len(s.nodes)-1]
 	twin, err := s.testbed.newNode("twin", older.zone, older.tier, older.index)
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -333,7 +333,7 @@
 	s.down = true
 	s.mu.Unlock()
 	s.testbed.intervals.begin(s.name, s.testbed.now())
-	s.reachable()
+	s.updateReachability()
 	s.gate.reset()
 	if s.node != nil {
 		s.node.Kill()
@@ -351,13 +351,13 @@
 	s.down, s.silent, s.choked, s.recent = false, false, false, nil
 	s.born, s.health = s.testbed.now(), healthInService
 	s.mu.Unlock()
-	s.reachable()
+	s.updateReachability()
 	s.testbed.intervals.end(s.name, s.testbed.now())
 	return nil
 }
 
-// silence makes the server silent, as a vanished machine, or ends that.
-func (s *Server) silence(on bool) {
+// setSilent makes the server silent, as a vanished machine, or ends that.
+func (s *Server) setSilent(on bool) {
 	s.mu.Lock()
 	s.silent = on
 	s.mu.Unlock()
@@ -366,11 +366,11 @@
 	} else {
 		s.testbed.intervals.end(s.name, s.testbed.now())
 	}
-	s.reachable()
+	s.updateReachability()
 }
 
-// reachable sets the gate, and the links to it, to the state of the server.
-func (s *Server) reachable() {
+// updateReachability sets the gate, and the links to it, to the state of the server.
+func (s *Server) updateReachability() {
 	s.mu.Lock()
 	mode := gateOpen
 	switch {
