--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"math/rand/v2"
 	"path"
 	"slices"
@@ -10,6 +9,41 @@
 	"time"
 )
 
+// FaultKind says what goes wrong; its values are words of the experiment files, described at Fault.
+type FaultKind string
+
+// The kinds of fault.
+const (
+	FaultKill                  FaultKind = "kill"
+	FaultTerminate             FaultKind = "term"
+	FaultStop                  FaultKind = "stop"
+	FaultPause                 FaultKind = "hold"
+	FaultReload                FaultKind = "reload"
+	FaultImproperClients       FaultKind = "peers"
+	FaultCrash                 FaultKind = "crash"
+	FaultSlow                  FaultKind = "slow"
+	FaultErrors                FaultKind = "errors"
+	FaultHang                  FaultKind = "hang"
+	FaultCorruptResponses      FaultKind = "spoil"
+	FaultSilent                FaultKind = "silent"
+	FaultDrain                 FaultKind = "drain"
+	FaultReplace               FaultKind = "replace"
+	FaultZone                  FaultKind = "zone"
+	FaultCut                   FaultKind = "cut"
+	FaultSplit                 FaultKind = "split"
+	FaultLink                  FaultKind = "link"
+	FaultReset                 FaultKind = "reset"
+	FaultDiscoveryDown         FaultKind = "disc_down"
+	FaultDiscoveryFail         FaultKind = "disc_fail"
+	FaultDiscoverySlow         FaultKind = "disc_slow"
+	FaultDiscoveryUnresponsive FaultKind = "disc_dumb"
+	FaultDiscoveryTrickle      FaultKind = "disc_trickle"
+	FaultDiscoveryCut          FaultKind = "disc_cut"
+	FaultDiscoveryIndent       FaultKind = "disc_indent"
+	FaultDiscoveryMute         FaultKind = "disc_mute"
+	FaultDiscoveryRenumber     FaultKind = "disc_renumber"
+)
+
 // Fault is one entry of a schedule. At is when it begins, plus an even draw from 0 to Jitter; For is how long it lasts.
 //
 // Kinds that name Target, a pattern of nodes ("n1", "n*", "n@front-?"), servers ("rooms-*") or zones:
@@ -42,7 +76,7 @@
 // DiscoveryFault has them; once, disc_mute (open watches fall silent for good) and disc_renumber (it comes back with
 // other sequence numbers, higher ones if Factor is above 1).
 type Fault struct {
-	Kind   string        `toml:"kind"`
+	Kind   FaultKind     `toml:"kind"`
 	At     time.Duration `toml:"at"`
 	For    time.Duration `toml:"for"`
 	Jitter time.Duration `toml:"jitter"`
@@ -64,49 +98,49 @@
 	Rate     int           `toml:"rate"`
 }
 
-// faultKind says what a kind of fault applies to, and whether it lasts for a time.
-type faultKind struct{ nodes, servers, zones, link, lasts bool }
+// faultTraits says what a kind of fault applies to, and whether it lasts for a time.
+type faultTraits struct{ nodes, servers, zones, link, lasts bool }
 
 // hasTarget reports whether faults of the kind name a Target.
-func (k faultKind) hasTarget() bool { return k.nodes || k.servers || k.zones }
+func (k faultTraits) hasTarget() bool { return k.nodes || k.servers || k.zones }
 
-var faultKinds = map[string]faultKind{
-	"kill":   {nodes: true},
-	"term":   {nodes: true},
-	"stop":   {nodes: true, lasts: true},
-	"hold":   {nodes: true, lasts: true},
-	"reload": {nodes: true},
-	"peers":  {nodes: true},
+var traitsOfKind = map[FaultKind]faultTraits{
+	FaultKill:            {nodes: true},
+	FaultTerminate:       {nodes: true},
+	FaultStop:            {nodes: true, lasts: true},
+	FaultPause:           {nodes: true, lasts: true},
+	FaultReload:          {nodes: true},
+	FaultImproperClients: {nodes: true},
 
-	"crash":   {servers: true},
-	"slow":    {servers: true, lasts: true},
-	"errors":  {servers: true, lasts: true},
-	"hang":    {servers: true, lasts: true},
-	"spoil":   {servers: true, lasts: true},
-	"silent":  {servers: true, lasts: true},
-	"drain":   {servers: true, lasts: true},
-	"replace": {servers: true, lasts: true},
+	FaultCrash:            {servers: true},
+	FaultSlow:             {servers: true, lasts: true},
+	FaultErrors:           {servers: true, lasts: true},
+	FaultHang:             {servers: true, lasts: true},
+	FaultCorruptResponses: {servers: true, lasts: true},
+	FaultSilent:           {servers: true, lasts: true},
+	FaultDrain:            {servers: true, lasts: true},
+	FaultReplace:          {servers: true, lasts: true},
 
-	"zone": {zones: true, lasts: true},
+	FaultZone: {zones: true, lasts: true},
 
-	"cut":   {link: true, lasts: true},
-	"split": {link: true, lasts: true},
-	"link":  {link: true, lasts: true},
-	"reset": {link: true},
+	FaultCut:   {link: true, lasts: true},
+	FaultSplit: {link: true, lasts: true},
+	FaultLink:  {link: true, lasts: true},
+	FaultReset: {link: true},
 
-	"disc_down":     {lasts: true},
-	"disc_fail":     {lasts: true},
-	"disc_slow":     {lasts: true},
-	"disc_dumb":     {lasts: true},
-	"disc_trickle":  {lasts: true},
-	"disc_cut":      {lasts: true},
-	"disc_indent":   {lasts: true},
-	"disc_mute":     {},
-	"disc_renumber": {},
+	FaultDiscoveryDown:         {lasts: true},
+	FaultDiscoveryFail:         {lasts: true},
+	FaultDiscoverySlow:         {lasts: true},
+	FaultDiscoveryUnresponsive: {lasts: true},
+	FaultDiscoveryTrickle:      {lasts: true},
+	FaultDiscoveryCut:          {lasts: true},
+	FaultDiscoveryIndent:       {lasts: true},
+	FaultDiscoveryMute:         {},
+	FaultDiscoveryRenumber:     {},
 }
 
 // names lists the parts of the world that a kind of fault can target, in the order of their numbers.
-func (w *World) names(kind faultKind) (all []string) {
+func (w *World) names(kind faultTraits) (all []string) {
 	if kind.nodes {
 		for i := range w.Tiers[0].Nodes {
 			all = append(all, fmt.Sprintf("n%d", i+1))
@@ -131,7 +165,7 @@
 
 // parts lists all that a link can end at.
 func (w *World) parts() []string {
-	all := append(w.names(faultKind{nodes: true, servers: true}), "discovery")
+	all := append(w.names(faultTraits{nodes: true, servers: true}), "discovery")
 	for _, z := range w.Zones {
 		all = append(all, clientsOf(z))
 	}
@@ -154,16 +188,15 @@
 
 // Check returns what is wrong with a fault, as a KeyError whose key starts with prefix.
 func (f *Fault) Check(w *World, prefix string) error {
-	kind, ok := faultKinds[f.Kind]
+	kind, ok := traitsOfKind[f.Kind]
 	if !ok {
-		known := strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", ")
-		return &KeyError{prefix + "kind", fmt.Sprintf("%q is none of %s", f.Kind, known)}
+		return &KeyError{prefix + "kind", fmt.Sprintf("%q is none of %s", f.Kind, knownKinds())}
 	}
 	if f.At < 0 || f.For < 0 || f.Jitter < 0 || f.Every < 0 {
 		return &KeyError{prefix + "at", "a time is negative"}
 	}
 	if kind.lasts && f.For == 0 {
-		return &KeyError{prefix + "for", f.Kind + " needs a length"}
+		return &KeyError{prefix + "for", string(f.Kind) + " needs a length"}
 	}
 	if err := f.checkPatterns(kind, w, prefix); err != nil {
 		return err
@@ -171,8 +204,18 @@
 	return f.checkNumbers(prefix)
 }
 
+// knownKinds lists the kinds of fault, sorted.
+func knownKinds() string {
+	var kinds []string
+	for kind := range traitsOfKind {
+		kinds = append(kinds, string(kind))
+	}
+	slices.Sort(kinds)
+	return strings.Join(kinds, ", ")
+}
+
 // checkPatterns checks that the fault's patterns match some parts of the world.
-func (f *Fault) checkPatterns(kind faultKind, w *World, prefix string) error {
+func (f *Fault) checkPatterns(kind faultTraits, w *World, prefix string) error {
 	patterns := map[string]string{}
 	names := w.parts()
 	if kind.link {
@@ -203,11 +246,11 @@
 			return &KeyError{prefix + key, "must be from 0 to 1"}
 		}
 	}
-	if f.Kind == "slow" && !(f.Factor > 1) {
+	if f.Kind == FaultSlow && !(f.Factor > 1) {
 		return &KeyError{prefix + "factor", "slow needs one above 1"}
 	}
-	if (f.Kind == "errors" || f.Kind == "spoil") && f.Share == 0 {
-		return &KeyError{prefix + "share", f.Kind + " needs one above 0"}
+	if (f.Kind == FaultErrors || f.Kind == FaultCorruptResponses) && f.Share == 0 {
+		return &KeyError{prefix + "share", string(f.Kind) + " needs one above 0"}
 	}
 	return nil
 }
@@ -222,7 +265,7 @@
 
 // String names the step as schedules and results print it.
 func (s Step) String() string {
-	what := s.Fault.Kind
+	what := string(s.Fault.Kind)
 	switch {
 	case s.Target != "":
 		what += " " + s.Target
@@ -261,7 +304,7 @@
 
 // drawTargets returns the parts that a fault applies to: one empty name where it names none.
 func (f *Fault) drawTargets(w *World, r *rand.Rand) ([]string, error) {
-	kind := faultKinds[f.Kind]
+	kind := traitsOfKind[f.Kind]
 	if !kind.hasTarget() {
 		return []string{""}, nil
 	}
@@ -269,7 +312,7 @@
 	if err != nil {
 		return nil, err
 	}
-	picksTargets := f.Kind != "peers" && f.Kind != "hold" // Pick is a count of something else there
+	picksTargets := f.Kind != FaultImproperClients && f.Kind != FaultPause // Pick is a count of something else there
 	if picksTargets && f.Pick > 0 && f.Pick < len(targets) {
 		r.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
 		targets = targets[:f.Pick]
@@ -279,7 +322,7 @@
 
 // endsByStep reports whether a step of its own ends the fault.
 func (f *Fault) endsByStep() bool {
-	return f.For > 0 && f.Kind != "drain" && f.Kind != "term" && f.Kind != "hold"
+	return f.For > 0 && f.Kind != FaultDrain && f.Kind != FaultTerminate && f.Kind != FaultPause
 }
 
 // LinksOfFaults returns the link patterns that the faults need a proxy for.
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -31,7 +31,7 @@
 
 // Apply carries out one step now.
 func (tb *Testbed) Apply(ctx context.Context, s Step) error {
-	kind, ok := faultKinds[s.Fault.Kind]
+	kind, ok := traitsOfKind[s.Fault.Kind]
 	switch {
 	case !ok:
 		return nil
@@ -51,27 +51,27 @@
 // applyNodeFault carries out a step of a fault whose target is a node.
 func (tb *Testbed) applyNodeFault(ctx context.Context, node *Node, s Step) error {
 	switch s.Fault.Kind {
-	case "kill":
+	case FaultKill:
 		if s.Ends {
 			return node.restart(ctx)
 		}
 		node.Kill()
-	case "term":
+	case FaultTerminate:
 		return tb.terminateAndRestart(ctx, node, s.Fault.For)
-	case "stop":
+	case FaultStop:
 		if s.Ends {
 			return node.Continue()
 		}
 		return node.Stop()
-	case "hold":
+	case FaultPause:
 		for range max(1, s.Fault.Pick) {
 			if err := node.Pause(s.Fault.For); err != nil || !sleep(ctx, s.Fault.For) {
 				return nil // it has ended meanwhile
 			}
 		}
-	case "reload":
+	case FaultReload:
 		return node.Reload()
-	case "peers":
+	case FaultImproperClients:
 		tb.runImproperClients(ctx, node, s.Fault.Pick)
 	}
 	return nil
@@ -91,18 +91,18 @@
 // applyServerFault carries out a step of a fault whose target is a server.
 func (tb *Testbed) applyServerFault(ctx context.Context, server *Server, s Step) error {
 	switch s.Fault.Kind {
-	case "crash":
+	case FaultCrash:
 		if s.Ends {
 			return tb.revive(ctx, server)
 		}
 		server.crash()
-	case "slow", "errors", "hang", "spoil":
+	case FaultSlow, FaultErrors, FaultHang, FaultCorruptResponses:
 		server.Set(serverFaultOf(s))
-	case "silent":
+	case FaultSilent:
 		server.setSilent(!s.Ends)
-	case "drain":
+	case FaultDrain:
 		tb.Drain(server, s.Fault.For)
-	case "replace":
+	case FaultReplace:
 		if s.Ends {
 			server.crash()
 			return tb.revive(ctx, server)
@@ -119,9 +119,9 @@
 	}
 	fault := ServerFault{
 		Slow: s.Fault.Factor,
-		Hang: s.Fault.Kind == "hang",
+		Hang: s.Fault.Kind == FaultHang,
 	}
-	if s.Fault.Kind == "spoil" {
+	if s.Fault.Kind == FaultCorruptResponses {
 		fault.CorruptResponses = s.Fault.Share
 	} else {
 		fault.Errors = s.Fault.Share
@@ -132,9 +132,9 @@
 // applyDiscoveryFault carries out a step of a fault of discovery.
 func (tb *Testbed) applyDiscoveryFault(s Step) {
 	switch s.Fault.Kind {
-	case "disc_mute":
+	case FaultDiscoveryMute:
 		tb.disc.mute()
-	case "disc_renumber":
+	case FaultDiscoveryRenumber:
 		tb.disc.renumber(s.Fault.Factor > 1)
 	default:
 		tb.SetDiscoveryFault(discoveryFaultOf(s))
@@ -148,13 +148,13 @@
 	}
 	kind := s.Fault.Kind
 	return DiscoveryFault{
-		Down:         kind == "disc_down",
-		Fail:         kind == "disc_fail",
+		Down:         kind == FaultDiscoveryDown,
+		Fail:         kind == FaultDiscoveryFail,
 		Slow:         s.Fault.Delay,
-		Unresponsive: kind == "disc_dumb",
-		Trickle:      kind == "disc_trickle",
-		Cut:          kind == "disc_cut",
-		Indent:       kind == "disc_indent",
+		Unresponsive: kind == FaultDiscoveryUnresponsive,
+		Trickle:      kind == FaultDiscoveryTrickle,
+		Cut:          kind == FaultDiscoveryCut,
+		Indent:       kind == FaultDiscoveryIndent,
 	}
 }
 
@@ -163,7 +163,7 @@
 // applyLinkFault carries out a step of a fault whose target is a link.
 func (tb *Testbed) applyLinkFault(s Step) error {
 	f := s.Fault
-	if f.Kind == "reset" {
+	if f.Kind == FaultReset {
 		if tb.ResetLink(f.From, f.To) == 0 {
 			return errNoLink
 		}
@@ -171,7 +171,7 @@
 	}
 	condition := linkConditionOf(s)
 	n := tb.SetLink(f.From, f.To, condition)
-	if f.Kind == "split" {
+	if f.Kind == FaultSplit {
 		n += tb.SetLink(f.To, f.From, condition)
 	}
 	if n == 0 {
@@ -193,7 +193,7 @@
 		Dup:     f.Dup,
 		Reorder: f.Reorder,
 		Rate:    f.Rate,
-		Cut:     f.Kind != "link",
+		Cut:     f.Kind != FaultLink,
 	}
 }
 
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -11,7 +11,7 @@
 func TestDrainsBindNodesThatMissedThem(t *testing.T) {
 	const drain = 1500 * time.Millisecond // after the load began
 	for name, c := range map[string]struct {
-		fault  string
+		fault  FaultKind
 		from   time.Duration // of the fault
 		length time.Duration // of it
 		load   time.Duration
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -138,8 +138,8 @@
 	return faults
 }
 
-// faultKind is one kind of fault.
-type faultKind struct {
+// faultTemplate draws one kind of fault.
+type faultTemplate struct {
 	discovery bool
 	draw      func(*rand.Rand) testbed.Fault
 }
@@ -154,67 +154,78 @@
 const frontNodes = "n[0-9]*"
 
 // catalogue lists the kinds of fault. Their meaning is at testbed.Fault.
-var catalogue = []faultKind{
+var catalogue = []faultTemplate{
 	{draw: func(*rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "term", Target: frontNodes, Pick: 2, For: time.Second}
+		return testbed.Fault{Kind: testbed.FaultTerminate, Target: frontNodes, Pick: 2, For: time.Second}
 	}},
 	{draw: func(*rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "kill", Target: frontNodes, Pick: 2, For: time.Second}
+		return testbed.Fault{Kind: testbed.FaultKill, Target: frontNodes, Pick: 2, For: time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{
-			Kind:   "hold",
+			Kind:   testbed.FaultPause,
 			Target: "n*",
 			Pick:   10,
 			For:    randomDuration(r, 20*time.Millisecond, 150*time.Millisecond),
 		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "stop", Target: "n*", Pick: 3, For: randomDuration(r, 300*time.Millisecond, 5*time.Second)}
+		return testbed.Fault{
+			Kind:   testbed.FaultStop,
+			Target: "n*",
+			Pick:   3,
+			For:    randomDuration(r, 300*time.Millisecond, 5*time.Second),
+		}
 	}},
 	{draw: func(*rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "reload", Target: "n*", Every: 20 * time.Millisecond}
+		return testbed.Fault{Kind: testbed.FaultReload, Target: "n*", Every: 20 * time.Millisecond}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "peers", Target: frontNodes, Pick: 9 + r.IntN(200)}
+		return testbed.Fault{Kind: testbed.FaultImproperClients, Target: frontNodes, Pick: 9 + r.IntN(200)}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{
-			Kind:   "crash",
+			Kind:   testbed.FaultCrash,
 			Target: anyServers(r),
 			Pick:   2,
 			For:    randomDuration(r, time.Second, 4*time.Second),
 		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "slow", Target: anyServers(r), Pick: 3, For: 3 * time.Second, Factor: 10}
+		return testbed.Fault{Kind: testbed.FaultSlow, Target: anyServers(r), Pick: 3, For: 3 * time.Second, Factor: 10}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "errors", Target: anyServers(r), Pick: 4, For: 4 * time.Second, Share: 0.5}
+		return testbed.Fault{Kind: testbed.FaultErrors, Target: anyServers(r), Pick: 4, For: 4 * time.Second, Share: 0.5}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{
-			Kind:   "hang",
+			Kind:   testbed.FaultHang,
 			Target: anyServers(r),
 			Pick:   2 + r.IntN(7),
 			For:    randomDuration(r, 2*time.Second, 6*time.Second),
 		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "spoil", Target: anyServers(r), Pick: 4, For: 5 * time.Second, Share: 0.4}
+		return testbed.Fault{
+			Kind:   testbed.FaultCorruptResponses,
+			Target: anyServers(r),
+			Pick:   4,
+			For:    5 * time.Second,
+			Share:  0.4,
+		}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "silent", Target: anyServers(r), Pick: 2, For: 3 * time.Second}
+		return testbed.Fault{Kind: testbed.FaultSilent, Target: anyServers(r), Pick: 2, For: 3 * time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "drain", Target: anyServers(r), Pick: 2, For: 7 * time.Second}
+		return testbed.Fault{Kind: testbed.FaultDrain, Target: anyServers(r), Pick: 2, For: 7 * time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "replace", Target: anyServers(r), Pick: 3, For: 4 * time.Second}
+		return testbed.Fault{Kind: testbed.FaultReplace, Target: anyServers(r), Pick: 3, For: 4 * time.Second}
 	}},
 	{draw: func(r *rand.Rand) testbed.Fault {
 		return testbed.Fault{
-			Kind:  "link",
+			Kind:  testbed.FaultLink,
 			From:  frontNodes,
 			To:    "front-[1-3]",
 			Delay: randomDuration(r, 300*time.Millisecond, 1500*time.Millisecond),
@@ -222,23 +233,36 @@
 		}
 	}},
 	{draw: func(*rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "link", From: "n@*", To: "*-[1-3]", Rate: 3000, For: 3 * time.Second}
+		return testbed.Fault{Kind: testbed.FaultLink, From: "n@*", To: "*-[1-3]", Rate: 3000, For: 3 * time.Second}
+	}},
+	{draw: func(*rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: testbed.FaultReset, From: "n*", To: "*-[1-4]"}
 	}},
-	{draw: func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "reset", From: "n*", To: "*-[1-4]"} }},
 	{draw: func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "cut", From: "n[1-4]", To: "front-*", For: randomDuration(r, time.Second, 3*time.Second)}
+		return testbed.Fault{
+			Kind: testbed.FaultCut,
+			From: "n[1-4]",
+			To:   "front-*",
+			For:  randomDuration(r, time.Second, 3*time.Second),
+		}
 	}},
 	{true, func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "disc_down", For: randomDuration(r, time.Second, 6*time.Second)}
+		return testbed.Fault{Kind: testbed.FaultDiscoveryDown, For: randomDuration(r, time.Second, 6*time.Second)}
+	}},
+	{true, func(*rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: testbed.FaultDiscoveryFail, For: 3 * time.Second}
+	}},
+	{true, func(*rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: testbed.FaultDiscoverySlow, For: 3 * time.Second, Delay: 30 * time.Millisecond}
+	}},
+	{true, func(*rand.Rand) testbed.Fault {
+		return testbed.Fault{Kind: testbed.FaultDiscoveryCut, For: time.Second}
 	}},
-	{true, func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_fail", For: 3 * time.Second} }},
 	{true, func(*rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "disc_slow", For: 3 * time.Second, Delay: 30 * time.Millisecond}
+		return testbed.Fault{Kind: testbed.FaultDiscoveryIndent, For: 3 * time.Second}
 	}},
-	{true, func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_cut", For: time.Second} }},
-	{true, func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_indent", For: 3 * time.Second} }},
-	{draw: func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: "disc_mute"} }},
+	{draw: func(*rand.Rand) testbed.Fault { return testbed.Fault{Kind: testbed.FaultDiscoveryMute} }},
 	{true, func(r *rand.Rand) testbed.Fault {
-		return testbed.Fault{Kind: "disc_renumber", Factor: float64(1 + r.IntN(2))}
+		return testbed.Fault{Kind: testbed.FaultDiscoveryRenumber, Factor: float64(1 + r.IntN(2))}
 	}},
 }
