--- a/internal/node/accept_faults_test.go
+++ b/internal/node/accept_faults_test.go
@@ -12,9 +12,11 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"keelusher/internal/metrics"
 )
 
-// faultyListener fails its next calls of Accept with errors of the system's, then accepts as ever.
+// faultyListener fails its first calls of Accept with system errors, then accepts.
 type faultyListener struct {
 	net.Listener
 	errors chan error
@@ -45,17 +47,17 @@
 	}
 }
 
-// SyscallConn lets the node hand the listener over.
+// SyscallConn lets the node pass the listener to its successor.
 func (l *faultyListener) SyscallConn() (syscall.RawConn, error) {
 	return l.Listener.(syscall.Conn).SyscallConn()
 }
 
-// acceptErrors are what accept(2) documents, but for those that say that the listener itself is unusable.
+// acceptErrors are the errors that accept(2) documents, except those of an unusable listener.
 var acceptErrors = []syscall.Errno{syscall.EAGAIN, syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EPROTO, syscall.ENOSR, syscall.ETIMEDOUT, syscall.ENETDOWN,
 	syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH}
 
-// serves says whether a path is answered with 200 on a new connection.
+// serves reports whether a path is answered with 200 on a new connection.
 func serves(url string) func() bool {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	return func() bool {
@@ -63,13 +65,13 @@
 		if err != nil {
 			return false
 		}
-		io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
+		defer resp.Body.Close()
+		_, err = io.Copy(io.Discard, resp.Body)
+		return err == nil && resp.StatusCode == http.StatusOK
 	}
 }
 
-// No failed accept ends the node, on the clients' listener or on the operators'.
+// No failed accept ends the node, whether of a client or of an operator.
 func TestFailedAcceptsDoNotEndTheNode(t *testing.T) {
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -99,28 +101,31 @@
 	}
 }
 
-// A listener that is none any more ends the accepting, and so does its close while the node waits for the system.
+// An unusable listener ends the accepting, and so does a close during the backoff after an error.
 func TestAcceptingEnds(t *testing.T) {
-	broken := newLimitedListener(newFaultyListener(t, syscall.EBADF), 1, newMetrics(nil), newDecisions(quiet()))
+	faulty := newFaultyListener(t, syscall.EBADF)
+	broken := newLimitedListener(faulty, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
 	if _, err := broken.Accept(); !errors.Is(err, syscall.EBADF) {
 		t.Errorf("a listener without a descriptor: %v", err)
 	}
 	failing := newFaultyListener(t, slices.Repeat([]syscall.Errno{syscall.ENOMEM}, 10_000)...)
-	closed := newLimitedListener(failing, 1, newMetrics(nil), newDecisions(quiet()))
+	closed := newLimitedListener(failing, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
 	ended := make(chan error, 1)
 	go func() {
 		_, err := closed.Accept()
 		ended <- err
 	}()
-	eventually(t, "it waits", func() bool { return failing.failed.Load() > 0 })
-	closed.Close()
+	eventually(t, "it backs off", func() bool { return failing.failed.Load() > 0 })
+	if err := closed.Close(); err != nil {
+		t.Fatal(err)
+	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closed while it waits: %v", err)
+		t.Errorf("closed during the backoff: %v", err)
 	}
 }
 
-// What a start needs is asked for again while the system lacks something, and not where the error stays.
-func TestPatiently(t *testing.T) {
+// An open is retried during a shortage, not after a permanent error.
+func TestRetryOnShortage(t *testing.T) {
 	calls := 0
 	opens := func(errs ...error) func() (int, error) {
 		calls = 0
@@ -132,16 +137,17 @@
 			return 7, nil
 		}
 	}
-	lacking := &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}
-	if got, err := Patiently(t.Context(), opens(lacking, lacking)); got != 7 || err != nil || calls != 3 {
+	shortage := &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}
+	got, err := RetryOnShortage(t.Context(), opens(shortage, shortage))
+	if got != 7 || err != nil || calls != 3 {
 		t.Errorf("after two shortages: %d, %v, %d calls", got, err, calls)
 	}
-	if _, err := Patiently(t.Context(), opens(syscall.EACCES)); err != syscall.EACCES || calls != 1 {
-		t.Errorf("where it may not: %v, %d calls", err, calls)
+	if _, err := RetryOnShortage(t.Context(), opens(syscall.EACCES)); !errors.Is(err, syscall.EACCES) || calls != 1 {
+		t.Errorf("after a permanent error: %v, %d calls", err, calls)
 	}
-	over, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Patiently(over, opens(lacking)); err != lacking {
-		t.Errorf("as the process is told to stop: %v", err)
+	if _, err := RetryOnShortage(canceled, opens(shortage)); !errors.Is(err, shortage) {
+		t.Errorf("as the process is to stop: %v", err)
 	}
 }
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// backend is a server whose every request is handled by a function, one connection at a time each.
+// backend is a server that handles each request with a function, one at a time on each connection.
 type backend struct {
 	ln    net.Listener
 	mu    sync.Mutex
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -122,15 +122,15 @@
 		}()
 	}
 	served := func(r *running) int {
-		c := r.loop.metrics.snapshot()
-		return c.succeeded.sum()
+		c := r.loop.metrics.Snapshot()
+		return c.Succeeded.Sum()
 	}
 	eventually(t, "the old one serves", func() bool { return served(old) > 20 })
 	young := process(t, cfg)
 	eventually(t, "the old one knows", old.handover.SuccessorServes)
 	half := cfg.clientConnectionLimit(cfg.Sockets / 2)
-	if old.inbound.most != half || young.inbound.most != half {
-		t.Errorf("%d and %d connections, want %d each", old.inbound.most, young.inbound.most, half)
+	if old.inbound.limit != half || young.inbound.limit != half {
+		t.Errorf("%d and %d connections, want %d each", old.inbound.limit, young.inbound.limit, half)
 	}
 	old.stopAndWait(t)
 	before := served(young)
@@ -138,7 +138,7 @@
 	eventually(t, "it has all connections", func() bool {
 		young.inbound.mu.Lock()
 		defer young.inbound.mu.Unlock()
-		return young.inbound.most == cfg.clientConnectionLimit(cfg.Sockets)
+		return young.inbound.limit == cfg.clientConnectionLimit(cfg.Sockets)
 	})
 	third := process(t, cfg) // and so on
 	young.stopAndWait(t)
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -14,7 +14,9 @@
 	"time"
 
 	"keelusher/internal/handover"
+	"keelusher/internal/inbound"
 	"keelusher/internal/lifecycle"
+	"keelusher/internal/metrics"
 )
 
 // readinessPollInterval is between two looks at whether a successor can serve.
@@ -54,13 +56,7 @@
 	defer firstList.Stop()
 
 	n.inbound = newLimitedListener(listener, n.cfg.clientConnectionLimit(n.cfg.Sockets), n.loop.metrics, n.loop.decisions)
-	n.handover = handover.NewServer(handover.Config{
-		Path:            n.cfg.handoverSocket,
-		Log:             n.log,
-		Listener:        listener.(syscall.Conn),
-		Phase:           n.lifecycle.Current,
-		ChangeProcesses: n.changeProcesses,
-	})
+	n.handover = n.newHandoverServer(listener.(syscall.Conn))
 	s.clients = n.newClientServer(suspension)
 	if before == nil {
 		close(s.acceptClients)
@@ -125,30 +121,40 @@
 // newClientServer is the HTTP server of the clients.
 func (n *Node) newClientServer(suspension *lifecycle.SuspensionDetector) *http.Server {
 	return &http.Server{
-		Handler: &callers{
-			clock:      n.loop.clock,
-			arrivals:   n.loop.requests,
-			gone:       n.loop.disconnects,
-			stopped:    n.loop.stop,
-			stats:      n.loop.metrics,
-			decisions:  n.loop.decisions,
-			buffers:    n.buffers,
-			suspension: suspension,
-			methods:    methods(n.cfg.Settings.Classes),
-			ready:      n.ready,
-			closing:    n.closing,
+		Handler: &clientHandler{
+			clock:            n.loop.clock,
+			arrivals:         n.loop.requests,
+			disconnects:      n.loop.disconnects,
+			stopped:          n.loop.stop,
+			metrics:          n.loop.metrics,
+			decisions:        n.loop.decisions,
+			buffers:          n.buffers,
+			suspension:       suspension,
+			methods:          methodsByClass(n.cfg.Settings.Classes),
+			ready:            n.ready,
+			closeConnections: n.closing,
 		},
-		ReadHeaderTimeout: headTime,
-		IdleTimeout:       idleTime,
-		ConnState:         n.inbound.track,
+		ReadHeaderTimeout: headTimeout,
+		IdleTimeout:       clientIdleTimeout,
+		ConnState:         n.inbound.connStateChanged,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, clientConnKey{}, c)
 		},
-		MaxHeaderBytes: maxHead,
+		MaxHeaderBytes: inbound.MaxHead,
 		ErrorLog:       slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
 	}
 }
 
+func (n *Node) newHandoverServer(listener syscall.Conn) *handover.Server {
+	return handover.NewServer(handover.Config{
+		Path:            n.cfg.handoverSocket,
+		Log:             n.log,
+		Listener:        listener,
+		Phase:           n.lifecycle.Current,
+		ChangeProcesses: n.changeProcesses,
+	})
+}
+
 // takeOver follows the predecessor until it exits, and lets clients be accepted once this process can serve.
 func (s *session) takeOver(ctx context.Context) {
 	n := s.node
@@ -219,7 +225,7 @@
 		canServe:    func() bool { return n.accepting.Load() && n.loop.hasReadyEndpoint.Load() },
 	}, n.log)
 	s.run(func() {
-		limited := newLimitedListener(listener, adminMaxConnections, newMetrics(nil), n.loop.decisions)
+		limited := newLimitedListener(listener, adminMaxConnections, metrics.NewRecorder(nil), n.loop.decisions)
 		if err := s.admin.Serve(limited); !errors.Is(err, http.ErrServerClosed) {
 			n.log.Error("admin endpoint failed; clients are still served", "err", err)
 		}
@@ -229,7 +235,7 @@
 // closeServers closes the clients' connections, then the admin endpoint, which answers during the shutdown. That
 // closing a listener or a connection fails changes nothing, for the process ends.
 func (s *session) closeServers() {
-	s.node.inbound.cut.Store(true)
+	s.node.inbound.aborting.Store(true)
 	_ = s.clients.Close()
 	if s.admin != nil {
 		_ = s.admin.Close()
