--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -57,10 +57,10 @@
 	running sync.WaitGroup
 }
 
-func newPool(cfg Config, most int, l *loop, b buffers) *pool {
+func newPool(cfg Config, most int, l *eventLoop, b buffers) *pool {
 	return &pool{clock: l.clock, dialer: net.Dialer{Timeout: cfg.connectTimeout, KeepAlive: -1},
-		idleTimeout: cfg.connIdle / 2, streamTimeout: cfg.connIdle, limit: most, buffers: b,
-		results: l.results, requestsWritten: l.sents, responsesStarted: l.begins, stats: l.stats,
+		idleTimeout: cfg.connectionIdleTimeout / 2, streamTimeout: cfg.connectionIdleTimeout, limit: most, buffers: b,
+		results: l.attemptResults, requestsWritten: l.requestsSent, responsesStarted: l.responsesStarted, stats: l.metrics,
 		decisions: l.decisions, removalGrace: cfg.removalGrace,
 		open: map[*conn]bool{}, idle: list.New()}
 }
