--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkHandleBySize is a request with its attempt and its answer, by the number of endpoints and of replicas.
-// What counts is the ratio of the sizes in one run: it may grow with the list, not with its square.
+// BenchmarkHandleBySize measures one request with its attempt and its answer, by the number of endpoints and of
+// replicas. Compare the sizes within one run: the time may grow with the length of the list, not with its square.
 func BenchmarkHandleBySize(b *testing.B) {
 	for _, n := range []int{16, 64, 256, 1024} {
 		for _, replicas := range []int{2, 1024} {
--- a/policy/class.go
+++ b/policy/class.go
@@ -8,20 +8,20 @@
 
 const (
 	averageWeight      = 0.06 // weight of a new sample in averages over all endpoints (about 16 samples)
-	arrivalDecay       = 0.99 // of the counts of arrivals and answers, with each arrival
+	arrivalDecay       = 0.99 // factor on the counts of arrivals and answers at each arrival
 	overdueDeviations  = 3.0  // deviations above the mean latency from which an attempt is overdue
-	retryDeadlineShare = 0.95 // of the longest time that clients give: a shorter deadline shows a retry
+	retryDeadlineShare = 0.95 // a request with less than this share of the longest time left counts as a retry
 )
 
 // class is a class of requests with its latency and arrival statistics.
 type class struct {
 	Class
 	subset           *endpointSubset
-	meanLatency      float64 // of successes, in ns
-	latencyDeviation float64 // in ns
-	arrivals         float64 // decayed count
-	served           float64 // decayed count of answers within the latency objective
-	longestTimeLeft  time.Duration
+	meanLatency      float64       // moving average of successes, in ns
+	latencyDeviation float64       // mean absolute deviation, in ns
+	arrivals         float64       // decayed count
+	served           float64       // decayed count of answers within the latency objective
+	longestTimeLeft  time.Duration // most that a client has allowed for an answer
 }
 
 func newClass(settings Class, subset *endpointSubset) *class {
@@ -43,17 +43,16 @@
 	c.longestTimeLeft = max(c.longestTimeLeft, timeLeft)
 }
 
-// looksRetried says that a client allows less time than others of the class. Clients allow the same time
-// for each request, unless the deadline of the class, which covers all their retries, comes first.
-func (c *class) looksRetried(timeLeft time.Duration) bool {
+// looksLikeRetry reports whether a client allows less time than others of the class. Clients allow the same
+// time for each request, unless the deadline of the class, which covers all their retries, comes first.
+func (c *class) looksLikeRetry(timeLeft time.Duration) bool {
 	return float64(timeLeft) < retryDeadlineShare*float64(c.longestTimeLeft)
 }
 
-// classTable holds the classes of the settings, and as the last one a class for requests of unknown
-// classes.
+// classTable holds the classes of the settings, followed by one for requests of unknown classes.
 type classTable struct {
 	byName map[string]*class
-	all    []*class // in the order of the settings
+	all    []*class // in the order of the settings, the one for unknown classes last
 }
 
 func newClassTable() classTable {
@@ -84,7 +83,7 @@
 	arrived.arrivals++
 }
 
-// weightedArrivals is the sum of the classes' arrivals, each with its priority weight.
+// weightedArrivals returns the sum of the arrivals of all classes, each multiplied by its priority weight.
 func (t *classTable) weightedArrivals() float64 {
 	total := 0.0
 	for _, c := range t.all {
@@ -93,8 +92,8 @@
 	return total
 }
 
-// worstServed returns the class with the smallest share of answers in time, or the candidate if no other
-// class has a smaller one.
+// worstServed returns the class with the smallest share of answers within the latency objective, or the
+// candidate if no class has a smaller share. Other classes count only with more than one counted arrival.
 func (t *classTable) worstServed(candidate *class) *class {
 	worst := candidate
 	for _, c := range t.all {
@@ -105,8 +104,8 @@
 	return worst
 }
 
-// unknownClass is the class for requests of unknown classes. It is not idempotent and has the longest
-// deadline.
+// unknownClass returns the class for requests of unknown classes. It is not idempotent, and has the deadline,
+// the latency objective and the weight of the class with the longest deadline.
 func unknownClass(classes []Class) Class {
 	longest := slices.MaxFunc(classes, func(x, y Class) int { return int(x.Deadline - y.Deadline) })
 	return Class{
@@ -116,7 +115,7 @@
 	}
 }
 
-// slowestMean is the mean latency of the slowest class of the settings.
+// slowestMean returns the mean latency of the slowest class of the settings.
 func (t *classTable) slowestMean() time.Duration {
 	known := t.all[:len(t.all)-1]
 	slowest := slices.MaxFunc(known, func(x, y *class) int { return int(x.meanLatency - y.meanLatency) })
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// maxPollBackoff bounds the wait before the endpoint list is polled again. With a call of 2.3 s, a change
-// is known within 6 s.
+// maxPollBackoff is the longest wait before the endpoint list is polled again. With a discovery call of 2.3 s,
+// a change is known within 6 s.
 const maxPollBackoff = 2500 * time.Millisecond
 
-// Backoff of polls after failures.
+// Backoff of polls.
 const (
-	pollsPerInterval    = 4  // the longest wait is this part of the interval that the settings allow
-	firstBackoffDivisor = 16 // the wait after the first failure is this part of the longest one
+	pollsPerInterval    = 4  // MaxPollInterval over this is the longest wait, if it is below maxPollBackoff
+	firstBackoffDivisor = 16 // the longest wait over this is the wait without failures
 	maxBackoffExponent  = 4  // doublings up to the longest wait
 )
 
 // pollSchedule plans the next poll of the endpoint list, with jitter and exponential backoff.
 type pollSchedule struct {
 	maxInterval time.Duration // without a watch the list must be polled at least this often
-	failures    int           // in a row
+	failures    int           // of polls or of the watch, in a row
 	dueAt       time.Duration // 0: none is planned
 }
 
-// plan returns the time of the next poll. Jitter spreads the polls of replicas. The wait doubles with each
-// failure, and leaves time for a call before changes must be known.
+// plan schedules the next poll and returns its time. The maximum wait doubles with each failure in a row, and
+// leaves time for a discovery call before changes must be known. The wait is drawn from zero to that maximum,
+// so that replicas do not poll at once.
 func (p *pollSchedule) plan(now time.Duration, rng *rand.Rand) time.Duration {
 	longest := min(p.maxInterval/pollsPerInterval, maxPollBackoff)
 	wait := min(longest, longest/firstBackoffDivisor<<min(p.failures, maxBackoffExponent))
@@ -34,7 +35,7 @@
 	return p.dueAt
 }
 
-// expire says whether a planned poll is due, and clears it in that case.
+// expire reports whether a planned poll is due within the timer resolution, and clears it in that case.
 func (p *pollSchedule) expire(now, resolution time.Duration) bool {
 	if p.dueAt <= 0 || now+resolution < p.dueAt {
 		return false
@@ -43,7 +44,8 @@
 	return true
 }
 
-// handleEndpointUpdate applies a watch event to the endpoints, their zones and the subsets.
+// handleEndpointUpdate applies an endpoint list, or a change of it, to the endpoints, their zones and the
+// subsets. After a cached list it schedules a poll.
 func (b *Balancer) handleEndpointUpdate(e EndpointUpdate) {
 	if e.Snapshot {
 		for _, ep := range b.endpoints {
@@ -69,7 +71,8 @@
 	b.schedulePoll()
 }
 
-// updateEndpoint applies an entry of the list. A new start time resets the state of the endpoint.
+// updateEndpoint applies an entry of the list. A changed start time means a restart, which resets the state of
+// the endpoint except for its attempts in flight.
 func (b *Balancer) updateEndpoint(entry Endpoint) {
 	ep := b.endpoints[entry.ID]
 	switch {
@@ -88,8 +91,8 @@
 	ep.listed = entry.State != Removed
 }
 
-// readyEndpoints returns the ready endpoints sorted by ID, an order that all replicas share. It drops those
-// that are neither listed nor have attempts in flight.
+// readyEndpoints returns the ready endpoints sorted by ID, so that all replicas have the same order. It
+// deletes endpoints that are neither listed nor have attempts in flight.
 func (b *Balancer) readyEndpoints() []*endpoint {
 	var ready []*endpoint
 	for id, ep := range b.endpoints {
@@ -104,7 +107,7 @@
 	return ready
 }
 
-// updateSubsets distributes the ready endpoints to the subsets.
+// updateSubsets distributes the ready endpoints to the subsets, and adapts the concurrency limits to them.
 func (b *Balancer) updateSubsets(ready []*endpoint) {
 	for _, subset := range b.subsets {
 		before := b.zones.weight(subset.ready)
@@ -119,14 +122,16 @@
 	}
 }
 
-// updateFairShares adapts the limit of each subset to its endpoints, weighted by the shares of their zones.
+// updateFairShares adapts the concurrency limit of each subset to its endpoints, weighted by the shares of
+// their zones, over the replicas. The limit is multiplied by a power of the ratio of the new to the old value.
 func (b *Balancer) updateFairShares(power float64) {
 	for _, subset := range b.subsets {
 		subset.limit.followFairShare(b.zones.weight(subset.owned)/b.replicas.current, power)
 	}
 }
 
-// updateReplicas adapts what replicas share, endpoints and quotas, to their number.
+// updateReplicas advances the number of replicas, and adapts what they share: the endpoints behind the
+// concurrency limits, and the quotas.
 func (b *Balancer) updateReplicas() {
 	if !b.replicas.advance(b.now) {
 		return
@@ -137,7 +142,7 @@
 	b.quotas.setReplicas(b.replicas.current)
 }
 
-// schedulePoll sets the timer of the next poll, if the host leaves polling to the Balancer.
+// schedulePoll sets the timer of the next poll, if the Balancer decides when to poll.
 func (b *Balancer) schedulePoll() {
 	if !b.settings.PollEndpoints {
 		return
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// nextPoll is when a replica polls discovery after a failed call, and not before the time is due.
+// nextPoll returns the time at which a replica polls discovery after a failed call.
 func nextPoll(t *testing.T, b *Balancer, now time.Duration) time.Duration {
 	t.Helper()
 	for _, a := range b.Handle(now, DiscoveryFailed{}) {
@@ -21,15 +21,15 @@
 			return timer.At
 		}
 	}
-	t.Fatal("it does not poll again")
+	t.Fatal("after a failed call, discovery is not polled again")
 	return 0
 }
 
-// A change counts as notified 6 s after discovery had it and could be reached, whatever a failed call allows. So
-// after any number of failures the backoff and a call that takes 2.3 s are over by then, with a second to spare; and
-// so are a watch without events, which is cut after 3 s, the first backoff and a call. For every poll interval that
-// the settings give.
-func TestPollBackoffFitsTheNotificationTime(t *testing.T) {
+// A change must be known 6 s after discovery had it and could be reached, however many calls failed before. So the
+// backoff and a call of 2.3 s must fit into 5 s, which leaves a margin of 1 s; and a watch without events, which is
+// cut off after 3 s, the first backoff and a call must fit into 6 s. This must hold for every poll interval of the
+// settings.
+func TestPollBackoffKeepsNotificationTime(t *testing.T) {
 	const call, watchTimeout, notified, margin = 2300 * msec, 3 * time.Second, 6 * time.Second, time.Second
 	intervals := []time.Duration{400 * msec, time.Second, 2400 * msec, 10 * time.Second, time.Minute, time.Hour}
 	for _, interval := range intervals {
@@ -48,11 +48,12 @@
 				now = at + call
 			}
 			if backoffs[0]+watchTimeout+call > notified {
-				t.Fatalf("poll interval %v, seed %d: after a silent watch a backoff of %v", interval, seed, backoffs[0])
+				t.Fatalf("poll interval %v, seed %d: backoff of %v after a watch without events",
+					interval, seed, backoffs[0])
 			}
-			for _, p := range backoffs {
-				if p+call+margin > notified || p > interval/4+1 {
-					t.Fatalf("poll interval %v, seed %d: backoffs of %v: a call of %v does not fit in %v",
+			for _, backoff := range backoffs {
+				if backoff+call+margin > notified || backoff > interval/4+1 {
+					t.Fatalf("poll interval %v, seed %d: with backoffs of %v, a call of %v does not fit into %v",
 						interval, seed, backoffs, call, notified)
 				}
 			}
@@ -60,9 +61,10 @@
 	}
 }
 
-// A break that all replicas see at once must not bring them all back at once, and after an outage they come back over
-// seconds: where hundreds find discovery busy, each further call makes the others wait longer.
-func TestReplicasPollApart(t *testing.T) {
+// When the watches of all replicas break at the same time, their next polls must be spread, and after an outage of
+// discovery they must be spread over seconds: if hundreds of replicas find discovery busy, each further call makes
+// the others wait longer.
+func TestReplicaPollsAreSpread(t *testing.T) {
 	const replicas = 350
 	for failures := range 6 {
 		var at []time.Duration
@@ -86,18 +88,20 @@
 			together = max(together, n-i)
 		}
 		span, want := at[replicas-1]-at[0], 250*msec
-		if failures >= 4 { // that is a discovery which was down, or is busy: they come back over seconds
+		if failures >= 4 { // discovery was down or is busy: the polls are spread over seconds
 			want = 2 * time.Second
 		}
 		if span < want || together > replicas/4 {
-			t.Errorf("after %d failures %d of %d replicas poll within 50 ms, all of them within %v, want %v",
+			t.Errorf("after %d failures, %d of %d replicas poll within 50 ms and all of them within %v, want at least %v",
 				failures+1, together, replicas, span, want)
 		}
-		t.Logf("after %d failures: %d of %d within 50 ms, all within %v", failures+1, together, replicas, span)
+		t.Logf("after %d failures, %d of %d replicas poll within 50 ms and all of them within %v",
+			failures+1, together, replicas, span)
 	}
 }
 
-func TestReplicasShareTheOrder(t *testing.T) {
+// Replicas that learn of the endpoints in different orders must sort them in the same order.
+func TestReplicasHaveTheSameOrder(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	list := testEndpoints(7)
 	a.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
@@ -106,14 +110,14 @@
 	}
 	for i := range list {
 		if a.subsets[0].ready[i].ID != b.subsets[0].ready[i].ID {
-			t.Fatalf("order differs at %d: %s, %s", i, a.subsets[0].ready[i].ID, b.subsets[0].ready[i].ID)
+			t.Fatalf("the order of endpoints differs at %d: %s and %s", i, a.subsets[0].ready[i].ID, b.subsets[0].ready[i].ID)
 		}
 	}
 }
 
-// With a thousand endpoints and as many replicas, every endpoint is in the list, and replicas draw from slices all
-// over it.
-func TestAThousandEndpointsAndReplicas(t *testing.T) {
+// With 1024 endpoints and as many replicas, each replica lists all endpoints, and the slices that the replicas draw
+// from are spread over the list.
+func TestThousandEndpointsAndReplicas(t *testing.T) {
 	const n = 1024
 	var list []Endpoint
 	for i := range n {
@@ -124,7 +128,7 @@
 		b := newBalancer(t, func(s *Settings) { s.Replicas, s.ReplicaIndex = n, index })
 		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: list})
 		if listed, avoided := b.EndpointCounts(0); listed != n || avoided != 0 {
-			t.Fatalf("replica %d lists %d endpoints and avoids %d", index, listed, avoided)
+			t.Fatalf("replica %d lists %d endpoints and avoids %d, want all listed and none avoided", index, listed, avoided)
 		}
 		for i := range 40 {
 			id := strconv.Itoa(i)
@@ -133,7 +137,7 @@
 			}
 		}
 	}
-	if len(drawn) < n/8 { // each of these 32 replicas draws from its own slice
-		t.Errorf("32 replicas together draw %d of %d endpoints", len(drawn), n)
+	if len(drawn) < n/8 { // each of the 32 replicas draws from its own slice
+		t.Errorf("32 replicas together draw %d of %d endpoints, want at least an eighth", len(drawn), n)
 	}
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -13,24 +13,24 @@
 type endpoint struct {
 	Endpoint
 	listed        bool
-	slowStartFrom time.Duration // 0: it started long ago
-	inFlight      int           // own attempts
-	attempts      []*attempt    // in flight, in the order of sending
+	slowStartFrom time.Duration // start of its slow start; 0: it started long ago
+	inFlight      int           // attempts of this replica
+	attempts      []*attempt    // those in flight, in the order of sending
 
 	outlier         outlierState
 	rejection       rejectionState
 	lastSuccess     time.Duration
-	relativeLatency float64 // mean logarithm of latency over the mean of the class
+	relativeLatency float64 // moving average of the logarithm of latency over the mean of the class
 }
 
-// addAttempt counts an attempt that starts.
+// addAttempt adds an attempt that starts to those in flight.
 func (ep *endpoint) addAttempt(a *attempt) {
 	ep.attempts = append(ep.attempts, a)
 	ep.inFlight++
 }
 
-// recordSuccess records a success and the logarithm of its latency over the mean. A slow endpoint is not
-// ejected: its attempts stay in flight for longer, so it loses most draws.
+// recordSuccess records a success, and the logarithm of its latency over the mean of the class. A slow
+// endpoint is not ejected: its attempts stay in flight for longer, so that others are usually chosen.
 func (ep *endpoint) recordSuccess(logRatio float64, now time.Duration) {
 	ep.lastSuccess = now
 	ep.relativeLatency += endpointAverageWeight * (logRatio - ep.relativeLatency)
@@ -38,8 +38,9 @@
 	ep.outlier.recordSuccess()
 }
 
-// unresponsive says that an old attempt at the endpoint has no response, while a younger one succeeded
-// elsewhere. An endpoint that hangs shows no other sign until its attempts time out.
+// unresponsive reports whether the oldest attempt that awaits a response is overdue, while another endpoint
+// and not this one has had a success since half of that wait. An endpoint that hangs shows no other sign
+// until its attempts time out.
 func (ep *endpoint) unresponsive(now, lastSuccess time.Duration) bool {
 	oldest := slices.IndexFunc(ep.attempts, (*attempt).awaitsResponse)
 	if oldest < 0 {
@@ -49,12 +50,12 @@
 	return overdue && lastSuccess > halfway && ep.lastSuccess < halfway
 }
 
-// removeAttempt removes an attempt that has ended.
+// removeAttempt removes an ended attempt from the list. The caller lowers the count in flight.
 func (ep *endpoint) removeAttempt(a *attempt) {
 	ep.attempts = slices.DeleteFunc(ep.attempts, func(other *attempt) bool { return other == a })
 }
 
-// latencyVariance is the variance of the endpoints' mean log latencies.
+// latencyVariance returns the variance of the relative latencies of those endpoints that have one.
 func latencyVariance(list []*endpoint) float64 {
 	var count, sum, squares float64
 	for _, ep := range list {
@@ -68,7 +69,7 @@
 	return squares/count - sum/count*sum/count
 }
 
-// logRatio is the logarithm of a latency over a mean, both in ns.
+// logRatio returns the natural logarithm of a latency over a mean, both in ns.
 func logRatio(latency, mean float64) float64 {
 	return math.Log(max(latency, 1) / mean)
 }
--- a/policy/event_queue_test.go
+++ b/policy/event_queue_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// dueEvent is an event that a simulation gives to a Balancer at a time.
+// dueEvent is an event that a simulation gives to a Balancer at the time at.
 type dueEvent struct {
 	at    time.Duration
 	order int
 	event Event
 }
 
-// dueHeap orders events by time, and those of one time as they were added.
+// dueHeap is a heap of events, ordered by time, and at the same time in the order of addition.
 type dueHeap []dueEvent
 
 func (h dueHeap) Len() int { return len(h) }
@@ -28,7 +28,7 @@
 	return last
 }
 
-// eventQueue holds the events of a simulation that are still to come.
+// eventQueue holds the future events of a simulation.
 type eventQueue struct {
 	due   dueHeap
 	added int
@@ -41,7 +41,7 @@
 
 func (q *eventQueue) empty() bool { return len(q.due) == 0 }
 
-// nextAt is the time of the next event; the queue must not be empty.
+// nextAt returns the time of the next event. The queue must not be empty.
 func (q *eventQueue) nextAt() time.Duration { return q.due[0].at }
 
 func (q *eventQueue) next() dueEvent { return heap.Pop(&q.due).(dueEvent) }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,7 +8,8 @@
 	"keelusher/policy"
 )
 
-// One Balancer driven by hand: an endpoint list, a request, an attempt that never ran, and its answer.
+// The events of one request: an endpoint list, the request, a first attempt that never ran, and a second one that
+// is answered.
 func Example() {
 	b, err := policy.New(policy.Settings{
 		Classes: []policy.Class{{Name: "read", Idempotency: policy.Idempotent, DeduplicationScope: policy.ScopeAll,
@@ -31,16 +32,16 @@
 	actions = b.Handle(now, policy.AttemptEnded{ID: "r1", Attempt: 0, Endpoint: first.Endpoint,
 		Result: policy.ConnectFailed, Latency: 3 * time.Millisecond})
 	second := actions[0].(policy.SendAttempt)
-	fmt.Println("sent again to another endpoint:", second.Endpoint != first.Endpoint)
+	fmt.Println("retried at another endpoint:", second.Endpoint != first.Endpoint)
 
 	now += 20 * time.Millisecond
 	actions = b.Handle(now, policy.AttemptEnded{ID: "r1", Attempt: 1, Endpoint: second.Endpoint,
 		Result: policy.Success, Latency: 20 * time.Millisecond, Answered: true})
-	fmt.Println("left to do:", len(actions))
+	fmt.Println("actions after the answer:", len(actions))
 	// Output:
 	// sent r1 with a timeout of 200ms
-	// sent again to another endpoint: true
-	// left to do: 0
+	// retried at another endpoint: true
+	// actions after the answer: 0
 }
 
 func BenchmarkHandle(bench *testing.B) {
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// FuzzHandle checks that no sequence of events makes a Balancer panic.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
 	f.Add([]byte{1, 1, 1, 0, 2, 2, 2, 250, 3, 17, 5, 5})
@@ -15,13 +16,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, fleet := time.Duration(0), testEndpoints(4)
+		now, endpoints := time.Duration(0), testEndpoints(4)
 		for i, x := range data {
 			id := fmt.Sprint("r", x%5)
 			switch x % 7 {
 			case 0:
-				fleet[int(x/7)%4].State = EndpointState(x % 3)
-				b.Handle(now, EndpointUpdate{Snapshot: x%2 == 0, Endpoints: fleet[:int(x)%5]})
+				endpoints[int(x/7)%4].State = EndpointState(x % 3)
+				b.Handle(now, EndpointUpdate{Snapshot: x%2 == 0, Endpoints: endpoints[:int(x)%5]})
 			case 1, 2:
 				b.Handle(now, Request{ID: id, Class: set.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
 			case 3:
--- a/policy/guard/guard.go
+++ b/policy/guard/guard.go
@@ -3,8 +3,8 @@
 // no I/O and has no clock: the same facts always get the same verdict. Log lines, counters and tests use the
 // verdict's name as it is.
 //
-// What the guard allowed can still be wrong when it is done, for the process may be suspended between the
-// two. Sent is checked after the act; a verdict other than Allowed is a violation.
+// The process may be suspended between a check and the act, so an act that was allowed may come too late. Sent
+// is therefore checked after an attempt was written; a verdict other than Allowed is a violation.
 package guard
 
 import "time"
@@ -12,46 +12,46 @@
 // Verdict is the answer to a question, with its reason.
 type Verdict int
 
-// Verdicts. The zero value is no permission: a question that nobody asked allows nothing.
+// Verdicts. The zero value is not a permission, so that a check that was left out allows nothing.
 const (
 	NotAsked Verdict = iota
 	Allowed
 
 	RequestAnswered         // the request has its final answer
 	EndpointRemoved         // the endpoint is draining or removed
-	DeadlineOver            // the request's time is over
+	DeadlineExceeded        // the deadline of the request has passed
 	ClientDisconnected      // the client has closed its connection
-	ClientUnknown           // the system did not say whether the client is still connected
-	ListOutdated            // the process was suspended, and endpoint updates may be waiting
-	DeduplicationWindowOver // endpoints do not discard a duplicate for much longer
-	MayNotRunTwice          // the request may have run, and is not idempotent
+	ClientUnknown           // the operating system did not tell whether the client is still connected
+	ListOutdated            // the process was suspended, and endpoint updates may be unread
+	DeduplicationWindowOver // endpoints no longer discard a duplicate, or not for long enough
+	NotIdempotent           // the request may have run, and is not idempotent
 	AttemptsExhausted       // the settings allow no more attempts
 	BodyConsumed            // the request's body cannot be sent again
-	ResponseStarted         // part of a response was forwarded
+	ResponseStarted         // a part of a response was forwarded to the client
 	RetryBudgetExhausted    // the node has used up its retry budget
-	NoTimeForAnswer         // what is left of the request's time is too short for an answer
-	NoEndpoint              // no endpoint may be drawn
-	NoCapacity              // the limit on concurrent requests kept it queued for too long
-	QueueTooLong            // too many requests of the same key are ahead of it
-	ProcessEnds             // the process is about to be killed
-	RequestRead             // a complete request was read from the connection, and has no answer
-	BytesUnread             // bytes wait in the system, which may be a request
+	NoTimeForAnswer         // too little of the request's time is left for an answer
+	NoEndpoint              // no endpoint is eligible
+	NoCapacity              // the concurrency limit kept the request queued for too long
+	QueueTooLong            // too many requests of the same key are ahead of the request
+	ProcessTerminating      // the process is about to be killed
+	RequestRead             // a complete request was read from the connection and has no answer
+	BytesUnread             // the socket holds unread bytes, which may be a request
 	TimeoutTooLong          // an endpoint was given more time than the client has left
 	NotServing              // the process does not serve clients yet, or no longer
 	NoEndpointKnown         // discovery has named no endpoint in service
 
-	numberOfVerdicts // must stay the last
+	numberOfVerdicts // must stay last
 )
 
 // NumberOfVerdicts is the length of an array indexed by verdict.
 const NumberOfVerdicts = int(numberOfVerdicts)
 
-// Limits in time.
+// Time limits of the checks.
 const (
-	MaxSuspension          = 150 * time.Millisecond // of the process between its clock and its write
-	maxSendAfterDisconnect = 100 * time.Millisecond // an attempt may begin so long after its client left
-	maxTimeoutExcess       = 150 * time.Millisecond // of an endpoint's time over what its client has left
-	timerSlack             = 50 * time.Millisecond  // limits in time are so much longer on sockets
+	MaxSuspension          = 150 * time.Millisecond // longest suspension between check and write that is allowed for
+	maxSendAfterDisconnect = 100 * time.Millisecond // an attempt may be written so long after its client left
+	maxTimeoutExcess       = 150 * time.Millisecond // of an endpoint's timeout over the time that its client has left
+	timerSlack             = 50 * time.Millisecond  // tolerance of a time limit that is checked after a write to a socket
 )
 
 var names = [...]string{
@@ -59,12 +59,12 @@
 	Allowed:                 "allowed",
 	RequestAnswered:         "request_answered",
 	EndpointRemoved:         "endpoint_removed",
-	DeadlineOver:            "deadline_over",
+	DeadlineExceeded:        "deadline_over",
 	ClientDisconnected:      "client_left",
 	ClientUnknown:           "client_unknown",
 	ListOutdated:            "list_outdated",
 	DeduplicationWindowOver: "repeat_window_over",
-	MayNotRunTwice:          "effect_forbids",
+	NotIdempotent:           "effect_forbids",
 	AttemptsExhausted:       "attempts_exhausted",
 	BodyConsumed:            "body_spent",
 	ResponseStarted:         "answer_begun",
@@ -73,7 +73,7 @@
 	NoEndpoint:              "no_endpoint",
 	NoCapacity:              "no_room",
 	QueueTooLong:            "queue_too_long",
-	ProcessEnds:             "process_ends",
+	ProcessTerminating:      "process_ends",
 	RequestRead:             "request_read",
 	BytesUnread:             "bytes_unread",
 	TimeoutTooLong:          "told_too_much_time",
@@ -81,7 +81,7 @@
 	NoEndpointKnown:         "no_server_known",
 }
 
-// String is the verdict's name in log lines, counters and tests.
+// String returns the verdict's name, which appears in log lines, counters and tests.
 func (v Verdict) String() string {
 	if v < 0 || int(v) >= len(names) {
 		return "unknown"
@@ -89,17 +89,17 @@
 	return names[v]
 }
 
-// ClientState is what the system says of a client's connection.
+// ClientState is the state of a client's connection as the operating system reports it.
 type ClientState int
 
 // Client states.
 const (
 	ClientConnected ClientState = iota
 	ClientClosed
-	ClientStateUnknown // the system gave an error
+	ClientStateUnknown // the operating system returned an error
 )
 
-// Send is what is known just before the first byte of an attempt is written.
+// Send holds what is known just before the first byte of an attempt is written.
 type Send struct {
 	Now             time.Duration
 	Deadline        time.Duration // until when the attempt may run
@@ -110,7 +110,7 @@
 	Client          ClientState
 }
 
-// Verdict says whether the attempt may be sent.
+// Verdict returns Allowed if the attempt may be sent, and otherwise why not.
 func (f Send) Verdict() Verdict {
 	switch {
 	case f.ListOutdated:
@@ -122,7 +122,7 @@
 	case f.EndpointRemoved:
 		return EndpointRemoved
 	case f.Now >= f.Deadline:
-		return DeadlineOver
+		return DeadlineExceeded
 	case f.RetryBefore > 0 && f.Now+MaxSuspension >= f.RetryBefore:
 		return DeduplicationWindowOver
 	case f.Client == ClientStateUnknown:
@@ -131,19 +131,19 @@
 	return Allowed
 }
 
-// Sent is what is known just after the last byte of an attempt was written. Times are zero for what has not
-// happened.
+// Sent holds what is known just after the last byte of an attempt was written. The time of an event that has
+// not happened is zero.
 type Sent struct {
 	Now            time.Duration
-	ClientDeadline time.Duration // when the client's time is over
+	ClientDeadline time.Duration // when the time that the client allows is over
 	Timeout        time.Duration // the time that the endpoint was given
 	RetryBefore    time.Duration // as in Send
 	DisconnectedAt time.Duration // when the node was notified that the client had disconnected
 	RemovedAt      time.Duration // when the node was notified that the endpoint was draining or removed
-	RemovalGrace   time.Duration // a new attempt may still be sent so long after that
+	RemovalGrace   time.Duration // how long after RemovedAt an attempt may still be sent
 }
 
-// Violation says which rule the attempt broke; Allowed: none.
+// Violation returns the rule that the attempt broke, or Allowed if it broke none.
 func (f Sent) Violation() Verdict {
 	switch {
 	case f.RetryBefore > 0 && f.Now >= f.RetryBefore:
@@ -158,7 +158,7 @@
 	return Allowed
 }
 
-// Retry is what is known of a request whose attempts have all ended without an answer for its client.
+// Retry holds what is known of a request whose attempts have all ended without an answer for its client.
 type Retry struct {
 	Now             time.Duration
 	Answered        bool
@@ -168,10 +168,10 @@
 	MaxAttempts     int
 	MayHaveRun      bool          // an attempt may have run
 	NotIdempotent   bool          // the class is not idempotent
-	Before          time.Duration // endpoints discard a duplicate until then; 0: they need not
+	RetryBefore     time.Duration // endpoints discard a duplicate until then; 0: they need not
 }
 
-// Verdict says whether the request may be sent again.
+// Verdict returns Allowed if the request may be sent again, and otherwise why not.
 func (f Retry) Verdict() Verdict {
 	switch {
 	case f.Answered:
@@ -183,21 +183,21 @@
 	case f.Attempts >= f.MaxAttempts:
 		return AttemptsExhausted
 	case f.MayHaveRun && f.NotIdempotent:
-		return MayNotRunTwice
-	case f.MayHaveRun && f.Before > 0 && f.Now+MaxSuspension >= f.Before:
+		return NotIdempotent
+	case f.MayHaveRun && f.RetryBefore > 0 && f.Now+MaxSuspension >= f.RetryBefore:
 		return DeduplicationWindowOver
 	}
 	return Allowed
 }
 
-// Close is what is known of a client's connection that the node wants to close without a response: it has
-// been idle for long enough, is evicted for another, or the process shuts down.
+// Close holds what is known of a client's connection that the node wants to close without a response: it has
+// been idle for long enough, is evicted in favor of another one, or the process shuts down.
 type Close struct {
-	RequestRead bool // a complete request was read from it, and has no final answer
-	BytesUnread bool // bytes wait in the system
+	RequestRead bool // a complete request was read from it and has no final answer
+	BytesUnread bool // its socket holds unread bytes
 }
 
-// Verdict says whether the connection may be closed.
+// Verdict returns Allowed if the connection may be closed, and otherwise why not.
 func (f Close) Verdict() Verdict {
 	switch {
 	case f.RequestRead:
@@ -208,16 +208,16 @@
 	return Allowed
 }
 
-// AcceptClients is what is known when a health check asks whether clients may connect.
+// AcceptClients holds what is known when a health check asks whether clients may connect.
 type AcceptClients struct {
 	Serving         bool // the process is in service
-	ShuttingDown    bool // it is shutting down
-	SuccessorServes bool // a new process serves at the same address
-	EndpointKnown   bool // some endpoint is in service
+	ShuttingDown    bool // the process is shutting down
+	SuccessorServes bool // its successor serves at the same address
+	EndpointKnown   bool // discovery has named an endpoint in service
 }
 
-// Verdict says whether clients may connect. To clients two processes at one address are one node: while the
-// predecessor shuts down, its successor accepts them.
+// Verdict returns Allowed if clients may connect, and otherwise why not. For clients, two processes at one
+// address are one node: while the predecessor shuts down, its successor accepts them.
 func (f AcceptClients) Verdict() Verdict {
 	switch {
 	case f.ShuttingDown && f.SuccessorServes:
--- a/policy/guard/guard_test.go
+++ b/policy/guard/guard_test.go
@@ -10,25 +10,25 @@
 	for v := NotAsked; int(v) < NumberOfVerdicts; v++ {
 		name := v.String()
 		if before, twice := seen[name]; twice || name == "" || name == "unknown" {
-			t.Errorf("verdict %d has the name %q, as has %d", v, name, before)
+			t.Errorf("verdict %d has the name %q, which is empty, unknown or the name of verdict %d too", v, name, before)
 		}
 		seen[name] = v
 	}
 }
 
 func TestSend(t *testing.T) {
-	good := Send{Now: time.Second, Deadline: 2 * time.Second}
+	allowed := Send{Now: time.Second, Deadline: 2 * time.Second}
 	for want, change := range map[Verdict]func(*Send){
 		Allowed:                 func(f *Send) { f.RetryBefore = time.Second + MaxSuspension + 1 },
 		RequestAnswered:         func(f *Send) { f.RequestAnswered = true },
 		EndpointRemoved:         func(f *Send) { f.EndpointRemoved = true },
-		DeadlineOver:            func(f *Send) { f.Deadline = f.Now },
+		DeadlineExceeded:        func(f *Send) { f.Deadline = f.Now },
 		DeduplicationWindowOver: func(f *Send) { f.RetryBefore = time.Second + MaxSuspension },
 		ClientDisconnected:      func(f *Send) { f.Client = ClientClosed },
 		ClientUnknown:           func(f *Send) { f.Client = ClientStateUnknown },
 		ListOutdated:            func(f *Send) { f.ListOutdated = true },
 	} {
-		f := good
+		f := allowed
 		change(&f)
 		if got := f.Verdict(); got != want {
 			t.Errorf("%+v: %v, want %v", f, got, want)
@@ -36,9 +36,9 @@
 	}
 }
 
-// An attempt that was allowed and sent too late is a violation, each kind with its own verdict.
-func TestSentFindsEachPlantedViolation(t *testing.T) {
-	good := Sent{
+// An attempt that was allowed but written too late must be found as a violation, with the verdict of its kind.
+func TestSentFindsEachViolation(t *testing.T) {
+	allowed := Sent{
 		Now:            10 * time.Second,
 		ClientDeadline: 11 * time.Second,
 		Timeout:        time.Second,
@@ -54,7 +54,7 @@
 		ClientDisconnected:      func(f *Sent) { f.DisconnectedAt = f.Now - maxSendAfterDisconnect - 1 },
 		TimeoutTooLong:          func(f *Sent) { f.Timeout += maxTimeoutExcess + 1 },
 	} {
-		f := good
+		f := allowed
 		change(&f)
 		if got := f.Violation(); got != want {
 			t.Errorf("%+v: %v, want %v", f, got, want)
@@ -63,24 +63,24 @@
 }
 
 func TestRetry(t *testing.T) {
-	good := Retry{Now: time.Second, Attempts: 1, MaxAttempts: 2, MayHaveRun: true}
+	allowed := Retry{Now: time.Second, Attempts: 1, MaxAttempts: 2, MayHaveRun: true}
 	for want, change := range map[Verdict]func(*Retry){
-		Allowed:                 func(f *Retry) { f.Before = time.Second + MaxSuspension + 1 },
+		Allowed:                 func(f *Retry) { f.RetryBefore = time.Second + MaxSuspension + 1 },
 		RequestAnswered:         func(f *Retry) { f.Answered = true },
 		ResponseStarted:         func(f *Retry) { f.ResponseStarted = true },
 		BodyConsumed:            func(f *Retry) { f.BodyConsumed = true },
 		AttemptsExhausted:       func(f *Retry) { f.Attempts = 2 },
-		MayNotRunTwice:          func(f *Retry) { f.NotIdempotent = true },
-		DeduplicationWindowOver: func(f *Retry) { f.Before = time.Second + MaxSuspension },
+		NotIdempotent:           func(f *Retry) { f.NotIdempotent = true },
+		DeduplicationWindowOver: func(f *Retry) { f.RetryBefore = time.Second + MaxSuspension },
 	} {
-		f := good
+		f := allowed
 		change(&f)
 		if got := f.Verdict(); got != want {
 			t.Errorf("%+v: %v, want %v", f, got, want)
 		}
 	}
 	if got := (Retry{MaxAttempts: 1, NotIdempotent: true}).Verdict(); got != Allowed {
-		t.Errorf("what never ran: %v", got)
+		t.Errorf("retry of a request that never ran: got %v, want allowed", got)
 	}
 }
 
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -8,7 +8,7 @@
 
 const msec = time.Millisecond
 
-// testSettings has one class of each idempotency.
+// testSettings returns settings with one class of each idempotency.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -51,6 +51,7 @@
 	}
 }
 
+// newBalancer returns a Balancer with the test settings, changed by a function unless it is nil.
 func newBalancer(t testing.TB, change func(*Settings)) *Balancer {
 	t.Helper()
 	s := testSettings()
@@ -64,7 +65,7 @@
 	return b
 }
 
-// drawFromAll makes a replica draw from the complete list for some hundred attempts, as a busy one does.
+// drawFromAll makes a replica choose from the complete list for some hundred attempts, as a busy replica does.
 func drawFromAll(b *Balancer) { b.subsets[0].peakInFlight = 1e9 }
 
 func testEndpoints(n int) []Endpoint {
@@ -75,7 +76,7 @@
 	return list
 }
 
-// sendAttempts returns the SendAttempt actions among all.
+// sendAttempts returns the SendAttempt actions of a list.
 func sendAttempts(actions []Action) []SendAttempt {
 	var attempts []SendAttempt
 	for _, a := range actions {
@@ -86,13 +87,13 @@
 	return attempts
 }
 
-// endAttempt ends the single attempt of a request.
+// endAttempt ends the first attempt of a request and returns the actions.
 func endAttempt(b *Balancer, now time.Duration, id string, a SendAttempt, result AttemptResult) []Action {
 	return b.Handle(now, AttemptEnded{ID: id, Endpoint: a.Endpoint, Result: result, Answered: result == Success})
 }
 
-// sendTraffic sends n requests one after another; results decides how attempts at an endpoint end. It returns how
-// many first attempts each endpoint got in the second half.
+// sendTraffic sends n requests one after another; results returns the result of an attempt at an endpoint. It returns
+// how many first attempts each endpoint got in the second half.
 func sendTraffic(b *Balancer, n int, class string, results func(endpoint string) AttemptResult) map[string]int {
 	got := map[string]int{}
 	for i := range n {
--- a/policy/metrics.go
+++ b/policy/metrics.go
@@ -3,16 +3,16 @@
 import "time"
 
 // EndpointCounts returns how many endpoints are listed, and how many of these are avoided at the clock time
-// now: those that are draining, excluded for their health, or without capacity. It applies the rules of
-// choose, for a request that is not idempotent.
+// now: those that are draining, excluded for their health, or at the limit after a rejection. It applies the
+// rules of choose to a request that is not idempotent.
 func (b *Balancer) EndpointCounts(now time.Duration) (listed, avoided int) {
 	b.now = max(b.now, now)
-	drawn := map[*endpoint]bool{}
+	eligible := map[*endpoint]bool{}
 	for _, subset := range b.subsets {
-		probe := &request{class: &class{subset: subset}}
-		excluded, _ := b.excludeUnhealthy(probe, subset.ready)
+		sample := &request{class: &class{subset: subset}}
+		excluded, _ := b.excludeUnhealthy(sample, subset.ready)
 		for i, ep := range subset.ready {
-			drawn[ep] = drawn[ep] || !excluded[i] && ep.inFlight < b.rejectionLimit(ep)
+			eligible[ep] = eligible[ep] || !excluded[i] && ep.inFlight < b.rejectionLimit(ep)
 		}
 	}
 	for _, ep := range b.endpoints {
@@ -20,14 +20,15 @@
 			continue
 		}
 		listed++
-		if !drawn[ep] {
+		if !eligible[ep] {
 			avoided++
 		}
 	}
 	return listed, avoided
 }
 
-// ZoneTransitions counts the changes of zones' states. When it has risen, Zones shows what changed.
+// ZoneTransitions returns the number of changes of zone states so far. If it has risen, Zones returns the new
+// states.
 func (b *Balancer) ZoneTransitions() int { return b.zones.transitions }
 
 // Zones returns the state of each zone, sorted by name.
--- a/policy/metrics_test.go
+++ b/policy/metrics_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// An endpoint counts as avoided if it is passed over: draining ones, and unhealthy ones up to the share that may be
-// excluded.
-func TestEndpointCountsWhatIsAvoided(t *testing.T) {
+// Avoided endpoints are those that get no requests: draining ones, unhealthy ones up to the share that may be
+// excluded, and those at the limit after a rejection.
+func TestEndpointCountsOfAvoidedEndpoints(t *testing.T) {
 	b, err := New(Settings{
 		Classes: []Class{{
 			Name:             "a",
@@ -36,13 +36,13 @@
 			t.Errorf("%s: %d listed and %d avoided, want %d and %d", what, l, a, listed, avoided)
 		}
 	}
-	want("one is draining", 11, 1)
+	want("one endpoint is draining", 11, 1)
 	for _, id := range []string{"a", "b", "c"} {
 		b.endpoints[id].outlier.ejectedUntil = time.Minute
 	}
-	want("two of three unhealthy ones may be excluded of ten", 11, 3)
+	want("of ten endpoints, two of three unhealthy ones may be excluded", 11, 3)
 	b.endpoints["d"].rejection.inFlight, b.endpoints["d"].rejection.until = 0, time.Minute
-	want("one rejected all", 11, 4)
+	want("one endpoint rejects all attempts", 11, 4)
 	b.EndpointCounts(2 * time.Minute)
-	want("time has passed", 11, 1)
+	want("ejections and rejections are over", 11, 1)
 }
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// keyQueues holds the queue of each key that has open requests or has not settled yet. Queues hold
-// requests, whose life is in policy.go, so this is a file of package policy.
+// keyQueues holds the queue of each key that has open requests or has not settled yet. A key has settled when
+// KeySettleTime has passed since the end of an attempt that may still run. The queues hold requests, whose life
+// cycle is in policy.go, so this file belongs to package policy.
 type keyQueues map[uint64]*keyQueue
 
-// keyQueue holds the open requests of one key, over all classes that are serialized by key, in the order of
-// arrival.
+// keyQueue holds the requests of one key that are not answered or have attempts in flight, of all classes that
+// are serialized by key, in the order of arrival.
 type keyQueue struct {
 	key       uint64
 	requests  []*request
-	settledAt time.Duration // an earlier attempt may still run: no other request is sent before this
+	settledAt time.Duration // no other request is sent before this, since an ended attempt may still run
 }
 
-// join appends a request to the queue of its key. It returns false if the requests ahead are likely to take
-// longer than the wait.
+// join appends a request to the queue of its key and returns true. If the requests ahead are likely to take
+// longer than the wait, it returns false instead.
 func (q keyQueues) join(r *request, key uint64, wait time.Duration) bool {
 	queue := q[key]
 	if queue == nil {
@@ -33,8 +34,8 @@
 	return true
 }
 
-// settling says that the key waits for an attempt that may still run. It drops a queue that is settled and
-// empty.
+// settling reports whether the key of a queue has not settled yet. It deletes the queue of a settled key if it
+// is empty.
 func (q keyQueues) settling(queue *keyQueue, now time.Duration) bool {
 	if now < queue.settledAt {
 		return true
@@ -45,8 +46,9 @@
 	return false
 }
 
-// ready says that a request may be sent: it is at the head of the line and the key has settled. A retry of
-// the head need not wait for the key to settle.
+// ready reports whether a request may be sent: it is not serialized by key (the queue is nil), or it is the
+// first in the queue and the key has settled. A retry of the first request need not wait for the key to
+// settle.
 func (q *keyQueue) ready(r *request, now time.Duration) bool {
 	if q == nil {
 		return true
--- a/policy/ordering_test.go
+++ b/policy/ordering_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The next request of a key is sent when the one before is over and the key has settled; the queue of a hot key
-// rejects requests that would wait in vain, and delays no other key.
-func TestKeyKeepsItsOrder(t *testing.T) {
+// The next request of a key must be sent only when the one before is over and the key has settled. The queue of a hot
+// key must reject requests that would wait for too long, and must not delay other keys.
+func TestRequestsOfOneKeyAreSerialized(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Classes[2].SerializedByKey, s.KeySettleTime = true, 50*msec })
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(6)})
 	pay := func(at time.Duration, id string, key uint64) []Action {
@@ -16,14 +16,14 @@
 	}
 	first := sendAttempts(pay(0, "a", 1))
 	if len(first) != 1 || len(sendAttempts(pay(msec, "b", 1))) != 0 || len(sendAttempts(pay(msec, "c", 2))) != 1 {
-		t.Fatal("want a and c sent, and b queued behind a")
+		t.Fatal("want requests a and c sent, and b queued behind a")
 	}
 	actions := b.Handle(20*msec, AttemptEnded{ID: "a", Endpoint: first[0].Endpoint, Result: ConnectionLost})
 	if len(sendAttempts(actions)) != 0 {
-		t.Fatal("b was sent while a may still run")
+		t.Fatal("request b was sent while a may still run")
 	}
 	if got := sendAttempts(b.Handle(70*msec, TimerFired{Token: "k:1"})); len(got) != 1 || got[0].ID != "b" {
-		t.Fatalf("after the settle time %v was sent, want b", got)
+		t.Fatalf("after the settle time, %v was sent, want request b", got)
 	}
 	rejected := 0
 	for i := range 50 {
@@ -34,20 +34,21 @@
 		}
 	}
 	if rejected < 40 {
-		t.Errorf("%d of 50 were rejected behind a hot key, want most", rejected)
+		t.Errorf("%d of 50 requests behind a hot key were rejected, want at least 40", rejected)
 	}
 }
 
-// A request is ready at the head of its queue when the key has settled; a queue that is settled and empty is dropped.
+// A request must be ready only when it is the first in its queue and the key has settled. The queue of a settled key
+// must be deleted when it is empty.
 func TestKeyQueue(t *testing.T) {
 	queues := keyQueues{}
 	first := &request{class: &class{meanLatency: float64(100 * msec)}}
 	second := &request{class: first.class}
 	if !queues.join(first, 1, 0) || !queues.join(second, 1, 150*msec) {
-		t.Fatal("two requests do not join the queue of their key")
+		t.Fatal("two requests did not join the queue of their key")
 	}
 	if queues.join(&request{class: first.class}, 1, 150*msec) {
-		t.Error("a request joined a queue that takes longer than it can wait")
+		t.Error("a request joined a queue that takes longer than the request can wait")
 	}
 	queue := queues[1]
 	if !queue.ready(first, 0) || queue.ready(second, 0) {
@@ -56,13 +57,13 @@
 	queue.remove(first)
 	queue.settledAt = 50 * msec
 	if queue.ready(second, 49*msec) || !queue.ready(second, 50*msec) {
-		t.Error("want the second request ready when the key has settled")
+		t.Error("want the second request ready once the key has settled, and not before")
 	}
 	queue.remove(second)
 	if !queues.settling(queue, 49*msec) || len(queues) != 1 {
-		t.Error("an empty queue is dropped before its key has settled")
+		t.Error("an empty queue was deleted before its key had settled")
 	}
 	if queues.settling(queue, 50*msec) || len(queues) != 0 {
-		t.Error("an empty queue is kept after its key has settled")
+		t.Error("an empty queue was kept after its key had settled")
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -8,20 +8,20 @@
 	"keelusher/policy/guard"
 )
 
-// randomStream is the second half of the random generator's seed.
+// randomStream is the second half of the PCG seed; the first half is the seed given to New.
 const randomStream = 0x51a7e
 
-// Balancer decides for one node. See the package comment for its contract.
+// Balancer makes the load-balancing decisions of one node. The package comment states its contract.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
 	now      time.Duration
-	actions  []Action // of the event that is handled
+	actions  []Action // result of the current call of Handle
 
 	requests  map[string]*request
 	classes   classTable
 	endpoints map[string]*endpoint
-	subsets   []*endpointSubset // in the order of the classes that use them
+	subsets   []*endpointSubset // in the order of the first class that uses each
 	zones     zoneTracker
 	keyQueues keyQueues
 	quotas    quotas
@@ -32,11 +32,11 @@
 	errors    errorRate
 	poll      pollSchedule
 
-	listReceived bool // an endpoint list that was not cached
-	lastSuccess  time.Duration
+	listReceived bool          // an endpoint update that was not cached has arrived
+	lastSuccess  time.Duration // of an attempt at any endpoint
 }
 
-// New returns a Balancer that knows no endpoints yet. The error names the setting at fault.
+// New returns a Balancer without endpoints. If a setting is invalid, the error names it.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	return b, nil
 }
 
-// addClass adds a class, and a subset if none has its placement.
+// addClass adds a class. If no subset has the same allowed zones and machine types, it creates one.
 func (b *Balancer) addClass(c Class) {
 	i := slices.IndexFunc(b.subsets, func(s *endpointSubset) bool { return s.hasPlacement(c) })
 	if i < 0 {
@@ -77,8 +77,8 @@
 	b.classes.add(newClass(c, b.subsets[i]))
 }
 
-// addQuotaLoad adds the load of the tenants' quotas to the limit of a class. Which classes a tenant uses is
-// not known, so each gets an equal part.
+// addQuotaLoad adds the attempts in flight that the tenants' quotas can cause to the limit of a class. Which
+// classes a tenant uses is not known, so its quota is divided equally between them.
 func (b *Balancer) addQuotaLoad(c Class) {
 	limit := &b.classes.find(c.Name).subset.limit
 	for _, tenant := range b.settings.Tenants {
@@ -86,7 +86,7 @@
 	}
 }
 
-// Handle takes one event at the clock time now and returns what to do, in order.
+// Handle processes one event at the clock time now and returns the actions for the host, in order.
 func (b *Balancer) Handle(now time.Duration, event Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = nil
@@ -97,7 +97,6 @@
 	return b.actions
 }
 
-// dispatch hands an event to its handler.
 func (b *Balancer) dispatch(event Event) {
 	switch e := event.(type) {
 	case EndpointUpdate:
@@ -115,7 +114,7 @@
 	case ClientDisconnected:
 		b.close(b.requests[e.ID])
 	case ShutdownDeadline:
-		b.answer(b.requests[e.ID], guard.ProcessEnds)
+		b.answer(b.requests[e.ID], guard.ProcessTerminating)
 	case ReplicaCounts:
 		b.replicas.setTarget(b.now, e.ByZone)
 	case ZoneEvacuation:
@@ -127,7 +126,7 @@
 
 func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
-// attempt returns an attempt of a request, or nil if it is not known.
+// attempt returns the attempt of a request that has the index, or nil if there is none.
 func (b *Balancer) attempt(id string, index int) *attempt {
 	r := b.requests[id]
 	if r == nil || index < 0 || index >= len(r.attempts) {
@@ -136,7 +135,7 @@
 	return r.attempts[index]
 }
 
-// handleRequest sends, queues or rejects a new request.
+// handleRequest sends, queues or rejects a new request. It ignores one whose ID is in use.
 func (b *Balancer) handleRequest(e Request) {
 	if b.requests[e.ID] != nil {
 		return
@@ -160,22 +159,22 @@
 	b.sendOrQueue(r)
 }
 
-// estimateArrival estimates when the client first sent the request. If clients mark their retries, only the
-// mark counts, since the last retry may have more time than the first request. Otherwise a short deadline
-// shows a retry.
+// estimateArrival estimates when the client first sent the request, which for a retry was before now. If
+// clients mark their retries, only the mark counts, since a retry may have more time left than a first
+// request. Otherwise a short time left indicates a retry. Below the first tier, requests are taken as new.
 func (b *Balancer) estimateArrival(r *request) {
 	timeLeft := r.deadline - b.now
 	r.class.recordTimeLeft(timeLeft)
 	if b.settings.Tier > 0 {
 		return
 	}
-	if r.isRetry || !b.settings.ClientsMarkRetries && r.class.looksRetried(timeLeft) {
+	if r.isRetry || !b.settings.ClientsMarkRetries && r.class.looksLikeRetry(timeLeft) {
 		r.arrived = min(b.now, r.deadline-r.class.Deadline)
 		r.isRetry = true
 	}
 }
 
-// send starts an attempt of a request.
+// send starts an attempt of a request at an endpoint.
 func (b *Balancer) send(r *request, target *endpoint) {
 	subset := r.class.subset
 	if len(r.attempts) == 0 {
@@ -195,7 +194,7 @@
 	})
 }
 
-// handleResponseStarted ends the measured latency of an attempt whose response is streamed.
+// handleResponseStarted records when a streamed response began. The latency of its attempt ends there.
 func (b *Balancer) handleResponseStarted(e ResponseStarted) {
 	a := b.attempt(e.ID, e.Attempt)
 	if a == nil {
@@ -205,8 +204,8 @@
 	a.responseAt = b.now
 }
 
-// handleRequestSent restarts the time of a request and its attempt: until now the client was sending the
-// body.
+// handleRequestSent restarts the time of a request and of its attempt, since until now the client was still
+// sending the body.
 func (b *Balancer) handleRequestSent(e RequestSent) {
 	a := b.attempt(e.ID, e.Attempt)
 	if a == nil || !a.request.bodyIncomplete {
@@ -219,8 +218,8 @@
 	a.sentAt = b.now
 }
 
-// handleAttemptEnded records the result of an attempt, and retries or answers its request if that has no
-// answer yet.
+// handleAttemptEnded records the result of an attempt. If its request has neither an answer nor another
+// attempt in flight, the request is retried or answered.
 func (b *Balancer) handleAttemptEnded(e AttemptEnded) {
 	a := b.attempt(e.ID, e.Attempt)
 	if a == nil || a.ended {
@@ -250,12 +249,12 @@
 	r.inFlight--
 	r.bodyConsumed = r.bodyConsumed || e.BodyConsumed
 	r.class.subset.inFlight--
-	if r.keyQueue != nil && e.Result.mayRunOn() {
+	if r.keyQueue != nil && e.Result.mayStillRun() {
 		r.keyQueue.settledAt = b.now + b.settings.KeySettleTime
 	}
 	target.inFlight--
 	b.zones.recordOutcome(a, e.Result, b.now)
-	if b.showsLoad(a, e.Result) {
+	if b.reflectsLoad(a, e.Result) {
 		b.adjustLimit(a, e.Result)
 	}
 	target.removeAttempt(a)
@@ -265,16 +264,17 @@
 	}
 }
 
-// showsLoad says that the latency of an attempt depends on the load. The timeouts of an unresponsive
-// endpoint, or of a zone with a reduced share, do not.
-func (b *Balancer) showsLoad(a *attempt, result AttemptResult) bool {
+// reflectsLoad reports whether the latency of an attempt depends on the load, so that the concurrency limit
+// may follow it. Time-outs at an unresponsive endpoint, or in a zone with a reduced share, do not.
+func (b *Balancer) reflectsLoad(a *attempt, result AttemptResult) bool {
 	if a.endpoint.unresponsive(b.now, b.lastSuccess) {
 		return false
 	}
 	return b.zones.get(a.zone).share == 1 || result == Success
 }
 
-// recordOutcome records the latency of the class and the health of the endpoint.
+// recordOutcome updates the spillover and latency of the class, the health of the endpoint, the error rate
+// and the retry budget with the result of an attempt.
 func (b *Balancer) recordOutcome(a *attempt, result AttemptResult) {
 	c := a.request.class
 	latency := float64(a.latency(b.now))
@@ -297,8 +297,8 @@
 	}
 }
 
-// answer gives the final answer of a request: a rejection if a retry by the client is harmless, and a
-// failure otherwise.
+// answer emits the final answer of a request: Reject if the client may safely retry it, and Fail otherwise.
+// A request whose response is being streamed gets none.
 func (b *Balancer) answer(r *request, reason guard.Verdict) {
 	if r == nil || r.answered || r.streaming {
 		return
@@ -306,7 +306,7 @@
 	if len(r.attempts) == 0 {
 		r.class.subset.recordShed()
 	}
-	if r.retryIsHarmless() {
+	if r.clientMayRetry() {
 		b.emit(Reject{ID: r.id, RetryAfter: b.retryAfter(), Reason: reason})
 	} else {
 		b.emit(Fail{ID: r.id, Reason: reason})
@@ -314,14 +314,15 @@
 	b.close(r)
 }
 
-// retryAfter is short: after a long wait, the latency objective of the client would be nearly over, and its
-// late answer would take capacity from a timely one. The concurrency limit sheds the load.
+// retryAfter returns the wait that a rejection recommends. It is short: after a long wait, the latency
+// objective would be nearly over, and the late answer would take capacity from a timely one. Load is shed by
+// the concurrency limit, not by this wait.
 func (b *Balancer) retryAfter() time.Duration {
 	return min(b.settings.MaxRetryAfter, b.settings.TimerResolution)
 }
 
-// close ends a request. Its attempts in flight are not canceled, and count against the limit until they
-// end: endpoints may work on them regardless.
+// close marks a request as answered and takes it out of its queue. Its attempts in flight are not canceled,
+// and count against the concurrency limit until they end, since endpoints may still be working on them.
 func (b *Balancer) close(r *request) {
 	if r == nil || r.answered {
 		return
@@ -331,7 +332,7 @@
 	b.forget(r)
 }
 
-// forget drops a request that is answered and has no attempts in flight.
+// forget deletes a request that is answered and has no attempts in flight.
 func (b *Balancer) forget(r *request) {
 	if !r.answered || r.inFlight > 0 || b.requests[r.id] != r {
 		return
--- a/policy/processes_test.go
+++ b/policy/processes_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Map order and hash seeds differ between processes; the actions must not. The test runs itself twice more and
-// compares what the same events lead to.
+// Map order and hash seeds differ between processes, and the actions must not depend on them. The test runs itself in
+// two more processes and compares the actions for the same events.
 func TestSameActionsInSeveralProcesses(t *testing.T) {
 	log, _ := runRandomEvents(t, ruleSettings(), 8, 2000, nil)
 	own := fmt.Sprintf("actions %x", sha256.Sum256([]byte(strings.Join(log, "\n"))))
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		if got := regexp.MustCompile(`actions [0-9a-f]+`).FindString(string(out)); got != own {
-			t.Errorf("another process gave %q, this one %q", got, own)
+			t.Errorf("another process printed %q, want %q", got, own)
 		}
 	}
 }
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// randomRun drives a Balancer with random legal events and odd ones.
+// randomRun gives a Balancer random valid events, and some invalid ones.
 type randomRun struct {
 	rng       *rand.Rand
 	balancer  *Balancer
@@ -31,7 +31,7 @@
 	timesOut bool
 }
 
-// runRandomEvents returns all actions of a run, and the Balancer at its end.
+// runRandomEvents returns the log of all actions of a run, and the Balancer at its end.
 func runRandomEvents(t testing.TB, set Settings, seed uint64, steps int, c *checker) (log []string, b *Balancer) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -61,7 +61,7 @@
 			r.changeList()
 		}
 		if rng.IntN(40) == 0 {
-			r.addOddEvents()
+			r.addInvalidEvents()
 		}
 		if rng.IntN(50) == 0 && len(r.ids) > 0 {
 			id := r.ids[rng.IntN(len(r.ids))]
@@ -77,7 +77,7 @@
 	return r.log, b
 }
 
-// handle gives an event to the Balancer and follows its actions.
+// handle gives an event to the Balancer, checks and logs its actions, and starts the attempts and timers they ask for.
 func (r *randomRun) handle(e Event) {
 	if r.checker != nil {
 		r.checker.event(r.now, e)
@@ -97,7 +97,7 @@
 	}
 }
 
-// startAttempt draws when an attempt ends, and whether it times out.
+// startAttempt starts an attempt that ends or times out after a random time.
 func (r *randomRun) startAttempt(a SendAttempt) {
 	index := 0
 	for _, p := range r.attempts {
@@ -116,7 +116,7 @@
 	r.attempts = append(r.attempts, p)
 }
 
-// fireTimers gives the timers that are due, some of them twice.
+// fireTimers fires the timers that are due, some of them twice.
 func (r *randomRun) fireTimers() {
 	for k := 0; k < len(r.timers); k++ {
 		timer := r.timers[k]
@@ -176,7 +176,8 @@
 	})
 }
 
-// changeList draws a change of one endpoint, and how it is notified.
+// changeList makes a random change of one endpoint, and gives it as a snapshot, as a change, or as a change after a
+// failure of discovery.
 func (r *randomRun) changeList() {
 	changed := &r.endpoints[r.rng.IntN(len(r.endpoints))]
 	changed.State = EndpointState(r.rng.IntN(3))
@@ -200,8 +201,8 @@
 	}
 }
 
-// addOddEvents gives events of requests that do not exist.
-func (r *randomRun) addOddEvents() {
+// addInvalidEvents gives events of requests that do not exist, and a timer with an invalid token.
+func (r *randomRun) addInvalidEvents() {
 	r.handle(AttemptEnded{ID: "nobody", Attempt: 3, Result: Success})
 	r.handle(TimerFired{Token: "r:nobody"})
 	r.handle(TimerFired{Token: "x"})
@@ -209,46 +210,49 @@
 	r.handle(ShutdownDeadline{ID: "nobody"})
 }
 
-func TestRulesHoldOnRandomSequences(t *testing.T) {
+// The rules of the checker must hold on random events, and at the end no state of requests may be left over.
+func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		set := ruleSettings()
 		set.Tier = int(seed % 2)
 		set.PollEndpoints = seed%4 == 0
 		c := newChecker(set)
 		log, b := runRandomEvents(t, set, seed, 6000, c)
-		for i, s := range c.broken {
+		for i, s := range c.violations {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, s)
 			}
 		}
 		if len(log) < 1000 {
-			t.Errorf("seed %d: only %d actions", seed, len(log))
+			t.Errorf("seed %d: got %d actions, want at least 1000", seed, len(log))
 		}
 		if len(b.requests) > 0 || len(b.keyQueues) > 0 {
 			t.Errorf("seed %d: %d requests and %d key queues are left over", seed, len(b.requests), len(b.keyQueues))
 		}
 		for i, s := range b.subsets {
 			if len(s.queue) > 0 || s.inFlight != 0 {
-				t.Errorf("seed %d: %d queued and %d in flight of subset %d are left over", seed, len(s.queue), s.inFlight, i)
+				t.Errorf("seed %d: %d queued and %d in flight requests of subset %d are left over",
+					seed, len(s.queue), s.inFlight, i)
 			}
 		}
 		for id, ep := range b.endpoints {
 			if !ep.listed || ep.inFlight != 0 || len(ep.attempts) != 0 {
-				t.Errorf("seed %d: endpoint %s is left over", seed, id)
+				t.Errorf("seed %d: endpoint %s is left over, or has attempts left over", seed, id)
 			}
 		}
 	}
 }
 
+// The same events and seed must give the same actions, also when there is another Balancer in the process.
 func TestSameEventsSameActions(t *testing.T) {
 	first, _ := runRandomEvents(t, ruleSettings(), 5, 3000, nil)
-	other, _ := New(testSettings(), 99) // another Balancer in the process changes nothing
+	other, _ := New(testSettings(), 99)
 	other.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(3)})
 	second, _ := runRandomEvents(t, ruleSettings(), 5, 3000, nil)
 	if len(first) < 500 {
-		t.Fatalf("only %d actions", len(first))
+		t.Fatalf("got %d actions, want at least 500", len(first))
 	}
 	if strings.Join(first, "\n") != strings.Join(second, "\n") {
-		t.Fatal("the same events and seed gave other actions")
+		t.Fatal("the same events and seed gave different actions")
 	}
 }
--- a/policy/recorded_stream_test.go
+++ b/policy/recorded_stream_test.go
@@ -13,26 +13,26 @@
 	"time"
 )
 
-var updateStream = flag.Bool("update-stream", false, "record testdata/stream.txt anew from this code")
+var updateStream = flag.Bool("update-stream", false, "write testdata/stream.txt from the actions of this code")
 
-// Shape of the drawn days.
+// Size of the simulated runs.
 const (
 	streamSeeds   = 24
 	streamLength  = 40 * time.Second
-	streamMaxSize = 30 // endpoints besides the first three
+	streamMaxSize = 30 // exclusive bound of the random number of endpoints, to which three are added
 )
 
-// streamDay plays one drawn day against a Balancer: its settings, its endpoints, its faults.
-type streamDay struct {
+// streamRun simulates a Balancer with random settings, endpoints, requests and faults.
+type streamRun struct {
 	t         *testing.T
 	rng       *rand.Rand
 	settings  Settings
 	balancer  *Balancer
 	events    eventQueue
 	endpoints []Endpoint
-	attempts  map[string]int           // of each request
-	hung      map[string]time.Duration // endpoints that answer nothing before that time
-	failing   map[string]time.Duration
+	attempts  map[string]int           // number of attempts that were sent, by request
+	hangUntil map[string]time.Duration // end of its hang, by endpoint
+	failUntil map[string]time.Duration // end of its failure, by endpoint
 	log       io.Writer
 	actions   int
 }
@@ -78,7 +78,7 @@
 	}
 }
 
-// streamSettings draws settings; over the seeds each rule of the policy is in force in some of them.
+// streamSettings returns random settings. Each rule of the policy applies under the settings of some seeds.
 func streamSettings(r *rand.Rand, seed int) Settings {
 	set := Settings{
 		Classes:                  streamClasses(seed),
@@ -115,198 +115,201 @@
 	return set
 }
 
-func newStreamDay(t *testing.T, seed int, log io.Writer) *streamDay {
+func newStreamRun(t *testing.T, seed int, log io.Writer) *streamRun {
 	r := rand.New(rand.NewPCG(uint64(seed), 11))
-	d := &streamDay{
-		t:        t,
-		rng:      r,
-		settings: streamSettings(r, seed),
-		attempts: map[string]int{},
-		log:      log,
-		hung:     map[string]time.Duration{},
-		failing:  map[string]time.Duration{},
+	run := &streamRun{
+		t:         t,
+		rng:       r,
+		settings:  streamSettings(r, seed),
+		attempts:  map[string]int{},
+		log:       log,
+		hangUntil: map[string]time.Duration{},
+		failUntil: map[string]time.Duration{},
 	}
 	var err error
-	if d.balancer, err = New(d.settings, uint64(seed)); err != nil {
+	if run.balancer, err = New(run.settings, uint64(seed)); err != nil {
 		t.Fatal(err)
 	}
 	zones := []string{"x", "y", "z"}[:1+seed%3]
 	for i := range 3 + r.IntN(streamMaxSize) {
-		d.endpoints = append(d.endpoints, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: zones[i%len(zones)],
+		run.endpoints = append(run.endpoints, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: zones[i%len(zones)],
 			MachineType: []string{"small", "big"}[i/2%2], Cell: i % 5})
 	}
-	d.events.add(0, EndpointUpdate{Snapshot: true, Cached: true, Endpoints: append([]Endpoint(nil), d.endpoints...)})
-	d.events.add(50*time.Millisecond, EndpointUpdate{Snapshot: true, Endpoints: append([]Endpoint(nil), d.endpoints...)})
-	d.requests()
-	d.listChanges(zones)
-	d.faults(zones)
-	return d
+	run.events.add(0, EndpointUpdate{Snapshot: true, Cached: true, Endpoints: append([]Endpoint(nil), run.endpoints...)})
+	run.events.add(50*time.Millisecond,
+		EndpointUpdate{Snapshot: true, Endpoints: append([]Endpoint(nil), run.endpoints...)})
+	run.addRequests()
+	run.addListChanges(zones)
+	run.addFaults(zones)
+	return run
 }
 
-// requests draws the day's traffic: thin at first, with a burst in the middle.
-func (d *streamDay) requests() {
+// addRequests adds random requests, with a burst between 18 s and 24 s.
+func (run *streamRun) addRequests() {
 	mean := 4 * time.Millisecond
-	for at := 20 * time.Millisecond; at < streamLength; at += time.Duration(d.rng.ExpFloat64() * float64(mean)) {
+	for at := 20 * time.Millisecond; at < streamLength; at += time.Duration(run.rng.ExpFloat64() * float64(mean)) {
 		mean = 6 * time.Millisecond
 		if at > 18*time.Second && at < 24*time.Second {
 			mean = 2 * time.Millisecond
 		}
-		c := d.settings.Classes[d.rng.IntN(len(d.settings.Classes))]
+		c := run.settings.Classes[run.rng.IntN(len(run.settings.Classes))]
 		name, wait := c.Name, c.Deadline
-		if d.rng.IntN(200) == 0 {
+		if run.rng.IntN(200) == 0 {
 			name, wait = "unheard", time.Second
 		}
-		isRetry := d.rng.IntN(12) == 0
+		isRetry := run.rng.IntN(12) == 0
 		if isRetry {
 			wait = wait * 2 / 3
 		}
-		id := fmt.Sprintf("r%d", d.events.added)
-		d.events.add(at, Request{
+		id := fmt.Sprintf("r%d", run.events.added)
+		run.events.add(at, Request{
 			ID:             id,
 			Class:          name,
-			Tenant:         []string{"a", "a", "b", "c"}[d.rng.IntN(4)],
+			Tenant:         []string{"a", "a", "b", "c"}[run.rng.IntN(4)],
 			Deadline:       at + wait,
 			IsRetry:        isRetry,
-			Key:            uint64(d.rng.IntN(40)),
-			HasKey:         d.rng.IntN(3) > 0,
-			BodyIncomplete: d.rng.IntN(25) == 0,
+			Key:            uint64(run.rng.IntN(40)),
+			HasKey:         run.rng.IntN(3) > 0,
+			BodyIncomplete: run.rng.IntN(25) == 0,
 		})
-		switch d.rng.IntN(60) {
+		switch run.rng.IntN(60) {
 		case 0:
-			d.events.add(at+time.Duration(d.rng.IntN(600))*time.Millisecond, ClientDisconnected{ID: id})
+			run.events.add(at+time.Duration(run.rng.IntN(600))*time.Millisecond, ClientDisconnected{ID: id})
 		case 1:
-			d.events.add(at+time.Duration(d.rng.IntN(900))*time.Millisecond, ShutdownDeadline{ID: id})
+			run.events.add(at+time.Duration(run.rng.IntN(900))*time.Millisecond, ShutdownDeadline{ID: id})
 		}
 	}
 }
 
-// listChanges draws endpoints that drain, are removed, come back with a new start, or are added.
-func (d *streamDay) listChanges(zones []string) {
-	for i, s := range d.endpoints {
-		at := time.Duration(5+d.rng.IntN(30)) * time.Second
-		switch d.rng.IntN(5) {
+// addListChanges adds changes of the list: random endpoints drain, are removed, restart, or are added.
+func (run *streamRun) addListChanges(zones []string) {
+	for i, s := range run.endpoints {
+		at := time.Duration(5+run.rng.IntN(30)) * time.Second
+		switch run.rng.IntN(5) {
 		case 0:
 			s.State = Draining
-			d.events.add(at, EndpointUpdate{Endpoints: []Endpoint{s}})
+			run.events.add(at, EndpointUpdate{Endpoints: []Endpoint{s}})
 			s.State = Removed
-			d.events.add(at+3*time.Second, EndpointUpdate{Endpoints: []Endpoint{s}})
+			run.events.add(at+3*time.Second, EndpointUpdate{Endpoints: []Endpoint{s}})
 			s.State, s.StartedAt = Ready, at+4*time.Second
-			d.events.add(at+5*time.Second, EndpointUpdate{Endpoints: []Endpoint{s}})
+			run.events.add(at+5*time.Second, EndpointUpdate{Endpoints: []Endpoint{s}})
 		case 1:
 			s.StartedAt = at - 2*time.Second
-			d.events.add(at, EndpointUpdate{Endpoints: []Endpoint{s}})
+			run.events.add(at, EndpointUpdate{Endpoints: []Endpoint{s}})
 		}
 		if i%7 == 3 {
 			added := Endpoint{
 				ID:          fmt.Sprintf("t%02d", i),
-				Zone:        zones[d.rng.IntN(len(zones))],
+				Zone:        zones[run.rng.IntN(len(zones))],
 				MachineType: "big",
 				StartedAt:   at - time.Second,
 			}
-			d.events.add(at, EndpointUpdate{Endpoints: []Endpoint{added}})
+			run.events.add(at, EndpointUpdate{Endpoints: []Endpoint{added}})
 		}
 	}
-	remaining := append([]Endpoint(nil), d.endpoints[:len(d.endpoints)*2/3+1]...)
-	d.events.add(33*time.Second, EndpointUpdate{Snapshot: true, Endpoints: remaining})
+	remaining := append([]Endpoint(nil), run.endpoints[:len(run.endpoints)*2/3+1]...)
+	run.events.add(33*time.Second, EndpointUpdate{Snapshot: true, Endpoints: remaining})
 	for i := range 6 {
-		d.events.add(time.Duration(3+6*i)*time.Second, DiscoveryFailed{})
+		run.events.add(time.Duration(3+6*i)*time.Second, DiscoveryFailed{})
 	}
 }
 
-// faults draws hanging and failing endpoints, a lost zone, an evacuation, counts of replicas and a suspended process.
-func (d *streamDay) faults(zones []string) {
-	for _, s := range d.endpoints {
-		switch d.rng.IntN(10) {
+// addFaults selects random endpoints that hang or fail, and adds an evacuation of a zone and counts of replicas. The
+// unresponsive zone and the suspension of the process are not events: see zoneUnresponsive and handleAll.
+func (run *streamRun) addFaults(zones []string) {
+	for _, s := range run.endpoints {
+		switch run.rng.IntN(10) {
 		case 0:
-			d.hung[s.ID] = time.Duration(8+d.rng.IntN(20)) * time.Second
+			run.hangUntil[s.ID] = time.Duration(8+run.rng.IntN(20)) * time.Second
 		case 1, 2:
-			d.failing[s.ID] = time.Duration(8+d.rng.IntN(20)) * time.Second
+			run.failUntil[s.ID] = time.Duration(8+run.rng.IntN(20)) * time.Second
 		}
 	}
 	last := zones[len(zones)-1]
-	d.events.add(26*time.Second, ZoneEvacuation{Zone: last, Evacuate: true})
-	d.events.add(29*time.Second, ZoneEvacuation{Zone: last})
-	d.events.add(9*time.Second, ReplicaCounts{ByZone: map[string]int{"x": 2, "y": 1 + d.rng.IntN(4)}})
-	d.events.add(19*time.Second, ReplicaCounts{ByZone: map[string]int{"x": 1}})
-	d.events.add(31*time.Second, ReplicaCounts{})
+	run.events.add(26*time.Second, ZoneEvacuation{Zone: last, Evacuate: true})
+	run.events.add(29*time.Second, ZoneEvacuation{Zone: last})
+	run.events.add(9*time.Second, ReplicaCounts{ByZone: map[string]int{"x": 2, "y": 1 + run.rng.IntN(4)}})
+	run.events.add(19*time.Second, ReplicaCounts{ByZone: map[string]int{"x": 1}})
+	run.events.add(31*time.Second, ReplicaCounts{})
 }
 
-// play handles all events in order. Between 36 s and 37.5 s the process is suspended: what comes due then is late.
-func (d *streamDay) play() {
-	nextLook := time.Second
-	for !d.events.empty() {
-		x := d.events.next()
+// handleAll handles all events in order. Between 36 s and 37.5 s the process is suspended: events of that time are
+// handled at its end.
+func (run *streamRun) handleAll() {
+	nextState := time.Second
+	for !run.events.empty() {
+		x := run.events.next()
 		now := x.at
 		if now > 36*time.Second && now < 37500*time.Millisecond {
 			now = 37500 * time.Millisecond
 		}
-		for _, a := range d.balancer.Handle(now, x.event) {
-			d.record(now, a)
-			d.follow(now, a)
+		for _, a := range run.balancer.Handle(now, x.event) {
+			run.record(now, a)
+			run.respond(now, a)
 		}
-		if now >= nextLook {
-			nextLook += time.Second
-			d.look(now)
+		if now >= nextState {
+			nextState += time.Second
+			run.recordState(now)
 		}
 	}
 }
 
-// record writes one action in a form that no name in the code has part in.
-func (d *streamDay) record(now time.Duration, a Action) {
-	d.actions++
+// record writes one action in a form that contains no name of the code, so that a rename does not change it.
+func (run *streamRun) record(now time.Duration, a Action) {
+	run.actions++
 	switch a := a.(type) {
 	case SendAttempt:
-		d.writeLine(int64(now), "send", a.ID, a.Endpoint, int64(a.Timeout), int64(a.RetryBefore))
+		run.writeLine(int64(now), "send", a.ID, a.Endpoint, int64(a.Timeout), int64(a.RetryBefore))
 	case Reject:
-		d.writeLine(int64(now), "reject", a.ID, int64(a.RetryAfter), int(a.Reason))
+		run.writeLine(int64(now), "reject", a.ID, int64(a.RetryAfter), int(a.Reason))
 	case Fail:
-		d.writeLine(int64(now), "fail", a.ID, int(a.Reason))
+		run.writeLine(int64(now), "fail", a.ID, int(a.Reason))
 	case SetTimer:
-		d.writeLine(int64(now), "timer", a.Token, int64(a.At))
+		run.writeLine(int64(now), "timer", a.Token, int64(a.At))
 	case WatchEndpoints:
-		d.writeLine(int64(now), "watch")
+		run.writeLine(int64(now), "watch")
 	default:
-		d.t.Fatalf("an action of an unknown type: %T", a)
+		run.t.Fatalf("action of the unknown type %T", a)
 	}
 }
 
 // writeLine writes one line of the stream.
-func (d *streamDay) writeLine(values ...any) {
-	if _, err := fmt.Fprintln(d.log, values...); err != nil {
-		d.t.Fatal(err)
+func (run *streamRun) writeLine(values ...any) {
+	if _, err := fmt.Fprintln(run.log, values...); err != nil {
+		run.t.Fatal(err)
 	}
 }
 
-// look records what the Balancer shows of itself.
-func (d *streamDay) look(now time.Duration) {
-	listed, avoided := d.balancer.EndpointCounts(now)
-	d.writeLine(int64(now), "shown", listed, avoided, d.balancer.ZoneTransitions())
-	for _, z := range d.balancer.Zones() {
-		d.writeLine("zone", z.Name, int(z.State), z.EvacuatedByOperator, z.Share, int64(z.Since), z.Endpoints,
+// recordState writes the endpoint counts and the zone states of the Balancer.
+func (run *streamRun) recordState(now time.Duration) {
+	listed, avoided := run.balancer.EndpointCounts(now)
+	run.writeLine(int64(now), "shown", listed, avoided, run.balancer.ZoneTransitions())
+	for _, z := range run.balancer.Zones() {
+		run.writeLine("zone", z.Name, int(z.State), z.EvacuatedByOperator, z.Share, int64(z.Since), z.Endpoints,
 			z.Unresponsive, z.InFlight)
 	}
 }
 
-// follow plays the world's answer to an action.
-func (d *streamDay) follow(now time.Duration, a Action) {
+// respond adds the events that an action causes.
+func (run *streamRun) respond(now time.Duration, a Action) {
 	switch a := a.(type) {
 	case SetTimer:
-		d.events.add(max(a.At, now), TimerFired{Token: a.Token})
+		run.events.add(max(a.At, now), TimerFired{Token: a.Token})
 	case WatchEndpoints:
-		if d.rng.IntN(4) == 0 {
-			d.events.add(now+100*time.Millisecond, DiscoveryFailed{})
+		if run.rng.IntN(4) == 0 {
+			run.events.add(now+100*time.Millisecond, DiscoveryFailed{})
 		}
 	case SendAttempt:
-		n := d.attempts[a.ID]
-		d.attempts[a.ID]++
-		d.attempt(now, a, n)
+		n := run.attempts[a.ID]
+		run.attempts[a.ID]++
+		run.addOutcome(now, a, n)
 	}
 }
 
-// attempt draws how one attempt ends.
-func (d *streamDay) attempt(now time.Duration, a SendAttempt, n int) {
-	latency, result := time.Duration((0.5+d.rng.Float64())*float64(180*time.Millisecond)), Success
-	switch draw := d.rng.IntN(200); {
+// addOutcome adds the events of attempt n of a request, which ends with a random result.
+func (run *streamRun) addOutcome(now time.Duration, a SendAttempt, n int) {
+	latency, result := time.Duration((0.5+run.rng.Float64())*float64(180*time.Millisecond)), Success
+	switch draw := run.rng.IntN(200); {
 	case draw < 2:
 		result = ConnectionLost
 	case draw < 4:
@@ -318,37 +321,37 @@
 	case draw == 7:
 		result, latency = Canceled, 50*time.Millisecond
 	}
-	if until := d.failing[a.Endpoint]; now < until && now > 4*time.Second && d.rng.IntN(10) < 7 {
+	if until := run.failUntil[a.Endpoint]; now < until && now > 4*time.Second && run.rng.IntN(10) < 7 {
 		result, latency = ServerError, 3*time.Millisecond
 	}
-	hangs := now < d.hung[a.Endpoint] && now > 6*time.Second
-	if hangs || d.lostZone(now, a.Endpoint) || latency >= a.Timeout {
+	hanging := now < run.hangUntil[a.Endpoint] && now > 6*time.Second
+	if hanging || run.zoneUnresponsive(now, a.Endpoint) || latency >= a.Timeout {
 		result, latency = TimedOut, a.Timeout
 	}
 	if n == 0 {
-		d.events.add(now+10*time.Millisecond, RequestSent{ID: a.ID, Attempt: n, Deadline: now + 2*time.Second})
+		run.events.add(now+10*time.Millisecond, RequestSent{ID: a.ID, Attempt: n, Deadline: now + 2*time.Second})
 	}
-	if result == Success && latency > 50*time.Millisecond && d.rng.IntN(20) == 0 {
-		d.events.add(now+latency/2, ResponseStarted{ID: a.ID, Attempt: n})
+	if result == Success && latency > 50*time.Millisecond && run.rng.IntN(20) == 0 {
+		run.events.add(now+latency/2, ResponseStarted{ID: a.ID, Attempt: n})
 	}
-	d.events.add(now+latency, AttemptEnded{
+	run.events.add(now+latency, AttemptEnded{
 		ID:           a.ID,
 		Attempt:      n,
 		Endpoint:     a.Endpoint,
 		Result:       result,
 		Latency:      latency,
-		Answered:     result == Success || d.rng.IntN(30) == 0,
-		BodyConsumed: d.rng.IntN(40) == 0,
+		Answered:     result == Success || run.rng.IntN(30) == 0,
+		BodyConsumed: run.rng.IntN(40) == 0,
 		Load:         &Load{Busy: 1, Service: latency},
 	})
 }
 
-// lostZone says that the zone of an endpoint gives no answers just now.
-func (d *streamDay) lostZone(now time.Duration, id string) bool {
+// zoneUnresponsive reports whether the zone of an endpoint does not answer now, as zone y does from 12 s to 17 s.
+func (run *streamRun) zoneUnresponsive(now time.Duration, id string) bool {
 	if now < 12*time.Second || now > 17*time.Second {
 		return false
 	}
-	for _, s := range d.endpoints {
+	for _, s := range run.endpoints {
 		if s.ID == id {
 			return s.Zone == "y"
 		}
@@ -356,9 +359,10 @@
 	return false
 }
 
-// TestActionsAreAsInTheRecordedStream compares the actions with those that the policy gave before it was cut into
-// subjects. With KEELUSHER_STREAM_DIR set, it writes each day's actions there, to compare two versions line by line.
-func TestActionsAreAsInTheRecordedStream(t *testing.T) {
+// TestActionsMatchTheRecordedStream fails if a change of the code changes actions. The recorded ones are those of the
+// policy before it was split into files by subject. With KEELUSHER_STREAM_DIR set, it writes the actions of each run
+// there, so that two versions can be compared line by line.
+func TestActionsMatchTheRecordedStream(t *testing.T) {
 	path := filepath.Join("testdata", "stream.txt")
 	var lines []string
 	for seed := range streamSeeds {
@@ -372,9 +376,9 @@
 			defer f.Close()
 			log = io.MultiWriter(sum, f)
 		}
-		d := newStreamDay(t, seed, log)
-		d.play()
-		lines = append(lines, fmt.Sprintf("day %d: %d actions, fnv64a %016x", seed, d.actions, sum.Sum64()))
+		run := newStreamRun(t, seed, log)
+		run.handleAll()
+		lines = append(lines, fmt.Sprintf("day %d: %d actions, fnv64a %016x", seed, run.actions, sum.Sum64()))
 	}
 	got := strings.Join(lines, "\n") + "\n"
 	if *updateStream {
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -11,14 +11,14 @@
 	"keelusher/policy/guard"
 )
 
-// recordedMinute is a drawn minute of one replica: 12 endpoints in two zones, one of them failing for a while, one
-// draining, one lost, and tenants over their quotas.
-type recordedMinute struct {
+// recordedRun simulates one replica for a minute of random requests: 12 endpoints in two zones, of which one fails
+// for a while, one drains and one is removed, and tenants that exceed their quotas.
+type recordedRun struct {
 	t        *testing.T
 	balancer *Balancer
 	rng      *rand.Rand
 	events   eventQueue
-	attempts map[string]int // of each request
+	attempts map[string]int // number of attempts that were sent, by request
 	log      hash.Hash64    // over all actions with their times
 	actions  int
 }
@@ -60,126 +60,127 @@
 	}
 }
 
-// playRecordedMinute returns a hash over all actions with their times, and how many there were. The extra events are
-// handled as they come due.
-func playRecordedMinute(t *testing.T, extra ...dueEvent) (sum uint64, actions int) {
+// hashOfRecordedRun returns a hash over all actions with their times, and the number of actions. The extra events are
+// handled when they are due.
+func hashOfRecordedRun(t *testing.T, extra ...dueEvent) (sum uint64, actions int) {
 	t.Helper()
 	b, err := New(recordedSettings(), 42)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &recordedMinute{
+	run := &recordedRun{
 		t:        t,
 		balancer: b,
 		rng:      rand.New(rand.NewPCG(7, 7)),
 		attempts: map[string]int{},
 		log:      fnv.New64a(),
 	}
-	m.addListChanges()
-	m.addRequests()
+	run.addListChanges()
+	run.addRequests()
 	for _, x := range extra {
-		m.events.add(x.at, x.event)
+		run.events.add(x.at, x.event)
 	}
-	m.play()
-	return m.log.Sum64(), m.actions
+	run.handleAll()
+	return run.log.Sum64(), run.actions
 }
 
-func (m *recordedMinute) addListChanges() {
+func (run *recordedRun) addListChanges() {
 	var list []Endpoint
 	for i := range 12 {
 		list = append(list, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: []string{"x", "y"}[i%2], MachineType: "k"})
 	}
-	m.events.add(0, EndpointUpdate{Snapshot: true, Cached: true, Endpoints: list})
-	draining, lost := list[3], list[5]
-	draining.State, lost.State = Draining, Removed
-	m.events.add(20*time.Second, EndpointUpdate{Endpoints: []Endpoint{draining}})
-	m.events.add(30*time.Second, EndpointUpdate{Endpoints: []Endpoint{lost}})
+	run.events.add(0, EndpointUpdate{Snapshot: true, Cached: true, Endpoints: list})
+	draining, removed := list[3], list[5]
+	draining.State, removed.State = Draining, Removed
+	run.events.add(20*time.Second, EndpointUpdate{Endpoints: []Endpoint{draining}})
+	run.events.add(30*time.Second, EndpointUpdate{Endpoints: []Endpoint{removed}})
 }
 
-func (m *recordedMinute) addRequests() {
-	gap := func() time.Duration { return time.Duration(m.rng.ExpFloat64() * float64(3*time.Millisecond)) }
+func (run *recordedRun) addRequests() {
+	gap := func() time.Duration { return time.Duration(run.rng.ExpFloat64() * float64(3*time.Millisecond)) }
 	for at := 10 * time.Millisecond; at < time.Minute; at += gap() {
 		class, tenant := "view", "a"
-		if m.rng.Float64() < 0.3 {
+		if run.rng.Float64() < 0.3 {
 			class = "booking"
 		}
-		if m.rng.Float64() < 0.4 {
+		if run.rng.Float64() < 0.4 {
 			tenant = "b"
 		}
-		id := fmt.Sprintf("r%d", m.events.added)
-		m.events.add(at, Request{ID: id, Class: class, Tenant: tenant, Deadline: at + 2*time.Second})
+		id := fmt.Sprintf("r%d", run.events.added)
+		run.events.add(at, Request{ID: id, Class: class, Tenant: tenant, Deadline: at + 2*time.Second})
 	}
 }
 
-func (m *recordedMinute) play() {
-	for !m.events.empty() {
-		x := m.events.next()
-		for _, a := range m.balancer.Handle(x.at, x.event) {
-			m.record(x.at, a)
-			m.follow(x.at, a)
+func (run *recordedRun) handleAll() {
+	for !run.events.empty() {
+		x := run.events.next()
+		for _, a := range run.balancer.Handle(x.at, x.event) {
+			run.record(x.at, a)
+			run.respond(x.at, a)
 		}
 	}
 }
 
-// record adds an action to the hash, in the form that actions had when the hash was recorded: before answers had
-// reasons.
-func (m *recordedMinute) record(now time.Duration, a Action) {
-	m.actions++
+// record adds an action to the hash. The format is that of the version for which the hash was recorded; its answers
+// had no reasons, so these are checked apart.
+func (run *recordedRun) record(now time.Duration, a Action) {
+	run.actions++
 	switch a := a.(type) {
 	case Reject:
 		if a.Reason <= guard.Allowed {
-			m.t.Errorf("%s is rejected for the reason %q", a.ID, a.Reason)
+			run.t.Errorf("request %s was rejected with the verdict %q, want a reason", a.ID, a.Reason)
 		}
-		m.writeLine("%d deckrelay.Refuse {ID:%s RetryAfter:%v}", now, a.ID, a.RetryAfter)
+		run.writeLine("%d deckrelay.Refuse {ID:%s RetryAfter:%v}", now, a.ID, a.RetryAfter)
 	case Fail:
 		if a.Reason <= guard.Allowed {
-			m.t.Errorf("%s fails for the reason %q", a.ID, a.Reason)
+			run.t.Errorf("request %s failed with the verdict %q, want a reason", a.ID, a.Reason)
 		}
-		m.writeLine("%d deckrelay.Fail {ID:%s}", now, a.ID)
+		run.writeLine("%d deckrelay.Fail {ID:%s}", now, a.ID)
 	case SendAttempt:
 		if a.RetryBefore != 0 {
-			m.t.Errorf("%s has a deduplication window, and no class has idempotency keys", a.ID)
+			run.t.Errorf("request %s has a deduplication window, though no class has idempotency keys", a.ID)
 		}
-		m.writeLine("%d deckrelay.Send {ID:%s Server:%s Timeout:%v}", now, a.ID, a.Endpoint, a.Timeout)
+		run.writeLine("%d deckrelay.Send {ID:%s Server:%s Timeout:%v}", now, a.ID, a.Endpoint, a.Timeout)
 	case SetTimer:
-		m.writeLine("%d deckrelay.Wake {At:%v Token:%s}", now, a.At, a.Token)
+		run.writeLine("%d deckrelay.Wake {At:%v Token:%s}", now, a.At, a.Token)
 	case WatchEndpoints:
-		m.writeLine("%d deckrelay.Subscribe {}", now)
+		run.writeLine("%d deckrelay.Subscribe {}", now)
 	default:
-		m.t.Errorf("an action of an unknown type: %T", a)
+		run.t.Errorf("action of the unknown type %T", a)
 	}
 }
 
-func (m *recordedMinute) writeLine(format string, args ...any) {
-	if _, err := fmt.Fprintf(m.log, format+"\n", args...); err != nil {
-		m.t.Fatal(err)
+func (run *recordedRun) writeLine(format string, args ...any) {
+	if _, err := fmt.Fprintf(run.log, format+"\n", args...); err != nil {
+		run.t.Fatal(err)
 	}
 }
 
-// follow adds what an action leads to.
-func (m *recordedMinute) follow(now time.Duration, a Action) {
+// respond adds the events that an action causes.
+func (run *recordedRun) respond(now time.Duration, a Action) {
 	switch a := a.(type) {
 	case SetTimer:
-		m.events.add(max(a.At, now), TimerFired{Token: a.Token})
+		run.events.add(max(a.At, now), TimerFired{Token: a.Token})
 	case SendAttempt:
-		latency, result := m.drawResult(now, a)
-		m.events.add(now+latency, AttemptEnded{
+		latency, result := run.drawResult(now, a)
+		run.events.add(now+latency, AttemptEnded{
 			ID:       a.ID,
-			Attempt:  m.attempts[a.ID],
+			Attempt:  run.attempts[a.ID],
 			Endpoint: a.Endpoint,
 			Result:   result,
 			Latency:  latency,
 			Answered: result == Success,
 		})
-		m.attempts[a.ID]++
+		run.attempts[a.ID]++
 	}
 }
 
-// drawResult draws how an attempt ends: s04 fails for a while, s05 hangs from 27 s on.
-func (m *recordedMinute) drawResult(now time.Duration, a SendAttempt) (time.Duration, AttemptResult) {
-	latency := time.Duration((0.5 + m.rng.Float64()) * float64(300*time.Millisecond))
+// drawResult returns a random latency and the result of an attempt. Endpoint s04 fails between 10 s and 25 s, and s05
+// hangs from 27 s on.
+func (run *recordedRun) drawResult(now time.Duration, a SendAttempt) (time.Duration, AttemptResult) {
+	latency := time.Duration((0.5 + run.rng.Float64()) * float64(300*time.Millisecond))
 	result := Success
-	if a.Endpoint == "s04" && now > 10*time.Second && now < 25*time.Second && m.rng.Float64() < 0.7 {
+	if a.Endpoint == "s04" && now > 10*time.Second && now < 25*time.Second && run.rng.Float64() < 0.7 {
 		latency, result = time.Millisecond, ServerError
 	}
 	if a.Endpoint == "s05" && now > 27*time.Second {
@@ -191,19 +192,20 @@
 	return latency, result
 }
 
-// Without counts of other replicas, a replica acts exactly as the version before there were any, whose actions
-// are recorded here.
+// Without replica counts, a replica must act exactly as the version before replica counts were added, whose actions
+// are recorded here as a hash.
 func TestActionsWithoutReplicaCountsAreAsRecorded(t *testing.T) {
 	const recorded, count = uint64(0xc629608939f619ab), 22694
-	if sum, n := playRecordedMinute(t); sum != recorded || n != count {
-		t.Errorf("%d actions with the hash %#x, recorded were %d with %#x", n, sum, count, recorded)
+	if sum, n := hashOfRecordedRun(t); sum != recorded || n != count {
+		t.Errorf("got %d actions with the hash %#x, want the recorded %d with %#x", n, sum, count, recorded)
 	}
 }
 
+// A replica that gets replica counts must act on them.
 func TestReplicaCountsChangeTheActions(t *testing.T) {
 	counts := ReplicaCounts{ByZone: map[string]int{"x": 6}}
-	sum, n := playRecordedMinute(t, dueEvent{at: 10 * time.Second, event: counts})
-	if plain, _ := playRecordedMinute(t); sum == plain || n == 0 {
-		t.Error("the minute is the same with twice the replicas")
+	sum, n := hashOfRecordedRun(t, dueEvent{at: 10 * time.Second, event: counts})
+	if plain, _ := hashOfRecordedRun(t); sum == plain || n == 0 {
+		t.Error("the actions are the same with twice the replicas")
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,18 +9,18 @@
 type request struct {
 	id           string
 	class        *class
-	arrived      time.Duration // when the client first sent it
+	arrived      time.Duration // when the client first sent it, as estimated
 	deadline     time.Duration
 	attempts     []*attempt
-	inFlight     int           // number of its attempts
-	isRetry      bool          // by the client
-	overQuota    bool          // of its tenant
-	keyQueue     *keyQueue     // nil: it is not serialized
+	inFlight     int           // its attempts that have not ended
+	isRetry      bool          // the client has sent it before
+	overQuota    bool          // the quota of its tenant is used up
+	keyQueue     *keyQueue     // nil: it is not serialized by key
 	timerAt      time.Duration // when its timer expires
 	queued       bool          // in the queue of its subset
-	answered     bool          // has its final answer
-	streaming    bool          // its response has begun
-	bodyConsumed bool          // it cannot be sent again
+	answered     bool          // it has its final answer
+	streaming    bool          // its response is being streamed to the client
+	bodyConsumed bool          // its body cannot be sent again
 
 	bodyIncomplete bool // its last byte has not arrived yet
 }
@@ -32,22 +32,22 @@
 	zone       string
 	cell       int
 	sentAt     time.Duration
-	responseAt time.Duration // when its response began, where that is streamed
+	responseAt time.Duration // when its streamed response began; 0: none has
 	ended      bool
-	neverRan   bool // proven
+	neverRan   bool // its result proves that the endpoint did not run it
 }
 
-// neverRan says that the endpoint did not run the attempt.
+// neverRan reports whether the result proves that the endpoint did not run the attempt.
 func (r AttemptResult) neverRan() bool {
 	return r == Overloaded || r == ConnectFailed || r == NotSent
 }
 
-// mayRunOn says that an attempt with this result may still run.
-func (r AttemptResult) mayRunOn() bool {
+// mayStillRun reports whether the endpoint may go on running an attempt that has ended with the result.
+func (r AttemptResult) mayStillRun() bool {
 	return r == TimedOut || r == ConnectionLost || r == Canceled
 }
 
-// addAttempt starts an attempt at an endpoint.
+// addAttempt adds an attempt that is sent to the target now.
 func (r *request) addAttempt(target *endpoint, now time.Duration) *attempt {
 	a := &attempt{
 		request:  r,
@@ -61,12 +61,14 @@
 	return a
 }
 
-// mayHaveRun says that an endpoint may have run the request.
+// mayHaveRun reports whether an endpoint may have run the request.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
-// usefulUntil is until when an answer counts. Attempts that run longer waste capacity of all tiers below.
+// usefulUntil returns the time until which an answer has a weight: the end of the latency objective at the
+// first tier, if late answers have no weight, and the deadline otherwise. Attempts that run longer waste
+// capacity of all tiers below.
 func (r *request) usefulUntil(tier int) time.Duration {
 	if tier == 0 && r.class.LateAnswerWeight == 0 {
 		return min(r.deadline, r.arrived+r.class.LatencyObjective)
@@ -74,8 +76,8 @@
 	return r.deadline
 }
 
-// retryIsHarmless says that the client may retry the request at any endpoint.
-func (r *request) retryIsHarmless() bool {
+// clientMayRetry reports whether the client may safely retry the request, whichever endpoint the retry reaches.
+func (r *request) clientMayRetry() bool {
 	switch r.class.Idempotency {
 	case Idempotent:
 		return true
@@ -85,8 +87,8 @@
 	return !r.mayHaveRun()
 }
 
-// mayBeSentTo says that an endpoint may get the next attempt: it has had none, and discards duplicates of
-// the earlier attempts where that is necessary.
+// mayBeSentTo reports whether an endpoint may get the next attempt. It must not have had one yet, and in a
+// class with idempotency keys it must discard duplicates of the earlier attempts that may have run.
 func (r *request) mayBeSentTo(ep *endpoint) bool {
 	for _, a := range r.attempts {
 		if a.endpoint == ep {
@@ -99,7 +101,7 @@
 	return true
 }
 
-// sharesDeduplication says that an endpoint discards duplicates of the attempt.
+// sharesDeduplication reports whether an endpoint discards duplicates of the attempt.
 func (a *attempt) sharesDeduplication(ep *endpoint) bool {
 	switch a.request.class.DeduplicationScope {
 	case ScopeAll:
@@ -110,21 +112,22 @@
 	return a.zone == ep.Zone
 }
 
-// awaitsResponse says that the attempt waits for its endpoint only, and not for the client.
+// awaitsResponse reports whether the attempt waits for its endpoint alone, and not for the client to send the
+// rest of the body or to read a streamed response.
 func (a *attempt) awaitsResponse() bool {
 	return !a.request.bodyIncomplete && !a.request.streaming
 }
 
-// overdue says that the attempt has taken longer than nearly all others of its class. halfway is when half
-// of that time was over.
+// overdue reports whether the attempt has waited for its endpoint longer than nearly all others of its class
+// take. halfway is the time at which half of that wait was over.
 func (a *attempt) overdue(now time.Duration) (overdue bool, halfway time.Duration) {
 	c := a.request.class
 	wait := time.Duration(c.meanLatency + overdueDeviations*c.latencyDeviation)
 	return now-a.sentAt > wait && a.awaitsResponse(), a.sentAt + wait/2
 }
 
-// latency is the time to the response, or to its start if it is streamed, since the client then determines
-// the rest.
+// latency returns the time from sending to the response, or to the start of a streamed one, since the client
+// determines how long the rest takes.
 func (a *attempt) latency(now time.Duration) time.Duration {
 	if a.responseAt > 0 {
 		return a.responseAt - a.sentAt
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,19 +7,19 @@
 	"keelusher/policy/guard"
 )
 
-// Retry budget, in retries.
+// Constants of the retry budget, in tokens. A token is worth one retry.
 const (
 	retryBudgetPerSuccess = 0.15
 	maxRetryBudget        = 10
 	initialRetryBudget    = maxRetryBudget / 2
 	retryCost             = 1.0
-	unsentRetryCost       = 0.1 // of a retry of an attempt that never ran
+	unsentRetryCost       = 0.1 // cost of a retry after an attempt that never ran
 )
 
-// retryTimeDivisor: the mean latency over this must be left for a retry.
+// retryTimeDivisor divides the mean latency of a class, which gives the least time left for a retry.
 const retryTimeDivisor = 2
 
-// retryBudget is a token bucket filled by successes. Without it, the retries of all tiers would multiply.
+// retryBudget is a token bucket that successes fill. Without it, the retries of successive tiers would multiply.
 type retryBudget struct {
 	tokens float64
 }
@@ -32,8 +32,8 @@
 
 func (b *retryBudget) spend(cost float64) { b.tokens -= cost }
 
-// retryOrAnswer retries a request without attempts in flight, if that is allowed, within the budget and in
-// time, and answers it otherwise.
+// retryOrAnswer retries a request that has no attempts in flight, if mayRetry allows it, the retry budget
+// covers it, there is time for an answer and there is an eligible endpoint. Otherwise it answers the request.
 func (b *Balancer) retryOrAnswer(r *request) {
 	cost := r.retryCost()
 	timeLeft := float64(r.usefulUntil(b.settings.Tier) - b.now)
@@ -55,7 +55,8 @@
 	b.answer(r, verdict)
 }
 
-// mayRetry says whether the idempotency of the class and the settings allow another attempt.
+// mayRetry returns whether the state of the request, the idempotency of its class and the settings allow
+// another attempt, with the reason if they do not.
 func (b *Balancer) mayRetry(r *request) guard.Verdict {
 	return guard.Retry{
 		Now:             b.now,
@@ -66,10 +67,11 @@
 		MaxAttempts:     max(1, b.settings.MaxAttempts),
 		MayHaveRun:      r.mayHaveRun(),
 		NotIdempotent:   r.class.Idempotency == NotIdempotent,
-		Before:          r.retryBefore(b.settings.TimerResolution),
+		RetryBefore:     r.retryBefore(b.settings.TimerResolution),
 	}.Verdict()
 }
 
+// retryCost returns the tokens that the next attempt costs.
 func (r *request) retryCost() float64 {
 	if last := r.attempts[len(r.attempts)-1]; last.neverRan {
 		return unsentRetryCost
@@ -77,8 +79,9 @@
 	return retryCost
 }
 
-// retryBefore is until when endpoints discard duplicates of the request, or 0 if they need not. The
-// deduplication window starts with the first attempt that may have run.
+// retryBefore returns the time until which endpoints discard duplicates of the request, less a margin of twice
+// the timer resolution, or 0 if they need not discard any. The deduplication window starts with the first
+// attempt that may have run.
 func (r *request) retryBefore(resolution time.Duration) time.Duration {
 	if r.class.Idempotency != IdempotentWithKey {
 		return 0
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -7,8 +7,8 @@
 	"keelusher/policy/guard"
 )
 
-// An answer after the objective that has no weight is not waited for: the attempt ends with the objective, and what
-// is left of the client's time buys no retry. The tiers below know no objective, only the time they are given.
+// If late answers have no weight, an attempt must time out at the end of the latency objective, and the rest of the
+// client's time must not be used for a retry. Tiers below the first one only know the time that they are given.
 func TestNoWaitForALateAnswerWithoutWeight(t *testing.T) {
 	for _, c := range []struct {
 		tier       int
@@ -24,12 +24,12 @@
 		actions := endAttempt(b, c.want, "a", got[0], TimedOut)
 		want := Action(Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.NoTimeForAnswer})
 		if len(actions) != 1 || actions[0] != want {
-			t.Errorf("tier %d, late weight %v: after the timeout %v, want a rejection", c.tier, c.lateWeight, actions)
+			t.Errorf("tier %d, late weight %v: got %v after the timeout, want a rejection", c.tier, c.lateWeight, actions)
 		}
 	}
 }
 
-// A request whose body is consumed is never sent again. It is rejected at once where no attempt ran.
+// A request whose body is consumed must not be sent again. It must be rejected if no attempt ran, and fail otherwise.
 func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	for result, want := range map[AttemptResult]Action{
 		ConnectFailed:  Reject{ID: "a", RetryAfter: 2 * msec, Reason: guard.BodyConsumed},
@@ -39,33 +39,33 @@
 		b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(10)})
 		got := sendAttempts(b.Handle(0, Request{ID: "a", Class: "post", Deadline: time.Second, BodyIncomplete: true}))
 		if len(got) != 1 {
-			t.Fatalf("sent %v", got)
+			t.Fatalf("sent %v, want one attempt", got)
 		}
 		actions := b.Handle(msec, AttemptEnded{ID: "a", Endpoint: got[0].Endpoint, Result: result, BodyConsumed: true})
 		if len(actions) != 1 || actions[0] != want {
-			t.Errorf("result %d: %v, want %v", result, actions, want)
+			t.Errorf("result %d: got %v, want %v", result, actions, want)
 		}
 	}
 }
 
-// Successes fill the retry budget up to its bound, and retries empty it.
+// Successes must fill the retry budget up to its bound, and retries must empty it.
 func TestRetryBudget(t *testing.T) {
 	budget := newRetryBudget()
 	for range initialRetryBudget {
 		budget.spend(retryCost)
 	}
 	if budget.covers(unsentRetryCost) {
-		t.Errorf("an empty budget of %v covers a retry", budget.tokens)
+		t.Errorf("an empty retry budget of %v tokens covers a retry", budget.tokens)
 	}
 	budget.recordSuccess()
 	if !budget.covers(unsentRetryCost) || budget.covers(retryCost) {
-		t.Errorf("after a success a budget of %v should cover the retry of an attempt that never ran, and no other",
+		t.Errorf("after a success, a retry budget of %v tokens should cover only the retry of an attempt that never ran",
 			budget.tokens)
 	}
 	for range 1000 {
 		budget.recordSuccess()
 	}
 	if budget.tokens != maxRetryBudget {
-		t.Errorf("after many successes the budget is %v, want %v", budget.tokens, maxRetryBudget)
+		t.Errorf("after many successes the retry budget has %v tokens, want %v", budget.tokens, maxRetryBudget)
 	}
 }
--- a/policy/rule_checker_test.go
+++ b/policy/rule_checker_test.go
@@ -8,15 +8,22 @@
 	"time"
 )
 
-// checker follows the events given to one Balancer and its actions, and notes every broken rule. It shares no code
-// with the package.
+// checker is given the events of one Balancer and its actions, and records every violation of a rule:
+//   - final answer: each request gets one by its deadline, and no attempt after it
+//   - unsafe retry: a request that may have run is sent again, or rejected, only if a second run does no harm
+//   - unavailable endpoint: attempts go to ready endpoints only
+//   - key order: requests of one key that are serialized run one at a time, in the order of arrival
+//   - placement: attempts go to zones and machine types that the class may use
+//   - attempts: a request has one at a time, and no more than the settings allow
+//
+// It shares no code with the package.
 type checker struct {
 	settings   Settings
-	slack      time.Duration
+	slack      time.Duration // time after its deadline in which a request may be answered
 	endpoints  map[string]Endpoint
 	requests   map[string]*checkedRequest
 	serialized []*checkedRequest // in the order of arrival
-	broken     []string
+	violations []string
 }
 
 type checkedRequest struct {
@@ -25,7 +32,7 @@
 	deadline  time.Duration
 	key       uint64
 	answered  bool
-	settledAt time.Duration // an attempt may run on: no other request of the key may be sent before
+	settledAt time.Duration // no other request of the key may be sent before this, since an attempt may still run
 	attempts  []*checkedAttempt
 }
 
@@ -45,8 +52,8 @@
 	}
 }
 
-func (c *checker) fault(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+func (c *checker) report(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 func (a *checkedAttempt) mayHaveRun() bool {
@@ -57,7 +64,7 @@
 	return slices.ContainsFunc(r.attempts, func(a *checkedAttempt) bool { return !a.ended })
 }
 
-// event takes an event before the Balancer gets it.
+// event takes an event before the Balancer handles it.
 func (c *checker) event(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case EndpointUpdate:
@@ -71,13 +78,13 @@
 			r.answered = true
 		}
 	case ShutdownDeadline:
-		if r := c.requests[e.ID]; r != nil { // the answer is among the actions, before anything else happens
+		if r := c.requests[e.ID]; r != nil { // the answer must be among the actions for this event
 			r.deadline = min(r.deadline, now-c.slack)
 		}
 	}
 	for id, r := range c.requests {
 		if !r.answered && now > r.deadline+c.slack {
-			c.fault("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
+			c.report("final answer: %s has none %v after its deadline", id, now-r.deadline)
 			r.answered = true
 		}
 	}
@@ -128,7 +135,7 @@
 	r.answered = r.answered || e.Answered
 }
 
-// actions takes what the Balancer returned for the last event.
+// actions takes the actions that the Balancer returned for the last event.
 func (c *checker) actions(now time.Duration, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -151,16 +158,16 @@
 		r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope == ScopeAll
 	for _, attempt := range r.attempts {
 		if attempt.mayHaveRun() && !harmless {
-			c.fault("rule 2: %s rejected though it may have run", a.ID)
+			c.report("unsafe retry: %s rejected though it may have run", a.ID)
 		}
 	}
 }
 
-// answer notes the final answer of a request; nil: it must have none.
+// answer records the final answer of a request. It returns nil if the request must not get one.
 func (c *checker) answer(id string) *checkedRequest {
 	r := c.requests[id]
 	if r == nil || r.answered {
-		c.fault("rule 1: final answer for %s, which is over or unknown", id)
+		c.report("final answer: given to %s, which is answered or unknown", id)
 		return nil
 	}
 	r.answered = true
@@ -170,15 +177,15 @@
 func (c *checker) send(now time.Duration, a SendAttempt) {
 	r := c.requests[a.ID]
 	if r == nil || r.answered {
-		c.fault("rule 1: sent %s, which is over or unknown", a.ID)
+		c.report("final answer: attempt sent for %s, which is answered or unknown", a.ID)
 		return
 	}
 	target, known := c.endpoints[a.Endpoint]
 	if !known || target.State != Ready {
-		c.fault("rule 3: sent to %s, which is draining, removed or unknown", a.Endpoint)
+		c.report("unavailable endpoint: attempt sent to %s, which is draining, removed or unknown", a.Endpoint)
 	}
 	if len(r.attempts) >= c.settings.MaxAttempts {
-		c.fault("more than %d attempts", c.settings.MaxAttempts)
+		c.report("attempts: more than %d of one request", c.settings.MaxAttempts)
 	}
 	c.checkOrder(now, r)
 	c.checkPlacement(r, target)
@@ -188,50 +195,50 @@
 	r.attempts = append(r.attempts, &checkedAttempt{endpoint: a.Endpoint, sentAt: now})
 }
 
-// checkOrder finds requests of the same key that came first and are not over.
+// checkOrder reports requests of the same key that arrived earlier and are not over.
 func (c *checker) checkOrder(now time.Duration, r *checkedRequest) {
 	if !slices.Contains(c.serialized, r) {
 		return
 	}
 	for _, earlier := range c.serialized[:slices.Index(c.serialized, r)] {
 		if earlier.key == r.key && (!earlier.answered || earlier.inFlight() || now < earlier.settledAt) {
-			c.fault("rule 5: %s sent before %s, which has its key, was over", r.id, earlier.id)
+			c.report("key order: %s sent before %s, which has the same key, was over", r.id, earlier.id)
 		}
 	}
 }
 
 func (c *checker) checkPlacement(r *checkedRequest, target Endpoint) {
 	if zones := r.class.AllowedZones; zones != nil && !slices.Contains(zones, target.Zone) {
-		c.fault("rule 6: %s sent to zone %s", r.id, target.Zone)
+		c.report("placement: %s sent to zone %s", r.id, target.Zone)
 	}
 	if types := r.class.AllowedMachineTypes; types != nil && !slices.Contains(types, target.MachineType) {
-		c.fault("rule 6: %s sent to machine type %s", r.id, target.MachineType)
+		c.report("placement: %s sent to machine type %s", r.id, target.MachineType)
 	}
 }
 
 func (c *checker) checkRetry(now time.Duration, r *checkedRequest, earlier *checkedAttempt, target Endpoint) {
 	if !earlier.ended {
-		c.fault("two attempts at once of %s", r.id)
+		c.report("attempts: two at once of %s", r.id)
 	}
 	if !earlier.mayHaveRun() {
 		return
 	}
 	switch r.class.Idempotency {
 	case NotIdempotent:
-		c.fault("rule 2: %s, which is not idempotent, sent again", r.id)
+		c.report("unsafe retry: %s, which is not idempotent, sent again", r.id)
 	case IdempotentWithKey:
 		if now > earlier.sentAt+r.class.DeduplicationWindow {
-			c.fault("rule 2: %s sent again outside its window", r.id)
+			c.report("unsafe retry: %s sent again outside its deduplication window", r.id)
 		}
 		first := c.endpoints[earlier.endpoint]
 		if r.class.DeduplicationScope != ScopeAll && first.Zone != target.Zone ||
 			r.class.DeduplicationScope == ScopeCell && first.Cell != target.Cell {
-			c.fault("rule 2: %s sent again outside its scope", r.id)
+			c.report("unsafe retry: %s sent again outside its deduplication scope", r.id)
 		}
 	}
 }
 
-// ruleSettings adds classes that are serialized by key or restricted to some endpoints.
+// ruleSettings returns the test settings and more classes, which are serialized by key or limited to some endpoints.
 func ruleSettings() Settings {
 	set := testSettings()
 	set.KeySettleTime = 30 * msec
@@ -262,8 +269,8 @@
 	return set
 }
 
-// TestCheckerCanFail gives the checker a trace that breaks each rule.
-func TestCheckerCanFail(t *testing.T) {
+// The checker must detect each violation in a trace that has it.
+func TestCheckerDetectsViolations(t *testing.T) {
 	list := EndpointUpdate{Snapshot: true, Endpoints: []Endpoint{{ID: "a", Cell: 0, Zone: "z"},
 		{ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	request := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
@@ -279,22 +286,23 @@
 		want  string
 		steps []any
 	}{
-		{"rule 5: s2 sent before s1", []any{list, serialized("s1"), serialized("s2"), send("s2", "a")}},
-		{"rule 5: s2 sent before s1", []any{list, serialized("s1"), serialized("s2"), send("s1", "a"),
+		{"key order: s2 sent before s1", []any{list, serialized("s1"), serialized("s2"), send("s2", "a")}},
+		{"key order: s2 sent before s1", []any{list, serialized("s1"), serialized("s2"), send("s1", "a"),
 			ClientDisconnected{ID: "s1"}, send("s2", "a")}},
-		{"rule 5: s2 sent before s1", []any{list, serialized("s1"), serialized("s2"), send("s1", "a"),
+		{"key order: s2 sent before s1", []any{list, serialized("s1"), serialized("s2"), send("s1", "a"),
 			ends("s1", ConnectionLost), 29 * msec, send("s2", "a")}},
-		{"rule 6: r sent to zone", []any{list, request("seq"), send("r", "b")}},
-		{"rule 6: r sent to machine type", []any{list, request("kin"), send("r", "b")}},
-		{"rule 1: r has no answer", []any{list, request("get"), 2 * time.Second, TimerFired{}}},
-		{"rule 1: final answer", []any{list, request("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
-		{"rule 1: sent r, which is over", []any{list, request("get"), Fail{ID: "r"}, send("r", "a")}},
-		{"rule 2: r, which is not idempotent", []any{list, request("pay"), send("r", "a"), timedOut, send("r", "a")}},
-		{"rule 2: r rejected", []any{list, request("pay"), send("r", "a"), timedOut, Reject{ID: "r"}}},
-		{"outside its window", []any{list, request("post"), send("r", "a"), 950 * msec, timedOut, send("r", "a")}},
-		{"outside its scope", []any{list, request("post"), send("r", "a"), timedOut, send("r", "b")}},
-		{"rule 3", []any{list, request("get"), send("r", "c")}},
-		{"two attempts at once", []any{list, request("get"), send("r", "a"), send("r", "b")}},
+		{"placement: r sent to zone", []any{list, request("seq"), send("r", "b")}},
+		{"placement: r sent to machine type", []any{list, request("kin"), send("r", "b")}},
+		{"final answer: r has none", []any{list, request("get"), 2 * time.Second, TimerFired{}}},
+		{"final answer: given to r,", []any{list, request("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
+		{"final answer: attempt sent for r, which is answered", []any{list, request("get"), Fail{ID: "r"}, send("r", "a")}},
+		{"unsafe retry: r, which is not idempotent", []any{list, request("pay"), send("r", "a"), timedOut, send("r", "a")}},
+		{"unsafe retry: r rejected", []any{list, request("pay"), send("r", "a"), timedOut, Reject{ID: "r"}}},
+		{"outside its deduplication window", []any{list, request("post"), send("r", "a"), 950 * msec, timedOut,
+			send("r", "a")}},
+		{"outside its deduplication scope", []any{list, request("post"), send("r", "a"), timedOut, send("r", "b")}},
+		{"unavailable endpoint: attempt sent to c", []any{list, request("get"), send("r", "c")}},
+		{"attempts: two at once of r", []any{list, request("get"), send("r", "a"), send("r", "b")}},
 	} {
 		c := newChecker(ruleSettings())
 		var now time.Duration
@@ -308,8 +316,8 @@
 				c.actions(now, []Action{step})
 			}
 		}
-		if !strings.Contains(strings.Join(c.broken, "\n"), tc.want) {
-			t.Errorf("want %q among %q", tc.want, c.broken)
+		if !strings.Contains(strings.Join(c.violations, "\n"), tc.want) {
+			t.Errorf("the checker did not report %q, got %q", tc.want, c.violations)
 		}
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// settingError names the setting at fault.
+// settingError is an invalid setting and what is wrong with it.
 type settingError struct {
 	setting string
 	problem string
@@ -22,8 +22,8 @@
 	problem string
 }
 
-// firstFault returns the error of the first requirement that does not hold; nil: all hold.
-func firstFault(checks ...settingCheck) error {
+// firstFailure returns the error of the first check that fails, or nil if none does.
+func firstFailure(checks ...settingCheck) error {
 	for _, check := range checks {
 		if !check.valid {
 			return &settingError{setting: check.setting, problem: check.problem}
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// Requirements are written so that a NaN fails them.
+// The comparisons of these checks are false for a NaN, so that it is invalid.
 
 func isShare(setting string, value float64) settingCheck {
 	return settingCheck{setting, value >= 0 && value <= 1, "must be from 0 to 1"}
@@ -46,18 +46,18 @@
 	return settingCheck{setting, value >= 0, "is negative"}
 }
 
-// validate returns an error that names the setting at fault.
+// validate returns an error that names the first invalid setting, or nil if all are valid.
 func (s Settings) validate() error {
 	if err := s.validateClasses(); err != nil {
 		return err
 	}
 	for i, tenant := range s.Tenants {
 		name := fmt.Sprintf("Tenants[%d] (%s).Quota", i, tenant.Name)
-		if err := firstFault(notNegative(name, tenant.Quota)); err != nil {
+		if err := firstFailure(notNegative(name, tenant.Quota)); err != nil {
 			return err
 		}
 	}
-	return firstFault(
+	return firstFailure(
 		isShare("OverQuotaWeight", s.OverQuotaWeight),
 		isShare("SlowStartInitialCapacity", s.SlowStartInitialCapacity),
 		notNegative("MaxPollInterval", s.MaxPollInterval),
@@ -83,7 +83,7 @@
 			return &settingError{setting: fmt.Sprintf("Classes[%d].Name", i), problem: "is empty"}
 		}
 		name := fmt.Sprintf("Classes[%d] (%s).", i, c.Name)
-		err := firstFault(
+		err := firstFailure(
 			isPositive(name+"LatencyObjective", c.LatencyObjective),
 			isPositive(name+"Deadline", c.Deadline),
 			notNegative(name+"DeduplicationWindow", c.DeduplicationWindow),
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// The error for an invalid setting must name it.
 func TestSettingsErrorsNameTheField(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
 		"Classes is empty":                       func(s *Settings) { s.Classes = nil },
@@ -24,7 +25,7 @@
 		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q", err, want)
+			t.Errorf("got the error %v, want one that contains %q", err, want)
 		}
 	}
 }
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Tokens of timers: the kind, and after a colon the key or the request.
+// Kinds of timers. A token is the kind, followed by a colon and the key or the request ID if there is one.
 const (
 	pollTimer    = "list"
 	keyTimer     = "k"
 	requestTimer = "r"
 )
 
-// minTimerDelay is the shortest time to a timer.
+// minTimerDelay is the shortest delay of a timer.
 const minTimerDelay = time.Nanosecond
 
-// setRequestTimer sets the timer of a queued request, unless it expires before that time.
+// setRequestTimer sets a timer of a queued request, unless one is set that expires no later.
 func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
 	at = max(at, b.now+minTimerDelay)
 	if r.timerAt > b.now && r.timerAt <= at {
@@ -26,8 +26,9 @@
 	b.emit(SetTimer{At: at, Token: requestTimer + ":" + r.id})
 }
 
-// handleTimerFired handles what is due. A host may round a time down, so a timer may fire a little early.
-// Then its handler finds nothing due and sets another one.
+// handleTimerFired handles an expired timer. A host may round a time down, so that a timer fires slightly
+// early. A poll may be early by TimerResolution; for a key or a request that is not due yet, another timer is
+// set.
 func (b *Balancer) handleTimerFired(e TimerFired) {
 	kind, name, _ := strings.Cut(e.Token, ":")
 	switch kind {
@@ -46,6 +47,7 @@
 	}
 }
 
+// expireRequestTimer answers a queued request whose queue deadline is over, and sets another timer otherwise.
 func (b *Balancer) expireRequestTimer(r *request) {
 	if b.now+b.settings.TimerResolution >= r.timerAt {
 		r.timerAt = 0
@@ -55,8 +57,8 @@
 	}
 }
 
-// settleKeyQueue drops the queue of a settled key, or sets a timer, after which the next request of the key
-// is sent.
+// settleKeyQueue deletes the queue of a settled key if it is empty. For a key that has not settled, it sets a
+// timer, so that the next request of the key is sent then.
 func (b *Balancer) settleKeyQueue(queue *keyQueue) {
 	if queue == nil || !b.keyQueues.settling(queue, b.now) {
 		return
