--- a/policy/class.go
+++ b/policy/class.go
@@ -93,7 +93,7 @@
 }
 
 // worstServed returns the class with the smallest share of answers within the latency objective, or the
-// candidate if no class has a smaller share. Other classes count only with more than one counted arrival.
+// candidate if no class has a smaller share. Other classes with a count of at most 1 arrival are left out.
 func (t *classTable) worstServed(candidate *class) *class {
 	worst := candidate
 	for _, c := range t.all {
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -122,8 +122,9 @@
 	}
 }
 
-// updateFairShares adapts the concurrency limit of each subset to its endpoints, weighted by the shares of
-// their zones, over the replicas. The limit is multiplied by a power of the ratio of the new to the old value.
+// updateFairShares adapts the concurrency limit of each subset to its fair share: its endpoints, weighted by
+// the shares of their zones, over the replicas. The limit is multiplied by the ratio of the new fair share to
+// the old one, raised to the power.
 func (b *Balancer) updateFairShares(power float64) {
 	for _, subset := range b.subsets {
 		subset.limit.followFairShare(b.zones.weight(subset.owned)/b.replicas.current, power)
--- a/policy/guard/guard.go
+++ b/policy/guard/guard.go
@@ -1,7 +1,7 @@
 // Package guard decides whether the node may act now: send an attempt, retry a request, close a client's
-// connection or accept clients. Each question is a struct of facts, each answer a Verdict. The package does
-// no I/O and has no clock: the same facts always get the same verdict. Log lines, counters and tests use the
-// verdict's name as it is.
+// connection or accept clients. Each check is a struct of facts with a method that returns a Verdict. The
+// package does no I/O and has no clock, so the same facts always get the same verdict. Log lines, counters and
+// tests use the verdict's name as it is.
 //
 // The process may be suspended between a check and the act, so an act that was allowed may come too late. Sent
 // is therefore checked after an attempt was written; a verdict other than Allowed is a violation.
@@ -9,7 +9,7 @@
 
 import "time"
 
-// Verdict is the answer to a question, with its reason.
+// Verdict is the result of a check: Allowed, or the reason why the act is not allowed.
 type Verdict int
 
 // Verdicts. The zero value is not a permission, so that a check that was left out allows nothing.
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -16,7 +16,7 @@
 	unsentRetryCost       = 0.1 // cost of a retry after an attempt that never ran
 )
 
-// retryTimeDivisor divides the mean latency of a class, which gives the least time left for a retry.
+// retryTimeDivisor sets the least time that must be left for a retry: the mean latency of the class over this.
 const retryTimeDivisor = 2
 
 // retryBudget is a token bucket that successes fill. Without it, the retries of successive tiers would multiply.
