--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,21 +7,23 @@
 	"keelusher/policy/guard"
 )
 
+// Parameters of load shedding and of the request queue.
 const (
-	shedRateWeight   = averageWeight / 4 // weight of a new request in the shed rate
-	minCount         = 1e-9              // lower bound of arrivals, against a division by zero
-	queueDeviations  = 2                 // deviations above the mean latency left for the response
-	queueTimeDivisor = 4                 // the objective over this is the shortest time in the queue
+	shedRateWeight     = averageWeight / 4 // weight of a new request in the average of the shed rate
+	minArrivals        = 1e-9              // lower bound of arrival counts, to avoid a division by zero
+	responseDeviations = 2                 // deviations above the mean latency reserved for the response
+	queueTimeDivisor   = 4                 // the queue time allowed is at least the objective over this
 )
 
-// recordShed counts a request that is answered without an attempt.
+// recordShed raises the shed rate for a request that is answered without an attempt.
 func (s *endpointSubset) recordShed() { s.shedRate += shedRateWeight * (1 - s.shedRate) }
 
-// recordAdmitted counts a request that is sent.
+// recordAdmitted lowers the shed rate for a request whose first attempt is sent.
 func (s *endpointSubset) recordAdmitted() { s.shedRate -= shedRateWeight * s.shedRate }
 
-// atLimit says whether the concurrency limit of a subset is reached. Only the first tier has one: a request
-// that is shed further down wastes the work of the tiers above.
+// atLimit reports whether a subset may get no further attempt: it has no ready endpoint, or its concurrency
+// limit is reached. The limit is enforced only before the first tier, since shedding a request further down
+// wastes the work of the tiers above.
 func (b *Balancer) atLimit(subset *endpointSubset) bool {
 	if len(subset.ready) == 0 {
 		return true
@@ -29,10 +31,12 @@
 	if b.settings.Tier > 0 {
 		return false
 	}
-	return subset.limit.reached(float64(subset.inFlight) - b.zones.stranded(subset))
+	return subset.limit.reached(float64(subset.inFlight) - b.zones.uncountedAttempts(subset))
 }
 
-// adjustLimit adapts the concurrency limit of a subset to the latency of an attempt that has ended.
+// adjustLimit adapts the concurrency limit of a subset to the latency of an attempt that has ended. It
+// ignores attempts that were canceled or not sent, and server errors. Other failures count as at least as
+// late as the latency objective.
 func (b *Balancer) adjustLimit(a *attempt, result AttemptResult) {
 	if b.settings.Tier > 0 || result == Canceled || result == NotSent || result == ServerError {
 		return
@@ -47,7 +51,8 @@
 	subset.limit.adjust(target, subset.inFlight, b.rng)
 }
 
-// sendOrQueue sends a request, or queues it while no endpoint may take it.
+// sendOrQueue sends a request, or queues it if its key is in use, its subset is at the limit, or no endpoint
+// is eligible.
 func (b *Balancer) sendOrQueue(r *request) {
 	if r.keyQueue.ready(r, b.now) && !b.atLimit(r.class.subset) {
 		if target := b.choose(r); target != nil {
@@ -58,7 +63,8 @@
 	b.enqueue(r)
 }
 
-// enqueue puts a request into the queue of its subset; its timer makes sure that it is answered.
+// enqueue adds a request to the queue of its subset and sets a timer for its queue deadline. A request that
+// is past its queue deadline gets its final answer.
 func (b *Balancer) enqueue(r *request) {
 	if b.now >= b.queueDeadline(r) {
 		b.answer(r, r.class.subset.shedReason())
@@ -71,7 +77,7 @@
 	b.setRequestTimer(r, b.queueDeadline(r))
 }
 
-// shedReason is why a request stayed in the queue until its queue deadline.
+// shedReason returns why a request was not sent before its queue deadline.
 func (s *endpointSubset) shedReason() guard.Verdict {
 	if len(s.ready) == 0 {
 		return guard.NoEndpointKnown
@@ -79,16 +85,17 @@
 	return guard.NoCapacity
 }
 
-// queueDeadline is until when a request may be queued. Later, its answer is likely to miss the latency
-// objective, and late answers take capacity from timely ones. With no endpoint at all it is half of the
-// request's time, so that its client can still ask another replica.
+// queueDeadline returns until when a request may be queued. If it were sent later, its answer would be
+// likely to miss the latency objective, and late answers take capacity from timely ones. The deadline is at
+// most half of the request's time, which matters most without any endpoint: the client can still ask another
+// replica.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	c := r.class
 	deadline := min(r.usefulUntil(b.settings.Tier), (r.arrived+r.deadline)/2) - 2*b.settings.TimerResolution
 	if len(c.subset.ready) == 0 {
 		return deadline
 	}
-	response := time.Duration(c.meanLatency + queueDeviations*c.latencyDeviation)
+	response := time.Duration(c.meanLatency + responseDeviations*c.latencyDeviation)
 	queueTime := max(c.LatencyObjective/queueTimeDivisor, c.LatencyObjective-response)
 	return min(deadline, r.arrived+queueTime)
 }
@@ -104,8 +111,7 @@
 	s.queue = slices.DeleteFunc(s.queue, func(queued *request) bool { return queued == r })
 }
 
-// sendQueued sends queued requests in the order of their priority, while their subsets are under their
-// limits.
+// sendQueued sends queued requests, highest priority first, while their subsets are below their limits.
 func (b *Balancer) sendQueued() {
 	for _, subset := range b.subsets {
 		for len(subset.queue) > 0 && !b.atLimit(subset) {
@@ -122,8 +128,8 @@
 	}
 }
 
-// highestPriority returns the request to send next, among those that are not blocked by their key. Of equal
-// priorities the last one is taken, since it has most time left.
+// highestPriority returns the queued request to send next, or nil if all are blocked by earlier requests
+// with the same key. Of several with the same priority it returns the last one, which has the most time left.
 func (b *Balancer) highestPriority(queue []*request) *request {
 	var best *request
 	highest := 0.0
@@ -140,15 +146,16 @@
 	return best
 }
 
-// priority is the weight of an answer to the request for each unit of latency, so that requests with the
-// least weight are shed first. The class that is served worst gets an extra weight, so that none starves.
+// priority returns the weight of an answer to the request, divided by the mean latency of its class.
+// Requests with the lowest priority are shed first. The class with the smallest share of answers in time
+// gets an additional weight, so that no class starves.
 func (b *Balancer) priority(r *request) float64 {
 	c := r.class
-	weight := b.settings.TotalWeight * c.PriorityWeight / max(b.classes.weightedArrivals(), minCount)
+	weight := b.settings.TotalWeight * c.PriorityWeight / max(b.classes.weightedArrivals(), minArrivals)
 	if b.classes.worstServed(c) == c {
-		weight += b.settings.WorstClassWeight / max(c.arrivals, minCount)
+		weight += b.settings.WorstClassWeight / max(c.arrivals, minArrivals)
 	}
-	if r.isRetry { // its latency objective started with the client's first request and is nearly over
+	if r.isRetry { // its objective counts from the client's first request, so little of it is left
 		weight *= c.LateAnswerWeight
 	}
 	if r.overQuota {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A marked retry is nearly past its objective: while there is little capacity, first attempts go first.
-func TestFirstAttemptsGoBeforeRetries(t *testing.T) {
+// Little is left of the latency objective of a marked retry. If it were sent first when capacity is short, the
+// first request of another client would be late too.
+func TestFirstRequestsGoBeforeMarkedRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(1)})
 	b.subsets[0].limit.size = 1
@@ -16,14 +17,14 @@
 	b.Handle(2*msec, Request{ID: "retry", Class: "get", Deadline: time.Second, IsRetry: true})
 	b.classes.byName["get"].LateAnswerWeight = 0.5
 	b.subsets[0].inFlight = int(initialLimitPerEndpoint*b.subsets[0].limit.fairShare) + 2
-	b.subsets[0].limit.size = float64(b.subsets[0].inFlight) // one is free after the next answer
+	b.subsets[0].limit.size = float64(b.subsets[0].inFlight) // the next answer leaves room for one attempt
 	next := sendAttempts(endAttempt(b, 10*msec, "a", first[0], Success))
 	if len(next) == 0 || next[0].ID != "new" {
-		t.Errorf("after an answer %v was sent", next)
+		t.Errorf("sent after an answer: %v, want request new first", next)
 	}
 }
 
-// A rejected client is not sent away for long: it would come back when its objective is nearly over.
+// A long Retry-After would bring a rejected client back when its latency objective is nearly over.
 func TestRejectedClientsMayRetrySoon(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(2)})
@@ -38,11 +39,11 @@
 			return
 		}
 	}
-	t.Error("not rejected")
+	t.Error("the request was not rejected after its queue deadline")
 }
 
-// Clients that disconnect early and ask again must not free capacity: their attempts run on and count until each has
-// ended.
+// If clients that disconnect early and ask again freed capacity, they would overload the endpoints, where their
+// attempts still run. So these attempts count against the limit until they have ended.
 func TestAttemptsOfDisconnectedClientsCount(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 5 })
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(10)})
@@ -52,11 +53,11 @@
 		id := fmt.Sprint(i)
 		sent = append(sent, sendAttempts(b.Handle(msec, Request{ID: id, Class: "get", Deadline: time.Second}))...)
 		if actions := b.Handle(msec, ClientDisconnected{ID: id}); len(actions) > 0 {
-			t.Fatalf("%v after a client disconnected", actions)
+			t.Fatalf("actions after a client disconnected: %v, want none", actions)
 		}
 	}
 	if len(sent) != 4 {
-		t.Fatalf("%d attempts in flight under a limit of 4", len(sent))
+		t.Fatalf("%d attempts in flight, want the limit of 4", len(sent))
 	}
 	b.Handle(100*msec, AttemptEnded{ID: sent[0].ID, Endpoint: sent[0].Endpoint, Result: Success, Answered: true})
 	if got := sendAttempts(b.Handle(100*msec, Request{ID: "next", Class: "get", Deadline: time.Second})); len(got) != 1 {
@@ -64,8 +65,9 @@
 	}
 }
 
-// A host rounds times; a timer that comes a fraction early must still lead to an answer in time.
-func TestQueuedRequestIsAnsweredThoughTimersComeEarly(t *testing.T) {
+// The host rounds times, so a timer may fire a little early. If that lost the timer, a queued request would get
+// no final answer.
+func TestQueuedRequestIsAnsweredWhenTimersFireEarly(t *testing.T) {
 	b := newBalancer(t, nil)
 	actions := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
 	for now := time.Duration(0); now < 1000*msec; {
@@ -79,10 +81,10 @@
 			}
 		}
 		if next.Token == "" {
-			t.Fatalf("at %v neither an answer nor a timer", now)
+			t.Fatalf("at %v the request has neither a final answer nor a timer", now)
 		}
 		now = max(now+2*msec, next.At-500) // half a microsecond early
 		actions = b.Handle(now, TimerFired{Token: next.Token})
 	}
-	t.Fatal("no final answer in time")
+	t.Fatal("the request got no final answer before its deadline")
 }
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// choose returns an endpoint for a request, or nil if there is none. It draws from this replica's slice of
-// the preferred endpoints, except for the spillover, then from its slice of the subset, then from the
-// complete subset, until there are eligible endpoints.
+// choose returns an endpoint for the next attempt of a request, or nil if none is eligible. It draws from
+// the first of three lists that has eligible endpoints: this replica's slice of the preferred endpoints
+// (left out if the request spills over), its slice of the subset, and the complete subset.
 func (b *Balancer) choose(r *request) *endpoint {
 	subset := r.class.subset
 	lists := [][]*endpoint{subset.preferred, subset.ready, subset.ready}
-	if b.leavesPreferred(r) {
+	if b.spillsOver(r) {
 		lists = lists[1:]
 	}
-	skippedZones := b.zones.skipped(r, b.now, b.rng)
+	skippedZones := b.zones.drawSkipped(r, b.now, b.rng)
 	for i, list := range lists {
 		last := i == len(lists)-1
 		share := 1.0
@@ -23,14 +23,15 @@
 		}
 		left, right := b.selector.groups(list, share, skippedZones)
 		if eligible := b.eligible(r, slices.Concat(left, right), last); eligible != nil {
-			return b.selector.pick(keep(left, eligible), keep(right, eligible[len(left):]))
+			return b.selector.pick(selectMarked(left, eligible), selectMarked(right, eligible[len(left):]))
 		}
 	}
 	return nil
 }
 
-// leavesPreferred draws whether a request may go to others than the preferred endpoints.
-func (b *Balancer) leavesPreferred(r *request) bool {
+// spillsOver draws whether a request is part of the spillover: it may be sent to any endpoint of the
+// subset, and not only to the preferred ones.
+func (b *Balancer) spillsOver(r *request) bool {
 	subset := r.class.subset
 	preferred := len(subset.preferred)
 	_, unhealthy := b.excludeUnhealthy(r, subset.preferred)
@@ -38,8 +39,8 @@
 	return preferred == 0 || preferred == len(subset.ready) || b.rng.Float64() < share
 }
 
-// keep returns the endpoints of a group that are marked. The named result saves an allocation.
-func keep(group []*endpoint, marked []bool) (kept []*endpoint) {
+// selectMarked returns the marked endpoints of a group. The named result saves an allocation.
+func selectMarked(group []*endpoint, marked []bool) (kept []*endpoint) {
 	for i, ep := range group {
 		if marked[i] {
 			kept = append(kept, ep)
@@ -48,15 +49,15 @@
 	return kept
 }
 
-// loadLimit is the count of own attempts in flight at which an endpoint is passed over.
+// loadLimit returns the number of this replica's attempts in flight from which an endpoint is not drawn.
 type loadLimit func(*endpoint) int
 
 func unlimited(*endpoint) int { return math.MaxInt }
 
-// eligible marks the endpoints of a list that may be drawn: healthy, admitted by slow start, compatible
-// with the earlier attempts of the request, and with capacity. Endpoints with no more than the mean load
-// come first; only in the last list, endpoints without capacity may be drawn. It returns nil if there are
-// none.
+// eligible marks the endpoints of a list that may be drawn: they are healthy, admitted by slow start,
+// compatible with the earlier attempts of the request, and below a load limit. It applies the first load
+// limit that leaves any endpoint: the mean load, then the load at the last rejection, and for the last list
+// none. It returns nil if no endpoint is eligible.
 func (b *Balancer) eligible(r *request, list []*endpoint, last bool) []bool {
 	excluded, _ := b.excludeUnhealthy(r, list)
 	limits := []loadLimit{b.meanLoadLimit(list), b.rejectionLimit}
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// busyShare is the share of a list that has own attempts in flight.
+// busyShare returns the share of endpoints in a list that have attempts of this replica in flight.
 func busyShare(list []*endpoint) float64 {
 	busy := 0.0
 	for _, ep := range list {
@@ -88,8 +89,8 @@
 	return busy
 }
 
-// meanLoadLimit passes over endpoints with more than the mean number of own attempts, since repeated draws
-// of the same endpoint would overload it.
+// meanLoadLimit returns a limit that leaves out endpoints with more than the mean number of this replica's
+// attempts in flight, since repeated draws of the same endpoint would overload it.
 func (b *Balancer) meanLoadLimit(list []*endpoint) loadLimit {
 	inFlight := 0
 	for _, ep := range list {
@@ -98,16 +99,18 @@
 	return func(ep *endpoint) int { return min(b.rejectionLimit(ep), 1+inFlight/len(list)) }
 }
 
-// rejectionLimit passes over endpoints that have as many own attempts as when they last rejected one.
+// rejectionLimit returns the number of this replica's attempts that an endpoint had in flight when it last
+// rejected one. The limit expires after a while.
 func (b *Balancer) rejectionLimit(ep *endpoint) int { return ep.rejection.limit(b.now) }
 
-// excludeUnhealthy marks and counts the endpoints that are excluded for their health. When many look
-// unhealthy, the fault is more likely in this replica or in the tier below, and the remaining endpoints
-// would get all the load. So only those with the longest error streaks are excluded, up to a share of the
-// list. The share falls as more requests are shed, since timeouts then show overload and not a fault.
+// excludeUnhealthy marks and counts the endpoints of a list that are excluded as unhealthy. When many look
+// unhealthy, the fault is more likely at this replica or in the tier below, and the remaining endpoints
+// would get all the load. So at most a share of the list is excluded, those with the longest error streaks
+// first. The share falls as more requests are shed, since timeouts are then a sign of overload and not of a
+// faulty endpoint.
 //
-// With fewer than five endpoints that share is less than one. There, one endpoint is excluded if its error
-// streak is longer than all others together.
+// With fewer than five endpoints, that share is less than one endpoint. In this case one endpoint is excluded
+// if its error streak is longer than those of all others together.
 func (b *Balancer) excludeUnhealthy(r *request, list []*endpoint) (excluded []bool, count int) {
 	subset := r.class.subset
 	var unhealthy []int
@@ -122,7 +125,7 @@
 	slices.SortStableFunc(unhealthy, func(x, y int) int { return streak(y) - streak(x) })
 	limit := int(maxExcludedShare * (1 - subset.shedRate) * float64(len(list)))
 	if maxExcludedShare*float64(len(list)) < 1 && len(unhealthy) > 0 && 2*streak(unhealthy[0]) > streaks {
-		limit = min(1, len(subset.ready)-1) // the only endpoint there is stays
+		limit = min(1, len(subset.ready)-1) // the only ready endpoint is never excluded
 	}
 	excluded = make([]bool, len(list))
 	for _, i := range unhealthy[:min(len(unhealthy), limit)] {
@@ -132,8 +135,9 @@
 	return excluded, count
 }
 
-// unhealthy says that an endpoint should not be drawn now. After an ejection only one idempotent request at
-// a time may probe it, so that it fails neither many requests nor one that cannot be retried.
+// unhealthy reports whether an endpoint should not be drawn for a request: it is ejected, unresponsive, or
+// on probation after an ejection. On probation it still gets one request at a time that may be retried, as a
+// health probe, so that a fault affects neither many requests nor one that cannot be retried.
 func (b *Balancer) unhealthy(ep *endpoint, r *request) bool {
 	if ep.outlier.ejected(b.now) || ep.unresponsive(b.now, b.lastSuccess) {
 		return true
--- a/policy/choose_test.go
+++ b/policy/choose_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// In overload every endpoint is missed: the more is shed, the fewer may be excluded for their health.
-func TestSheddingExcludesFewerEndpoints(t *testing.T) {
+// In overload, attempts time out at healthy endpoints too, and exclusions would make the overload of the others
+// worse. So the more requests are shed, the fewer endpoints may be excluded as unhealthy.
+func TestFewerEndpointsAreExcludedWhileShedding(t *testing.T) {
 	for _, c := range []struct {
 		shed float64
 		want int
@@ -19,25 +20,27 @@
 		b.subsets[0].shedRate = c.shed
 		_, excluded := b.excludeUnhealthy(&request{class: b.classes.byName["get"]}, b.subsets[0].ready)
 		if excluded != c.want {
-			t.Errorf("shed %.1f: %d excluded, want %d", c.shed, excluded, c.want)
+			t.Errorf("shed rate %.1f: %d endpoints excluded, want %d", c.shed, excluded, c.want)
 		}
 	}
 }
 
-// Below the first tier an endpoint that holds several attempts is passed over while others idle.
-func TestBusyEndpointIsPassedOver(t *testing.T) {
+// Repeated draws of the same endpoint would overload it: below the first tier, where no concurrency limit
+// applies, an endpoint with several attempts in flight is not drawn while others are idle.
+func TestBusyEndpointIsNotDrawn(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(6)})
 	drawFromAll(b)
 	b.endpoints["s00"].inFlight, b.subsets[0].inFlight = 2, 2
 	got := sendTraffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
-		t.Errorf("draws: %v", got)
+		t.Errorf("attempts by endpoint: %v, want none at s00 and some at each of the other five", got)
 	}
 }
 
-// With no endpoint of its slice able to take a request, a replica draws from the rest of the list.
-func TestSliceWithoutCapacityFallsBackToTheList(t *testing.T) {
+// If a replica drew only from its slice, requests would fail while all endpoints of the slice reject them, though
+// other endpoints have capacity.
+func TestSliceWithoutCapacityFallsBackToCompleteList(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(80)})
 	own := sendTraffic(b, 400, "get", func(string) AttemptResult { return Success })
@@ -47,10 +50,10 @@
 	got := sendTraffic(b, 100, "get", func(string) AttemptResult { return Success })
 	for id := range got {
 		if own[id] > 0 {
-			t.Errorf("%s was drawn though it has no capacity", id)
+			t.Errorf("endpoint %s was drawn though its rejection limit is 0", id)
 		}
 	}
 	if len(got) < 20 {
-		t.Errorf("only %d endpoints of the rest were drawn", len(got))
+		t.Errorf("%d endpoints outside the slice were drawn, want at least 20", len(got))
 	}
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -5,120 +5,123 @@
 	"math/rand/v2"
 )
 
-// Constants of the adaptive limit. A latency ratio is the mean latency over the latency objective.
+// Parameters of the adaptive limit. A latency ratio is the mean latency over the latency objective.
 const (
-	initialLimitPerEndpoint = 5.0  // attempts for an endpoint, and for each tier behind it
-	minLimitShare           = 0.2  // part of the initial limit that is the lower bound
+	initialLimitPerEndpoint = 5.0  // attempts per endpoint, times the number of tiers behind it
+	minLimitShare           = 0.2  // lower bound of the limit, as a share of the initial limit
 	targetLatencyRatio      = 0.65 // latency ratio that the limit is adjusted to
-	maxTargetLatencyRatio   = 0.85 // upper bound of the target, where the minimum latency is long
-	uncongestedFactor       = 1.1  // times the minimum latency is the target, where that is higher
-	minLatencyRiseWeight    = 5e-4 // weight of a new sample in the minimum latency, where that rises
-	unevennessFactor        = 4.0  // reduction of the target by latency variance, when all is shed
-	limitIncrease           = 0.02 // attempts, for each response in time
-	limitRecoveryIncrease   = 1.0  // attempts, for each response in time under the initial limit
-	limitDecrease           = 0.05 // part of the limit, for each response when all are late
-	usedLimitShare          = 0.8  // part of the limit that must be in use before it grows
-	latencySampleBase       = 16   // samples, besides the limit, that the latency ratio is averaged over
-	latencySampleWeight     = 2    // divided by these samples, the weight of a new one
+	maxTargetLatencyRatio   = 0.85 // upper bound of the target where the minimum latency is long
+	uncongestedFactor       = 1.1  // the target is at least this times the minimum latency ratio
+	minLatencyRiseWeight    = 5e-4 // weight of a new sample by which the minimum latency ratio rises
+	varianceFactor          = 4.0  // reduction of the target per latency variance, at a shed rate of 1
+	limitIncrease           = 0.02 // attempts added for each response in time
+	limitRecoveryIncrease   = 1.0  // attempts added for each response in time, below the initial limit
+	limitDecrease           = 0.05 // share of the limit removed for each response when all are late
+	usedLimitShare          = 0.8  // share of the limit that must be in use for it to grow
+	latencySampleBase       = 16   // the latency ratio is averaged over this many samples plus the limit
+	latencySampleWeight     = 2    // a new sample has this weight, divided by that number of samples
 )
 
-// concurrencyLimit is an adaptive limit on the attempts in flight at an endpoint subset. It grows while
-// responses come in time and falls when the mean latency gets close to the latency objective, since
-// overloaded endpoints do less work. It grows slowly, because new attempts affect the latency only later.
+// concurrencyLimit is an adaptive limit on this replica's attempts in flight at an endpoint subset. It grows
+// while responses come in time, and falls when the mean latency gets close to the latency objective, since
+// overloaded endpoints complete less work. It grows slowly, because new attempts affect the latency only
+// after a delay.
 type concurrencyLimit struct {
-	size             float64 // attempts in flight
-	perEndpoint      float64 // attempts for each endpoint in the initial limit
-	fairShare        float64 // endpoints of the subset over replicas
-	countedEndpoints float64 // endpoints in the initial limit and the lower bound
-	maxEndpoints     float64 // the most endpoints that the subset has had
-	quotaLoad        float64 // attempts at all replicas, with used-up quotas and late responses
-	roundingOffset   float64 // random part of an attempt that rounds a falling limit
-	samples          float64 // responses in the latency ratio
-	latencyRatio     float64 // mean latency over the latency objective
-	minLatencyRatio  float64 // latency ratio at the lowest load
+	size              float64 // the limit, in attempts in flight
+	perEndpoint       float64 // attempts per endpoint in the initial limit
+	fairShare         float64 // endpoints of the subset divided by the number of replicas
+	baselineEndpoints float64 // endpoints that the initial limit and the lower bound are computed from
+	maxEndpoints      float64 // largest number of endpoints that the subset has had
+	quotaLoad         float64 // attempts in flight of all replicas at full quotas and objective latency
+	roundingOffset    float64 // random fraction of an attempt, subtracted before a falling limit is rounded
+	samples           float64 // responses that are included in the latency ratio
+	latencyRatio      float64 // mean latency over the latency objective
+	minLatencyRatio   float64 // latency ratio at the lowest load
 }
 
-// newConcurrencyLimit returns the limit for endpoints with a number of tiers behind them. An endpoint waits
-// for each of these about as long as it works itself, so it can hold more attempts.
+// newConcurrencyLimit returns the limit for endpoints with the given number of tiers behind them. An endpoint
+// waits for each of these tiers about as long as it works itself, so it can hold more attempts.
 func newConcurrencyLimit(tiersBehind int) concurrencyLimit {
 	return concurrencyLimit{perEndpoint: initialLimitPerEndpoint * float64(max(1, tiersBehind))}
 }
 
-// initial is the limit that endpoints are assumed to handle. They must handle the load of the tenants'
-// quotas, which at their minimum latency is a number of attempts in flight: few for quick endpoints, many
-// for those that wait for others.
+// initial returns the limit that the endpoints are assumed to handle, before responses in time raise it
+// further. It covers at least the load of the tenants' quotas. At the minimum latency, that load is a number
+// of attempts in flight: few at fast endpoints, many at endpoints that wait for others.
 func (l *concurrencyLimit) initial() float64 {
 	ratio := targetLatencyRatio / 2
 	if l.measured() {
 		ratio = l.minLatencyRatio
 	}
-	return max(l.perEndpoint, l.quotaLoad*ratio/max(l.maxEndpoints, 1)) * l.countedEndpoints
+	return max(l.perEndpoint, l.quotaLoad*ratio/max(l.maxEndpoints, 1)) * l.baselineEndpoints
 }
 
-// measured says that a full limit of attempts has ended. Before that, quick responses are overrepresented.
+// measured reports whether as many attempts have ended as the limit allows in flight, and
+// latencySampleBase more. Until then quick responses, which end first, are overrepresented.
 func (l *concurrencyLimit) measured() bool { return l.samples >= l.size+latencySampleBase }
 
-// reached says that no attempt may start while this number is in flight.
+// reached reports whether no further attempt may start at this number of attempts in flight.
 func (l *concurrencyLimit) reached(inFlight float64) bool {
 	return inFlight >= math.Ceil(l.size-l.roundingOffset)
 }
 
-// setEndpoints sets the number of endpoints of the subset, and that number over replicas. The first
-// endpoints set the limit.
+// setEndpoints sets the number of endpoints of the subset, and that number divided by the number of
+// replicas. The first endpoints also set the limit to its initial value.
 func (l *concurrencyLimit) setEndpoints(count, fairShare float64) {
 	l.fairShare = fairShare
 	l.maxEndpoints = max(l.maxEndpoints, count)
 	if l.size == 0 {
-		l.countedEndpoints = fairShare
+		l.baselineEndpoints = fairShare
 		l.size = l.initial()
 	}
 }
 
-// shrinkWithList lowers the limit in proportion to the endpoints, so that the load of removed endpoints
-// does not overload the others.
+// shrinkWithList lowers the limit in proportion when the number of endpoints falls, so that the load of
+// removed endpoints does not overload the remaining ones.
 func (l *concurrencyLimit) shrinkWithList(before, after float64) {
 	if after < before {
 		l.size *= after / before
 	}
 }
 
-// followFairShare changes the limit by a power of the change in the fair share.
-func (l *concurrencyLimit) followFairShare(fairShare, power float64) {
+// followFairShare sets the fair share and multiplies the limit by the ratio of the new fair share to the old
+// one, raised to the exponent.
+func (l *concurrencyLimit) followFairShare(fairShare, exponent float64) {
 	if l.fairShare > 0 {
-		l.size = max(1, l.size*math.Pow(fairShare/l.fairShare, power))
-		l.countedEndpoints = min(l.countedEndpoints, fairShare)
+		l.size = max(1, l.size*math.Pow(fairShare/l.fairShare, exponent))
+		l.baselineEndpoints = min(l.baselineEndpoints, fairShare)
 	}
 	l.fairShare = fairShare
 }
 
-// recordLatency records the latency of an attempt over its latency objective, or 1 for one that failed.
+// recordLatency records the ratio of an attempt's latency to its latency objective, which is at least 1 for a
+// failed attempt. Ratios above 1 count as 1.
 func (l *concurrencyLimit) recordLatency(ratio float64) {
 	l.samples++
 	weight := max(1/l.samples, latencySampleWeight/(l.size+latencySampleBase))
 	l.latencyRatio += weight * (min(ratio, 1) - l.latencyRatio)
-	// The first responses are the quick ones: the minimum is unknown until a full limit of attempts has
-	// ended.
+	// The first responses to arrive are the quick ones, so the minimum is not known before measured.
 	l.minLatencyRatio += minLatencyRiseWeight * (l.latencyRatio - l.minLatencyRatio)
 	if l.latencyRatio < l.minLatencyRatio || !l.measured() {
 		l.minLatencyRatio = l.latencyRatio
 	}
 }
 
-// target is the latency ratio that the limit is adjusted to. It is lower when many requests are shed and
-// the latencies of endpoints differ, since then some are overloaded. It is higher when latency is long even
-// at low load, since then shedding would not reduce it.
-func (l *concurrencyLimit) target(shedRate, unevenness float64) float64 {
-	target := targetLatencyRatio * (1 - shedRate*min(1, unevennessFactor*unevenness))
+// target returns the latency ratio that the limit is adjusted to. It is lower when many requests are shed
+// and the latencies of the endpoints differ, since some endpoints are then overloaded. It is higher where the
+// latency is long even at low load, since shedding would not reduce it.
+func (l *concurrencyLimit) target(shedRate, variance float64) float64 {
+	target := targetLatencyRatio * (1 - shedRate*min(1, varianceFactor*variance))
 	return max(target, min(uncongestedFactor*l.minLatencyRatio, maxTargetLatencyRatio))
 }
 
-// adjust changes the limit after a response. A falling limit is rounded at random: small limits that are
-// rounded up at every replica would overload the endpoints.
+// adjust changes the limit after a response. A falling limit is rounded up or down at random: if every
+// replica rounded a small limit up, the endpoints would be overloaded.
 func (l *concurrencyLimit) adjust(target float64, inFlight int, rng *rand.Rand) {
 	l.roundingOffset = 0
 	initial := l.initial()
 	switch {
-	case l.latencyRatio > target: // the later responses are, the faster it falls
+	case l.latencyRatio > target: // the limit falls faster the later the responses are
 		l.size -= limitDecrease * l.size * (l.latencyRatio - target) / (1 - target)
 		l.roundingOffset = rng.Float64()
 	case float64(inFlight+1) < usedLimitShare*l.size:
@@ -126,10 +129,10 @@
 		l.size = min(initial, l.size+limitRecoveryIncrease)
 	default:
 		l.size += limitIncrease
-		l.countedEndpoints += limitIncrease / l.perEndpoint
+		l.baselineEndpoints += limitIncrease / l.perEndpoint
 	}
-	// A longer list does not show that the tiers below have grown: only responses raise the counted
-	// endpoints.
-	l.countedEndpoints = min(l.countedEndpoints, l.fairShare)
-	l.size = max(l.size, 1, minLimitShare*l.perEndpoint*l.countedEndpoints)
+	// A longer list does not prove that the tiers below have grown too, so the baseline grows only with
+	// responses in time.
+	l.baselineEndpoints = min(l.baselineEndpoints, l.fairShare)
+	l.size = max(l.size, 1, minLimitShare*l.perEndpoint*l.baselineEndpoints)
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -6,22 +6,24 @@
 	"time"
 )
 
-// When half of the list is removed, the rest must not get the attempts of all: the limit falls with the list.
+// When half of the endpoints are removed, an unchanged limit would send the attempts of all to the other half.
+// The limit grows back with responses, and not with the list.
 func TestLimitShrinksWithTheList(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(20)})
 	b.subsets[0].limit.size = 100
 	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(10)})
 	if b.subsets[0].limit.size != 50 {
-		t.Errorf("limit %v after half of the list went, want 50", b.subsets[0].limit.size)
+		t.Errorf("limit %v after half of the endpoints were removed, want 50", b.subsets[0].limit.size)
 	}
 	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(20)})
 	if b.subsets[0].limit.size != 50 {
-		t.Errorf("limit %v after the list grew, want 50: it grows by responses alone", b.subsets[0].limit.size)
+		t.Errorf("limit %v after the list grew again, want 50", b.subsets[0].limit.size)
 	}
 }
 
-// An endpoint that waits for the tiers behind it holds more attempts for the same work than one that works alone.
+// An endpoint that waits for the tiers behind it holds more attempts for the same work than one of the last tier.
+// An initial limit that ignored these tiers would leave the endpoints idle.
 func TestInitialLimitCountsTheTiersBehind(t *testing.T) {
 	for _, c := range []struct{ tiers, tier, want int }{{0, 0, 1}, {1, 0, 1}, {3, 0, 3}, {3, 2, 1}} {
 		b := newBalancer(t, func(s *Settings) { s.Tiers, s.Tier = c.tiers, c.tier })
@@ -33,9 +35,10 @@
 	}
 }
 
-// A fleet enlarged in a surge stands on tiers below that did not grow: late responses must not find a lower bound
-// that grew with the list, and responses in good time must raise it.
-func TestInitialLimitGrowsByResponsesNotByTheList(t *testing.T) {
+// When endpoints are added under high load, the tiers below may not have grown with them. If the lower bound of the
+// limit grew with the list, the limit could not fall enough when responses are late. Only responses in time may
+// raise the bound.
+func TestLowerBoundGrowsWithResponsesNotWithTheList(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(4)})
 	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(40)})
@@ -44,7 +47,7 @@
 		for i := range n {
 			id := fmt.Sprint(now, i)
 			todo := sendAttempts(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + 1500*msec}))
-			b.subsets[0].inFlight += 1000 // the limit in full use
+			b.subsets[0].inFlight += 1000 // all of the limit is in use
 			for _, s := range todo {
 				endAttempt(b, now+after, id, s, Success)
 			}
@@ -55,17 +58,18 @@
 	respond(300, 490*msec)
 	limit := &b.subsets[0].limit
 	if initial := initialLimitPerEndpoint * 2.0; limit.size >= initial || limit.size < minLimitShare*initial {
-		t.Errorf("limit %v after late responses, want it under the initial limit of the 4 endpoints it knew, %v",
+		t.Errorf("limit %v after late responses, want a fifth of the initial %v of 4 endpoints at least, and less than that",
 			limit.size, initial)
 	}
-	before := limit.countedEndpoints
+	before := limit.baselineEndpoints
 	respond(300, 5*msec)
-	if limit.countedEndpoints <= before || limit.countedEndpoints > limit.fairShare {
-		t.Errorf("%v endpoints counted after responses in good time, %v before", limit.countedEndpoints, before)
+	if limit.baselineEndpoints <= before || limit.baselineEndpoints > limit.fairShare {
+		t.Errorf("%v baseline endpoints after responses in time, want more than the %v before, up to the fair share",
+			limit.baselineEndpoints, before)
 	}
 }
 
-// In overload the limit must fall, and never under its lower bound.
+// The limit must fall when responses are late, but not below its lower bound, and grow when responses are quick.
 func TestLimitFollowsLatency(t *testing.T) {
 	for _, tc := range []struct {
 		latency time.Duration
@@ -86,21 +90,23 @@
 			}
 		}
 		if grew := limit.size > start; grew != tc.grows || limit.size < minLimitShare*start {
-			t.Errorf("responses after %v: limit %.1f from %.1f", tc.latency, limit.size, start)
+			t.Errorf("responses after %v: limit %.1f, initially %.1f: below its lower bound or changed in the wrong direction",
+				tc.latency, limit.size, start)
 		}
 		if !tc.grows && limit.size > start/2 {
-			t.Errorf("late responses left the limit at %.1f of %.1f", limit.size, start)
+			t.Errorf("late responses left the limit at %.1f, want half of the initial %.1f at most", limit.size, start)
 		}
 	}
 }
 
-// endedAttempt is an attempt of class get that was sent at a time, without a Balancer's part in it.
+// endedAttempt returns an attempt of class get that was sent at the given time. The Balancer does not know it.
 func endedAttempt(b *Balancer, sentAt time.Duration) *attempt {
 	return &attempt{request: &request{class: b.classes.byName["get"]}, sentAt: sentAt}
 }
 
-// Responses that take two thirds of the objective are the first sign of overload: since attempts end with the
-// objective, late ones no longer use capacity by themselves. Where endpoints never took less, they are no sign.
+// Attempts are timed out at the latency objective, so late ones stop using capacity by themselves, and responses
+// that take two thirds of the objective are the first sign of overload. Where responses never took less, they are
+// no sign of overload, and the limit must not fall.
 func TestLimitFallsBeforeResponsesAreLate(t *testing.T) {
 	for _, c := range []struct {
 		before, after time.Duration // of an objective of 500 ms
@@ -118,13 +124,14 @@
 		}
 		respond(c.before)
 		if respond(c.after); subset.limit.size < start != c.falls {
-			t.Errorf("responses after %v, before %v: limit %.1f from %.1f", c.after, c.before, subset.limit.size, start)
+			t.Errorf("responses after %v, earlier ones after %v: limit %.1f, initially %.1f: changed in the wrong direction",
+				c.after, c.before, subset.limit.size, start)
 		}
 	}
 }
 
-// Overloaded endpoints need fewer attempts, and where all responses are late nothing is lost by that: the limit falls
-// at once, and recovers what it started with as soon as responses come in time.
+// While all responses are late, a lower limit loses no answers and relieves the endpoints, so it must fall at once.
+// When responses come in time again, a limit that rose slowly to its initial value would leave endpoints idle.
 func TestLimitFallsAtOnceAndRecoversFast(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(40)})
@@ -137,26 +144,27 @@
 	}
 	subset.limit.latencyRatio = 1
 	if respond(60, TimedOut); subset.limit.size > start/2 {
-		t.Errorf("limit %.0f from %.0f after 60 timeouts", subset.limit.size, start)
+		t.Errorf("limit %.0f after 60 timeouts, want half of the initial %.0f at most", subset.limit.size, start)
 	}
 	subset.limit.latencyRatio = 0.3
 	if respond(100, Success); subset.limit.size < start {
-		t.Errorf("limit %.0f after 100 responses in good time, want %.0f again", subset.limit.size, start)
+		t.Errorf("limit %.0f after 100 responses in time, want the initial %.0f at least", subset.limit.size, start)
 	}
 	if respond(100, Success); subset.limit.size > 1.1*start {
-		t.Errorf("limit %.0f from %.0f: beyond its start it must grow slowly", subset.limit.size, start)
+		t.Errorf("limit %.0f after 100 more responses in time, want slow growth from the initial %.0f: 1.1 times at most",
+			subset.limit.size, start)
 	}
 }
 
-// Some endpoints far slower than others are overloaded, so the limit is lower while much is shed; endpoints that are
-// alike are merely busy, and a low limit would leave them partly idle.
+// If some endpoints are far slower than others while many requests are shed, they are overloaded, and the limit must
+// fall. Endpoints with similar latencies are merely busy, and a lower limit would leave them partly idle.
 func TestLimitIsLowerWhenEndpointsDiffer(t *testing.T) {
 	limitAfter := func(difference float64) float64 {
 		b := newBalancer(t, nil)
 		b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(10)})
 		subset, limit := b.subsets[0], &b.subsets[0].limit
 		limit.size, limit.latencyRatio = 100, 0.4
-		limit.samples, limit.minLatencyRatio = 1000, 0.1 // they were quicker before
+		limit.samples, limit.minLatencyRatio = 1000, 0.1 // responses were quicker at low load
 		a := endedAttempt(b, 0)
 		for i := range 50 {
 			subset.shedRate = 0.8
@@ -165,18 +173,19 @@
 			}
 			b.now, subset.inFlight = 200*msec, int(limit.size)
 			if b.adjustLimit(a, Success); limit.latencyRatio < 0.39 {
-				t.Fatalf("latency ratio fell to %.2f at response %d", limit.latencyRatio, i)
+				t.Fatalf("latency ratio %.2f at response %d, want 0.39 at least", limit.latencyRatio, i)
 			}
 		}
 		return limit.size
 	}
 	if alike, apart := limitAfter(0), limitAfter(1); alike <= 100 || apart >= 100 {
-		t.Errorf("limit from 100: alike %.1f, want growth; apart %.1f, want shrinking", alike, apart)
+		t.Errorf("limit, from 100: %.1f with equal latencies, want more; %.1f with different ones, want less", alike, apart)
 	}
 }
 
-// Many replicas with limits of one and a half attempts must not all send two when responses come late.
-func TestFallingLimitIsRoundedByADraw(t *testing.T) {
+// If many replicas with a limit of 1.5 attempts all rounded it up to two while responses are late, they would keep
+// the endpoints overloaded. So a falling limit is rounded at random.
+func TestFallingLimitIsRoundedAtRandom(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 40 })
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(12)}) // a limit of 1.5 attempts
 	subset, closed := b.subsets[0], 0
@@ -191,9 +200,9 @@
 		}
 	}
 	if closed < 160 || closed > 240 {
-		t.Errorf("closed to a second attempt %d times in 400, want about half", closed)
+		t.Errorf("a second attempt was refused %d times in 400, want 160 to 240", closed)
 	}
 	if ends(0, Success) {
-		t.Error("a limit that does not fall must be rounded up")
+		t.Error("a limit of 1.5 that does not fall refused a second attempt, want it rounded up")
 	}
 }
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -10,22 +10,22 @@
 
 // Detection of an unresponsive zone, and its recovery.
 const (
-	minUnresponsive       = 2   // unresponsive endpoints from which a zone's share falls
-	maxUnresponsive       = 5   // unresponsive endpoints that evacuate a zone, or all that it has
-	maxAttemptsExamined   = 12  // oldest attempts in flight that are checked
-	limitReductionPower   = 0.5 // power of the endpoints left that limits follow: replicas may be lost too
-	recoveryStepLatencies = 4   // mean latencies between two doublings of a share
-	flapResetFactor       = 32  // mean latencies in service after which a zone is not flapping
+	minUnresponsive        = 2   // number of unresponsive endpoints from which a zone's share is reduced
+	maxUnresponsive        = 5   // number that evacuates a zone; all endpoints of a zone that has fewer
+	maxAttemptsExamined    = 12  // only this many of the oldest attempts in flight are checked
+	limitReductionExponent = 0.5 // limits follow the endpoints left by it: replicas may be lost as well
+	recoveryStepLatencies  = 4   // mean latencies between two doublings of a share
+	flapResetFactor        = 32  // mean latencies in service after which a zone no longer counts as flapping
 )
 
-// zone is what this replica has seen of the endpoints of one zone.
+// zone is the state of one zone, as observed by this replica at the zone's endpoints.
 //
 //	from        to          when
 //	serving     degraded    some endpoints are unresponsive while another zone answers
-//	serving     evacuated   many are, or an operator's override
+//	serving     evacuated   many endpoints are unresponsive, or an operator's override starts
 //	degraded    serving     an endpoint answers
 //	degraded    evacuated   as from serving
-//	evacuated   recovering  a health probe is answered, or discovery says that it has endpoints again
+//	evacuated   recovering  a health probe is answered, or the list changes after it had no endpoint of the zone
 //	evacuated   serving     the same after the first evacuation, or an operator's override ends
 //	recovering  serving     the share has grown to 1
 //	recovering  degraded    as from serving
@@ -35,50 +35,51 @@
 	name                string
 	state               ZoneState
 	evacuatedByOperator bool
-	share               float64 // part of its draws that it gets
-	since               time.Duration
-	endpoints           int        // in service
-	attempts            []*attempt // in flight, in order of sending
-	lastAnswer          time.Duration
-	unresponsive        []*endpoint   // endpoints with attempts that ended without an answer since then
-	waitUntil           time.Duration // before then no health probe, or no doubling of the share
+	share               float64       // probability that a request may be sent to the zone
+	since               time.Duration // time of the last change of the state
+	endpoints           int           // number of ready endpoints
+	attempts            []*attempt    // in flight, in order of sending
+	lastAnswer          time.Duration // time of the last answer from any endpoint of the zone
+	unresponsive        []*endpoint   // endpoints with attempts that ended without an answer since lastAnswer
+	waitUntil           time.Duration // no health probe, and no doubling of the share, before this time
 	flaps               int           // evacuations in quick succession
 }
 
-// unresponsiveCount counts the endpoints with an attempt that is overdue or ended without an answer, since
-// the zone's last answer. Errors count as answers.
+// unresponsiveCount returns the number of endpoints that, since the zone's last answer, had an attempt that
+// ended without an answer or is overdue. Errors count as answers.
 func (z *zone) unresponsiveCount(now time.Duration) int {
-	suspects := slices.Clone(z.unresponsive)
+	unresponsive := slices.Clone(z.unresponsive)
 	oldest := z.attempts[:min(len(z.attempts), maxAttemptsExamined)]
 	for _, a := range oldest {
 		overdue, halfway := a.overdue(now)
-		if overdue && z.lastAnswer < halfway && !slices.Contains(suspects, a.endpoint) {
-			suspects = append(suspects, a.endpoint)
+		if overdue && z.lastAnswer < halfway && !slices.Contains(unresponsive, a.endpoint) {
+			unresponsive = append(unresponsive, a.endpoint)
 		}
 	}
-	return len(suspects)
+	return len(unresponsive)
 }
 
-// addUnresponsive notes an endpoint whose attempt ended without an answer.
+// addUnresponsive records an endpoint whose attempt ended without an answer.
 func (z *zone) addUnresponsive(ep *endpoint) {
 	if len(z.unresponsive) < maxUnresponsive && !slices.Contains(z.unresponsive, ep) {
 		z.unresponsive = append(z.unresponsive, ep)
 	}
 }
 
-// removeAttempt takes an attempt off those in flight.
+// removeAttempt removes an attempt from those in flight.
 func (z *zone) removeAttempt(a *attempt) {
 	z.attempts = slices.DeleteFunc(z.attempts, func(other *attempt) bool { return other == a })
 }
 
-// recoveryShare is the share of a zone that answers again. A flapping zone starts with less.
+// recoveryShare returns the share with which an evacuated zone recovers: 1 after its first evacuation, and
+// half of the previous one with each further flap.
 func (z *zone) recoveryShare() float64 { return math.Exp2(float64(1 - z.flaps)) }
 
-// startWait delays the next health probe, with exponential backoff over evacuations.
-func (z *zone) startWait(now, patience time.Duration) { z.waitUntil = now + patience<<z.flaps }
+// delayProbe delays the next health probe by a mean latency, doubled with each flap.
+func (z *zone) delayProbe(now, meanLatency time.Duration) { z.waitUntil = now + meanLatency<<z.flaps }
 
-// allowsProbe says that a request may be the health probe of an evacuated zone: one at a time, and only an
-// idempotent one.
+// allowsProbe reports whether a request may be sent to an evacuated zone as a health probe. The request must
+// be idempotent, and there is one probe at a time.
 func (z *zone) allowsProbe(r *request, now time.Duration) bool {
 	if z.state != ZoneEvacuated || z.evacuatedByOperator || now < z.waitUntil {
 		return false
@@ -89,26 +90,26 @@
 	return !slices.ContainsFunc(z.attempts, func(a *attempt) bool { return a.sentAt >= z.waitUntil })
 }
 
-// zoneTracker detects unresponsive zones, whose endpoints are more than outlier ejection may exclude. It
-// uses attempts in flight, and each change of a share changes the limits of subsets, so it is a file of
-// package policy.
+// zoneTracker detects unresponsive zones, which have more endpoints than outlier ejection may exclude. It is
+// in package policy because it reads attempts in flight, and because each change of a zone's share changes the
+// limits of subsets.
 type zoneTracker struct {
 	byName      map[string]*zone
-	sorted      []*zone              // by name
-	transitions int                  // from one state to another
-	patience    func() time.Duration // time within which a working zone answers
-	onShare     func(power float64)  // called after each change of a share, with the power that limits follow
+	sorted      []*zone                // by name
+	transitions int                    // number of changes of a zone's state
+	meanLatency func() time.Duration   // time within which a working zone is expected to answer
+	onShare     func(exponent float64) // called after each change of a share, with the exponent for the limits
 }
 
-func newZoneTracker(patience func() time.Duration, onShare func(power float64)) zoneTracker {
+func newZoneTracker(meanLatency func() time.Duration, onShare func(exponent float64)) zoneTracker {
 	return zoneTracker{
-		byName:   map[string]*zone{},
-		patience: patience,
-		onShare:  onShare,
+		byName:      map[string]*zone{},
+		meanLatency: meanLatency,
+		onShare:     onShare,
 	}
 }
 
-// get returns a zone by its name. A new zone is in service.
+// get returns the zone with a name, and adds it in state serving if it is new.
 func (t *zoneTracker) get(name string) *zone {
 	if z := t.byName[name]; z != nil {
 		return z
@@ -120,7 +121,7 @@
 	return z
 }
 
-// weight is the number of endpoints in a list, each weighted by the share of its zone.
+// weight returns the number of endpoints in a list, each weighted by the share of its zone.
 func (t *zoneTracker) weight(list []*endpoint) float64 {
 	weight := 0.0
 	for _, ep := range list {
@@ -129,8 +130,9 @@
 	return weight
 }
 
-// countEndpoints counts the endpoints in service. An evacuated zone without endpoints recovers without a
-// probe when discovery lists some.
+// countEndpoints counts the ready endpoints of each zone at an update of the endpoint list. An evacuated zone
+// that had none before the update recovers without a probe, since no endpoint could have answered one. A zone
+// that an operator has evacuated stays evacuated.
 func (t *zoneTracker) countEndpoints(ready []*endpoint, now time.Duration) {
 	for _, z := range t.sorted {
 		if z.endpoints == 0 && z.state == ZoneEvacuated && !z.evacuatedByOperator {
@@ -143,7 +145,7 @@
 	}
 }
 
-// check lowers the share of each zone that is unresponsive while another one answers.
+// check reduces the share of each zone that is unresponsive while another zone answers.
 func (t *zoneTracker) check(now time.Duration) {
 	if len(t.sorted) < 2 {
 		return
@@ -155,6 +157,9 @@
 	}
 }
 
+// checkZone reduces the share of a zone by its number of unresponsive endpoints: by half from minUnresponsive,
+// by half again for each further one, and to nothing for an evacuation. If no other zone answers either, it
+// does not reduce the share, and instead of an evacuation it restores the shares of all zones.
 func (t *zoneTracker) checkZone(z *zone, now time.Duration) {
 	count := z.unresponsiveCount(now)
 	if count < minUnresponsive {
@@ -163,7 +168,7 @@
 	evacuateFrom := min(maxUnresponsive, max(minUnresponsive, z.endpoints))
 	degradedShare := math.Exp2(float64(minUnresponsive - 1 - count))
 	switch {
-	case !t.anotherAnswers(z, max(z.lastAnswer, now-t.patience())):
+	case !t.anotherAnswers(z, max(z.lastAnswer, now-t.meanLatency())):
 		if count >= evacuateFrom {
 			t.restoreAll(now)
 		}
@@ -174,15 +179,16 @@
 	}
 }
 
-// anotherAnswers says that another zone with its full share has answered since. Otherwise this replica may
-// be isolated.
+// anotherAnswers reports whether another zone with its full share has answered after a time. If none has,
+// this replica may be isolated.
 func (t *zoneTracker) anotherAnswers(z *zone, since time.Duration) bool {
 	return slices.ContainsFunc(t.sorted, func(other *zone) bool {
 		return other != z && other.endpoints > 0 && other.share == 1 && other.lastAnswer > since
 	})
 }
 
-// restoreAll gives all zones their full share: when none answers, this replica may be isolated.
+// restoreAll gives all zones their full share, except those evacuated by an operator. It is called when no
+// zone answers, since this replica may then be isolated.
 func (t *zoneTracker) restoreAll(now time.Duration) {
 	for _, z := range t.sorted {
 		if z.share < 1 && !z.evacuatedByOperator {
@@ -191,16 +197,17 @@
 	}
 }
 
+// evacuate sets the share of a zone to 0, delays its first health probe, and counts the flap.
 func (t *zoneTracker) evacuate(z *zone, now time.Duration) {
-	if z.state == ZoneServing && now-z.since > flapResetFactor*t.patience() {
+	if z.state == ZoneServing && now-z.since > flapResetFactor*t.meanLatency() {
 		z.flaps = 0
 	}
 	t.transition(z, ZoneEvacuated, 0, now)
-	z.startWait(now, t.patience())
+	z.delayProbe(now, t.meanLatency())
 	z.flaps = min(z.flaps+1, maxBackoffDoublings)
 }
 
-// override applies an operator's override, which has precedence over what is observed.
+// override starts or ends an operator's override, which takes precedence over observed failures and answers.
 func (t *zoneTracker) override(e ZoneEvacuation, now time.Duration) {
 	z := t.get(e.Zone)
 	if z.evacuatedByOperator == e.Evacuate {
@@ -215,14 +222,15 @@
 	}
 }
 
-// recover gives a zone a share of its draws again.
+// recover gives a zone a share again, and delays the next doubling of the share.
 func (t *zoneTracker) recover(z *zone, share float64, now time.Duration) {
-	z.waitUntil = now + recoveryStepLatencies*t.patience()
+	z.waitUntil = now + recoveryStepLatencies*t.meanLatency()
 	t.transition(z, ZoneRecovering, share, now)
 }
 
-// transition changes the state and the share of a zone. A zone with its full share is in service. A growing
-// share raises the limits by half of the power, except after a false alarm.
+// transition changes the state and the share of a zone. A zone with its full share is always in state serving.
+// When the share grows, the limits follow it with half of the exponent, except from state degraded, which was
+// a false alarm.
 func (t *zoneTracker) transition(z *zone, to ZoneState, share float64, now time.Duration) {
 	if share >= 1 {
 		to = ZoneServing
@@ -232,16 +240,16 @@
 		z.since = now
 		t.transitions++
 	}
-	power := limitReductionPower
+	exponent := limitReductionExponent
 	if share > z.share && z.state != ZoneDegraded {
-		power /= 2
+		exponent /= 2
 	}
 	z.state = to
 	z.share = share
-	t.onShare(power)
+	t.onShare(exponent)
 }
 
-// addAttempt counts an attempt that starts.
+// addAttempt adds a started attempt to its zone.
 func (t *zoneTracker) addAttempt(a *attempt) {
 	z := t.get(a.zone)
 	z.attempts = append(z.attempts, a)
@@ -256,12 +264,13 @@
 		t.recordAnswer(z, now)
 	case TimedOut, ConnectFailed, ConnectionLost:
 		z.addUnresponsive(a.endpoint)
-		if z.state == ZoneEvacuated { // a probe failed, or an attempt from before the evacuation
-			z.startWait(now, t.patience())
+		if z.state == ZoneEvacuated { // the attempt was a probe, or sent before the evacuation
+			z.delayProbe(now, t.meanLatency())
 		}
 	}
 }
 
+// recordAnswer records an answer from a zone, and advances its recovery unless an operator has evacuated it.
 func (t *zoneTracker) recordAnswer(z *zone, now time.Duration) {
 	z.lastAnswer = now
 	z.unresponsive = nil
@@ -276,8 +285,9 @@
 	}
 }
 
-// skipped draws the zones that a request skips, by their shares. It never skips all zones of a subset.
-func (t *zoneTracker) skipped(r *request, now time.Duration, rng *rand.Rand) []string {
+// drawSkipped draws the zones that a request is not sent to, by the shares of the zones. If all zones of the
+// subset were skipped, it returns none.
+func (t *zoneTracker) drawSkipped(r *request, now time.Duration, rng *rand.Rand) []string {
 	var skipped []string
 	candidates := 0
 	for _, z := range t.sorted {
@@ -297,9 +307,10 @@
 	return skipped
 }
 
-// stranded is the number of a subset's attempts in flight at zones with a reduced share. They use no
-// capacity of the other zones.
-func (t *zoneTracker) stranded(subset *endpointSubset) float64 {
+// uncountedAttempts returns how many of a subset's attempts in flight do not count against its limit: each
+// attempt in a zone with a reduced share, weighted by the missing part of that share. They use no capacity of
+// the other zones.
+func (t *zoneTracker) uncountedAttempts(subset *endpointSubset) float64 {
 	count := 0.0
 	for _, z := range t.sorted {
 		if z.share >= 1 {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -8,17 +8,17 @@
 
 // Ejection of endpoints whose attempts end in errors.
 const (
-	maxStreakChance      = 0.08 // probability of a streak, by the error rate, from which it does not eject
-	probationSuccesses   = 3    // successes in a row that reduce the ejection count
-	maxExcludedShare     = 0.2  // share of a list that may be excluded
+	maxStreakProbability = 0.08 // an error streak ejects if the error rate makes it less probable than this
+	probationSuccesses   = 3    // successes in a row that reduce the ejection count by one
+	maxExcludedShare     = 0.2  // largest share of a list that may be excluded
 	ejectionLatencies    = 12   // mean latencies that a first ejection, or the limit after a rejection, lasts
 	maxBackoffDoublings  = 5    // of the duration of an ejection, or of the limit after a rejection
 	initialErrorRate     = 0.02
 	minErrorRate         = 0.01
-	rejectionJitterStart = 0.5 // the limit after a rejection lasts half to one and a half times that
+	minRejectionJitter   = 0.5 // the limit after a rejection lasts 0.5 to 1.5 times ejectionLatencies
 )
 
-// errorRate is the share of errors among the attempts at all endpoints.
+// errorRate is a moving average of the share of errors among the attempts at all endpoints.
 type errorRate float64
 
 func (r *errorRate) recordSuccess() {
@@ -29,20 +29,23 @@
 	*r += averageWeight * (1 - *r)
 }
 
-// outlierState is the health of one endpoint by the results of its attempts. An unlikely streak of errors
-// ejects it, for twice as long each time. After that it is on probation until an attempt succeeds.
+// outlierState is the health of one endpoint, derived from the results of its attempts. An improbable streak
+// of errors ejects the endpoint, for twice as long each time up to a bound. After an ejection the endpoint is
+// on probation until an attempt succeeds.
 type outlierState struct {
-	errorStreak   int
-	successStreak int
+	errorStreak   int // errors in a row
+	successStreak int // successes in a row
 	ejectionCount int // doublings of the next ejection
 	ejectedUntil  time.Duration
 }
 
 func (o *outlierState) ejected(now time.Duration) bool { return now < o.ejectedUntil }
 
-// onProbation says that no attempt has succeeded since the last ejection.
+// onProbation reports whether no attempt has succeeded since the last ejection.
 func (o *outlierState) onProbation() bool { return o.ejectionCount > 0 && o.successStreak == 0 }
 
+// recordSuccess ends an error streak, and takes back one doubling of the next ejection after several
+// successes in a row.
 func (o *outlierState) recordSuccess() {
 	o.errorStreak = 0
 	o.successStreak++
@@ -52,36 +55,37 @@
 	}
 }
 
-// recordError ejects the endpoint if its streak of errors is unlikely by the error rate of all endpoints.
-// Errors at all endpoints come from the tier below, and ejections would leave no endpoint.
+// recordError ejects the endpoint if its streak of errors is improbable at the error rate of all endpoints.
+// Errors that are frequent at all endpoints come from the tier below, and ejections would leave no endpoint.
 func (o *outlierState) recordError(now time.Duration, meanLatency float64, rate errorRate) {
 	o.errorStreak++
 	o.successStreak = 0
-	if o.ejected(now) || math.Pow(float64(rate), float64(o.errorStreak)) >= maxStreakChance {
+	if o.ejected(now) || math.Pow(float64(rate), float64(o.errorStreak)) >= maxStreakProbability {
 		return
 	}
 	o.ejectedUntil = now + time.Duration(ejectionLatencies*meanLatency)<<o.ejectionCount
 	o.ejectionCount = min(o.ejectionCount+1, maxBackoffDoublings)
 }
 
-// rejectionState limits the attempts at an endpoint that has rejected one, because its queue or its
-// connections are full, to the number it had at that time. Such an endpoint is not unhealthy, and the bound
-// on exclusions does not apply.
+// rejectionState limits the attempts of this replica at an endpoint that has rejected one, because its queue
+// is full or it accepts no more connections, to the number in flight at that time. Such an endpoint is not
+// unhealthy, so the bound on the share of excluded endpoints does not apply.
 type rejectionState struct {
-	inFlight int           // own attempts when it rejected another one
-	until    time.Duration // the limit is in force until then
+	inFlight int           // other attempts of this replica in flight at the rejection
+	until    time.Duration // time until which the limit is in force
 	count    int           // rejections in a row
 }
 
-// record records a rejection by an endpoint with a number of own attempts in flight.
+// record records a rejection, and the number of other attempts that this replica had in flight at the
+// endpoint. Each rejection in a row doubles the time for which the limit is in force, up to a bound.
 func (r *rejectionState) record(now time.Duration, inFlight int, meanLatency float64, rng *rand.Rand) {
-	length := time.Duration((rejectionJitterStart + rng.Float64()) * ejectionLatencies * meanLatency)
+	length := time.Duration((minRejectionJitter + rng.Float64()) * ejectionLatencies * meanLatency)
 	r.until = now + length<<r.count
 	r.inFlight = inFlight
 	r.count = min(r.count+1, maxBackoffDoublings)
 }
 
-// limit is the number of own attempts from which the endpoint is passed over.
+// limit returns the number of this replica's attempts in flight from which the endpoint is not drawn.
 func (r *rejectionState) limit(now time.Duration) int {
 	if now < r.until {
 		return r.inFlight
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// An endpoint that fails at once has few attempts in flight; without ejection it would win every draw.
+// An endpoint whose attempts fail at once has few of them in flight, so without ejection it would win most draws and
+// fail a large share of the requests.
 func TestFastErrorsAreEjected(t *testing.T) {
 	for _, result := range []AttemptResult{ServerError, ConnectFailed, ConnectionLost} {
 		b := newBalancer(t, nil)
@@ -19,13 +20,14 @@
 			return Success
 		})
 		if got["s03"] > 10 {
-			t.Errorf("result %d: the failing endpoint got %d of 300 first attempts", result, got["s03"])
+			t.Errorf("result %d: the failing endpoint got %d of 300 first attempts, want 10 at most", result, got["s03"])
 		}
 	}
 }
 
-// Of four endpoints a fifth is none, yet one that fails alone is excluded, and its part of a zone's load goes to the
-// other zone too: its one neighbour could not take it all. Where all fail alike, none is excluded.
+// The share of endpoints that may be excluded, a fifth, is less than one of four endpoints. Still, an endpoint that
+// fails alone must be excluded, and part of its load must go to the other zone, since its only neighbour could not
+// take it all. If all endpoints fail alike, none may be excluded.
 func TestOneUnhealthyEndpointOfFew(t *testing.T) {
 	few := func() *Balancer {
 		b := newBalancer(t, func(s *Settings) { s.Zone = "a" })
@@ -43,36 +45,38 @@
 		return Success
 	})
 	if got["s00"] > 10 || got["s02"] > 280 || got["s01"]+got["s03"] < 120 {
-		t.Errorf("first attempts went %v: want none to s00 and about half of its zone's to s01 and s03", got)
+		t.Errorf("first attempts by endpoint: %v, want hardly any at s00, and about half of its zone's at s01 and s03", got)
 	}
 	got = sendTraffic(few(), 800, "get", func(string) AttemptResult { return ServerError })
 	if got["s00"] < 50 || got["s02"] < 50 {
-		t.Errorf("where all fail, first attempts went %v", got)
+		t.Errorf("all endpoints fail, first attempts by endpoint: %v, want 50 at least at s00 and s02", got)
 	}
 }
 
-// The only endpoint there is stays in use, however unhealthy it is.
+// If the only endpoint were excluded, every request would fail, though the endpoint may answer some.
 func TestOnlyEndpointIsNotExcluded(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(1)})
 	if got := sendTraffic(b, 100, "get", func(string) AttemptResult { return ServerError }); got["s00"] < 50 {
-		t.Errorf("first attempts went %v", got)
+		t.Errorf("first attempts by endpoint: %v, want 50 at least at s00, the only one", got)
 	}
 }
 
-// When every endpoint fails alike the fault is below them: none may be starved of attempts.
-func TestFailuresEverywhereEjectFew(t *testing.T) {
+// When all endpoints fail alike, the fault is in the tier below. Ejections would then send all requests to the few
+// endpoints left.
+func TestErrorsAtAllEndpointsEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(10)})
 	drawFromAll(b)
 	got := sendTraffic(b, 800, "get", func(string) AttemptResult { return ServerError })
 	if len(got) < 8 {
-		t.Errorf("only %d of 10 endpoints are still used", len(got))
+		t.Errorf("all endpoints fail, %d of 10 are still used, want 8 at least", len(got))
 	}
 }
 
-// An endpoint that hangs shows nothing but an old unanswered attempt while others answer.
-func TestUnresponsiveEndpointIsPassedOver(t *testing.T) {
+// An endpoint that hangs reports no error: its only sign is an old attempt without an answer while other endpoints
+// answer. Without detection it would collect attempts until they time out.
+func TestUnresponsiveEndpointIsNotDrawn(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(10)})
 	drawFromAll(b)
@@ -89,11 +93,11 @@
 		}
 	}
 	if unanswered == 0 || unanswered > 6 {
-		t.Errorf("the unresponsive endpoint holds %d attempts", unanswered)
+		t.Errorf("the unresponsive endpoint holds %d attempts, want 1 to 6", unanswered)
 	}
 }
 
-// After an ejection the health probe must not be a request that cannot be retried.
+// The health probe after an ejection may fail, so it must not be a request that cannot be retried.
 func TestProbeIsIdempotent(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(10)})
@@ -101,16 +105,17 @@
 	s := b.endpoints["s03"]
 	s.outlier.ejectionCount, s.outlier.ejectedUntil = 1, 0
 	if got := sendTraffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
-		t.Errorf("an endpoint on probation got %d requests that are not idempotent", got["s03"])
+		t.Errorf("an endpoint on probation got %d requests that are not idempotent, want 0", got["s03"])
 	}
 	if got := sendTraffic(b, 400, "get", func(string) AttemptResult { return Success }); got["s03"] == 0 {
-		t.Error("the endpoint was never drawn again")
+		t.Error("the endpoint on probation got no idempotent request")
 	}
 }
 
-// Connection tables filled by other replicas reject at once: an endpoint that rejected gets no more attempts than it
-// had, however many others reject too, and is drawn again later.
-func TestRejectingEndpointKeepsOnlyWhatItHad(t *testing.T) {
+// Endpoints whose connection tables are filled by other replicas reject attempts at once, and each rejection costs a
+// request time and retry budget. An endpoint that has rejected gets no more attempts than it had in flight then, even
+// if most endpoints reject, and is drawn again later.
+func TestRejectionLimitsAttemptsAtEndpoint(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(10)})
 	drawFromAll(b)
@@ -141,18 +146,19 @@
 	}
 	first := rejected(20)
 	if first < 5 {
-		t.Fatalf("only %d rejections, want the full endpoints found", first)
+		t.Fatalf("%d rejections of the first 20 requests, want 5 at least", first)
 	}
 	if got := rejected(20); got > first/2 {
-		t.Errorf("%d rejections after %d: full endpoints are still drawn", got, first)
+		t.Errorf("%d rejections of the next 20 requests after %d before, want half at most", got, first)
 	}
 	now += time.Minute
 	if rejected(20) == 0 {
-		t.Error("full endpoints were never drawn again")
+		t.Error("no full endpoint was drawn again within a minute")
 	}
 }
 
-// Each ejection doubles the next one, up to a bound, and successes take the doublings back.
+// Without doubling, an endpoint that stays broken would get probes at a constant rate. Without a bound, or if
+// successes did not take the doublings back, a repaired endpoint would stay ejected for too long.
 func TestEjectionsDouble(t *testing.T) {
 	const mean = float64(10 * time.Millisecond)
 	var state outlierState
@@ -161,22 +167,23 @@
 		state.recordError(now, mean, minErrorRate)
 		want := ejectionLatencies * 10 * msec << min(i, maxBackoffDoublings)
 		if got := state.ejectedUntil - now; got != want {
-			t.Errorf("ejection %d lasts %v, want %v", i, got, want)
+			t.Errorf("ejection %d (from 0) lasts %v, want %v", i, got, want)
 		}
 		now = state.ejectedUntil
 	}
 	if !state.onProbation() {
-		t.Error("an endpoint is not on probation after its ejection")
+		t.Error("the endpoint is not on probation after its ejection")
 	}
 	for range 2 * maxBackoffDoublings * probationSuccesses {
 		state.recordSuccess()
 	}
 	if state.ejectionCount != 0 || state.onProbation() {
-		t.Errorf("after many successes %d doublings are left", state.ejectionCount)
+		t.Errorf("after many successes %d doublings are left, want 0, and no probation", state.ejectionCount)
 	}
 }
 
-// Where errors are frequent everywhere, a streak of them says little of one endpoint.
+// Where errors are frequent at all endpoints, a short streak says little about one endpoint, and ejecting it would
+// only take away capacity.
 func TestFrequentErrorsNeedALongerStreak(t *testing.T) {
 	for _, c := range []struct {
 		rate errorRate
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -8,47 +8,49 @@
 	"time"
 )
 
-// overloadSimulation is a small fleet in virtual time: replicas of the first tier that share nothing, and endpoints
-// that work off requests in the order of arrival, whether or not a client still waits, and then wait for others.
+// overloadSimulation simulates a small fleet in virtual time. The replicas send to the first tier and share nothing.
+// Each endpoint serves attempts in the order of arrival, even if no client waits for them any more, first on one of its
+// cores and then waiting for the tiers behind it.
 type overloadSimulation struct {
 	replicas    int
 	endpoints   int
 	cores       int           // of each endpoint
-	work        time.Duration // mean of a request on a core
-	wait        time.Duration // mean of a request for others
-	load        float64       // over the capacity of the endpoints
-	burst       float64       // times that, in the second third of the day
-	retries     int           // of a rejected client, at once
-	objective   time.Duration
-	day         time.Duration
-	withTenants bool // with quotas of four fifths of the capacity
+	work        time.Duration // mean time that a request takes on a core
+	wait        time.Duration // mean time that a request then waits for the tiers behind
+	load        float64       // ratio of the clients' requests to the capacity of the endpoints
+	burst       float64       // factor on the load in the second third of the simulated time
+	retries     int           // how often a client retries at once when it is rejected
+	objective   time.Duration // latency objective
+	duration    time.Duration // simulated time
+	withTenants bool          // with one tenant, whose quota is 0.8 of the capacity
 }
 
-// thirds holds a value for each third of a day.
+// thirds holds a value for each third of the simulated time.
 type thirds [3]float64
 
-// clientRequest is a request of the simulation, one entry for each retry of its client.
+// clientRequest is one request of a client. Each retry of the client has an entry of its own.
 type clientRequest struct {
-	replica     int
-	third       int // of the day, in which the client sent it first
-	retriesLeft int
-	firstSent   time.Duration
-	attempts    int
+	replica     int           // index of the replica that gets it
+	third       int           // third of the simulated time in which the client sent its first request
+	retriesLeft int           // of the client
+	firstSent   time.Duration // when the client sent its first request
+	attempts    int           // attempts that the replica has sent
 }
 
-// overloadRun is the state of a simulation.
+// overloadRun is the state of one run of a simulation.
 type overloadRun struct {
 	overloadSimulation
 	rng       *rand.Rand
 	balancers []*Balancer
-	requests  map[string]*clientRequest
+	requests  map[string]*clientRequest // by ID
 	events    eventQueue
-	coreFree  map[string][]time.Duration // when each core of an endpoint is free
-	timers    map[string]int             // the replica that set each timer
-	offered   thirds
-	served    thirds
+	coreFree  map[string][]time.Duration // by endpoint: when each of its cores is free
+	timers    map[string]int             // by token: the replica that set the timer
+	offered   thirds                     // requests of clients, without their retries
+	served    thirds                     // requests answered within the objective
 }
 
+// capacity returns the requests a second that all endpoints together can serve.
 func (s overloadSimulation) capacity() float64 {
 	return float64(s.endpoints*s.cores) / s.work.Seconds()
 }
@@ -76,7 +78,7 @@
 	return set
 }
 
-// run gives the share of the requests of each third of the day that were answered within the objective.
+// run returns, for each third of the simulated time, the share of requests that were answered within the objective.
 func (s overloadSimulation) run(t *testing.T, seed uint64) thirds {
 	t.Helper()
 	r := &overloadRun{
@@ -92,7 +94,7 @@
 		x := r.events.next()
 		replica := r.replicaOf(x)
 		for _, a := range r.balancers[replica].Handle(x.at, x.event) {
-			r.follow(x.at, replica, a)
+			r.apply(x.at, replica, a)
 		}
 	}
 	var shares thirds
@@ -102,7 +104,7 @@
 	return shares
 }
 
-// start makes the replicas and gives them the endpoint list.
+// start creates the replicas and gives them the endpoint list.
 func (r *overloadRun) start(t *testing.T, seed uint64) {
 	t.Helper()
 	var list []Endpoint
@@ -123,9 +125,9 @@
 	}
 }
 
-func (r *overloadRun) thirdAt(at time.Duration) int { return min(2, int(3*at/r.day)) }
+func (r *overloadRun) thirdAt(at time.Duration) int { return min(2, int(3*at/r.duration)) }
 
-// addRequests draws the clients' requests of the day.
+// addRequests draws the arrival times of the clients' requests, as a Poisson process.
 func (r *overloadRun) addRequests() {
 	for at := time.Duration(0); ; {
 		rate := r.load * r.capacity()
@@ -133,7 +135,7 @@
 			rate *= r.burst
 		}
 		at += time.Duration(r.rng.ExpFloat64() / rate * float64(time.Second))
-		if at >= r.day {
+		if at >= r.duration {
 			return
 		}
 		third := r.thirdAt(at)
@@ -142,7 +144,7 @@
 	}
 }
 
-// arrive lets a request come to some replica.
+// arrive schedules the arrival of a request at a random replica.
 func (r *overloadRun) arrive(at time.Duration, request *clientRequest) {
 	request.replica = r.rng.IntN(r.replicas)
 	id := fmt.Sprint(len(r.requests))
@@ -156,7 +158,7 @@
 	})
 }
 
-// replicaOf is the replica that gets an event. It counts the successes within the objective.
+// replicaOf returns the index of the replica that gets an event, and counts successes within the objective.
 func (r *overloadRun) replicaOf(x dueEvent) int {
 	switch e := x.event.(type) {
 	case Request:
@@ -173,8 +175,9 @@
 	return 0
 }
 
-// follow adds what an action of a replica leads to.
-func (r *overloadRun) follow(now time.Duration, replica int, a Action) {
+// apply schedules the events that follow from an action of a replica: the end of an attempt, the retry of a rejected
+// client, or a timer.
+func (r *overloadRun) apply(now time.Duration, replica int, a Action) {
 	switch a := a.(type) {
 	case SendAttempt:
 		r.startWork(now, a)
@@ -187,12 +190,12 @@
 			})
 		}
 	case SetTimer:
-		r.timers[a.Token] = replica // an ID is one replica's
+		r.timers[a.Token] = replica // tokens hold a request ID, which only one replica knows
 		r.events.add(max(a.At, now), TimerFired{Token: a.Token})
 	}
 }
 
-// startWork lets an endpoint work on an attempt, on the core that is free first.
+// startWork serves an attempt on the core of its endpoint that is free first, and schedules its end.
 func (r *overloadRun) startWork(now time.Duration, a SendAttempt) {
 	request, cores := r.requests[a.ID], r.coreFree[a.Endpoint]
 	core := slices.Index(cores, slices.Min(cores))
@@ -212,30 +215,32 @@
 	r.events.add(now+ended.Latency, ended)
 }
 
-// Endpoints that can hold many requests must get them: large ones, and such that wait for others most of the time.
-// And responses that take long by themselves are no overload: replicas that shed for them would never stop.
+// Endpoints that can hold many requests must get them: large ones, and endpoints that wait for the tiers behind them
+// most of the time. A limit that is too low leaves them idle. Responses that take long at any load are no sign of
+// overload either: replicas that shed requests because of them would never stop.
 func TestLargeAndWaitingEndpointsAreUsed(t *testing.T) {
 	for _, s := range []overloadSimulation{
 		{replicas: 8, endpoints: 8, cores: 8, work: 150 * msec, wait: 1300 * msec, load: 0.5, burst: 1.5, retries: 2,
-			objective: 2500 * msec, day: 24 * time.Second, withTenants: true},
+			objective: 2500 * msec, duration: 24 * time.Second, withTenants: true},
 		{replicas: 40, endpoints: 44, cores: 4, work: 300 * msec, wait: 1400 * msec, load: 0.45, burst: 1.6, retries: 3,
-			objective: 2500 * msec, day: 24 * time.Second, withTenants: true},
+			objective: 2500 * msec, duration: 24 * time.Second, withTenants: true},
 		{replicas: 20, endpoints: 20, cores: 2, work: 400 * msec, wait: 1400 * msec, load: 0.4, burst: 2.2, retries: 3,
-			objective: 2500 * msec, day: 30 * time.Second, withTenants: true},
+			objective: 2500 * msec, duration: 30 * time.Second, withTenants: true},
 	} {
 		for seed := range uint64(3) {
 			shares := s.run(t, seed)
 			if slices.Min(shares[:]) < 0.7 {
-				t.Errorf("seed %d, %+v: served by thirds %.2f, want 0.7 in each", seed, s, shares)
+				t.Errorf("seed %d, %+v: share served in time, by third: %.2f, want 0.7 at least", seed, s, shares)
 			} else {
-				t.Logf("seed %d: %d endpoints of %d cores: served by thirds %.2f", seed, s.endpoints, s.cores, shares)
+				t.Logf("seed %d, %d endpoints of %d cores: share served in time, by third: %.2f",
+					seed, s.endpoints, s.cores, shares)
 			}
 		}
 	}
 }
 
-// What the endpoints cannot do must be shed, or nothing is answered in time: at nearly twice their capacity, the
-// burst would overload them, and what it left behind the third after it.
+// Load beyond the capacity of the endpoints must be shed, or no request is answered in time. The burst in the second
+// third is nearly twice the capacity, and attempts queued at the endpoints would make those of the last third late too.
 func TestOverloadIsShed(t *testing.T) {
 	for seed := range uint64(3) {
 		s := overloadSimulation{
@@ -248,13 +253,14 @@
 			burst:       2,
 			retries:     2,
 			objective:   2500 * msec,
-			day:         30 * time.Second,
+			duration:    30 * time.Second,
 			withTenants: true,
 		}
 		shares := s.run(t, seed)
-		t.Logf("seed %d: served by thirds %.2f", seed, shares)
+		t.Logf("seed %d: share served in time, by third: %.2f", seed, shares)
 		if shares[1] < 0.2 || shares[2] < 0.5 {
-			t.Errorf("seed %d: served by thirds %.2f, want 0.2 in the burst at least, and 0.5 after it", seed, shares)
+			t.Errorf("seed %d: share served in time, by third: %.2f, want 0.2 in the burst and 0.5 after it at least",
+				seed, shares)
 		}
 	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// minQuotaBurst is the least capacity of a token bucket, in requests. The traffic of one replica is uneven,
-// and a small quota would be used up by two simultaneous requests.
+// minQuotaBurst is the minimum capacity of a token bucket, in requests. The traffic of one replica is uneven,
+// and two simultaneous requests would use up a small quota.
 const minQuotaBurst = 3
 
-// quotas holds the token bucket of each tenant by name. Without tenants, no request is over quota.
+// quotas holds the token bucket of each tenant by name. If no tenant is configured, no request is over quota.
 type quotas map[string]*tokenBucket
 
 func newQuotas(tenants []Tenant, replicas float64) quotas {
@@ -20,15 +20,15 @@
 	return buckets
 }
 
-// setReplicas divides each quota by the number of replicas.
+// setReplicas sets the rate of each bucket to this replica's part of the quota.
 func (q quotas) setReplicas(replicas float64) {
 	for _, bucket := range q {
 		bucket.rate = bucket.quota / replicas
 	}
 }
 
-// exceeded takes a token from the bucket of a tenant and returns whether there was none. A tenant without a
-// quota always exceeds it.
+// exceeded takes a token from the bucket of a tenant, and reports whether there was none. A tenant that is
+// not configured is always over quota.
 func (q quotas) exceeded(tenant string, now, span time.Duration) bool {
 	if len(q) == 0 {
 		return false
@@ -45,7 +45,8 @@
 	refilledAt time.Duration
 }
 
-// take refills the bucket, whose capacity is the rate over a span, and takes a token if there is one.
+// take refills the bucket, takes a token, and reports whether there was one. The capacity of the bucket is
+// what the rate yields in the span, and at least minQuotaBurst.
 func (t *tokenBucket) take(now, span time.Duration) bool {
 	burst := max(minQuotaBurst, t.rate*span.Seconds())
 	t.tokens = min(burst, t.tokens+t.rate*(now-t.refilledAt).Seconds())
--- a/policy/replicas.go
+++ b/policy/replicas.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// How far and how fast the number of replicas follows the counts of other replicas.
+// How far and how fast the number of replicas follows the reported counts.
 const (
-	maxReplicasFactor     = 4.0 // bound of the count, relative to the configured one
-	replicasHalfLife      = 10 * time.Second
-	replicasStep          = time.Second
-	replicasSettledWithin = 0.01 // replicas
+	maxReplicasFactor     = 4.0              // the number is within this factor of the configured one
+	replicasHalfLife      = 10 * time.Second // time in which the distance to the target halves
+	replicasStep          = time.Second      // least time between two updates
+	replicasSettledWithin = 0.01             // distance, in replicas, at which the target counts as reached
 )
 
 // replicaCount is the number of replicas that send to this tier. It approaches a new number exponentially,
-// so that concurrency limits do not jump. Without counts from other replicas it is the configured number.
+// so that concurrency limits do not change abruptly. While no counts are reported, it is the configured
+// number.
 type replicaCount struct {
 	configured float64
 	current    float64
@@ -31,8 +32,8 @@
 	}
 }
 
-// setTarget sets the number of replicas from the counts by zone, within a factor of the configured number:
-// a wrong count must not let one replica use the capacity of all.
+// setTarget sets the target from the counts by zone, within maxReplicasFactor of the configured number: a
+// wrong count must not let one replica use the capacity of all.
 func (r *replicaCount) setTarget(now time.Duration, byZone map[string]int) {
 	total := 0
 	for _, count := range byZone {
@@ -45,7 +46,7 @@
 	r.updatedAt = now
 }
 
-// advance moves the number towards its target and returns whether it changed.
+// advance moves the number towards its target and reports whether it changed.
 func (r *replicaCount) advance(now time.Duration) bool {
 	elapsed := now - r.updatedAt
 	if r.current == r.target || elapsed < replicasStep {
--- a/policy/replicas_test.go
+++ b/policy/replicas_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// replicaCountTest is a Balancer with 24 endpoints and one tenant, at a time that goes on.
+// replicaCountTest holds a Balancer with 24 endpoints and one tenant, and the current time.
 type replicaCountTest struct {
 	t        *testing.T
 	balancer *Balancer
 	now      time.Duration
 }
 
-// after handles an event some time later, checks that what replicas share follows their number, and returns that.
+// after handles an event some time later, checks that the fair share of endpoints and the tenant's rate match the
+// number of replicas, and returns that number.
 func (r *replicaCountTest) after(d time.Duration, e Event) float64 {
 	r.t.Helper()
 	r.now += d
@@ -21,17 +22,17 @@
 	replicas := r.balancer.replicas.current
 	for _, subset := range r.balancer.subsets {
 		if got, want := subset.limit.fairShare, 24/replicas; got != want {
-			r.t.Errorf("at %v a fair share is %v of 24 endpoints for %v replicas", r.now, got, replicas)
+			r.t.Errorf("at %v the fair share is %v, want 24 endpoints divided by %v replicas", r.now, got, replicas)
 		}
 	}
 	if got, want := r.balancer.quotas["a"].rate, 60/replicas; got != want {
-		r.t.Errorf("at %v the tenant's rate is %v for %v replicas", r.now, got, replicas)
+		r.t.Errorf("at %v the tenant's rate is %v, want its quota of 60 divided by %v replicas", r.now, got, replicas)
 	}
 	return replicas
 }
 
-// With counts of other replicas, a replica's share of the tier follows their number slowly, within bounds, and goes
-// back to the settings' number when they are not known any more.
+// A replica that took a wrong count at once would overload the tier or leave it idle. So its share of the tier follows
+// reported counts slowly and within bounds, and goes back to the configured number when there are no counts any more.
 func TestReplicaCountsChangeTheShareSlowly(t *testing.T) {
 	b, err := New(Settings{
 		Classes:  []Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}},
@@ -49,20 +50,20 @@
 	r := &replicaCountTest{t: t, balancer: b, now: time.Second}
 	idle := TimerFired{Token: "x"}
 	if c := r.after(0, ReplicaCounts{ByZone: map[string]int{"x": 1, "y": 1}}); c != 4 {
-		t.Errorf("at once there are %v replicas, want 4", c)
+		t.Errorf("right after a count of 2: %v replicas, want the configured 4 still", c)
 	}
 	if c := r.after(replicasHalfLife, idle); c < 2.9 || c > 3.1 {
-		t.Errorf("after a half-life there are %.2f replicas, want 3 on the way from 4 to 2", c)
+		t.Errorf("a half-life after a count of 2: %.2f replicas, want 3, halfway from 4 to 2", c)
 	}
 	if c := r.after(20*replicasHalfLife, idle); c != 2 {
-		t.Errorf("in the end there are %v replicas, want 2", c)
+		t.Errorf("20 half-lives after a count of 2: %v replicas, want 2", c)
 	}
 	r.after(0, ReplicaCounts{ByZone: map[string]int{"x": 1000}})
 	if c := r.after(20*replicasHalfLife, idle); c != 4*maxReplicasFactor {
-		t.Errorf("of a thousand %v are believed, want %v", c, 4*maxReplicasFactor)
+		t.Errorf("after a count of 1000: %v replicas, want the upper bound of %v", c, 4*maxReplicasFactor)
 	}
 	r.after(0, ReplicaCounts{})
 	if c := r.after(20*replicasHalfLife, idle); c != 4 {
-		t.Errorf("with no counts there are %v replicas, want the settings' 4", c)
+		t.Errorf("without counts: %v replicas, want the configured 4", c)
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The slices of all replicas cover the endpoints about evenly, each has its share of both groups, and an overloaded
-// replica reaches every endpoint: else connection tables fill up where many replicas send.
+// If slices covered the endpoints unevenly, connection tables would fill up at endpoints that many replicas send to.
+// Each slice takes the same number of endpoints from both groups, and an overloaded replica draws from nearly all
+// endpoints.
 func TestSlicesCoverTheEndpointsEvenly(t *testing.T) {
 	drawn := map[string]int{}
 	for index := range 60 {
@@ -22,20 +23,22 @@
 			}
 		}
 		if len(got) < minSliceEndpoints || len(got) > minSliceEndpoints+2 || left*2 != len(got) {
-			t.Fatalf("replica %d drew %d endpoints, %d of them left", index, len(got), left)
+			t.Fatalf("replica %d drew %d endpoints, %d of them in the left group; want 4 to 6, half of them left",
+				index, len(got), left)
 		}
 		b.subsets[0].inFlight = 160
 		if got := sendTraffic(b, 4000, "get", func(string) AttemptResult { return Success }); len(got) < 70 {
-			t.Fatalf("overloaded replica %d drew only %d endpoints", index, len(got))
+			t.Fatalf("overloaded replica %d drew %d endpoints, want 70 of 80 at least", index, len(got))
 		}
 	}
 	for _, s := range testEndpoints(80) {
 		if n := drawn[s.ID]; n < 3 || n > 6 {
-			t.Errorf("%s: drawn by %d replicas, want 4.5", s.ID, n)
+			t.Errorf("endpoint %s was drawn by %d replicas, want 3 to 6 (4.5 on average)", s.ID, n)
 		}
 	}
 }
 
+// A pick that ignored the attempts in flight, or was biased where they are equal, would load endpoints unevenly.
 func TestPickTakesTheLessLoadedDraw(t *testing.T) {
 	group := func(inFlight ...int) []*endpoint {
 		var list []*endpoint
@@ -72,11 +75,11 @@
 		{"right empty", group(5), nil, 1},
 	} {
 		if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
-			t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
+			t.Errorf("%s: share of picks from the left group %.3f, want %.2f", c.name, got, c.want)
 		}
 	}
 	if b.selector.pick(nil, nil) != nil {
-		t.Error("picked from nothing")
+		t.Error("an endpoint was picked from two empty groups")
 	}
 	left, count := group(0, 0, 0, 0), map[*endpoint]int{}
 	for range n {
@@ -84,7 +87,7 @@
 	}
 	for _, s := range left {
 		if got := float64(count[s]) / n; math.Abs(got-0.25) > 0.02 {
-			t.Errorf("uniform draw gave an endpoint %.3f", got)
+			t.Errorf("one of 4 idle endpoints got %.3f of the draws, want 0.25", got)
 		}
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// maxCreditedShare is the part of slow start that may be over when the start of an endpoint is notified.
+// maxCreditedShare is the largest share of slow start that an endpoint may have behind it when its start
+// becomes known.
 const maxCreditedShare = 0.25
 
-// slowStart limits the load of started endpoints, whose capacity grows linearly.
+// slowStart limits the load of endpoints that have recently started. Their capacity is assumed to grow
+// linearly.
 type slowStart struct {
-	initialCapacity float64       // part of its capacity that an endpoint has at its start
-	duration        time.Duration // until it has all of its capacity
-	overloadFactor  float64       // load over capacity at which an endpoint fails; 0: unknown
+	initialCapacity float64       // share of its full capacity that an endpoint has when it starts
+	duration        time.Duration // time from the start to full capacity
+	overloadFactor  float64       // ratio of load to capacity at which an endpoint fails; 0: unknown
 }
 
 func newSlowStart(settings Settings) slowStart {
@@ -23,12 +25,13 @@
 	}
 }
 
-// startTime is when slow start of an endpoint with a new start time begins, or 0 if it is over. Start times
-// come from the wall clocks of other machines, which may be wrong. If the endpoint has restarted while this
-// replica runs, its start time is limited to the recent past. In the first list start times are only
-// limited to the past, since nothing else tells old endpoints from new ones.
-func (s slowStart) startTime(stamp, now time.Duration, restarted bool) time.Duration {
-	if stamp <= 0 {
+// startTime returns when slow start begins for an endpoint that reports a new start time, or 0 if the endpoint
+// started long ago. Start times come from the wall clocks of other machines, which may be wrong, so times in
+// the future count as now. If the endpoint has restarted while this replica runs, its start also counts as
+// recent: no more than maxCreditedShare of slow start is over. In the first list, start times in the past are
+// used as they are, since nothing else distinguishes old endpoints from new ones.
+func (s slowStart) startTime(reported, now time.Duration, restarted bool) time.Duration {
+	if reported <= 0 {
 		return 0
 	}
 	earliest := time.Duration(1)
@@ -36,20 +39,21 @@
 		credit := time.Duration(maxCreditedShare * float64(s.duration))
 		earliest = max(earliest, now-credit)
 	}
-	return max(earliest, min(stamp, now))
+	return max(earliest, min(reported, now))
 }
 
-// warmingUp says that an endpoint that started at a time is in slow start.
+// warmingUp reports whether an endpoint that started at the given time is in slow start.
 func (s slowStart) warmingUp(startedAt, now time.Duration) bool {
 	return startedAt > 0 && now-startedAt < s.duration
 }
 
-// admits draws whether an endpoint may be used, by the share of its capacity that it has. In slow start it
-// gets one attempt of this replica at a time: small loads from many replicas would add up.
+// admits draws whether an endpoint may be used. In slow start the probability follows the share of its full
+// capacity that the endpoint has, and it gets one attempt of this replica at a time: small loads from many
+// replicas would add up.
 //
-// An idle endpoint wins all draws against busy ones, so it would get up to twice its part of the requests;
-// the share of busy endpoints corrects that. A small overload factor reduces the load further, to leave
-// capacity for bursts.
+// An idle endpoint is preferred over busy ones, so it would get up to twice its part of the requests. The
+// division by 1 plus the share of busy endpoints corrects that. An overload factor below 2 reduces the
+// probability further, to leave capacity for bursts.
 func (s slowStart) admits(ep *endpoint, now time.Duration, busyShare float64, rng *rand.Rand) bool {
 	if !s.warmingUp(ep.slowStartFrom, now) {
 		return true
--- a/policy/slowstart_overload_test.go
+++ b/policy/slowstart_overload_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// overloadSpan is how long an overload lasts before an endpoint fails.
+// overloadSpan is how long an overload must last to make an endpoint fail.
 const overloadSpan = 2 * time.Second
 
-// overloadFault names the first span in which an endpoint that started at a time was sent more than
-// SlowStartOverloadFactor times its capacity. capacity is in requests a second when it has warmed up.
+// overloadFault describes the first span in which a warming endpoint was sent more than SlowStartOverloadFactor times
+// its capacity, or returns "". capacity is its full capacity in requests a second, sent the times of the attempts.
 func overloadFault(set Settings, startedAt time.Duration, capacity float64, sent []time.Duration) string {
 	for i, from := range sent {
 		count := 0
@@ -32,39 +32,41 @@
 	return ""
 }
 
-func TestOverloadFaultCanFail(t *testing.T) {
-	set := testSettings() // 3 times 50 a second times 0.28, on average, for two seconds: 84
+// If overloadFault missed an overload, the tests that rely on it would prove nothing.
+func TestOverloadFaultIsDetected(t *testing.T) {
+	set := testSettings() // limit: factor 3 times 50 requests a second times a capacity of 0.28 (mean) times 2 s, 84
 	var burst []time.Duration
 	for i := range 85 {
 		burst = append(burst, time.Second+time.Duration(i)*msec)
 	}
 	if got := overloadFault(set, time.Second, 50, burst); !strings.HasPrefix(got, "rule 4") {
-		t.Errorf("a burst of 85 is over the limit, got %q", got)
+		t.Errorf("85 attempts, over the limit of 84: got %q, want a fault of rule 4", got)
 	}
 	if got := overloadFault(set, time.Second, 50, burst[:84]); got != "" {
-		t.Errorf("84 are within the limit, got %q", got)
+		t.Errorf("84 attempts, the limit: got %q, want no fault", got)
 	}
 }
 
-// slowStartSimulation has replicas that send to endpoints of which one has just started, and do not see each other.
+// slowStartSimulation simulates replicas that share nothing and send to the same endpoints. One endpoint has just
+// started.
 type slowStartSimulation struct {
 	replicas  int
 	endpoints int
-	burst     float64 // times the usual rate, for the first two seconds
-	withKey   bool    // requests with an idempotency key
-	uneven    bool    // a few replicas get most
+	burst     float64 // factor on the request rate for the first two seconds
+	withKey   bool    // requests have an idempotency key
+	uneven    bool    // a few replicas get most of the requests
 }
 
 // runningAttempt is an attempt in flight.
 type runningAttempt struct {
 	balancer *Balancer
 	endsAt   time.Duration
-	ended    AttemptEnded
+	ended    AttemptEnded // given to the balancer at endsAt
 }
 
 const (
-	simulatedCapacity = 50.0 // requests a second of an endpoint that has warmed up
-	simulatedStart    = time.Second
+	simulatedCapacity = 50.0        // requests a second of an endpoint that has warmed up
+	simulatedStart    = time.Second // start of the started endpoint, and of the requests
 )
 
 func (s slowStartSimulation) settings() Settings {
@@ -73,7 +75,7 @@
 	return set
 }
 
-// start makes the replicas. The third endpoint is the one that has just started.
+// start creates the replicas and returns them with the ID of the started endpoint, the third one.
 func (s slowStartSimulation) start(t *testing.T) (balancers []*Balancer, started string) {
 	t.Helper()
 	list := testEndpoints(s.endpoints)
@@ -91,7 +93,7 @@
 	return balancers, list[2].ID
 }
 
-// run returns when attempts were sent to the started endpoint.
+// run simulates 12 s and returns the times of the attempts sent to the started endpoint.
 func (s slowStartSimulation) run(t *testing.T) []time.Duration {
 	t.Helper()
 	balancers, started := s.start(t)
@@ -129,9 +131,10 @@
 	return sent
 }
 
-// What all replicas together send to a warming endpoint in any span must stay within the limit: at a steady three
-// quarters of capacity, and in a burst of twice that right after its start, with few replicas that have many
-// attempts in flight and with many that have hardly any, evenly or unevenly.
+// A warming endpoint fails if all replicas together send it more than its limit in any span, though each sends little.
+// The limit must hold at a steady load of three quarters of the capacity and in a burst of twice that right after the
+// start, with few replicas that have many attempts in flight and with many that have hardly any, and with even and
+// uneven load of the replicas.
 func TestWarmingEndpointIsNotOverloaded(t *testing.T) {
 	for _, s := range []slowStartSimulation{
 		{replicas: 12, endpoints: 6, burst: 1},
@@ -146,7 +149,7 @@
 	} {
 		sent := s.run(t)
 		if len(sent) < 20 {
-			t.Errorf("%+v: the warming endpoint got only %d attempts", s, len(sent))
+			t.Errorf("%+v: the warming endpoint got %d attempts, want 20 at least", s, len(sent))
 		}
 		if fault := overloadFault(s.settings(), simulatedStart, simulatedCapacity, sent); fault != "" {
 			t.Errorf("%+v: %s", s, fault)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// countSentTo is how many of 3,000 requests, each answered before the next, go to an endpoint in a second.
+// countSentTo sends 3,000 requests in a second, each answered before the next, and returns how many attempts an
+// endpoint got.
 func countSentTo(b *Balancer, id string, from time.Duration) (n int) {
 	for i := range 3000 {
 		now := from + time.Duration(i)*time.Second/3000
@@ -21,7 +22,8 @@
 	return n
 }
 
-// countAtMaxCredit is what an endpoint gets that started a part of the warm-up ago, by clocks that agree.
+// countAtMaxCredit returns how many attempts an endpoint gets that started maxCreditedShare of slow start ago, as
+// reported by a correct clock.
 func countAtMaxCredit(t *testing.T) int {
 	t.Helper()
 	b := newBalancer(t, nil)
@@ -32,9 +34,9 @@
 	return countSentTo(b, list[2].ID, now)
 }
 
-// Start times come from wall clocks, which may be stepped by seconds or an hour, either way. An endpoint that comes
-// back while the replica runs is started slowly all the same, and has warmed up when the settings say so.
-func TestSlowStartNeedsNoWallClock(t *testing.T) {
+// Start times come from wall clocks, which may be wrong by seconds or an hour in either direction. If such a time were
+// used as it is, an endpoint that restarts would get its full load at once, or too little for an hour.
+func TestSlowStartToleratesWrongClocks(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
 			b := newBalancer(t, nil)
@@ -48,19 +50,20 @@
 			b.Handle(now, EndpointUpdate{Endpoints: []Endpoint{back}})
 			warming := countSentTo(b, id, now)
 			if limit := countAtMaxCredit(t); warming > limit+limit/4 || warming == 0 {
-				t.Errorf("an endpoint that came back gets %d, one with the greatest credit %d, one that has warmed up %d",
+				t.Errorf("a restarted endpoint got %d attempts, want 1 to 1.25 x %d (at full credit); warmed up it got %d",
 					warming, limit, warmedUp)
 			}
 			now += b.settings.SlowStartDuration + time.Second
 			if later := countSentTo(b, id, now); later < warmedUp/2 {
-				t.Errorf("when it has warmed up it gets %d, before %d", later, warmedUp)
+				t.Errorf("after slow start the endpoint got %d attempts, want half of the %d before at least", later, warmedUp)
 			}
 		})
 	}
 }
 
-// Start times of the first list are believed, but one in the future is of a start that was just now.
-func TestFirstListWithAStartInTheFuture(t *testing.T) {
+// Start times of the first list are used as reported, except that a time in the future counts as now. Otherwise the
+// endpoint would stay in slow start beyond that time.
+func TestFirstListWithStartInTheFuture(t *testing.T) {
 	b := newBalancer(t, nil)
 	list := testEndpoints(6)
 	now := 2 * time.Hour
@@ -69,12 +72,13 @@
 	warming := countSentTo(b, list[2].ID, now)
 	now += b.settings.SlowStartDuration + time.Second
 	if warmedUp := countSentTo(b, list[2].ID, now); warming > warmedUp/2 {
-		t.Errorf("it gets %d at first, %d when it has warmed up", warming, warmedUp)
+		t.Errorf("the endpoint got %d attempts at first, want half of the %d after slow start at most", warming, warmedUp)
 	}
 }
 
-// An overload factor under two leaves no capacity for bursts: a warming endpoint is drawn less often.
-func TestSmallOverloadFactorThinsMore(t *testing.T) {
+// With an overload factor below two, a warming endpoint has too little capacity for bursts at its usual load, so it
+// must be drawn less often.
+func TestSmallOverloadFactorReducesAdmission(t *testing.T) {
 	drawn := map[float64]int{}
 	for _, factor := range []float64{0, 1, 2, 3} {
 		b := newBalancer(t, func(s *Settings) { s.SlowStartInitialCapacity, s.SlowStartOverloadFactor = 0.5, factor })
@@ -87,15 +91,17 @@
 		}
 	}
 	if n := drawn[1]; n < 400 || n > 600 {
-		t.Errorf("drawn %d times in 2000 with a factor of 1, want about a quarter", n)
+		t.Errorf("admitted %d times in 2000 with a factor of 1, want 400 to 600", n)
 	}
 	if drawn[0] != drawn[2] || drawn[2] != drawn[3] || drawn[3] < 900 {
-		t.Errorf("drawn %v: factors of two and more, or none, want about half", drawn)
+		t.Errorf("admitted in 2000, by factor: %v, want equal counts of 900 at least for 0 (unknown), 2 and 3", drawn)
 	}
 }
 
+// Start times in the future, or too far in the past for a restart during the replica's life, come from wrong clocks and
+// must be limited.
 func TestStartTime(t *testing.T) {
-	start := slowStart{duration: 8 * time.Second}
+	start := slowStart{duration: 8 * time.Second} // a quarter, 2 s, may be credited
 	now := time.Minute
 	for _, c := range []struct {
 		name      string
@@ -111,7 +117,7 @@
 		{"while the replica runs, in the future", time.Hour, true, now},
 	} {
 		if got := start.startTime(c.stamp, now, c.restarted); got != c.want {
-			t.Errorf("%s: slow start from %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: slow start begins at %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/policy/spillover.go
+++ b/policy/spillover.go
@@ -2,26 +2,26 @@
 
 // Cross-zone spillover.
 const (
-	minSpillover       = 0.03 // lower bound, so that the latency of the other endpoints is known
-	spilloverThreshold = 0.25 // excess of the preferred endpoints' log latency from which the share grows
-	spilloverWeight    = averageWeight / 2
+	minSpillover       = 0.03              // lower bound, so that the latency of the other endpoints is known
+	spilloverThreshold = 0.25              // excess of preferredLatency over otherLatency at which the share grows
+	spilloverWeight    = averageWeight / 2 // weight of a new latency in the share
 )
 
-// spillover is the share of requests that may leave the preferred endpoints. It grows while these are
-// slower than the other endpoints, and falls otherwise.
+// spillover is the share of requests that may be sent to other endpoints than the preferred ones. It grows
+// while the preferred endpoints are slower than the others, and falls otherwise.
 type spillover struct {
 	share            float64
-	preferredLatency float64 // mean logarithm of latency over the mean of the class
-	otherLatency     float64 // the same at the others
+	preferredLatency float64 // preferred endpoints: mean log of the ratio of latency to the class's mean
+	otherLatency     float64 // the same for the other endpoints
 }
 
-// record records the logarithm of a latency over the mean of its class.
+// record records the logarithm of the ratio of a latency to the mean of its class, and adapts the share.
 func (s *spillover) record(preferred bool, logRatio float64) {
-	side := &s.otherLatency
+	mean := &s.otherLatency
 	if preferred {
-		side = &s.preferredLatency
+		mean = &s.preferredLatency
 	}
-	*side += averageWeight * (logRatio - *side)
+	*mean += averageWeight * (logRatio - *mean)
 	if s.preferredLatency > s.otherLatency+spilloverThreshold {
 		s.share += spilloverWeight * (1 - s.share)
 	} else {
@@ -29,8 +29,8 @@
 	}
 }
 
-// current is the share of requests that may leave the preferred endpoints, given how many of these are
-// unhealthy. It is at least the unhealthy share, if that is more than may be excluded.
+// current returns the spillover, given how many of the preferred endpoints are unhealthy. If these are more
+// than may be excluded, the spillover is at least their share.
 func (s *spillover) current(unhealthy, preferred int) float64 {
 	share := max(s.share, minSpillover)
 	if float64(unhealthy) > maxExcludedShare*float64(preferred) {
--- a/policy/spillover_test.go
+++ b/policy/spillover_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Crossing zones has a price: a replica keeps to its own zone while that is as good as the others, spills over when
-// it is slower, and comes back.
-func TestLocalZoneFirstAndSpillsByLatency(t *testing.T) {
+// Traffic between zones is costly, so a replica uses its own zone while that is as fast as the others. If it did not
+// spill over when the zone is slower, its requests would be late; if it did not come back, the cost would stay.
+func TestLocalZoneIsPreferredUnlessSlower(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Zone = "y" })
 	list := testEndpoints(12)
 	for i := range list {
@@ -35,18 +35,19 @@
 		return float64(crossed) / float64(all)
 	}
 	if got := crossedShare(20 * msec); got > 0.1 {
-		t.Errorf("%.2f crossed though all zones are alike", got)
+		t.Errorf("all zones equally fast: share %.2f sent to other zones, want 0.1 at most", got)
 	}
 	if got := crossedShare(60 * msec); got < 0.4 {
-		t.Errorf("%.2f crossed though the own zone is slow", got)
+		t.Errorf("the own zone is slower: share %.2f sent to other zones, want 0.4 at least", got)
 	}
 	crossedShare(20 * msec)
 	if got := crossedShare(20 * msec); got > 0.1 {
-		t.Errorf("%.2f crossed after the own zone came back", got)
+		t.Errorf("the own zone is as fast as before: share %.2f sent to other zones, want 0.1 at most", got)
 	}
 }
 
-// Where more preferred endpoints are unhealthy than may be excluded, their share leaves at least.
+// If more preferred endpoints are unhealthy than may be excluded, some of the unhealthy ones are drawn. So at least the
+// share that is unhealthy must spill over.
 func TestSpilloverOfUnhealthyEndpoints(t *testing.T) {
 	spill := spillover{share: 0.1}
 	for _, c := range []struct {
@@ -54,7 +55,7 @@
 		want                 float64
 	}{{0, 10, 0.1}, {2, 10, 0.1}, {3, 10, 0.3}, {1, 1, 1}} {
 		if got := spill.current(c.unhealthy, c.preferred); got != c.want {
-			t.Errorf("%d of %d unhealthy: %v leave, want %v", c.unhealthy, c.preferred, got, c.want)
+			t.Errorf("%d of %d unhealthy: spillover %v, want %v", c.unhealthy, c.preferred, got, c.want)
 		}
 	}
 }
--- a/policy/zone_simulation_test.go
+++ b/policy/zone_simulation_test.go
@@ -7,19 +7,21 @@
 	"time"
 )
 
-// attemptFate says how the attempts at an endpoint end, and when; after 0 they time out.
-type attemptFate func(Endpoint) (AttemptResult, time.Duration)
+// attemptOutcome returns the result and the latency of an attempt at an endpoint. At a latency of 0 the attempt times
+// out.
+type attemptOutcome func(Endpoint) (AttemptResult, time.Duration)
 
-// zoneSimulation plays zones of ten endpoints each against one replica in zone "x" behind the first tier: 100
-// requests a second, a third of them not idempotent, all endpoints with the same latency of 50 ms.
+// zoneSimulation simulates, in virtual time, one replica in zone "x" that sends to zones of ten endpoints each, below
+// the first tier. It gets 100 requests a second, a third of them not idempotent. All endpoints have a latency of 50 ms
+// unless the outcome says otherwise.
 type zoneSimulation struct {
 	balancer      *Balancer
 	now           time.Duration
 	events        eventQueue
-	names         []string
-	fate          attemptFate
-	sent          map[string]int // by zone, and in all as "", in the last run
-	notIdempotent map[string]int // of them, by zone
+	names         []string // of the zones
+	outcome       attemptOutcome
+	sent          map[string]int // attempts in the last run, by zone; "": in all zones
+	notIdempotent map[string]int // attempts of requests that are not idempotent in the last run, by zone
 }
 
 func newZoneSimulation(t *testing.T, zones ...string) *zoneSimulation {
@@ -34,8 +36,8 @@
 	return s
 }
 
-// where gives the endpoints that match a result, and all others a success.
-func where(match func(Endpoint) bool, result AttemptResult, latency time.Duration) attemptFate {
+// outcomeAt returns the given result and latency for the endpoints that match, and a success for all others.
+func outcomeAt(match func(Endpoint) bool, result AttemptResult, latency time.Duration) attemptOutcome {
 	return func(ep Endpoint) (AttemptResult, time.Duration) {
 		if match(ep) {
 			return result, latency
@@ -44,11 +46,12 @@
 	}
 }
 
-// hang makes all endpoints of some zones hang, and all others answer.
+// hang makes all endpoints of the given zones hang, and all others answer.
 func (s *zoneSimulation) hang(zones ...string) {
-	s.fate = where(func(ep Endpoint) bool { return slices.Contains(zones, ep.Zone) }, Success, 0)
+	s.outcome = outcomeAt(func(ep Endpoint) bool { return slices.Contains(zones, ep.Zone) }, Success, 0)
 }
 
+// endpoints returns the endpoint list, with the zones in turn.
 func (s *zoneSimulation) endpoints() []Endpoint {
 	var all []Endpoint
 	for i := range 10 * len(s.names) {
@@ -61,7 +64,7 @@
 	s.handle(EndpointUpdate{Snapshot: true, Endpoints: s.endpoints()})
 }
 
-// handle gives an event to the replica and follows its actions.
+// handle gives an event to the replica and carries out the actions it returns.
 func (s *zoneSimulation) handle(e Event) {
 	for _, a := range s.balancer.Handle(s.now, e) {
 		switch a := a.(type) {
@@ -73,6 +76,7 @@
 	}
 }
 
+// startAttempt counts an attempt and schedules its end.
 func (s *zoneSimulation) startAttempt(a SendAttempt) {
 	r, target := s.balancer.requests[a.ID], s.balancer.endpoints[a.Endpoint].Endpoint
 	s.sent[target.Zone]++
@@ -80,7 +84,7 @@
 	if r.class.Idempotency == NotIdempotent {
 		s.notIdempotent[target.Zone]++
 	}
-	result, latency := s.fate(target)
+	result, latency := s.outcome(target)
 	if latency == 0 || latency > a.Timeout {
 		result, latency = TimedOut, a.Timeout
 	}
@@ -94,7 +98,7 @@
 	})
 }
 
-// run goes on for some time and counts what is sent.
+// run simulates a period and counts the attempts sent in it.
 func (s *zoneSimulation) run(d time.Duration) {
 	s.sent, s.notIdempotent = map[string]int{}, map[string]int{}
 	for end := s.now + d; s.now < end; s.now += 10 * msec {
@@ -110,11 +114,12 @@
 	}
 }
 
-// part is how large a part of all attempts a zone had in the last run.
-func (s *zoneSimulation) part(zone string) float64 {
+// trafficShare returns the share of all attempts of the last run that a zone got.
+func (s *zoneSimulation) trafficShare(zone string) float64 {
 	return float64(s.sent[zone]) / float64(s.sent[""])
 }
 
+// zone returns the state of a zone as the replica reports it.
 func (s *zoneSimulation) zone(name string) Zone {
 	all := s.balancer.Zones()
 	return all[slices.IndexFunc(all, func(z Zone) bool { return z.Name == name })]
