--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -1,4 +1,4 @@
-// Attempts: each sends a request to one endpoint once and reports the outcome.
+// Attempts: each sends a request to one endpoint once and reports the outcome to the event loop.
 
 package node
 
@@ -25,13 +25,14 @@
 	number   int
 	endpoint *endpoint
 
-	// timeout is for the response or, of a streamed request, for the endpoint to take the next bytes.
+	// timeout limits the wait for the response. While a streamed request is written, it also limits each write.
 	timeout    time.Duration
-	deadline   time.Duration
+	deadline   time.Duration // when the attempt times out; of a streamed request, the latest time to begin the send
 	startedAt  time.Duration
-	budgetSent time.Duration // the time that the endpoint was granted; set as the head is written
+	budgetSent time.Duration // the value of X-Budget; set when the request head is built
 
-	// retryBefore is until when servers discard a retry. Zero: the attempt is none, or need not be discarded.
+	// retryBefore is the time until which servers discard a retry as a duplicate. It is zero if the attempt is not a
+	// retry, or if servers need not discard it.
 	retryBefore time.Duration
 }
 
@@ -40,12 +41,12 @@
 	errEarlyResponse    = errors.New("answered before the end of the request")
 )
 
-// start runs an attempt in a goroutine of its own, which ends when its outcome has been sent to the loop.
+// start runs an attempt in its own goroutine, which ends once the event loop has received the outcome.
 func (p *pool) start(att *attempt) {
 	att.startedAt = p.clock.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed { // shutdown waits for what was started before it, and the loop ends next
+	if p.closed { // shutdown waits only for attempts started before it; the event loop ends after that
 		return
 	}
 	p.running.Add(1)
@@ -55,7 +56,7 @@
 	}()
 }
 
-// runAttempt sends the request of an attempt once and waits for the response.
+// runAttempt sends the request of an attempt at most once, waits for the response and returns the outcome.
 func (p *pool) runAttempt(att *attempt) attemptOutcome {
 	if reason := p.checkSend(att); reason != guard.Allowed {
 		return p.notSent(att, reason)
@@ -64,7 +65,7 @@
 	if err != nil {
 		return attemptOutcome{attempt: att, result: policy.ConnectFailed, err: err}
 	}
-	// Connecting takes time: the request may be finished by now, or the endpoint draining.
+	// Connecting takes time: meanwhile the request may have been answered, or the endpoint may have begun to drain.
 	if reason := p.checkSend(att); reason != guard.Allowed {
 		p.release(c)
 		return p.notSent(att, reason)
@@ -75,7 +76,7 @@
 		return writeFailed(att, err)
 	}
 	if received.err != nil {
-		return responseFailed(att, received.err) // the reader has closed the connection
+		return responseFailed(att, received.err) // readResponses has closed the connection
 	}
 	outcome := p.deliver(att, received)
 	if received.early || received.httpResponse.Close || received.streamFailed() {
@@ -86,22 +87,23 @@
 	return outcome
 }
 
-// notSent is the outcome of an attempt that the guard does not allow.
+// notSent records that the guard did not allow an attempt, and returns its outcome.
 func (p *pool) notSent(att *attempt, reason guard.Verdict) attemptOutcome {
 	p.decisions.AttemptNotSent(att.logName(), reason)
 	return attemptOutcome{attempt: att, result: policy.NotSent, notSentReason: reason}
 }
 
-// writeFailed is the outcome of an attempt whose last byte was not written, so that its request cannot have run.
+// writeFailed returns the outcome of an attempt whose last byte was not written: the server cannot have run the
+// request.
 func writeFailed(att *attempt, err error) attemptOutcome {
 	outcome := attemptOutcome{attempt: att, result: policy.ConnectFailed, err: err}
 	if att.request.bodyStream != nil && att.request.bodyStream.Failure() != nil {
-		outcome.result = policy.NotSent // the client did not send the last byte
+		outcome.result = policy.NotSent // the body from the client was incomplete
 	}
 	return outcome
 }
 
-// responseFailed is the outcome of an attempt whose request was written and got no complete response.
+// responseFailed returns the outcome of an attempt whose request was written and got no complete response.
 func responseFailed(att *attempt, err error) attemptOutcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return attemptOutcome{attempt: att, result: policy.TimedOut}
@@ -109,8 +111,8 @@
 	return attemptOutcome{attempt: att, result: policy.ConnectionLost, err: err}
 }
 
-// deliver is the outcome of an attempt that got a response. A streamed one is given to the loop first, and forwarded
-// to its end.
+// deliver returns the outcome of an attempt that got a response. It first hands a response that is to be streamed to
+// the event loop, and waits until it has been forwarded.
 func (p *pool) deliver(att *attempt, received reply) attemptOutcome {
 	outcome := attemptOutcome{
 		attempt: att,
@@ -128,7 +130,7 @@
 	if stream == nil {
 		return outcome
 	}
-	if outcome.result != policy.Success { // clients get no body of an error
+	if outcome.result != policy.Success { // the body of an error response is not forwarded to clients
 		stream.finish(errResponseUnwanted, true)
 		outcome.response.bodyStream = nil
 		return outcome
@@ -147,14 +149,15 @@
 	return outcome
 }
 
-// roundTrip writes the request of an attempt and waits for the reply. The error is why the last byte was not written.
+// roundTrip writes the request of an attempt and waits for the reply. It returns an error if the last byte of the
+// request was not written; a failure to get a response is in reply.err.
 func (p *pool) roundTrip(c *serverConn, att *attempt) (reply, error) {
 	if att.request.bodyStream != nil {
 		return p.roundTripStreamed(c, att)
 	}
 	if _, err := c.Write(p.encodeRequest(att)); err != nil {
 		p.close(c)
-		(<-c.replies).discard() // a response that came meanwhile, or the close
+		(<-c.replies).discard() // an early response, or the error due to the close
 		return reply{}, fmt.Errorf("write to endpoint %s: %w", att.endpoint.id, err)
 	}
 	p.recordWritten(att, att.request.deadline)
@@ -163,7 +166,7 @@
 
 // roundTripStreamed is roundTrip for a request whose body is still arriving.
 func (p *pool) roundTripStreamed(c *serverConn, att *attempt) (reply, error) {
-	p.setDeadline(c, time.Time{}) // the time for a response runs from the last byte on
+	p.setDeadline(c, time.Time{}) // the timeout of the response starts with the last byte of the request
 	err := p.writeStreamed(c, att)
 	if err == nil {
 		now := p.clock.now()
@@ -172,7 +175,8 @@
 		p.requestsWritten <- requestWritten{attempt: att, writtenAt: now}
 		return <-c.replies, nil
 	}
-	// The server may have responded without having read the whole request. If not, the close makes the reader reply.
+	// The server may have responded without reading the whole request. If it has not, closing the connection makes
+	// readResponses send a reply with an error.
 	if !errors.Is(err, errEarlyResponse) {
 		p.close(c)
 	}
@@ -185,7 +189,7 @@
 	return received, nil
 }
 
-// writeStreamed writes a request with the body that is still arriving.
+// writeStreamed writes a request while its body is still arriving from the client.
 func (p *pool) writeStreamed(c *serverConn, att *attempt) error {
 	body := io.MultiReader(bytes.NewReader(att.request.body), att.request.bodyStream)
 	w := bufio.NewWriterSize(&streamWriter{serverConn: c, timeout: att.timeout}, p.buffers.chunkSize)
@@ -195,28 +199,29 @@
 	return w.Flush()
 }
 
-// streamWriter writes a body as fast as the server takes it, until a response arrives.
+// streamWriter writes a request to a server, with a timeout for each write, until a response arrives.
 type streamWriter struct {
 	*serverConn
 	timeout time.Duration
 }
 
-// Write implements io.Writer. It fails with errEarlyResponse when a response has arrived, or may have.
+// Write implements io.Writer. It returns errEarlyResponse if a response has arrived, or may have: a server that
+// responds early may close the connection.
 func (w *streamWriter) Write(b []byte) (int, error) {
 	if len(w.replies) > 0 {
 		return 0, errEarlyResponse
 	}
-	// An error is ignored: it fails only on a closed connection, and so does the write.
+	// The error is ignored: it occurs only on a closed connection, where the write fails too.
 	_ = w.SetWriteDeadline(time.Now().Add(w.timeout))
 	n, err := w.serverConn.Write(b)
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		err = errEarlyResponse // the connection broke; what the server sent before is still to be read
+		err = errEarlyResponse // a response that the server sent before the connection broke may still be read
 	}
 	return n, err
 }
 
-// checkSend asks the guard whether an attempt may be written now. After a suspension of the process it waits until
-// the updates of the endpoint list that arrived meanwhile have been read.
+// checkSend returns the guard's verdict on whether an attempt may be written now. After the process was suspended, it
+// first waits until the buffered updates of the endpoint list have been read, for maxSendHold at most.
 func (p *pool) checkSend(att *attempt) guard.Verdict {
 	for {
 		verdict := guard.Send{
@@ -235,7 +240,8 @@
 	}
 }
 
-// recordWritten counts an attempt that was written completely, and checks afterwards that it was allowed.
+// recordWritten counts an attempt whose request was written completely, and checks in retrospect that it was allowed:
+// the process may have been suspended between checkSend and the write.
 func (p *pool) recordWritten(att *attempt, clientDeadline time.Duration) {
 	p.metrics.Update(func(c *metrics.Counters) { c.AttemptsWritten++ })
 	p.decisions.AttemptWritten(att.logName(), guard.Sent{
@@ -249,20 +255,20 @@
 	})
 }
 
-// encodeRequest is a buffered request as it is written to an endpoint.
+// encodeRequest returns a fully buffered request in the form in which it is written to the endpoint.
 func (p *pool) encodeRequest(att *attempt) []byte {
 	var body io.Reader
 	if len(att.request.body) > 0 {
 		body = bytes.NewReader(att.request.body)
 	}
 	var encoded bytes.Buffer
-	// An error is ignored: neither the buffer nor the body can fail.
+	// The error is ignored: neither writing to the buffer nor reading the body can fail.
 	_ = p.outgoingRequest(att, body).Write(&encoded)
 	return encoded.Bytes()
 }
 
-// outgoingRequest is the client's request with the remaining budget, which for a streamed request runs from its last
-// byte on.
+// outgoingRequest returns the client's request with the remaining budget in X-Budget. The budget of a streamed request
+// starts with its last byte.
 func (p *pool) outgoingRequest(att *attempt, body io.Reader) *http.Request {
 	incoming := att.request
 	header := incoming.header.Clone()
@@ -273,7 +279,7 @@
 	att.budgetSent = max(left, time.Microsecond)
 	header.Set("X-Budget", strconv.FormatInt(att.budgetSent.Microseconds(), 10)+"u")
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = nil // otherwise Request.Write adds its own
+		header["User-Agent"] = nil // otherwise Request.Write adds a default value
 	}
 	outgoing := &http.Request{
 		Method:        incoming.method,
@@ -288,7 +294,7 @@
 	return outgoing
 }
 
-// attemptResult is the result of an attempt by its response.
+// attemptResult returns the result of an attempt that got this response.
 func attemptResult(r *http.Response) policy.AttemptResult {
 	switch {
 	case r.StatusCode == http.StatusOK:
@@ -297,11 +303,11 @@
 		r.Header.Get("X-Rejected") == "1":
 		return policy.Overloaded
 	}
-	return policy.ServerError // the request may have run
+	return policy.ServerError // the server may have run the request
 }
 
-// parseLoadReport reads the load report of a response, whose fields have the names that the settings give them. It
-// returns nil if there is none; a missing field is -1.
+// parseLoadReport returns the load report in a response's X-Load-Report header, or nil if there is none or it is
+// invalid. A field missing from the report is -1. The settings name the fields as servers do.
 func parseLoadReport(h http.Header) *policy.Load {
 	text := h.Get("X-Load-Report")
 	if text == "" {
--- a/internal/node/clock_offset.go
+++ b/internal/node/clock_offset.go
@@ -1,4 +1,4 @@
-// The difference between this process's clock and the one that the start times of servers come from.
+// The offset between this process's clock and the clock of discovery, to which the start times of servers refer.
 
 package node
 
@@ -8,18 +8,20 @@
 	"time"
 )
 
-// dateResolution is that of a Date header, whose time is cut to whole seconds.
+// dateResolution is the resolution of a Date header, whose time is truncated to whole seconds.
 const dateResolution = time.Second
 
-// clockOffset is how far this process's clock is ahead of discovery's, and so of the start times in its lists. The
-// first response of discovery decides it for good: start times are compared with those of earlier lists.
+// clockOffset is how far this process's clock is ahead of discovery's, and thereby of the start times in endpoint
+// lists. It is fixed by the first response of discovery that has a valid Date header: start times are compared with
+// those of earlier lists, which a changed offset would shift.
 type clockOffset struct {
 	known bool
-	ahead time.Duration
+	ahead time.Duration // negative if this process's clock is behind
 }
 
-// observe takes the header of a response to a request that was sent at a clock time, and received at another. The
-// offset is the least that explains the Date in it; without one, the clocks count as equal.
+// observe derives the offset from the Date header of a response; sentAt and receivedAt are the clock times of the
+// request and of the response. It chooses the offset closest to zero that is consistent with the Date. Until a response
+// with a valid Date is observed, the offset is zero.
 func (o *clockOffset) observe(header http.Header, sentAt, receivedAt time.Duration, log *slog.Logger) {
 	if o.known {
 		return
--- a/internal/node/clock_offset_test.go
+++ b/internal/node/clock_offset_test.go
@@ -8,12 +8,14 @@
 	"time"
 )
 
+// The offset is the one closest to zero that is consistent with the Date of the first response, and stays the same when
+// a later response has another one.
 func TestClockOffsetIsTheSmallestThatExplainsADate(t *testing.T) {
 	date := time.Date(2026, 12, 3, 12, 0, 0, 0, time.UTC)
 	dated := http.Header{"Date": {date.Format(http.TimeFormat)}}
 	for name, tt := range map[string]struct {
 		header         http.Header
-		sent, received time.Duration // by this process's clock, after the Date
+		sent, received time.Duration // after the Date, by this process's clock
 		want           time.Duration
 	}{
 		"equal clocks":                  {dated, 300 * time.Millisecond, 310 * time.Millisecond, 0},
@@ -29,21 +31,22 @@
 			at := time.Duration(date.UnixNano())
 			offset.observe(tt.header, at+tt.sent, at+tt.received, quiet())
 			if offset.ahead != tt.want {
-				t.Errorf("ahead %v, want %v", offset.ahead, tt.want)
+				t.Errorf("the clock is %v ahead, want %v", offset.ahead, tt.want)
 			}
 			offset.observe(dated, at+2*time.Hour, at+2*time.Hour, quiet())
 			if offset.known && tt.header.Get("Date") == dated.Get("Date") && offset.ahead != tt.want {
-				t.Errorf("a later response changed it to %v", offset.ahead)
+				t.Errorf("a later response changed the offset to %v", offset.ahead)
 			}
 		})
 	}
 }
 
-// Guards against the full load on a server that has just started, in the first list of a process whose wall clock is
-// ahead: by its clock the start is long over. With a clock that is behind, a server that started long ago is not new.
-func TestFirstListOfAProcessWhoseClockIsAhead(t *testing.T) {
+// Guards against sending the full share of the load to a server that has just started: a process whose wall clock is
+// ahead of discovery's would take the start time in its first list for long past. Conversely, if the clock is behind, a
+// server that started long ago must not count as warming up.
+func TestSlowStartWithClockOffset(t *testing.T) {
 	for name, tt := range map[string]struct {
-		ahead   time.Duration // this process's clock, beside discovery's
+		ahead   time.Duration // of this process's clock, compared with discovery's
 		age     time.Duration // of the third server
 		warming bool
 	}{
@@ -75,13 +78,13 @@
 			observed := backends[2].requests()
 			others := (requests - observed) / (servers - 1)
 			if warming := observed <= others/2; warming != tt.warming {
-				t.Errorf("it gets %d, each other %d in the mean", observed, others)
+				t.Errorf("the third server got %d requests, each other server %d on average", observed, others)
 			}
 		})
 	}
 }
 
-// datedDiscovery serves one list from a discovery with a clock of its own.
+// datedDiscovery starts a discovery that serves one list, with the given time as the Date of its responses.
 func datedDiscovery(t *testing.T, now time.Time, list endpointList) (address string) {
 	t.Helper()
 	text, err := json.Marshal(list)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -13,21 +13,21 @@
 
 const (
 	minBackoff = 100 * time.Millisecond
-	maxBackoff = time.Second // two watches fit in the grace of a draining server that discovery knows of
+	maxBackoff = time.Second // two watches can be tried within the removal grace of a server listed as draining
 
 	discoveryConnectTimeout = time.Second
 )
 
-// watchEvent is what discovery sends to the event loop.
+// watchEvent is a message from discovery to the event loop.
 type watchEvent struct {
 	list       endpointList
-	clockAhead time.Duration // of this process, beside the clock of the list's start times
-	cached     bool          // the list is the one that the node knew at its start
-	pollFailed bool          // a poll failed or ended; there is no list
+	clockAhead time.Duration // how far this process's clock is ahead of the clock of the list's start times
+	cached     bool          // the list is the one that the configuration names, used at the start
+	pollFailed bool          // a poll failed or ended; list is empty
 }
 
-// discovery follows the endpoint list. Where lists are pushed it opens a watch after another by itself, with a backoff;
-// where they are polled, the policy says when, and is notified when a poll fails.
+// discovery follows the changes of the endpoint list. Where lists are pushed, it opens a new watch whenever one ends,
+// with a backoff. Where lists are polled, the policy requests each poll, and is notified when one fails or ends.
 //
 //	state            event                next
 //	waiting          poll requested       watching (polled)
@@ -38,18 +38,18 @@
 //	watching         ended or canceled    waiting
 type discovery struct {
 	polled        bool
-	version       int64       // of the list that the event loop has; used by run alone
-	clockOffset   clockOffset // used by run alone
+	version       int64       // of the last list delivered to the event loop; used only by run
+	clockOffset   clockOffset // used only by run
 	clock         clock
 	log           *slog.Logger
 	client        *http.Client
 	deliver       func(context.Context, watchEvent) error // sends to the event loop; fails only if the context ends
-	watchRequests chan struct{}                           // holds a token: a poll is requested, or the address has changed
+	watchRequests chan struct{}                           // holds one token: a poll is requested or the address changed
 	staleness     *stalenessMonitor
 
 	mu          sync.Mutex
 	address     string
-	cancelWatch context.CancelCauseFunc // ends the current watch; nil: there is none
+	cancelWatch context.CancelCauseFunc // cancels the current watch; nil if there is none
 }
 
 func newDiscovery(
@@ -75,7 +75,7 @@
 	}
 }
 
-// requestWatch asks for a watch. It does nothing if one is asked for already.
+// requestWatch requests a watch or a poll. It does nothing if a request is pending.
 func (d *discovery) requestWatch() {
 	select {
 	case d.watchRequests <- struct{}{}:
@@ -83,10 +83,11 @@
 	}
 }
 
-// errMoved cancels a watch whose address has changed.
+// errMoved is the cause with which a watch is canceled when discovery's address changes.
 var errMoved = errors.New("discovery has moved")
 
-// moveTo changes the address. A current watch continues there at once, from the version held.
+// moveTo changes the address of discovery. It cancels the current watch, which run then resumes at the new address
+// without a pause, from the version of the last delivered list.
 func (d *discovery) moveTo(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,7 +101,7 @@
 	d.requestWatch()
 }
 
-// run opens watches until ctx ends.
+// run opens one watch or poll after another until ctx ends.
 func (d *discovery) run(ctx context.Context) {
 	backoff := minBackoff
 	for d.awaitPollRequest(ctx) {
@@ -108,7 +109,7 @@
 		if lines > 0 {
 			backoff = minBackoff
 		}
-		pause := backoff/2 + rand.N(backoff/2) // jitter keeps nodes from connecting at the same time
+		pause := backoff/2 + rand.N(backoff/2) // the jitter keeps nodes from reconnecting at the same time
 		d.staleness.watchEnded(pause)
 		if ctx.Err() != nil {
 			return
@@ -127,7 +128,8 @@
 	}
 }
 
-// awaitPollRequest waits until a poll is requested, where lists are polled. It returns false if ctx ends.
+// awaitPollRequest waits for a poll request where lists are polled, and returns at once where they are pushed. It
+// returns false if ctx has ended.
 func (d *discovery) awaitPollRequest(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
@@ -143,7 +145,7 @@
 	}
 }
 
-// sleep waits before the next watch, or until the address changes.
+// sleep waits for the given pause, or until the address changes or ctx ends.
 func (d *discovery) sleep(ctx context.Context, pause time.Duration) {
 	select {
 	case <-time.After(pause):
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// agent is a discovery that answers from a script.
-type agent struct {
-	calls chan string // "watch FROM" or "list"
-	lines chan string // written to the watch as they come
-	end   chan struct{}
+// fakeDiscovery is a discovery that a test controls.
+type fakeDiscovery struct {
+	requests chan string   // those received: "watch FROM" or "list"
+	lines    chan string   // the lines to be written to the current watch
+	end      chan struct{} // ends the current watch
 }
 
-// newAgent returns a scripted discovery, whose snapshot is snapshotLine, and its address.
-func newAgent(t *testing.T) (*agent, string) {
+// newFakeDiscovery starts a discovery whose snapshot is snapshotLine, and returns it with its address.
+func newFakeDiscovery(t *testing.T) (*fakeDiscovery, string) {
 	t.Helper()
-	a := &agent{calls: make(chan string, 100), lines: make(chan string), end: make(chan struct{})}
+	a := &fakeDiscovery{requests: make(chan string, 100), lines: make(chan string), end: make(chan struct{})}
 	return a, newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("watch") == "" {
-			a.calls <- "list"
+			a.requests <- "list"
 			writeFlushed(w, snapshotLine+"\n")
 			return
 		}
-		a.calls <- "watch " + r.URL.Query().Get("from")
+		a.requests <- "watch " + r.URL.Query().Get("from")
 		w.(http.Flusher).Flush()
 		for {
 			select {
@@ -41,8 +41,8 @@
 	})
 }
 
-// watchOn runs a discovery until the test ends, and returns what it delivers.
-func watchOn(t *testing.T, addr, mode string, silence time.Duration) (*discovery, <-chan watchEvent) {
+// startDiscovery runs a node's discovery client until the test ends, and returns it with the events that it delivers.
+func startDiscovery(t *testing.T, addr, mode string, silence time.Duration) (*discovery, <-chan watchEvent) {
 	cfg := testConfig(t, mode)
 	cfg.Discovery = addr
 	events := make(chan watchEvent)
@@ -68,49 +68,52 @@
 	return d, events
 }
 
-func wantCall(t *testing.T, a *agent, want string) {
+// wantRequest waits for the next request to a discovery and compares it.
+func wantRequest(t *testing.T, a *fakeDiscovery, want string) {
 	t.Helper()
-	if got := <-a.calls; got != want {
+	if got := <-a.requests; got != want {
 		t.Fatalf("discovery was asked for %q, want %q", got, want)
 	}
 }
 
 const snapshotLine = `{"seq":50,"whole":true,"hosts":[{"host":"s-9","dial":"127.0.0.1:9","health":"in_service"}]}`
 
+// A watch delivers each list, and the watch after its end continues from the version of the last one.
 func TestWatchFollowsAndReconnects(t *testing.T) {
-	a, addr := newAgent(t)
-	_, events := watchOn(t, addr, "pushed", time.Minute)
-	wantCall(t, a, "watch 1")
+	a, addr := newFakeDiscovery(t)
+	_, events := startDiscovery(t, addr, "pushed", time.Minute)
+	wantRequest(t, a, "watch 1")
 	a.lines <- `{"seq":43,"whole":false,"hosts":[]}`
 	if n := <-events; n.list.Version != 43 || n.pollFailed {
-		t.Fatalf("got %+v", n)
+		t.Fatalf("delivered %+v, want the list of version 43", n)
 	}
 	a.lines <- ""
 	a.end <- struct{}{}
-	wantCall(t, a, "watch 43")
+	wantRequest(t, a, "watch 43")
 }
 
-// After a line that is invalid, or whose version is lower, the node fetches a snapshot.
+// After a list that is invalid or has a lower version than the last one, the node fetches a snapshot and continues from
+// its version.
 func TestSnapshotAfterInvalidLine(t *testing.T) {
 	for name, line := range map[string]string{
 		"unreadable": `{"seq":44,}`,
 		"gone back":  `{"seq":0,"whole":false,"hosts":[]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, addr := newAgent(t)
-			_, events := watchOn(t, addr, "pushed", time.Minute)
-			wantCall(t, a, "watch 1")
+			a, addr := newFakeDiscovery(t)
+			_, events := startDiscovery(t, addr, "pushed", time.Minute)
+			wantRequest(t, a, "watch 1")
 			a.lines <- line
-			wantCall(t, a, "list")
+			wantRequest(t, a, "list")
 			if n := <-events; n.list.Version != 50 || !n.list.Snapshot || len(n.list.Endpoints) != 1 {
-				t.Fatalf("got %+v", n)
+				t.Fatalf("delivered %+v, want the snapshot of version 50 with 1 endpoint", n)
 			}
-			wantCall(t, a, "watch 50")
+			wantRequest(t, a, "watch 50")
 		})
 	}
 }
 
-// A response that is truncated anywhere, in a watch or in a snapshot, changes nothing that the node holds.
+// A response that is truncated anywhere, of a watch or of a snapshot, does not change the endpoint list of the node.
 func TestTruncatedResponsesChangeNoList(t *testing.T) {
 	const line = `{"seq":60,"whole":true,"hosts":[{"host":"s-7","dial":"127.0.0.1:9","health":"terminated"}]}`
 	for _, rest := range []string{line, `{}`, `null`, `{"seq":60,"whole":true}`} {
@@ -126,11 +129,11 @@
 				writeFlushed(w, text)
 				panic(http.ErrAbortHandler)
 			})
-			_, events := watchOn(t, addr, "pushed", time.Minute)
+			_, events := startDiscovery(t, addr, "pushed", time.Minute)
 			for range 3 { // the watch, the snapshot, the next watch
 				select {
 				case n := <-events:
-					t.Fatalf("got %+v after %q", n, text)
+					t.Fatalf("delivered %+v after the truncated response %q, want nothing", n, text)
 				case <-calls:
 				}
 			}
@@ -138,72 +141,73 @@
 	}
 }
 
-// A machine that is cut off leaves its connection open: only the missing lines show it.
+// Guards against waiting forever for a discovery whose machine is cut off from the network: the connection stays open,
+// and only the missing lines reveal it.
 func TestSilentWatchIsReplaced(t *testing.T) {
-	a, addr := newAgent(t)
-	watchOn(t, addr, "pushed", 20*time.Millisecond)
-	wantCall(t, a, "watch 1")
-	wantCall(t, a, "watch 1")
+	a, addr := newFakeDiscovery(t)
+	startDiscovery(t, addr, "pushed", 20*time.Millisecond)
+	wantRequest(t, a, "watch 1")
+	wantRequest(t, a, "watch 1")
 }
 
-// A poll that discovery never answers is canceled; the policy is notified and polls again.
+// A poll that discovery never answers is canceled, and the policy is notified so that it can poll again.
 func TestSilentPollIsCanceled(t *testing.T) {
 	addr := newDiscoveryServer(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	d, events := watchOn(t, addr, "on_request", 20*time.Millisecond)
+	d, events := startDiscovery(t, addr, "on_request", 20*time.Millisecond)
 	d.requestWatch()
 	select {
 	case n := <-events:
 		if !n.pollFailed {
-			t.Errorf("got %+v", n)
+			t.Errorf("delivered %+v, want a failed poll", n)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("still waiting after 5 s")
+		t.Error("the poll was not canceled within 5 s")
 	}
 }
 
-// When the address of discovery changes, a node continues there at once, from the version held, also if the event
-// loop has not taken the last update yet.
-func TestWatchMoves(t *testing.T) {
+// When the address of discovery changes, the node continues at the new address without a pause, from the version of the
+// last delivered list. A list that the event loop has not taken yet does not count as delivered.
+func TestWatchContinuesAtNewAddress(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
-			a, addr := newAgent(t)
-			b, moved := newAgent(t)
-			d, events := watchOn(t, addr, mode, time.Minute)
+			a, addr := newFakeDiscovery(t)
+			b, moved := newFakeDiscovery(t)
+			d, events := startDiscovery(t, addr, mode, time.Minute)
 			d.requestWatch()
-			wantCall(t, a, "watch 1")
+			wantRequest(t, a, "watch 1")
 			a.lines <- `{"seq":43,"whole":false,"hosts":[]}`
 			if n := <-events; n.list.Version != 43 {
-				t.Fatalf("got %+v", n)
+				t.Fatalf("delivered %+v, want the list of version 43", n)
 			}
-			a.lines <- `{"seq":44,"whole":false,"hosts":[]}` // and nobody takes it
+			a.lines <- `{"seq":44,"whole":false,"hosts":[]}` // which the event loop does not take
 			d.moveTo(moved)
-			wantCall(t, b, "watch 43")
+			wantRequest(t, b, "watch 43")
 			b.lines <- `{"seq":44,"whole":false,"hosts":[]}`
 			if n := <-events; n.list.Version != 44 || n.pollFailed {
-				t.Fatalf("got %+v", n)
+				t.Fatalf("delivered %+v, want the list of version 44", n)
 			}
 		})
 	}
 }
 
-// Where lists are polled, the policy says when: the node polls only then, and notifies it of failures.
+// Where lists are polled, the node polls only when the policy requests it, and notifies the policy of failed polls.
 func TestPollMode(t *testing.T) {
-	a, addr := newAgent(t)
-	d, events := watchOn(t, addr, "on_request", time.Minute)
+	a, addr := newFakeDiscovery(t)
+	d, events := startDiscovery(t, addr, "on_request", time.Minute)
 	for range 2 {
 		d.requestWatch()
-		wantCall(t, a, "watch 1")
+		wantRequest(t, a, "watch 1")
 		a.end <- struct{}{}
 		if n := <-events; !n.pollFailed {
-			t.Fatalf("got %+v", n)
+			t.Fatalf("delivered %+v, want a failed poll", n)
 		}
 	}
-	if len(a.calls) != 0 {
-		t.Error("the node polled by itself")
+	if len(a.requests) != 0 {
+		t.Error("the node polled without a request of the policy")
 	}
 }
 
-// Where polls fail at first, the policy polls again and the node gets its list.
+// If the first polls fail, the policy polls again until the node gets its list.
 func TestPolicyPollsAgain(t *testing.T) {
 	b := newBackend(t, ok)
 	calls := make(chan struct{}, 100)
@@ -219,14 +223,14 @@
 	})
 	cfg := testConfig(t, "on_request")
 	cfg.Discovery = addr
-	n := start(t, cfg) // becomes ready only with the list
+	n := start(t, cfg) // returns once the node is ready, which requires the list
 	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
-		t.Errorf("answered %d", status)
+		t.Errorf("status %d, want 200", status)
 	}
 }
 
-// A change counts as notified 6 s after discovery had it and could be reached, whatever poll interval the settings
-// allow: polls that are rejected, reset, or canceled because nothing comes are repeated by then.
+// A change counts as notified once discovery has had it, and could be reached, for 6 s, whatever poll interval the
+// settings allow. By then, polls that are rejected, reset, or canceled because no line arrives must have been repeated.
 func TestNotifiedWithinSixSecondsOfFailedPolls(t *testing.T) {
 	reject := func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "busy", http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -240,7 +244,7 @@
 			b := newBackend(t, ok)
 			const list = `{"seq":%d,"whole":true,"hosts":[{"host":"s-1","dial":%q,"site":"z","health":%q}]}` + "\n"
 			var calls atomic.Int64
-			var drained, notified time.Time // discovery has the change, and has written it
+			var drained, notified time.Time // when discovery gets the change, and when it has written it
 			known := make(chan struct{})
 			addr := newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
 				switch n := int(calls.Add(1)); {
@@ -262,14 +266,14 @@
 			cfg.Settings.MaxPollInterval, cfg.Discovery = 10*time.Minute, addr
 			n := start(t, cfg)
 			<-known
-			eventually(t, "the node has it", func() bool { return !n.loop.hasReadyEndpoint.Load() })
+			eventually(t, "the node applies the change", func() bool { return !n.loop.hasReadyEndpoint.Load() })
 			if took := notified.Sub(drained); took > 6*time.Second {
-				t.Errorf("the change was notified after %v", took)
+				t.Errorf("the node was notified of the change after %v, want at most 6 s", took)
 			}
 			r := newRequest(t, n.url, "unsafe", "1", "x")
 			r.Header.Set("X-Budget", "400m")
 			if status, _, _ := do(t, r); status == http.StatusOK || b.requests() > 0 {
-				t.Errorf("a drained server got %d requests, the answer was %d", b.requests(), status)
+				t.Errorf("the draining server got %d requests, want none; the client got status %d", b.requests(), status)
 			}
 		})
 	}
--- a/internal/node/endpoint_events.go
+++ b/internal/node/endpoint_events.go
@@ -1,4 +1,4 @@
-// What the event loop does with updates of the endpoint list.
+// The event loop's handling of updates of the endpoint list.
 
 package node
 
@@ -8,7 +8,8 @@
 	"keelusher/policy"
 )
 
-// handleWatchEvent updates the endpoints, stops sends to those that are no longer in service, then notifies the policy.
+// handleWatchEvent updates the endpoints and stops sends to those that are no longer in service, then passes the update
+// to the policy.
 func (l *eventLoop) handleWatchEvent(event watchEvent) {
 	if event.pollFailed {
 		l.handle(policy.DiscoveryFailed{})
@@ -31,8 +32,9 @@
 	l.hasReadyEndpoint.Store(len(l.endpoints) > 0)
 }
 
-// updateEndpoint takes over one entry of a list. An endpoint with another address or start time is another server, and
-// shares no connection with the one before. The policy gets start times by this process's clock.
+// updateEndpoint applies one entry of a list and returns it in the policy's form, with its start time converted to this
+// process's clock. If the address or the start time has changed, the entry is a different server: it replaces the
+// previous one and does not use its connections.
 func (l *eventLoop) updateEndpoint(entry listedEndpoint, clockAhead time.Duration) policy.Endpoint {
 	listed := entry.endpoint()
 	listedStart := listed.StartedAt
@@ -51,7 +53,7 @@
 	return listed
 }
 
-// removeEndpoint stops all sends to an endpoint, those that wait for a connection among them.
+// removeEndpoint removes an endpoint and stops all sends to it, including attempts that are waiting for a connection.
 func (l *eventLoop) removeEndpoint(id string) {
 	removed := l.endpoints[id]
 	if removed == nil {
--- a/internal/node/endpoint_events_test.go
+++ b/internal/node/endpoint_events_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// A draining server gets nothing new, a server with a new address is reached there, and one that a snapshot does not
-// name is removed.
+// A draining server gets no new requests, a server whose address changes gets them at the new address, and a server
+// that is missing from a snapshot is removed.
 func TestEndpointListChangesApply(t *testing.T) {
-	a, addr := newAgent(t)
+	a, addr := newFakeDiscovery(t)
 	first, second := newBackend(t, ok), newBackend(t, ok)
 	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
 	cfg.Discovery = addr
@@ -30,48 +30,50 @@
 		for range 10 {
 			id++
 			if status, _, _ := do(t, newRequest(t, n.url, "keyed", fmt.Sprint(id), "x")); status != http.StatusOK {
-				t.Fatalf("request %d was answered %d", id, status)
+				t.Fatalf("request %d got status %d, want 200", id, status)
 			}
 		}
 	}
-	// update writes a line and waits until the event loop has handled it.
+	// update sends a list to the node and waits until the event loop has handled it.
 	update := func(line string) {
 		t.Helper()
 		a.lines <- line
 		<-events
-		n.loop.endpointUpdates <- watchEvent{} // is taken only when the one before has been handled
+		n.loop.endpointUpdates <- watchEvent{} // received only after the previous event has been handled
 	}
 	entry := func(host, dial, health string) string {
 		return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","health":%q,"born_ms":0}`, host, dial, health)
 	}
 	send()
 	if first.requests() == 0 || second.requests() == 0 {
-		t.Fatalf("not both servers were used: %d and %d", first.requests(), second.requests())
+		t.Fatalf("the servers got %d and %d requests, want some on each", first.requests(), second.requests())
 	}
 	update(`{"seq":2,"hosts":[` + entry("s-2", second.addr(), "terminating") + `]}`)
 	before := second.requests()
 	send()
 	if got := second.requests(); got != before {
-		t.Errorf("a draining server got %d new requests", got-before)
+		t.Errorf("the draining server got %d new requests, want none", got-before)
 	}
 	moved := newBackend(t, ok)
 	update(`{"seq":3,"hosts":[` + entry("s-1", moved.addr(), "in_service") + `]}`)
 	before = first.requests()
 	send()
 	if first.requests() != before || moved.requests() != 10 {
-		t.Errorf("after the move the old address got %d, the new one %d", first.requests()-before, moved.requests())
+		t.Errorf("after the move the old address got %d requests, the new one %d; want 0 and 10",
+			first.requests()-before, moved.requests())
 	}
 	third := newBackend(t, ok)
 	update(`{"seq":4,"whole":true,"hosts":[` + entry("s-3", third.addr(), "in_service") + `]}`)
 	send()
 	if moved.requests() != 10 || third.requests() != 10 {
-		t.Errorf("after the snapshot the absent server got %d, the listed one %d",
+		t.Errorf("after the snapshot the missing server got %d requests, the listed one %d; want 0 and 10",
 			moved.requests()-10, third.requests())
 	}
 }
 
-// A list with unknown states, a server twice, entries without a name or with a huge one, or ten thousand of them does
-// the node no harm: it takes what it can, serves on, and takes the next list.
+// Guards against unusual lists that stop the node: unknown states, duplicate entries, entries without a name or with a
+// huge one, invalid numbers, and 10,000 entries. The node uses the valid entries, continues to serve requests, and
+// accepts the next list.
 func TestUnusualLists(t *testing.T) {
 	b := newBackend(t, ok)
 	entry := func(id, addr, health string) string {
@@ -95,7 +97,7 @@
 			t.Parallel()
 			other, next := newBackend(t, ok), make(chan struct{})
 			cfg := testConfig(t, "pushed", inService("s-0", "127.0.0.1:1"))
-			cfg.Discovery = newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) { // the same on each watch
+			cfg.Discovery = newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) { // the same list on each watch
 				writeFlushed(w, `{"seq":5,"whole":true,"hosts":[`+hosts+`]}`+"\n")
 				select {
 				case <-next:
@@ -112,14 +114,14 @@
 				status, _, _ := do(t, r)
 				return status == http.StatusOK
 			}
-			eventually(t, "the node has the list", ask)
+			eventually(t, "a request is served by the listed server", ask)
 			for range 3 {
 				if !ask() {
-					t.Error("a request is not served")
+					t.Error("a later request was not served")
 				}
 			}
 			close(next)
-			eventually(t, "the node has the next list", func() bool { return ask() && other.requests() > 0 })
+			eventually(t, "the server of the next list is used", func() bool { return ask() && other.requests() > 0 })
 		})
 	}
 }
--- a/internal/node/endpoint_list.go
+++ b/internal/node/endpoint_list.go
@@ -1,4 +1,4 @@
-// The endpoint list in discovery's form.
+// The endpoint list as discovery encodes it.
 
 package node
 
@@ -11,13 +11,13 @@
 	"keelusher/policy"
 )
 
-// maxListSize bounds a list from discovery, in bytes.
+// maxListSize is the maximum size of a list from discovery, in bytes.
 const maxListSize = 4 << 20
 
-// endpointList is the list of endpoints, or the changes since an earlier version of it.
+// endpointList is the complete list of endpoints, or the changes since an earlier version.
 type endpointList struct {
 	Version   int64            `json:"seq"`
-	Snapshot  bool             `json:"whole"` // complete: endpoints that it does not name are removed
+	Snapshot  bool             `json:"whole"` // the list is complete: endpoints missing from it are removed
 	Endpoints []listedEndpoint `json:"hosts"`
 }
 
@@ -32,7 +32,8 @@
 	StartedAtMillis float64 `json:"born_ms"`
 }
 
-// endpoint converts an entry for the policy. An unknown state counts as draining, so that nothing is sent there.
+// endpoint returns the entry in the policy's form. An endpoint with an unknown state counts as draining, so that
+// nothing is sent to it.
 func (e listedEndpoint) endpoint() policy.Endpoint {
 	endpoint := policy.Endpoint{
 		ID:          e.ID,
@@ -52,7 +53,7 @@
 	return endpoint
 }
 
-// asSnapshot returns the list marked as complete.
+// asSnapshot returns a copy of the list that is marked as complete.
 func (l endpointList) asSnapshot() endpointList {
 	l.Snapshot = true
 	return l
@@ -60,7 +61,8 @@
 
 var errNoEndpoints = errors.New("no hosts are named")
 
-// parseEndpointList parses a complete list. One without endpoints is an error, for it would empty the node's list.
+// parseEndpointList parses the text of an endpoint list. A list without the field of the endpoints is an error: as a
+// snapshot it would remove all endpoints of the node.
 func parseEndpointList(text []byte) (endpointList, error) {
 	var list endpointList
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -72,27 +74,28 @@
 	return list, nil
 }
 
-// lineKind is what a line of a watch is.
+// lineKind says what a line of a watch means.
 type lineKind int
 
 const (
-	lineHeartbeat lineKind = iota // empty, outside a list
-	linePartial                   // more lines of the list follow
+	lineHeartbeat lineKind = iota // an empty line outside a list
+	linePartial                   // a line of a list, more of which follow
 	lineComplete                  // the last line of a list
 )
 
-// listAssembler joins the lines of a watch to lists.
+// listAssembler joins the lines of a watch into lists.
 type listAssembler struct {
-	partial []byte // the lines of a list that is not complete; nil: none
+	partial []byte // the lines so far of an incomplete list; nil if there is none
 }
 
-// add takes the next line. With the last line of a list it returns that list.
+// add takes the next line of a watch and returns its kind. If it is the last line of a list, add also returns the text
+// of that list.
 func (a *listAssembler) add(line []byte) (lineKind, []byte) {
 	if len(line) == 0 && a.partial == nil {
 		return lineHeartbeat, nil
 	}
 	a.partial = append(a.partial, line...)
-	// An empty line ends a list, whatever came before it.
+	// An empty line ends a list, even an incomplete one.
 	if len(line) > 0 && len(a.partial) <= maxListSize && !listEnded(line, a.partial) {
 		a.partial = append(a.partial, '\n')
 		return linePartial, nil
@@ -102,8 +105,8 @@
 	return lineComplete, list
 }
 
-// listEnded reports whether a list is complete, or malformed, with its last line. It parses the list only where that
-// line can be the end of one.
+// listEnded reports whether a list is complete or malformed; line is its last line so far. To save work, it decodes the
+// list only if that line ends with a closing brace.
 func listEnded(line, list []byte) bool {
 	if !bytes.HasSuffix(bytes.TrimRight(line, " \t\r"), []byte("}")) {
 		return false
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -15,34 +15,35 @@
 	"keelusher/internal/metrics"
 )
 
-const maxResponseHead = 16 << 10 // with the interim responses before it
+const maxResponseHead = 16 << 10 // in bytes, including the interim responses before it
 
 var (
 	errPoolClosed      = errors.New("the node is shutting down")
 	errConnectionLimit = errors.New("the limit on connections to servers is reached")
 )
 
-// endpoint is a server at one address, from one start of it to the next.
+// endpoint is one run of a server at one address: a server that is restarted or moved is a new endpoint.
 type endpoint struct {
 	id          string
 	addr        string
-	startedAt   time.Duration // by the clock of the list
-	unavailable atomic.Bool   // draining or removed: no attempt may be sent to it
-	removedAt   atomicTime    // when the node learned of that
+	startedAt   time.Duration // by discovery's clock, as listed
+	unavailable atomic.Bool   // the endpoint is draining or removed: no attempt may be sent to it
+	removedAt   atomicTime    // when the node learned that it is unavailable
 
-	// respondsLate is set once it has sent late bytes that no request asked for: its connections carry one request each.
+	// respondsLate is set once the server has sent unexpected bytes long after a response. From then on each of its
+	// connections carries only one request.
 	respondsLate atomic.Bool
 
-	idle []*serverConn // guarded by pool.mu, the most recently used last
+	idle []*serverConn // ordered by last use, the most recent last; guarded by pool.mu
 }
 
-// pool keeps the connections to servers, with one request at a time on each. It does not use http.Transport, which
-// sends a request again by itself when a reused connection breaks, and so could run one twice that is not idempotent.
+// pool holds the connections to servers, each of which carries one request at a time. It does not use http.Transport,
+// which retries a request by itself when a reused connection breaks, and so could run a non-idempotent request twice.
 type pool struct {
 	clock            clock
 	dialer           net.Dialer
 	idleTimeout      time.Duration
-	streamTimeout    time.Duration // for the next bytes of a streamed response
+	streamTimeout    time.Duration // for each read of a streamed response
 	results          chan<- attemptOutcome
 	requestsWritten  chan<- requestWritten
 	responsesStarted chan<- responseStarted
@@ -51,17 +52,17 @@
 	buffers          buffers
 
 	decisions    *metrics.Decisions
-	removalGrace time.Duration // for so long after its removal is known, an endpoint may still get attempts
+	removalGrace time.Duration // how long an endpoint may still get attempts after the node learned of its removal
 
-	nonIdempotent map[string]bool // by class
+	nonIdempotent map[string]bool // the names of the classes whose requests are not idempotent
 
 	mu      sync.Mutex
-	limit   int // on connections
+	limit   int // the maximum number of connections, including those being established
 	open    map[*serverConn]bool
 	dialing int
 	closed  bool
-	idle    *list.List     // of *serverConn, the least recently used first
-	running sync.WaitGroup // attempts and readers
+	idle    *list.List     // of *serverConn, ordered by last use, the least recent first
+	running sync.WaitGroup // the goroutines of attempts and of readResponses
 }
 
 func newPool(cfg Config, limit int, l *eventLoop, b buffers) *pool {
@@ -84,7 +85,7 @@
 	}
 }
 
-// acquire returns a connection for an attempt: an idle one, else a new one.
+// acquire returns an idle connection for an attempt, or a new one if no idle one can be used.
 func (p *pool) acquire(att *attempt) (*serverConn, error) {
 	deadline := p.clock.at(att.deadline)
 	p.mu.Lock()
@@ -108,11 +109,11 @@
 	return p.add(connected, att.endpoint, deadline)
 }
 
-// full reports whether the limit on connections is reached. The caller holds the lock.
+// full reports whether the limit on connections is reached. The caller holds p.mu.
 func (p *pool) full() bool { return len(p.open)+p.dialing >= p.limit }
 
-// evictIdle closes the least recently used connections until there is room for a new one. It fails if the others are
-// all busy. The caller holds the lock.
+// evictIdle closes the least recently used idle connections until the limit permits a new connection. It reports
+// whether the limit does: not if too many connections are in use. The caller holds p.mu.
 func (p *pool) evictIdle() bool {
 	for p.full() && p.idle.Len() > 0 {
 		p.idle.Front().Value.(*serverConn).transition(serverConnDropped)
@@ -120,9 +121,9 @@
 	return !p.full()
 }
 
-// add takes a new connection into the pool, in use, and starts its reader. The caller holds the lock.
+// add adds a new connection to the pool, in use by an attempt, and starts its reader. The caller holds p.mu.
 func (p *pool) add(connected net.Conn, e *endpoint, deadline time.Time) (*serverConn, error) {
-	if p.closed { // shutdown has closed the connections that it knew
+	if p.closed { // shutdown has already closed all connections of the pool
 		connected.Close()
 		return nil, fmt.Errorf("connect to endpoint %s: %w", e.id, errPoolClosed)
 	}
@@ -141,28 +142,28 @@
 	return c, nil
 }
 
-// setLimit changes the limit on connections. Open ones beyond it stay until they end.
+// setLimit changes the limit on connections. Connections in excess of a lower limit stay open.
 func (p *pool) setLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = limit
 }
 
-// setDeadline changes the deadline of a connection in use.
+// setDeadline sets the deadline of a connection in use. The zero time means no deadline.
 func (p *pool) setDeadline(c *serverConn, deadline time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.setDeadline(deadline)
 }
 
-// setDeadline changes the deadline of reads and writes. The caller holds pool.mu. The error is ignored: it fails only
-// on a closed connection, and so do these.
+// setDeadline sets the deadline of reads and writes; the zero time means none. The error is ignored: it occurs only on
+// a closed connection, where reads and writes fail too. The caller holds pool.mu.
 func (c *serverConn) setDeadline(deadline time.Time) {
 	c.deadline = deadline
 	_ = c.SetDeadline(deadline)
 }
 
-// addIdle makes a connection available to the next attempt. The caller holds the lock.
+// addIdle makes a connection available to the next attempt. The caller holds p.mu.
 func (p *pool) addIdle(c *serverConn) {
 	c.endRequest()
 	c.setDeadline(time.Now().Add(p.idleTimeout))
@@ -171,7 +172,7 @@
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
-// removeIdle makes a connection unavailable to other attempts. The caller holds the lock.
+// removeIdle makes a connection unavailable to other attempts. The caller holds p.mu.
 func (p *pool) removeIdle(c *serverConn) {
 	p.idle.Remove(c.idleElement)
 	c.idleElement = nil
@@ -180,22 +181,22 @@
 	}
 }
 
-// close closes a connection. Further calls do nothing.
+// close closes a connection, unless it is closed already.
 func (p *pool) close(c *serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.transition(serverConnDropped)
 }
 
-// retire closes the idle connections of an endpoint that gets no attempts any more.
+// retire closes the idle connections of an endpoint that gets no further attempts.
 func (p *pool) retire(e *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.dropIdle()
 }
 
-// shutdown closes all connections and waits until every attempt has ended. Their requests have been answered or
-// abandoned by then.
+// shutdown closes all connections and waits until every attempt has ended. It is called when the requests of these
+// attempts have been answered or abandoned.
 func (p *pool) shutdown() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -16,6 +16,7 @@
 	"keelusher/policy"
 )
 
+// testPool returns a pool with a limit of 8 connections, which is shut down at the end of the test.
 func testPool(t *testing.T) *pool {
 	cfg := testConfig(t, "pushed")
 	p := newPool(cfg, 8, newEventLoop(newClock(), quiet(), nil, metrics.NewRecorder(nil)), newBuffers(cfg.MemoryMB, 8))
@@ -23,12 +24,14 @@
 	return p
 }
 
+// testAttempt returns an attempt at an address, whose deadline is after wait.
 func testAttempt(p *pool, addr string, wait time.Duration) *attempt {
 	c := &clientRequest{method: http.MethodPost, url: &url.URL{Path: "/api"}, host: "service.internal",
 		header: http.Header{"X-Call-Id": {"1"}, "Idempotency-Key": {"k"}}, body: []byte("payload"), contentLength: 7}
 	return &attempt{request: c, endpoint: &endpoint{id: "s", addr: addr}, deadline: p.clock.now() + wait}
 }
 
+// Each kind of response, or failure to get one, has its result, and the server gets the request once.
 func TestAttemptResults(t *testing.T) {
 	partly := func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
@@ -57,7 +60,7 @@
 		}, policy.Success},
 		"a reset without a length": {func(_ int, c net.Conn, _ *http.Request) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
-			reset(c) // which does not end a response
+			reset(c) // unlike a close, it does not mark the end of a response
 			return false
 		}, policy.ConnectionLost},
 		"a long error": {func(_ int, c net.Conn, _ *http.Request) bool {
@@ -67,16 +70,16 @@
 		t.Run(name, func(t *testing.T) {
 			p, b := testPool(t), newBackend(t, tc.serve)
 			if got := p.runAttempt(testAttempt(p, b.addr(), time.Minute)).result; got != tc.want {
-				t.Errorf("ending %v, want %v", got, tc.want)
+				t.Errorf("result %v, want %v", got, tc.want)
 			}
 			if n := b.requests(); n != 1 {
-				t.Errorf("the server saw %d requests, want 1", n)
+				t.Errorf("the server got %d requests, want 1", n)
 			}
 		})
 	}
 }
 
-// A refused connection ends its attempt.
+// An attempt whose connection is refused ends with ConnectFailed.
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,27 +88,27 @@
 	ln.Close()
 	p := testPool(t)
 	if got := p.runAttempt(testAttempt(p, ln.Addr().String(), time.Minute)).result; got != policy.ConnectFailed {
-		t.Errorf("ending %v, want ConnectFailed", got)
+		t.Errorf("result %v, want ConnectFailed", got)
 	}
 }
 
-// An attempt without a response ends at its deadline, and its connection is closed.
+// An attempt without a response ends with TimedOut at its deadline, and its connection is closed.
 func TestNoResponseIsTimedOut(t *testing.T) {
 	left := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		_, _ = io.Copy(io.Discard, c) // until the node gives up
+		_, _ = io.Copy(io.Discard, c) // until the node closes the connection
 		close(left)
 		return false
 	})
 	p := testPool(t)
 	if got := p.runAttempt(testAttempt(p, b.addr(), 100*time.Millisecond)).result; got != policy.TimedOut {
-		t.Errorf("ending %v, want TimedOut", got)
+		t.Errorf("result %v, want TimedOut", got)
 	}
-	<-left // an attempt is given up by closing its connection
+	<-left // the node abandons an attempt by closing its connection
 }
 
-// An attempt whose connection is established after its endpoint is draining, or after its request is finished, sends
-// nothing.
+// Guards against an attempt that is sent although its endpoint began to drain, or its request was answered, while its
+// connection was being established.
 func TestNothingSentAfterSlowConnect(t *testing.T) {
 	for name, stop := range map[string]func(*attempt){
 		"drained":  func(a *attempt) { a.endpoint.unavailable.Store(true) },
@@ -119,17 +122,17 @@
 				return nil
 			}
 			if got := p.runAttempt(att).result; got != policy.NotSent {
-				t.Errorf("ending %v, want NotSent", got)
+				t.Errorf("result %v, want NotSent", got)
 			}
 			p.shutdown()
 			if n := b.requests(); n != 0 {
-				t.Errorf("the server saw %d requests", n)
+				t.Errorf("the server got %d requests, want none", n)
 			}
 		})
 	}
 }
 
-// Bytes that follow a response are not taken for the response to the next request.
+// Guards against taking bytes that follow a response for the response to the next request.
 func TestBytesAfterResponse(t *testing.T) {
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
 		if n == 1 {
@@ -144,24 +147,24 @@
 	for _, want := range []string{"one", "two"} {
 		att := &attempt{request: first.request, endpoint: first.endpoint, deadline: first.deadline}
 		if r := p.runAttempt(att); r.result != policy.Success || string(r.response.body) != want {
-			t.Errorf("got %v %q, want %q", r.result, r.response.body, want)
+			t.Errorf("result %v with body %q, want Success with %q", r.result, r.response.body, want)
 		}
 	}
 }
 
-// A server closes idle connections. The node must notice before it uses one: otherwise the request ends with a reset,
-// and one that is not idempotent may not be retried.
+// Guards against using an idle connection that the server has closed: the request would end with a reset, and must not
+// be retried unless it is idempotent.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		respond(c, "200 OK", "done")
-		return false // and no Connection: close
+		return false // without announcing it by Connection: close
 	})
 	p := testPool(t)
 	for i := range 3 {
 		if got := p.runAttempt(testAttempt(p, b.addr(), time.Minute)).result; got != policy.Success {
-			t.Fatalf("attempt %d ended %v", i, got)
+			t.Fatalf("attempt %d: result %v, want Success", i, got)
 		}
-		eventually(t, "the closed connection is dropped", func() bool {
+		eventually(t, "the pool drops the closed connection", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return len(p.open) == 0
@@ -169,7 +172,7 @@
 	}
 }
 
-// mustAcquire acquires a connection for an attempt.
+// mustAcquire returns a connection for an attempt, or fails the test.
 func mustAcquire(t *testing.T, p *pool, att *attempt) *serverConn {
 	t.Helper()
 	c, err := p.acquire(att)
@@ -179,6 +182,8 @@
 	return c
 }
 
+// A connection carries one request after another, each after the idle period. If the limit permits no new connection,
+// the attempt waits for the end of that period. The idle connections of a removed endpoint are closed.
 func TestConnectionIsReused(t *testing.T) {
 	b := newBackend(t, ok)
 	p := testPool(t)
@@ -186,33 +191,33 @@
 	for range 5 {
 		att = &attempt{request: att.request, endpoint: att.endpoint, deadline: att.deadline}
 		if got := p.runAttempt(att).result; got != policy.Success {
-			t.Fatalf("ended %v", got)
+			t.Fatalf("result %v, want Success", got)
 		}
 		ageIdle(p, att.endpoint)
 	}
 	if n := b.accepted(); n != 1 {
-		t.Errorf("%d connections for 5 requests, each after the idle period", n)
+		t.Errorf("%d connections for 5 requests, each after the idle period; want 1", n)
 	}
-	p.setLimit(1) // no further connection is allowed: the one there is waits for the end of its idle period
+	p.setLimit(1) // no new connection is permitted: the attempt waits for the end of the idle period
 	for range 3 {
 		p.release(mustAcquire(t, p, att))
 		began := time.Now()
 		c := mustAcquire(t, p, att)
 		if took := time.Since(began); took < minIdlePeriod/2 {
-			t.Errorf("a connection was used again after %v", took)
+			t.Errorf("a connection was reused after only %v", took)
 		}
 		p.release(c)
 	}
 	if n := b.accepted(); n != 1 {
-		t.Errorf("%d connections where one is allowed", n)
+		t.Errorf("%d connections, want 1, which is the limit", n)
 	}
 	p.retire(att.endpoint)
 	if len(p.open) != 0 {
-		t.Errorf("%d connections stay open to an endpoint that was removed", len(p.open))
+		t.Errorf("%d connections to a removed endpoint are open, want none", len(p.open))
 	}
 }
 
-// The limit on connections holds: an idle connection to another endpoint is evicted, otherwise the attempt fails.
+// At the limit on connections, an attempt evicts an idle connection to another endpoint, and fails if none is idle.
 func TestServerConnectionLimit(t *testing.T) {
 	a, b := newBackend(t, ok), newBackend(t, ok)
 	p := testPool(t)
@@ -220,10 +225,10 @@
 	for range 2 {
 		for _, s := range []*backend{a, b} {
 			if got := p.runAttempt(testAttempt(p, s.addr(), time.Minute)).result; got != policy.Success {
-				t.Fatalf("ended %v", got)
+				t.Fatalf("result %v, want Success", got)
 			}
 			if len(p.open) != 1 {
-				t.Fatalf("%d connections, at most 1", len(p.open))
+				t.Fatalf("%d connections, want 1, which is the limit", len(p.open))
 			}
 		}
 	}
@@ -233,10 +238,11 @@
 	}
 	p.mu.Unlock()
 	if got := p.runAttempt(testAttempt(p, a.addr(), time.Minute)).result; got != policy.ConnectFailed {
-		t.Errorf("ended %v, want ConnectFailed", got)
+		t.Errorf("result %v, want ConnectFailed", got)
 	}
 }
 
+// An endpoint gets the client's target, host, headers and body unchanged, and the remaining budget in X-Budget.
 func TestForwardedRequestIsUnchanged(t *testing.T) {
 	p := testPool(t)
 	att := testAttempt(p, "127.0.0.1:1", 400*time.Millisecond)
@@ -248,20 +254,20 @@
 	body, _ := io.ReadAll(r.Body)
 	if r.RequestURI != "/a%2Fb%20c?x=%20&y" || r.Host != "service.internal" || string(body) != "payload" ||
 		r.Header.Get("X-Call-Id") != "1" || r.Header.Get("Idempotency-Key") != "k" {
-		t.Errorf("got %s %s %q %v", r.RequestURI, r.Host, body, r.Header)
+		t.Errorf("forwarded target %s, host %s, body %q, headers %v", r.RequestURI, r.Host, body, r.Header)
 	}
 	if left, err := inbound.ParseBudget(r.Header.Get("X-Budget")); err != nil || left <= 0 || left > 400*time.Millisecond {
-		t.Errorf("X-Budget %v, %v", left, err)
+		t.Errorf("X-Budget %v, error %v; want above 0 and at most 400 ms", left, err)
 	}
 }
 
-// The fields have the names that the settings give, and that servers send.
+// The fields of a load report have the names that the settings give and that servers send.
 func TestLoadReport(t *testing.T) {
 	l := parseLoadReport(http.Header{"X-Load-Report": {`{"svc_ms":27.5,"busy_reqs":2.25,"other":1}`}})
 	if l == nil || l.Busy != 2.25 || l.Service != 27500*time.Microsecond {
-		t.Errorf("got %+v", l)
+		t.Errorf("load %+v, want 2.25 busy and 27.5 ms of service", l)
 	}
 	if l := parseLoadReport(http.Header{"X-Load-Report": {"{"}}); l != nil {
-		t.Errorf("a broken report gave %+v", l)
+		t.Errorf("an invalid report gave %+v, want none", l)
 	}
 }
--- a/internal/node/retry_window_test.go
+++ b/internal/node/retry_window_test.go
@@ -13,8 +13,8 @@
 	"keelusher/policy/guard"
 )
 
-// A request with an idempotency key may be retried only within the deduplication window of its class. A retry that was
-// decided in time, and whose connection is established after the window, is not sent: servers would run it again.
+// Guards against a request that runs twice because its retry arrives after the deduplication window of its class: the
+// policy decides on the retry within the window, but the connection is established only after it.
 func TestNoRetryAfterDeduplicationWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	fails := func(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "500 Internal Server Error", "") }
@@ -34,25 +34,25 @@
 	n := start(t, cfg, func(n *Node) {
 		n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 			if dials.Add(1) == 2 {
-				time.Sleep(window + 100*time.Millisecond) // from the first attempt at least
+				time.Sleep(window + 100*time.Millisecond) // at least so long after the first attempt
 			}
 			return nil
 		}
 	})
 	status, _, _ := do(t, newRequest(t, n.url, "keyed", "1", ""))
 	if dials.Load() != 2 {
-		t.Fatalf("%d dials, want one of the first attempt and one of a retry", dials.Load())
+		t.Fatalf("%d connections dialed, want 2: one for the first attempt and one for the retry", dials.Load())
 	}
 	if got := backends[0].requests() + backends[1].requests(); got != 1 {
-		t.Errorf("servers got it %d times, want once: the window was over", got)
+		t.Errorf("servers got the request %d times, want once: the deduplication window was over", got)
 	}
 	if status == http.StatusOK {
-		t.Errorf("it got %d", status)
+		t.Errorf("status %d, want an error", status)
 	}
 }
 
-// An attempt that was sent although it must not have been is counted as a violation, each kind under its name. The
-// guard had allowed it before, as in a process that is suspended between its check and its write.
+// An attempt that was sent although it was not allowed is counted as a violation under the name of its verdict. This
+// happens if the process is suspended between the check by the guard and the write.
 func TestViolationsAreCounted(t *testing.T) {
 	for want, delay := range map[guard.Verdict]func(now time.Duration, att *attempt){
 		guard.Allowed: func(time.Duration, *attempt) {},
@@ -74,7 +74,7 @@
 			att := testAttempt(p, newBackend(t, ok).addr(), time.Minute)
 			att.request.deadline = att.deadline
 			if why := p.checkSend(att); why != guard.Allowed {
-				t.Fatalf("held back: %v", why)
+				t.Fatalf("verdict %v before the attempt, want allowed", why)
 			}
 			c, err := p.acquire(att)
 			if err != nil {
@@ -86,7 +86,7 @@
 			}
 			got := p.decisions.Violations()
 			if want == guard.Allowed && len(got) > 0 || want != guard.Allowed && (got[want.String()] != 1 || len(got) > 1) {
-				t.Errorf("counted %v", got)
+				t.Errorf("violations %v, want one of this verdict unless it is allowed", got)
 			}
 		})
 	}
--- a/internal/node/reuse.go
+++ b/internal/node/reuse.go
@@ -1,5 +1,6 @@
-// When a connection to a server may carry another request. A server may respond twice, the second time late, and
-// nothing in that response tells which request it is for: it is not to be served to the next one.
+// The rules for the reuse of a connection to a server. A server may send two responses to one request, the second of
+// them late. Nothing in a response names its request, so the second one must not be taken for the response to the next
+// request on the connection.
 
 package node
 
@@ -11,29 +12,31 @@
 	"keelusher/policy"
 )
 
-// How long a connection is idle between a response and the next request.
+// How long a connection has to be idle after a response before it carries the next request.
 const (
 	minIdlePeriod           = 20 * time.Millisecond
-	nonIdempotentIdlePeriod = 100 * time.Millisecond // where a new connection may be made instead
+	nonIdempotentIdlePeriod = 100 * time.Millisecond // for non-idempotent classes, while the limit permits new connections
 )
 
-// lateResponseAfter is how long after a response another one, unasked for, is late: near to the idle period.
+// lateResponseAfter is how long after a response an unexpected one counts as late: such a delay is so close to the idle
+// period that the next one may exceed it.
 const lateResponseAfter = minIdlePeriod / 2
 
-// statusTimeout is the status of the response with which a server may announce that it closes an idle connection. It
-// is for no request.
+// statusTimeout is the status (408, Request Timeout) that a server may send, without a request, to announce that it
+// closes an idle connection.
 const statusTimeout = "408"
 
-// statusOffset is where the status stands in the first line of a response.
+// statusOffset is the position of the status code in the status line of a response.
 const statusOffset = len("HTTP/1.1 ")
 
-// isTimeoutNotice reports whether unexpected bytes announce the end of an idle connection.
+// isTimeoutNotice reports whether unexpected bytes begin a response that announces the close of an idle connection.
 func isTimeoutNotice(received []byte) bool {
 	end := statusOffset + len(statusTimeout)
 	return len(received) >= end && string(received[statusOffset:end]) == statusTimeout
 }
 
-// nonIdempotentClasses names the classes whose requests must not run twice, and so must not get another's response.
+// nonIdempotentClasses returns the names of the classes whose requests must not run twice, and therefore must not be
+// given the response to another request either.
 func nonIdempotentClasses(classes []policy.Class) map[string]bool {
 	names := map[string]bool{}
 	for _, class := range classes {
@@ -44,7 +47,8 @@
 	return names
 }
 
-// idlePeriod is how long a connection has to be idle before it carries an attempt's request. The caller holds the lock.
+// idlePeriod returns how long a connection has to be idle before it carries the request of an attempt. The caller holds
+// p.mu.
 func (p *pool) idlePeriod(att *attempt) time.Duration {
 	if p.nonIdempotent[att.request.meta.Class] && !p.full() {
 		return nonIdempotentIdlePeriod
@@ -52,9 +56,9 @@
 	return minIdlePeriod
 }
 
-// pickIdle chooses among the idle connections of an endpoint, of which there is one at least: the most recently used
-// that has been idle for a period, else the one that will have been next, with the time until then. The caller holds
-// pool.mu.
+// pickIdle chooses one of the idle connections of an endpoint, of which there must be at least one. It returns the most
+// recently used connection that has been idle for the period; if there is none, it returns the least recently used one
+// and the time until its period is over. The caller holds pool.mu.
 func (e *endpoint) pickIdle(now time.Time, period time.Duration) (c *serverConn, wait time.Duration) {
 	for _, c := range slices.Backward(e.idle) {
 		if now.Sub(c.idleSince) >= period {
@@ -65,8 +69,8 @@
 	return c, period - now.Sub(c.idleSince)
 }
 
-// acquireIdle returns an idle connection for an attempt that passes the reuse check; nil: there is none. The caller
-// holds the lock, which is released during a wait.
+// acquireIdle returns an idle connection that has passed the check of claimForReuse, or nil if there is none. The
+// caller holds p.mu, which is released while acquireIdle waits for the end of an idle period.
 func (p *pool) acquireIdle(att *attempt, deadline time.Time) *serverConn {
 	e := att.endpoint
 	if e.respondsLate.Load() {
@@ -75,7 +79,7 @@
 	for len(e.idle) > 0 {
 		c, wait := e.pickIdle(time.Now(), p.idlePeriod(att))
 		if wait > 0 && !p.full() {
-			return nil // a new connection is ready sooner
+			return nil // a new connection is available sooner
 		}
 		c.transition(serverConnAcquired)
 		c.setDeadline(deadline)
@@ -88,12 +92,12 @@
 			return c
 		}
 		p.metrics.Update(func(c *metrics.Counters) { c.StaleConnections++ })
-		c.transition(serverConnDropped) // nothing of this attempt was written on it
+		c.transition(serverConnDropped) // no byte of this attempt was written to it
 	}
 	return nil
 }
 
-// release returns a connection to the pool, for the next attempt, or closes it.
+// release returns a connection to the pool for the next attempt, or closes it if its endpoint permits no reuse.
 func (p *pool) release(c *serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,9 +115,10 @@
 	}
 }
 
-// recordUnexpected notes bytes that no request asked for. The idle period covers a second response that comes soon. One
-// that comes late may have crossed the next request of another connection already, so that no connection of the
-// endpoint carries a second request from then on. The caller holds readMu.
+// recordUnexpected records bytes that arrived without a request on the connection. A second response that arrives soon
+// falls into the idle period. One that arrives late shows that on another connection such a response may already have
+// arrived after the next request: from then on, no connection of the endpoint carries a second request. The caller
+// holds c.readMu.
 func (c *serverConn) recordUnexpected(received []byte) {
 	if isTimeoutNotice(received) {
 		return
--- a/internal/node/server_conn.go
+++ b/internal/node/server_conn.go
@@ -1,4 +1,4 @@
-// Connections to servers, each with a reader that also runs while the connection is idle.
+// Connections to servers. Each has a goroutine that reads from it, also while it is idle.
 
 package node
 
@@ -19,30 +19,30 @@
 
 const serverReadBuffer = 4 << 10
 
-// serverConn is a connection to a server. A goroutine of its own, readResponses, reads all the time, so that a close
-// by the server is noticed early; claimForReuse makes sure of it before the next request.
+// serverConn is a connection to a server. Its goroutine, which runs readResponses, reads all the time, so that a close
+// by the server is noticed early. claimForReuse checks once more before the next request.
 type serverConn struct {
 	net.Conn
 	raw          syscall.RawConn
 	pool         *pool
 	endpoint     *endpoint
-	limitedInput *io.LimitedReader // bounds the head of a response, for which net/http has no limit
+	limitedInput *io.LimitedReader // limits the head of a response, which http.ReadResponse does not
 	reader       *bufio.Reader
-	replies      chan reply    // from readResponses, its owner, to the attempt; holds one
-	done         chan struct{} // closed as the state becomes serverConnClosed
+	replies      chan reply    // from readResponses to the attempt; has room for one
+	done         chan struct{} // closed when state becomes serverConnClosed
 
-	readMu     sync.Mutex // held over each read of the socket and the record of what it gave
+	readMu     sync.Mutex // held during each read of the socket, until its result is recorded
 	exchange   exchangeState
-	quietSince time.Time // the last request on the connection ended; guarded by readMu
+	quietSince time.Time // when the last request on the connection ended; guarded by readMu
 
 	// Guarded by pool.mu.
 	state       serverConnState
-	idleElement *list.Element // in pool.idle; nil: not idle
+	idleElement *list.Element // in pool.idle; nil if the connection is not idle
 	idleSince   time.Time
-	deadline    time.Time // of the present wait; zero: none
+	deadline    time.Time // of the current wait; zero if there is none
 }
 
-// newServerConn wraps a new connection for the attempt that it was made for.
+// newServerConn wraps a new connection. It is in use from the start, by the attempt that it was made for.
 func newServerConn(connected net.Conn, p *pool, e *endpoint, deadline time.Time) (*serverConn, error) {
 	raw, err := connected.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -64,25 +64,25 @@
 	return c, nil
 }
 
-// reply is the message of what came back on a connection, from its reader to the attempt.
+// reply is the message from readResponses to an attempt with the response, or with the error of the wait for one.
 type reply struct {
 	httpResponse *http.Response
 	body         []byte
 	bodyMemory   *memoryReservation // for body
-	bodyStream   *responseStream    // what follows body; nil: nothing
+	bodyStream   *responseStream    // the rest of the response body after body; nil if there is none
 	err          error
 
-	early bool // the server had not read the whole request: the connection cannot be used again
+	early bool // the request was not written completely: the connection cannot be reused
 }
 
-// discard releases what belongs to a reply that no attempt takes.
+// discard releases the resources of a reply that no attempt uses.
 func (r reply) discard() { response{bodyMemory: r.bodyMemory, bodyStream: r.bodyStream}.discard() }
 
-// streamFailed reports whether the response was streamed and not forwarded completely.
+// streamFailed reports whether the response was streamed but not forwarded completely.
 func (r reply) streamFailed() bool { return r.bodyStream != nil && r.bodyStream.err != nil }
 
-// Read implements io.Reader for the parser of responses. It records, in one step with the read of the socket, whether
-// a request was on the connection: bytes that came before it are not its response.
+// Read implements io.Reader for the response parser. Under one lock of readMu it reads the socket and records whether a
+// request was on the connection at that moment: bytes that arrived before a request are not its response.
 func (c *serverConn) Read(b []byte) (int, error) {
 	var n int
 	var readErr error
@@ -107,7 +107,8 @@
 	return n, nil
 }
 
-// receive records bytes that were read: without a request they are unexpected. The caller holds readMu.
+// receive records bytes that were read, which are unexpected if no request is on the connection. The caller holds
+// readMu.
 func (c *serverConn) receive(received []byte) {
 	next := c.exchange.transition(bytesReceived)
 	if next == exchangeUnexpected && c.exchange != next {
@@ -116,7 +117,7 @@
 	c.exchange = next
 }
 
-// readUninterrupted is read(2), repeated when a signal interrupts it.
+// readUninterrupted calls read(2), and repeats the call if a signal interrupts it.
 func readUninterrupted(fd int, b []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, b)
@@ -126,8 +127,9 @@
 	}
 }
 
-// claimForReuse prepares an idle connection for a request that is about to be written. It fails if anything has come
-// since the last response: unexpected bytes, the end or a reset, whether the reader has them or the system.
+// claimForReuse prepares an idle connection for a request that is about to be written, and reports whether the
+// connection can be used. It cannot if unexpected bytes, the end of the stream or a reset have arrived since the last
+// response, whether they have been read already or are still in the socket's receive buffer.
 func (c *serverConn) claimForReuse() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -135,7 +137,7 @@
 		event := requestEnded
 		var received [statusOffset + len(statusTimeout)]byte
 		n, _, err := syscall.Recvfrom(int(fd), received[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		if errors.Is(err, syscall.EAGAIN) { // nothing has come
+		if errors.Is(err, syscall.EAGAIN) { // nothing has arrived
 			event = requestStarted
 		}
 		if n > 0 {
@@ -146,7 +148,8 @@
 	return err == nil && c.exchange == exchangeAwaiting
 }
 
-// endRequest ends the time in which received bytes are a response: it is complete, or no request was written.
+// endRequest records that bytes received from now on are not part of a response: the response is complete, or no
+// request was written.
 func (c *serverConn) endRequest() {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -156,30 +159,31 @@
 	c.exchange = c.exchange.transition(requestEnded)
 }
 
-// hasUnexpectedBytes reports whether bytes came while no request was on the connection.
+// hasUnexpectedBytes reports whether bytes arrived while no request was on the connection.
 func (c *serverConn) hasUnexpectedBytes() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	return c.exchange == exchangeUnexpected
 }
 
-// wakeup is what the end of a wait for bytes means.
+// wakeup says why a wait of readResponses for bytes ended.
 type wakeup int
 
 const (
-	wakeupReply     wakeup = iota // a response, or the failure of the attempt's wait for one
-	wakeupIdleEnded               // the connection was idle, and is closed
-	wakeupStale                   // the idle time ran out just as an attempt acquired the connection
+	wakeupReply     wakeup = iota // a response arrived, or an attempt's wait for one failed
+	wakeupIdleEnded               // the connection was idle and has been closed
+	wakeupSpurious                // the idle deadline expired just as an attempt acquired the connection
 )
 
-// readResponses hands each response to the attempt that waits for it. It ends with the connection, which it closes if
-// that is idle and is closed by the server, gets unexpected bytes, or has been idle for too long.
+// readResponses passes each response to the attempt that waits for it, and returns when the connection has ended. It
+// closes an idle connection if the server has closed it, if unexpected bytes have arrived on it, or if it has been idle
+// for too long.
 func (c *serverConn) readResponses() {
 	for {
 		c.limitedInput.N = maxResponseHead
 		_, err := c.reader.Peek(1)
 		switch c.classifyWakeup(err) {
-		case wakeupStale:
+		case wakeupSpurious:
 			continue
 		case wakeupIdleEnded:
 			return
@@ -200,15 +204,16 @@
 	}
 }
 
-// classifyWakeup tells what the end of a wait with this error means, and closes a connection that cannot be used.
+// classifyWakeup returns why a wait for bytes ended; err is the error of that wait. It closes a connection that can no
+// longer be used.
 func (c *serverConn) classifyWakeup(err error) wakeup {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	idle := c.state == serverConnIdle
 	if !idle && errors.Is(err, os.ErrDeadlineExceeded) && (c.deadline.IsZero() || time.Now().Before(c.deadline)) {
-		return wakeupStale
+		return wakeupSpurious
 	}
-	// Bytes that came while the connection was idle are not the response to the request that acquired it since.
+	// Bytes that arrived while the connection was idle are not the response to a request that has acquired it since.
 	idle = idle || err == nil && c.hasUnexpectedBytes()
 	if idle || err != nil {
 		c.transition(serverConnDropped)
@@ -219,8 +224,9 @@
 	return wakeupReply
 }
 
-// passToAttempt gives a reply to the attempt and waits until a streamed response has been forwarded. It fails if the
-// attempt has not taken the reply before, or could not write: no attempt waits for another.
+// passToAttempt passes a reply to the attempt and waits until a streamed response has been forwarded. If the previous
+// reply has not been taken, for example because the attempt could not write its request, no attempt waits for this one:
+// passToAttempt closes the connection and returns false.
 func (c *serverConn) passToAttempt(received reply) bool {
 	select {
 	case c.replies <- received:
@@ -238,8 +244,8 @@
 	return true
 }
 
-// readResponse reads a response: completely if it is short and memory is available, otherwise up to what is to be
-// streamed.
+// readResponse reads a response. It buffers the whole body if that is short enough and memory is available; otherwise
+// the rest of the body is left to be streamed.
 func (c *serverConn) readResponse() reply {
 	httpResponse, err := c.readFinalHead()
 	if err != nil {
@@ -247,7 +253,7 @@
 	}
 	c.limitedInput.N = math.MaxInt64
 	stream := &responseStream{conn: c, response: httpResponse, done: make(chan struct{})}
-	// The maximum, if the length is not known: -1 is then the greatest unsigned number.
+	// An unknown length (-1) becomes the largest unsigned number, so that the maximum is reserved.
 	size := int(min(uint64(httpResponse.ContentLength), maxBufferedBody))
 	memory := c.pool.buffers.responses.reserve(size)
 	if httpResponse.ContentLength > maxBufferedBody || memory == nil {
@@ -268,7 +274,7 @@
 	return reply{httpResponse: httpResponse, body: body, bodyMemory: memory, bodyStream: stream}
 }
 
-// readFinalHead reads the head of a response and skips interim ones.
+// readFinalHead reads the head of the final response and skips interim (1xx) responses before it.
 func (c *serverConn) readFinalHead() (*http.Response, error) {
 	for {
 		httpResponse, err := http.ReadResponse(c.reader, nil)
--- a/internal/node/server_conn_state.go
+++ b/internal/node/server_conn_state.go
@@ -1,31 +1,31 @@
-// The states of a connection to a server: what the pool uses it for, and what its reader may expect.
+// The states of a connection to a server: its state in the pool, and the state of the exchange on it.
 
 package node
 
-// serverConnState is what the pool uses a connection for. It is guarded by pool.mu.
+// serverConnState is the state of a connection in the pool. It is guarded by pool.mu.
 //
 //	state   acquired   released   dropped
 //	busy    -          idle       closed
 //	idle    busy       -          closed
 //	closed  -          -          -
 //
-// A dash is an event that changes nothing.
+// A dash means that the event does not change the state.
 type serverConnState int
 
 const (
-	serverConnBusy   serverConnState = iota // an attempt has it, or is about to
+	serverConnBusy   serverConnState = iota // it is in use by an attempt, or about to be
 	serverConnIdle                          // it waits in the pool for the next attempt
 	serverConnClosed                        // its socket is closed
 	serverConnStates
 )
 
-// serverConnEvent changes the state of a connection.
+// serverConnEvent is an event that may change the state of a connection.
 type serverConnEvent int
 
 const (
-	serverConnAcquired serverConnEvent = iota // an attempt takes it out of the pool
-	serverConnReleased                        // an attempt returns it to the pool
-	serverConnDropped                         // it is to be closed
+	serverConnAcquired serverConnEvent = iota // an attempt takes the connection from the idle ones
+	serverConnReleased                        // an attempt returns the connection to the idle ones
+	serverConnDropped                         // the connection is to be closed
 	serverConnEvents
 )
 
@@ -35,8 +35,8 @@
 	serverConnClosed: {},
 }
 
-// transition moves the connection to its next state, into or out of the pool's idle connections, and closes it where
-// it is dropped. It reports whether the event changed the state. The caller holds pool.mu.
+// transition applies an event and reports whether it changed the state. It adds the connection to the pool's idle
+// connections or removes it from them, and closes a dropped connection. The caller holds pool.mu.
 func (c *serverConn) transition(event serverConnEvent) (changed bool) {
 	next, ok := serverConnTransitions[c.state][event]
 	if !ok {
@@ -57,29 +57,29 @@
 	return true
 }
 
-// exchangeState is what received bytes are taken for. It is guarded by serverConn.readMu.
+// exchangeState says how received bytes are to be treated. It is guarded by serverConn.readMu.
 //
 //	state       requestStarted   requestEnded   bytesReceived
 //	quiet       awaiting         -              unexpected
 //	awaiting    -                quiet          -
 //	unexpected  -                -              -
 //
-// A dash is an event that changes nothing.
+// A dash means that the event does not change the state.
 type exchangeState int
 
 const (
-	exchangeQuiet      exchangeState = iota // no request is on the connection: no bytes may come
-	exchangeAwaiting                        // a request is: what comes is its response
-	exchangeUnexpected                      // bytes came without a request: the connection cannot be used again
+	exchangeQuiet      exchangeState = iota // no request is on the connection: no bytes are expected
+	exchangeAwaiting                        // a request is on the connection: received bytes are its response
+	exchangeUnexpected                      // bytes arrived without a request: the connection cannot be reused
 	exchangeStates
 )
 
-// exchangeEvent changes the state of the exchange.
+// exchangeEvent is an event that may change the state of the exchange.
 type exchangeEvent int
 
 const (
-	requestStarted exchangeEvent = iota
-	requestEnded
+	requestStarted exchangeEvent = iota // a request is about to be written
+	requestEnded                        // the response is complete, or no request was written
 	bytesReceived
 	exchangeEvents
 )
@@ -90,7 +90,7 @@
 	exchangeUnexpected: {},
 }
 
-// transition is the state after an event.
+// transition returns the state after an event.
 func (s exchangeState) transition(event exchangeEvent) exchangeState {
 	if next, ok := exchangeTransitions[s][event]; ok {
 		return next
--- a/internal/node/server_conn_state_test.go
+++ b/internal/node/server_conn_state_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newPooledConn is a connection of a pool in a state.
+// newPooledConn returns the only connection of a pool, in the given state.
 func newPooledConn(t *testing.T, state serverConnState) *serverConn {
 	t.Helper()
 	p := testPool(t)
@@ -25,12 +25,12 @@
 		c.transition(serverConnDropped)
 	}
 	if c.state != state {
-		t.Fatalf("state %d, want %d", c.state, state)
+		t.Fatalf("the new connection is in state %d, want %d", c.state, state)
 	}
 	return c
 }
 
-// Every event in every state leads to the state that the table of serverConnState says, and the pool's records follow.
+// Every event in every state leads to the state in the table of serverConnState, and the records of the pool agree.
 func TestServerConnTransitions(t *testing.T) {
 	const unchanged = serverConnStates
 	table := map[serverConnState][serverConnEvents]serverConnState{
@@ -60,7 +60,8 @@
 	}
 }
 
-// checkPoolRecords compares what the pool knows of its only connection with the state. The caller holds the lock.
+// checkPoolRecords compares the records of the pool about its only connection with the connection's state. The caller
+// holds pool.mu.
 func checkPoolRecords(t *testing.T, c *serverConn) {
 	t.Helper()
 	idle := 0
@@ -68,24 +69,25 @@
 		idle = 1
 	}
 	if c.pool.idle.Len() != idle || len(c.endpoint.idle) != idle || (c.idleElement != nil) != (idle == 1) {
-		t.Errorf("state %d: %d idle in the pool, %d of the endpoint", c.state, c.pool.idle.Len(), len(c.endpoint.idle))
+		t.Errorf("state %d: %d idle connections in the pool, %d of the endpoint",
+			c.state, c.pool.idle.Len(), len(c.endpoint.idle))
 	}
 	if closed := c.state == serverConnClosed; c.pool.open[c] == closed {
-		t.Errorf("state %d: open %v", c.state, c.pool.open[c])
+		t.Errorf("state %d: the pool lists the connection as open: %v", c.state, c.pool.open[c])
 	}
 	select {
 	case <-c.done:
 		if c.state != serverConnClosed {
-			t.Errorf("state %d: done", c.state)
+			t.Errorf("state %d: done is closed", c.state)
 		}
 	default:
 		if c.state == serverConnClosed {
-			t.Error("closed, and not done")
+			t.Error("the connection is closed, but done is not")
 		}
 	}
 }
 
-// Every event in every state leads to the state that the table of exchangeState says.
+// Every event in every state leads to the state in the table of exchangeState.
 func TestExchangeTransitions(t *testing.T) {
 	table := map[exchangeState][exchangeEvents]exchangeState{
 		exchangeQuiet: {requestStarted: exchangeAwaiting, requestEnded: exchangeQuiet,
--- a/internal/node/staleness_test.go
+++ b/internal/node/staleness_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// A list may come in many lines, and the watch that brought it goes on.
+// A list may span several lines, and the watch continues after it.
 func TestListInManyLines(t *testing.T) {
-	a, addr := newAgent(t)
-	_, events := watchOn(t, addr, "pushed", time.Minute)
-	wantCall(t, a, "watch 1")
+	a, addr := newFakeDiscovery(t)
+	_, events := startDiscovery(t, addr, "pushed", time.Minute)
+	wantRequest(t, a, "watch 1")
 	for seq := range 2 {
 		for _, l := range []string{
 			"{",
@@ -28,16 +28,16 @@
 			a.lines <- l
 		}
 		if n := <-events; n.list.Version != int64(60+seq) || len(n.list.Endpoints) != 1 {
-			t.Fatalf("got %+v", n)
+			t.Fatalf("delivered %+v, want one endpoint in the next version", n)
 		}
 	}
-	if len(a.calls) > 0 {
-		t.Errorf("the node asked again: %s", <-a.calls)
+	if len(a.requests) > 0 {
+		t.Errorf("the node sent another request: %s", <-a.requests)
 	}
 }
 
-// A list that breaks off, a trickle of bytes without a line's end, and silence are no signs of life. The watch is
-// opened anew from the version held.
+// Guards against keeping a watch without progress: silence, a trickle of bytes without the end of a line, and a list
+// that stops before its end. Each is replaced by a new watch from the version of the last delivered list.
 func TestBrokenWatchesAreReplaced(t *testing.T) {
 	for name, text := range map[string]string{"mute": "", "trickle": " ", "torn": "{\n", "torn later": "{\"seq\":44,\n"} {
 		t.Run(name, func(t *testing.T) {
@@ -53,17 +53,17 @@
 					time.Sleep(time.Millisecond)
 				}
 			})
-			watchOn(t, addr, "pushed", 50*time.Millisecond)
+			startDiscovery(t, addr, "pushed", 50*time.Millisecond)
 			for range 2 {
 				if got := <-calls; got != "watch=1&from=1" {
-					t.Fatalf("asked for %q", got)
+					t.Fatalf("the node requested %q, want a watch from version 1", got)
 				}
 			}
 		})
 	}
 }
 
-// suspend does to a monitor what a suspension of the process for so long does.
+// suspend has the effect on a monitor of a suspension of the process for the duration.
 func (m *stalenessMonitor) suspend(duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,24 +71,24 @@
 	m.timer.Reset(0)
 }
 
-// until waits for what happens in the background.
+// until waits for a condition that is met in the background.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: ", what)
+			t.Fatal("not within 10 s: ", what)
 		}
 	}
 }
 
-// After a suspension the list is stale until all that was buffered is read. A watch with nothing to read is canceled
-// then, not before.
+// After a suspension of the process, the list is stale and sends are held until all buffered updates have been read.
+// Only then is a watch canceled that had nothing to read.
 func TestStalenessMonitorAfterSuspension(t *testing.T) {
 	canceled := make(chan error, 1)
 	m := newStalenessMonitor(time.Minute, false)
 	m.watchStarted(func(cause error) { canceled <- cause })
 	if m.lineReceived(); m.holdSends() {
-		t.Fatal("sends are held while all is well")
+		t.Fatal("sends are held before any suspension")
 	}
 	m.suspend(2 * time.Minute)
 	if !m.holdSends() {
@@ -102,19 +102,20 @@
 	if m.lineReceived(); !m.holdSends() {
 		t.Error("sends are not held while more may be buffered")
 	}
-	until(t, "all is read", func() bool { return !m.holdSends() })
+	until(t, "all buffered updates are read", func() bool { return !m.holdSends() })
 	if m.stale() {
-		t.Error("the hold ended by its limit, not because all was read")
+		t.Error("the hold ended by its time limit, want by reading all updates")
 	}
 	m.suspend(2 * time.Minute)
 	if cause := <-canceled; !errors.Is(cause, errSilent) || m.stale() {
-		t.Errorf("canceled for %v, stale %v", cause, m.stale())
+		t.Errorf("canceled for %v, stale: %v; want for silence, and not stale", cause, m.stale())
 	}
 }
 
-// Updates that were buffered while the process was suspended are handled before the requests that were.
+// Guards against sending requests by an outdated list after a suspension of the process: updates buffered during it are
+// handled before the requests that arrived.
 func TestEndpointUpdatesComeFirstAfterSuspension(t *testing.T) {
-	a, addr := newAgent(t)
+	a, addr := newFakeDiscovery(t)
 	first, second := newBackend(t, ok), newBackend(t, ok)
 	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
 	cfg.Discovery = addr
@@ -131,10 +132,10 @@
 	})
 	for i := range 10 {
 		if status, _, _ := do(t, newRequest(t, n.url, "keyed", fmt.Sprint(i), "x")); status != http.StatusOK {
-			t.Fatalf("request %d was answered %d", i, status)
+			t.Fatalf("request %d got status %d, want 200", i, status)
 		}
 	}
 	if got := second.requests(); got > 0 {
-		t.Errorf("the draining server got %d of 10", got)
+		t.Errorf("the draining server got %d of 10 requests, want none", got)
 	}
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -1,4 +1,4 @@
-// One watch of the endpoint list.
+// A single watch or poll of the endpoint list.
 
 package node
 
@@ -13,19 +13,19 @@
 	"strconv"
 )
 
-const watchBufferSize = 64 << 10 // at first, in bytes
+const watchBufferSize = 64 << 10 // the initial size in bytes; it grows up to maxListSize
 
 var errVersionGap = errors.New("gap in the versions")
 
-// watch follows the changes from the version held, until the connection ends or the staleness monitor cancels it. After
-// a list that does not follow the one before, or is invalid, it fetches a snapshot and ends. It returns the number of
-// lines and lists that came, and why it ended.
+// watch requests the changes since the version of the last delivered list and delivers them, until the connection ends
+// or the staleness monitor cancels the watch. After a list that is invalid or has a lower version than the last one, it
+// fetches a snapshot and returns. It returns the number of heartbeats and lists received, and the reason why it ended.
 func (d *discovery) watch(ctx context.Context) (lines int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	d.setCancelWatch(cancel)
 	defer d.setCancelWatch(nil)
-	// A machine that is cut off leaves the connection open: only the missing lines show it.
+	// If the machine of discovery is cut off from the network, the connection stays open: only missing lines reveal it.
 	d.staleness.watchStarted(cancel)
 	body, err := d.get(ctx, "?watch=1&from="+strconv.FormatInt(d.version, 10))
 	if err != nil {
@@ -39,7 +39,7 @@
 		kind, text := assembler.add(scanner.Bytes())
 		switch kind {
 		case linePartial:
-			d.staleness.partReceived()
+			d.staleness.listPartReceived()
 		case lineHeartbeat:
 			lines++
 			d.staleness.lineReceived()
@@ -62,14 +62,14 @@
 	return lines, io.EOF
 }
 
-// setCancelWatch sets what ends the current watch; nil: there is none.
+// setCancelWatch sets the function that cancels the current watch; nil means that there is no watch.
 func (d *discovery) setCancelWatch(cancel context.CancelCauseFunc) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cancelWatch = cancel
 }
 
-// parseUpdate parses a list of a watch and checks that it follows the version held.
+// parseUpdate parses a list of a watch and checks that its version is not lower than that of the last delivered list.
 func (d *discovery) parseUpdate(text []byte) (endpointList, error) {
 	list, err := parseEndpointList(text)
 	if err == nil && !list.Snapshot && list.Version < d.version {
@@ -78,8 +78,8 @@
 	return list, err
 }
 
-// fetchSnapshot fetches the complete list; the next watch continues from there. If that fails, the next watch accepts
-// any version.
+// fetchSnapshot fetches and delivers the complete list, from whose version the next watch continues. If that fails, the
+// next watch requests the changes since version 0, and so accepts a list of any version.
 func (d *discovery) fetchSnapshot(ctx context.Context) error {
 	body, err := d.get(ctx, "")
 	if err != nil {
@@ -96,7 +96,7 @@
 	return d.accept(ctx, list.asSnapshot())
 }
 
-// accept delivers a list to the event loop, and holds its version once it is delivered.
+// accept delivers a list to the event loop, and keeps its version once it is delivered.
 func (d *discovery) accept(ctx context.Context, list endpointList) error {
 	if err := d.deliver(ctx, watchEvent{list: list, clockAhead: d.clockOffset.ahead}); err != nil {
 		return withCause(ctx, err)
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// get requests the endpoint list; the caller closes the body.
+// get requests the endpoint list and returns the response body, which the caller closes.
 func (d *discovery) get(ctx context.Context, query string) (io.ReadCloser, error) {
 	d.mu.Lock()
 	address := d.address
@@ -127,7 +127,7 @@
 	return resp.Body, nil
 }
 
-// withCause returns why ctx was canceled, if it was, else err.
+// withCause returns the cause with which ctx was canceled, or err if it was not canceled.
 func withCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
