--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -272,11 +272,11 @@
 func (p *pool) outgoingRequest(att *attempt, body io.Reader) *http.Request {
 	incoming := att.request
 	header := incoming.header.Clone()
-	left := att.deadline - p.clock.now()
+	remaining := att.deadline - p.clock.now()
 	if incoming.bodyStream != nil {
-		left = min(att.timeout, incoming.budget)
+		remaining = min(att.timeout, incoming.budget)
 	}
-	att.budgetSent = max(left, time.Microsecond)
+	att.budgetSent = max(remaining, time.Microsecond)
 	header.Set("X-Budget", strconv.FormatInt(att.budgetSent.Microseconds(), 10)+"u")
 	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = nil // otherwise Request.Write adds a default value
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -96,8 +96,8 @@
 // its version.
 func TestSnapshotAfterInvalidLine(t *testing.T) {
 	for name, line := range map[string]string{
-		"unreadable": `{"seq":44,}`,
-		"gone back":  `{"seq":0,"whole":false,"hosts":[]}`,
+		"invalid JSON":  `{"seq":44,}`,
+		"lower version": `{"seq":0,"whole":false,"hosts":[]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, addr := newFakeDiscovery(t)
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -94,17 +94,17 @@
 
 // An attempt without a response ends with TimedOut at its deadline, and its connection is closed.
 func TestNoResponseIsTimedOut(t *testing.T) {
-	left := make(chan struct{})
+	connClosed := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.Copy(io.Discard, c) // until the node closes the connection
-		close(left)
+		close(connClosed)
 		return false
 	})
 	p := testPool(t)
 	if got := p.runAttempt(testAttempt(p, b.addr(), 100*time.Millisecond)).result; got != policy.TimedOut {
 		t.Errorf("result %v, want TimedOut", got)
 	}
-	<-left // the node abandons an attempt by closing its connection
+	<-connClosed // the node abandons an attempt by closing its connection
 }
 
 // Guards against an attempt that is sent although its endpoint began to drain, or its request was answered, while its
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -121,10 +121,10 @@
 
 // A request to a server that sends no response is answered at its deadline, when its attempt ends too.
 func TestUnresponsiveServerEndsAtDeadline(t *testing.T) {
-	left := make(chan struct{})
+	connClosed := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.Copy(io.Discard, c)
-		close(left)
+		close(connClosed)
 		return false
 	})
 	n := startWith(t, b)
@@ -133,7 +133,7 @@
 	if status, _, _ := do(t, r); status != http.StatusBadGateway {
 		t.Errorf("status %d, want 502: the request may have run", status)
 	}
-	<-left
+	<-connClosed
 }
 
 // A request whose large body a server leaves unread when it rejects the request does not count as run.
@@ -175,8 +175,8 @@
 // The start times of servers in endpoint lists are converted to clock times of the node; a missing one stays zero.
 func TestServerStartTimeIsClockTime(t *testing.T) {
 	ck := newClock()
-	born := ck.start.Add(-5 * time.Second)
-	s := listedEndpoint{ID: "s", Health: "in_service", StartedAtMillis: float64(born.UnixMicro()) / 1000}.endpoint()
+	startedAt := ck.start.Add(-5 * time.Second)
+	s := listedEndpoint{ID: "s", Health: "in_service", StartedAtMillis: float64(startedAt.UnixMicro()) / 1000}.endpoint()
 	if age := ck.now() - s.StartedAt; age < 4999*time.Millisecond || age > time.Minute {
 		t.Errorf("a server that started 5 s ago has the age %v", age)
 	}
--- a/internal/node/staleness.go
+++ b/internal/node/staleness.go
@@ -21,10 +21,9 @@
 	// suspensionThreshold is how late the monitor's own timer may fire before the process counts as suspended. The
 	// grace period of a draining server has 50 ms of slack.
 	suspensionThreshold = 100 * time.Millisecond
-	// resumeQuietPeriod is how long no line may arrive after a suspension until everything that was buffered during
-	// it counts as read.
+	// resumeQuietPeriod is the time without a line after which everything buffered during a suspension counts as read.
 	resumeQuietPeriod = 50 * time.Millisecond
-	// maxSendHold is how long sends wait at most after a suspension.
+	// maxSendHold is the longest time for which sends wait after a suspension.
 	maxSendHold = 300 * time.Millisecond
 )
 
--- a/internal/node/staleness_test.go
+++ b/internal/node/staleness_test.go
@@ -39,7 +39,8 @@
 // Guards against keeping a watch without progress: silence, a trickle of bytes without the end of a line, and a list
 // that stops before its end. Each is replaced by a new watch from the version of the last delivered list.
 func TestBrokenWatchesAreReplaced(t *testing.T) {
-	for name, text := range map[string]string{"mute": "", "trickle": " ", "torn": "{\n", "torn later": "{\"seq\":44,\n"} {
+	for name, text := range map[string]string{
+		"silent": "", "trickle": " ", "incomplete": "{\n", "incomplete later": "{\"seq\":44,\n"} {
 		t.Run(name, func(t *testing.T) {
 			calls := make(chan string, 100)
 			addr := newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
