--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -7,8 +7,9 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Parameters of memberlist, by the probe interval. Suspicion is short, and Lifeguard's patience with a process's own
-// health small: the probes of probing.go decide.
+// Parameters of memberlist, as multiples or fractions of the probe interval. Suspicion is short, and Lifeguard's limit
+// on stretching timeouts when a process's own health is poor is small, because the probes of probing.go decide who is
+// dead.
 const (
 	suspicionMultiplier    = 2
 	maxSuspicionMultiplier = 2
@@ -18,17 +19,17 @@
 	fullStateProbes        = 25
 )
 
-// packetNetwork is what packets and streams go over.
+// packetNetwork carries memberlist's packets and streams.
 type packetNetwork interface {
 	memberlist.NodeAwareTransport
-	addr() string // at which peers find this process
-	sent() (packets, bytes int64)
+	addr() string                 // the address at which peers reach this process
+	sent() (packets, bytes int64) // without streams
 }
 
-// traffic counts what was sent, streams left out.
+// traffic counts the packets sent and their bytes, without streams.
 type traffic struct{ packets, bytes int64 }
 
-// open listens and starts the failure detector. Its goroutines end with shut.
+// open listens and starts the failure detector, whose goroutines shut ends.
 func (m *Mesh) open() error {
 	network, err := m.listen()
 	if err != nil {
@@ -37,7 +38,7 @@
 	reports := newDetectorReports(m.log)
 	detector, err := memberlist.Create(m.detectorConfig(network, reports))
 	if err != nil {
-		_ = network.Shutdown() // the first error counts
+		_ = network.Shutdown() // the error of Create is the one to return
 		return err
 	}
 	m.network = network
@@ -69,12 +70,12 @@
 	return c
 }
 
-// shut ends the failure detector and its network.
+// shut stops the failure detector and closes its network, if there is one.
 func (m *Mesh) shut() {
 	if m.detector == nil {
 		return
 	}
-	_ = m.detector.Shutdown() // with the network; fails only where that does
+	_ = m.detector.Shutdown() // shuts the network down too, and fails only if that fails
 	_ = m.network.Shutdown()  // never fails
 	packets, bytes := m.network.sent()
 	m.closedTraffic.packets += packets
@@ -84,7 +85,8 @@
 	m.network = nil
 }
 
-// reportedEvents are the events of the present failure detector; without one there are none.
+// reportedEvents returns the events of the current failure detector. Without a detector it returns nil, a channel that
+// never delivers.
 func (m *Mesh) reportedEvents() <-chan processEvent {
 	if m.reports == nil {
 		return nil
@@ -92,7 +94,7 @@
 	return m.reports.events
 }
 
-// handleEvent takes a change in the failure detector.
+// handleEvent applies a change that the failure detector has reported.
 func (m *Mesh) handleEvent(e processEvent) {
 	if e.node.Name == m.id() {
 		return
@@ -111,15 +113,16 @@
 		state = p.endState()
 	}
 	if state == Dead && p.isLive() {
-		m.reportDead(p) // it may answer yet
+		m.reportDead(p) // it may still answer this process's own probes
 		return
 	}
 	m.reachability.reportLive(p.id)
 	m.setState(p, state)
 }
 
-// takeProbeResults takes over who answered the failure detector's probes. It costs as much as there are suspects,
-// however large the fleet.
+// takeProbeResults applies the results of the failure detector's probes since the last tick: a process that failed to
+// answer becomes a suspect, and is alive again after an answer unless the detector has reported it dead. Its cost grows
+// with the number of results and suspects, not with the size of the fleet.
 func (m *Mesh) takeProbeResults() {
 	probes := &m.reports.probes
 	for _, id := range probes.takeAnswered() {
@@ -149,8 +152,8 @@
 	}
 }
 
-// compareMembers takes over all that dropped events would have reported. What came since is reported once more by its
-// own event.
+// compareMembers makes up for events that were dropped, by applying all differences between memberlist's members and
+// the process table. Changes whose events are still queued are applied a second time by those events.
 func (m *Mesh) compareMembers() {
 	live := map[string]bool{}
 	for _, node := range m.detector.Members() {
@@ -167,7 +170,7 @@
 	}
 }
 
-// prune forgets processes that ended long ago, but for their incarnations, and penalties that have decayed.
+// prune removes processes that ended long ago, keeping only their incarnations, and flap penalties that have decayed.
 func (m *Mesh) prune() {
 	now := m.now()
 	for _, p := range m.processes.expired(now) {
--- a/internal/membership/detector_reports.go
+++ b/internal/membership/detector_reports.go
@@ -10,19 +10,21 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// detectorReports are what one failure detector has reported: changes of processes, and the results of its probes.
-// They end with their detector. A detector that was shut still reports for a while, by timers of suspicions that it
-// began before; nobody reads that, so it can't be taken for the word of the next detector.
+// detectorReports holds what one failure detector has reported: state changes of processes, and the results of its
+// probes. Each detector has reports of its own. After a detector is shut down, the timers of suspicions that it had
+// started still report for a while. Nobody reads these reports, so they can't be mistaken for those of the next
+// detector.
 //
-// Its exported methods are for memberlist's goroutines, and never wait.
+// Memberlist's goroutines call the exported methods, which never block.
 type detectorReports struct {
 	events  chan processEvent
-	dropped atomic.Bool // events: the queue was full
+	dropped atomic.Bool // an event was dropped, because the queue was full
 	probes  probeResults
 	log     *slog.Logger
 }
 
-// processEvent is a change in the failure detector. Memberlist's goroutines make them, the mesh's takes them.
+// processEvent is a change of a process that the failure detector reports. Memberlist's goroutines send the events, the
+// mesh's goroutine receives them.
 type processEvent struct {
 	node memberlist.Node
 	live bool
@@ -44,27 +46,27 @@
 	}
 }
 
-// NotifyJoin takes a new process.
+// NotifyJoin queues an event for a process that is new, or live again.
 func (r *detectorReports) NotifyJoin(node *memberlist.Node) { r.notify(node, true) }
 
-// NotifyLeave takes a process that is dead by the failure detector, or has left.
+// NotifyLeave queues an event for a process that the failure detector takes for dead, or that has left.
 func (r *detectorReports) NotifyLeave(node *memberlist.Node) { r.notify(node, false) }
 
-// NotifyUpdate takes new metadata.
+// NotifyUpdate queues an event for a process that has published new metadata.
 func (r *detectorReports) NotifyUpdate(node *memberlist.Node) { r.notify(node, true) }
 
-// AckPayload has nothing to add to an answer.
+// AckPayload returns nil, since answers to probes carry no payload.
 func (r *detectorReports) AckPayload() []byte { return nil }
 
-// NotifyPingComplete takes a process's answer to this one's probe.
+// NotifyPingComplete records a process's answer to a probe of this process's failure detector.
 func (r *detectorReports) NotifyPingComplete(node *memberlist.Node, _ time.Duration, _ []byte) {
 	r.probes.recordAnswer(node.Name)
 }
 
 var failedProbe = regexp.MustCompile(`Suspect (\S+) has failed, no acks received`)
 
-// Write takes a line of memberlist's own log, and logs it at the debug level. Memberlist reports a probe without an
-// answer in no other way; a test fails where that line changes.
+// Write logs a line of memberlist's own log at the debug level, and records the failed probe if the line reports one.
+// Memberlist reports probes without an answer in no other way; a test fails if the text of that line changes.
 func (r *detectorReports) Write(line []byte) (int, error) {
 	if match := failedProbe.FindSubmatch(line); match != nil {
 		r.probes.recordFailure(string(match[1]))
--- a/internal/membership/drops.go
+++ b/internal/membership/drops.go
@@ -5,19 +5,20 @@
 	"sync/atomic"
 )
 
-// DropCounters count what was not taken from the network, by reason. They are safe for concurrent use.
+// DropCounters counts packets, messages and streams that were received and dropped, by reason. It is safe for
+// concurrent use.
 type DropCounters struct {
 	Malformed atomic.Int64
 	Version   atomic.Int64 // of another protocol version
 	Foreign   atomic.Int64 // of another fleet
 	Oversized atomic.Int64
-	Replayed  atomic.Int64
-	Flood     atomic.Int64 // packets beyond the rate, unread
-	Full      atomic.Int64 // a queue had no room
-	Streams   atomic.Int64 // beyond the bound of open streams
+	Replayed  atomic.Int64 // with a sequence number that has been received before, or is too old
+	Flood     atomic.Int64 // packets over the rate limit, which are not parsed
+	Full      atomic.Int64 // because a queue was full
+	Streams   atomic.Int64 // over the limit on open streams
 }
 
-// count counts a dropped frame by the reason that its error is.
+// count counts a dropped frame, by the error that is the reason.
 func (d *DropCounters) count(err error) {
 	switch {
 	case errors.Is(err, errVersion):
@@ -33,7 +34,7 @@
 	}
 }
 
-// byReason gives the counts under their names in the operators' interface.
+// byReason returns the counts by their names in the operators' interface.
 func (d *DropCounters) byReason() map[string]int64 {
 	return map[string]int64{
 		"malformed": d.Malformed.Load(),
--- a/internal/membership/flap.go
+++ b/internal/membership/flap.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Flap damping: a member that comes back from the dead too often is suppressed for a while.
+// Parameters of flap damping: a member that returns after it was confirmed dead too often is suppressed for a while.
 const (
 	flapHalfLife        = time.Minute // of a member's penalty
-	flapThreshold       = 2.5         // penalty from which it is suppressed: the third return in short order
+	flapThreshold       = 2.5         // penalty from which a member is suppressed: the third return in a short time
 	flapMinSuppression  = 5 * time.Second
 	flapMaxSuppression  = time.Minute
 	flapMaxPenalty      = 10
-	flapForgottenWeight = 0.1 // a penalty below is dropped
+	flapForgottenWeight = 0.1 // a smaller penalty is deleted
 )
 
-// flapDamping keeps a penalty for each member that has come back from the dead.
+// flapDamping keeps a penalty for each member that has returned after it was confirmed dead.
 type flapDamping struct {
-	penalties map[string]*flapPenalty
+	penalties map[string]*flapPenalty // by member name
 }
 
-// flapPenalty grows by one with each return, and halves in each half-life.
+// flapPenalty is a member's penalty, which grows by one with each return and halves in each half-life.
 type flapPenalty struct {
 	points          float64
 	updatedAt       time.Duration
@@ -28,7 +28,7 @@
 	return flapDamping{penalties: map[string]*flapPenalty{}}
 }
 
-// weight is the penalty after its decay, which is linear within a half-life.
+// weight returns the penalty as decayed until now. Within a half-life the decay is linear.
 func (p *flapPenalty) weight(now time.Duration) float64 {
 	halfLives := float64(now-p.updatedAt) / float64(flapHalfLife)
 	weight := p.points
@@ -38,7 +38,8 @@
 	return weight * (1 - halfLives/2)
 }
 
-// recordReturn adds to a member's penalty. Beyond the threshold the suppression doubles with each point.
+// recordReturn adds one to a member's penalty, and suppresses the member if the penalty reaches the threshold. Each
+// point over the threshold doubles the duration of the suppression.
 func (f *flapDamping) recordReturn(name string, now time.Duration) {
 	p := f.penalties[name]
 	if p == nil {
@@ -66,7 +67,7 @@
 // isEmpty reports whether no member has a penalty.
 func (f *flapDamping) isEmpty() bool { return len(f.penalties) == 0 }
 
-// prune drops penalties that have decayed.
+// prune deletes penalties that have decayed and whose suppression is over.
 func (f *flapDamping) prune(now time.Duration) {
 	for name, p := range f.penalties {
 		if now > p.suppressedUntil && p.weight(now) < flapForgottenWeight {
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -13,23 +13,24 @@
 
 const eventuallyTimeout = 30 * time.Second
 
+// eventually waits until a condition holds, and returns how long that took. It fails the test after eventuallyTimeout.
 func eventually(t *testing.T, what string, holds func() bool) time.Duration {
 	t.Helper()
 	from := time.Now()
 	for !holds() {
 		if time.Since(from) > eventuallyTimeout {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition did not hold in time: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(from)
 }
 
-// givenAddresses are the addresses that a test has got: one that is free until its test listens must not go to a second
-// test beside it.
+// givenAddresses holds the addresses that tests have been given. An address stays free until its test listens, and must
+// not be given to another test that runs in parallel.
 var givenAddresses sync.Map
 
-// freeAddresses finds addresses that are free for both protocols.
+// freeAddresses returns loopback addresses whose ports are free for both TCP and UDP.
 func freeAddresses(t *testing.T, count int) (all []string) {
 	t.Helper()
 	for len(all) < count {
@@ -43,14 +44,14 @@
 			if _, given := givenAddresses.LoadOrStore(address, true); !given {
 				all = append(all, address)
 			}
-			_ = udp.Close() // was only to see that it is free
+			_ = udp.Close() // opened only to check that the port is free
 		}
 		tcp.Close()
 	}
 	return all
 }
 
-// testFleet is members in this process, over the loopback.
+// testFleet is a fleet whose members run in the test process and communicate over the loopback interface.
 type testFleet struct {
 	t         *testing.T
 	addresses []string
@@ -64,7 +65,7 @@
 		log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("self", i)
 	}
 	return Config{
-		Fleet:  f.t.Name(), // tests that run beside each other are strangers
+		Fleet:  f.t.Name(), // members of tests that run in parallel must not join each other
 		Name:   fmt.Sprintf("n%d", i),
 		Zone:   "z",
 		Region: "r",
@@ -75,6 +76,7 @@
 	}
 }
 
+// start starts a process of member i, which serves at once.
 func (f *testFleet) start(i int, changes ...func(*Config)) *Mesh {
 	f.t.Helper()
 	cfg := f.config(i)
@@ -90,6 +92,8 @@
 	return m
 }
 
+// newTestFleet lets the test run in parallel with others, starts a fleet, and waits until all members agree that it is
+// complete.
 func newTestFleet(t *testing.T, size int) *testFleet {
 	t.Helper()
 	t.Parallel()
@@ -104,7 +108,8 @@
 	return f
 }
 
-// agree reports whether some processes see so many alive members in a member list of as many, and each other's digest.
+// agree reports whether all given processes see size alive members, are on the given side and have the same digest. For
+// a complete fleet the member list must have that size, too.
 func (f *testFleet) agree(meshes []*Mesh, size int, side PartitionSide) bool {
 	for _, m := range meshes {
 		view := m.View()
@@ -124,6 +129,7 @@
 	return true
 }
 
+// stateOf returns a member's state in a process's view, or -1 if the member is not in it.
 func stateOf(m *Mesh, name string) State {
 	for _, member := range m.View().Members {
 		if member.Name == name {
@@ -133,7 +139,7 @@
 	return -1
 }
 
-// allSee reports whether some processes have a member in a state.
+// allSee reports whether all given processes have a member in a state.
 func allSee(meshes []*Mesh, name string, state State) bool {
 	for _, m := range meshes {
 		if stateOf(m, name) != state {
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Times of a process's identity.
+// Parameters of name conflicts and of the broadcast of a raised incarnation.
 const (
-	conflictTimeout          = 5 * time.Second // two processes of one name live so long before the older steps out
-	stepOutDuration          = 30 * time.Second
+	conflictTimeout          = 5 * time.Second  // how long two live processes have one name before the older steps out
+	stepOutDuration          = 30 * time.Second // mean time outside the fleet; the actual one is 0.5 to 1.5 times this
 	incarnationBroadcasts    = 3
 	incarnationBroadcastWait = 700 * time.Millisecond
 )
 
-// incarnations remembers the highest incarnation of each name whose processes have ended, by this process's memory and
-// that of others.
+// incarnations holds, for each name, the highest incarnation of the processes that have ended, as remembered by this
+// process and reported by others.
 type incarnations struct {
-	highest map[string]uint64
+	highest map[string]uint64 // by member name
 
-	// A raised incarnation of this process is broadcast again a few times: where its death was refuted meanwhile, the
-	// first broadcast may not arrive.
-	broadcasts    int
+	// A raised incarnation of this process is broadcast several times, because the first broadcast may not arrive if
+	// this process has meanwhile refuted a report of its death.
+	broadcasts    int // still to be sent
 	nextBroadcast time.Duration
 }
 
@@ -28,7 +28,8 @@
 	return incarnations{highest: map[string]uint64{}}
 }
 
-// record raises the highest incarnation of a name; reserved names are kept beyond the bound.
+// record raises the highest incarnation of a name. A name beyond the first maxMembers is recorded only if it is
+// reserved.
 func (i *incarnations) record(name string, incarnation uint64, reserved bool) {
 	if incarnation <= i.highest[name] {
 		return
@@ -38,21 +39,23 @@
 	}
 }
 
-// merge takes what another process remembers.
+// merge records the incarnations that another process remembers. Names that are known here, and this process's own, are
+// reserved.
 func (i *incarnations) merge(highest map[string]uint64, self string) {
 	for name, incarnation := range highest {
 		i.record(name, incarnation, i.highest[name] > 0 || name == self)
 	}
 }
 
-// nameConflict is what this process does about another live one of its name.
+// nameConflict is the state of a conflict with another live process that has this one's name.
 type nameConflict struct {
-	since        time.Duration // 0: there is none
-	outsideUntil time.Duration // this process has stepped out until then; 0: it has not
+	since        time.Duration // when the conflict was found; 0 without a conflict
+	outsideUntil time.Duration // until when this process has stepped out of the fleet; 0 if it has not
 }
 
-// checkIdentity keeps this process's incarnation above those of all that have had its name, also after its clock went
-// back, and finds another live process of the name. The older one steps out.
+// checkIdentity keeps this process's incarnation above those of all ended processes of its name, even if the clock was
+// set back between them. It also looks for another live process of the name: after conflictTimeout the older of the two
+// steps out of the fleet.
 func (m *Mesh) checkIdentity() {
 	now := m.now()
 	rival, highest := m.namesakes()
@@ -83,14 +86,14 @@
 	}
 }
 
-// namesakes looks at the other processes of this one's name: the newest live one, and the highest incarnation of those
-// that have ended.
+// namesakes returns, of the other processes that have this one's name, the newest live one (nil if there is none), and
+// the highest incarnation of those that have ended.
 func (m *Mesh) namesakes() (rival *process, highest uint64) {
 	highest = m.incarnations.highest[m.cfg.Name]
 	for _, p := range m.processes.byName[m.cfg.Name] {
 		live := p.isLive() && p.metadata.Phase != phaseLeaving
 		if live && m.network != nil && p.address == m.network.addr() {
-			live = false // this process has its address: it has ended, the others do not know yet
+			live = false // it has ended, since this process has its address now; the others do not know that yet
 		}
 		if !live {
 			highest = max(highest, p.metadata.Incarnation)
@@ -103,11 +106,11 @@
 	return rival, highest
 }
 
-// stepOut leaves the fleet to a newer process of the name, and returns after a while.
+// stepOut leaves the fleet because a newer process has this one's name, and schedules the return.
 func (m *Mesh) stepOut(now time.Duration, rival *process) {
 	m.log.Error("membership: stepping out of the fleet, a newer process has this one's name; clients are still served",
 		"address", rival.address)
-	_ = m.detector.Leave(tickInterval) // where the broadcast is late the others find out
+	_ = m.detector.Leave(tickInterval) // if the broadcast is late, the others detect the end by themselves
 	m.shut()
 	m.processes = newProcessTable()
 	m.suspected = map[string]bool{}
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// maxMissingNamed bounds the missing members that are named to others.
+// maxMissingNamed is the largest number of missing members that a message names.
 const maxMissingNamed = 8
 
-// liveness is who is live by the failure detector, as the quorum takes it.
+// liveness holds which members are live, as the input of the quorum.
 type liveness struct {
 	self      string
-	liveSince map[string]time.Duration // by name
-	deadSince map[string]time.Duration // by name, of the member list
-	left      map[string]bool          // by name: leaves, or has left and is not back
+	liveSince map[string]time.Duration // by name: live members, this process included
+	deadSince map[string]time.Duration // by name: members of the member list that are not live
+	left      map[string]bool          // by name: is leaving, or has left and has not come back
 
-	missing         []string            // the first of the member list that this process does not see
-	reportedMissing map[string][]string // by name, those that others do not see
+	missing         []string            // members of the list that are not live here; the first maxMissingNamed
+	reportedMissing map[string][]string // by name of a live member: what it last reported as missing
 }
 
 func newLiveness(self string, now time.Duration) liveness {
@@ -25,7 +25,7 @@
 	}
 }
 
-// update takes who is live, this process included, and who leaves or has left.
+// update replaces the sets of the live members, this process included, and of those that are leaving or have left.
 func (l *liveness) update(now time.Duration, live, left map[string]bool, memberList []string) {
 	for name := range live {
 		if !l.isLive(name) {
@@ -43,7 +43,7 @@
 	l.updateMissing(memberList)
 }
 
-// updateDead notes since when members of the list are not live.
+// updateDead updates since when members of the list have not been live.
 func (l *liveness) updateDead(now time.Duration, memberList []string) {
 	deadSince := map[string]time.Duration{}
 	for _, name := range memberList {
@@ -59,7 +59,7 @@
 	l.deadSince = deadSince
 }
 
-// updateMissing notes the first members of the list that this process does not see.
+// updateMissing sets missing to the members of the list that are not live, up to maxMissingNamed.
 func (l *liveness) updateMissing(memberList []string) {
 	l.missing = nil
 	for _, name := range memberList {
@@ -74,7 +74,7 @@
 	return live
 }
 
-// isComplete reports whether every member of the list is live, or has left.
+// isComplete reports whether each member of the list is live, is leaving or has left.
 func (l *liveness) isComplete(memberList []string) bool {
 	for _, name := range memberList {
 		if !l.isLive(name) && !l.left[name] {
@@ -84,7 +84,7 @@
 	return true
 }
 
-// others are the live members beside this process.
+// others returns the names of the live members except this process.
 func (l *liveness) others() []string {
 	var names []string
 	for name := range l.liveSince {
--- a/internal/membership/mesh.go
+++ b/internal/membership/mesh.go
@@ -1,10 +1,10 @@
-// Package membership lets a process know who else is in its fleet, who is dead, and on which side of a partition it is
-// itself. Failure detection and dissemination are SWIM (Das, Gupta and Motivala, 2002) with Lifeguard (Dadgar, Phillips
-// and Currey, 2017), by hashicorp/memberlist; identity, name conflicts, flap damping, the member list and the sides of
-// a partition are this package's.
+// Package membership tells a process which other processes are in its fleet, which of them are dead, and on which side
+// of a partition the process itself is. Failure detection and dissemination use SWIM (Das, Gupta and Motivala, 2002)
+// with Lifeguard (Dadgar, Phillips and Currey, 2017), as implemented by hashicorp/memberlist. Identity, name conflicts,
+// flap damping, the member list and the sides of a partition are implemented here.
 //
-// A Mesh joins the pieces: the failure detector (detector.go, delegate.go), this process's own probes (probing.go,
-// reachability.go), the quorum (quorum.go and the files of its subjects), and the view that it publishes (view.go).
+// A Mesh combines the failure detector (detector.go, delegate.go), this process's own probes (probing.go,
+// reachability.go), the quorum (quorum.go and the files of its parts), and the view that it publishes (view.go).
 package membership
 
 import (
@@ -21,24 +21,24 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Times and bounds of the mesh's goroutine.
+// Intervals and bounds of the mesh's goroutine.
 const (
 	tickInterval         = 100 * time.Millisecond
 	pruneInterval        = time.Second
 	addressRetryInterval = 200 * time.Millisecond
 	metadataTimeout      = time.Second
-	inboxSize            = 256 // messages that wait for the mesh's goroutine
+	inboxSize            = 256 // messages queued for the mesh's goroutine
 	eventQueueSize       = 4096
 	fullStateQueueSize   = 16
 )
 
-// Mesh is this process's part in the fleet. Its methods are safe for concurrent use.
+// Mesh is the participation of this process in the fleet. Its methods are safe for concurrent use.
 type Mesh struct {
 	cfg       Config
 	log       *slog.Logger
 	startedAt time.Time
 	process   uint64        // this process's number
-	sequence  atomic.Uint64 // of frames sent
+	sequence  atomic.Uint64 // sequence number of the last frame sent
 	drops     DropCounters
 	listen    func() (packetNetwork, error)
 	local     localMetadata
@@ -47,7 +47,7 @@
 	counters               atomic.Pointer[Counters]
 	publishedDisagreements atomic.Pointer[[]Disagreement]
 
-	// To the mesh's goroutine; memberlist's goroutines send on the first two and never wait.
+	// Input of the mesh's goroutine. Memberlist's goroutines send on the first two and never block.
 	inbox      chan message
 	fullStates chan fullState
 	requests   chan func()
@@ -56,13 +56,13 @@
 	stopped  chan struct{}
 	stopOnce sync.Once
 
-	// The rest is of the mesh's goroutine.
-	detector      *memberlist.Memberlist // nil: without an address, or stepped out
-	reports       *detectorReports       // of the detector
-	network       packetNetwork          // of the detector
-	closedTraffic traffic                // of networks that were shut
+	// Only the mesh's goroutine uses the fields below.
+	detector      *memberlist.Memberlist // nil while not listening, or while stepped out of the fleet
+	reports       *detectorReports       // what the detector reports; nil without a detector
+	network       packetNetwork          // what the detector sends over; nil without a detector
+	closedTraffic traffic                // sent over networks that are closed by now
 	processes     *processTable
-	suspected     map[string]bool // by process ID: a probe of the detector got no answer, as of the last tick
+	suspected     map[string]bool // by process ID: suspects since a probe of the detector got no answer
 	reachability  *reachability
 	quorum        *quorum
 	incarnations  incarnations
@@ -73,14 +73,15 @@
 	disagreements disagreements
 	memberLog     memberLog
 	members       map[string]Member // by name, as of the last view
-	viewStale     bool              // what the view is made of has changed
-	nextRefresh   time.Duration     // of the view and the counters
+	viewStale     bool              // the state that the view is built from has changed
+	nextRefresh   time.Duration     // when the view and the counters are refreshed next
 	nextPrune     time.Duration
-	nextOpen      time.Duration // attempt to have the address
+	nextOpen      time.Duration // when listening is tried again
 }
 
-// Start joins the fleet in the background. It fails only where the address can never be had; one that another process
-// holds is waited for, as in an upgrade.
+// Start joins the fleet in the background. It returns an error if the configuration is invalid or if it can't listen at
+// the address. If the address is in use, it keeps trying in the background instead, because during an upgrade the
+// predecessor still holds the address.
 func Start(cfg Config) (*Mesh, error) {
 	return start(cfg, func(m *Mesh) (packetNetwork, error) {
 		t, err := listenTransport(transportConfig{
@@ -98,7 +99,7 @@
 	})
 }
 
-// start is Start over any network.
+// start is Start over the network that listen opens.
 func start(cfg Config, listen func(*Mesh) (packetNetwork, error)) (*Mesh, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -113,7 +114,7 @@
 	if err != nil {
 		m.log.Info("membership: waiting for the listen address", "address", cfg.Listen)
 	}
-	go m.run() // ends with Close
+	go m.run() // returns after Close
 	return m, nil
 }
 
@@ -147,19 +148,19 @@
 	return m
 }
 
-// now is the time since the mesh's start, by the monotonic clock.
+// now returns the time since the mesh was started, by the monotonic clock.
 func (m *Mesh) now() time.Duration { return time.Since(m.startedAt) }
 
-// id is this process's name within memberlist.
+// id returns the name under which memberlist knows this process.
 func (m *Mesh) id() string { return processID(m.cfg.Name, m.process) }
 
-// ProcessID is this process's number, which no other has.
+// ProcessID returns the number of this process: a random one, drawn at its start, that tells it from all others.
 func (m *Mesh) ProcessID() uint64 { return m.process }
 
-// AnnounceServing lets the fleet know that this process serves.
+// AnnounceServing tells the fleet that this process serves.
 func (m *Mesh) AnnounceServing() { m.announcePhase(phaseAlive) }
 
-// do runs f on the mesh's goroutine; false: the mesh has ended.
+// do runs f on the mesh's goroutine. It returns false, without running f, if the mesh has ended.
 func (m *Mesh) do(f func()) bool {
 	select {
 	case m.requests <- f:
@@ -176,25 +177,25 @@
 	})
 }
 
-// broadcastMetadata sends this process's changed metadata to the others.
+// broadcastMetadata sends the changed metadata of this process to the others, in the background.
 func (m *Mesh) broadcastMetadata() {
 	m.viewStale = true
 	detector := m.detector
 	if detector == nil {
 		return
 	}
-	go func() { // ends within the timeout
-		_ = detector.UpdateNode(metadataTimeout) // an error means that nobody else is there
+	go func() { // returns within the timeout
+		_ = detector.UpdateNode(metadataTimeout) // fails only if the timeout ends first; the broadcast stays queued
 	}()
 }
 
-// Close ends the mesh without an announcement, as for a successor that takes the address over.
+// Close ends the mesh without announcing a leave, for example when a successor takes over the address.
 func (m *Mesh) Close() {
 	m.stopOnce.Do(func() { close(m.stop) })
 	<-m.stopped
 }
 
-// run owns the state until Close.
+// run is the mesh's goroutine, which owns the state, until Close.
 func (m *Mesh) run() {
 	defer close(m.stopped)
 	defer m.shut()
@@ -219,21 +220,23 @@
 	}
 }
 
-// reopen tries to have the address, where another process holds it or this one has stepped out.
+// reopen tries to listen again while there is no failure detector, because another process holds the address or because
+// this one has stepped out of the fleet and its time outside is over.
 func (m *Mesh) reopen() {
 	if m.detector != nil || m.now() < max(m.nextOpen, m.conflict.outsideUntil) {
 		return
 	}
 	m.nextOpen = m.now() + addressRetryInterval
 	if m.open() != nil {
-		return // the next attempt follows
+		return // a later tick tries again
 	}
 	m.conflict.outsideUntil = 0
 	m.viewStale = true
 	m.log.Info("membership: listening", "address", m.cfg.Listen)
 }
 
-// tick looks at suspects, lets the quorum send, and publishes the view.
+// tick does the periodic work: it applies the failure detector's results, probes suspects, sends the quorum's messages,
+// publishes the view and looks for lost members.
 func (m *Mesh) tick() {
 	if m.detector != nil {
 		m.takeProbeResults()
@@ -253,7 +256,7 @@
 	}
 	m.quorum.sendFailure = m.hasSendFailure()
 	m.sendAll(m.quorum.tick(m.now(), m.view.Load().Digest))
-	m.publish() // the quorum may have changed the side
+	m.publish() // again, since the quorum's tick may have changed the side
 	m.join()
 }
 
--- a/internal/membership/probe_results.go
+++ b/internal/membership/probe_results.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// probeResults are the results of the failure detector's probes by this process, since they were taken last. Its
-// methods are safe for concurrent use: memberlist's goroutines write them.
+// probeResults collects the results of the probes that this process's failure detector sends. Its methods are safe for
+// concurrent use, because memberlist's goroutines write the results.
 type probeResults struct {
 	mu         sync.Mutex
-	answered   map[string]bool // by process ID, since the last tick
+	answered   map[string]bool // by process ID: has answered since the last takeAnswered
 	unanswered map[string]bool // by process ID: the last probe got no answer
 }
 
@@ -28,14 +28,14 @@
 	r.answered[id] = true
 }
 
-// recordFailure notes a probe without an answer. Memberlist probes members only: there are no more names than these.
+// recordFailure records a probe without an answer. The map needs no bound, because memberlist probes only members.
 func (r *probeResults) recordFailure(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unanswered[id] = true
 }
 
-// takeAnswered returns whose answers came since it was called last.
+// takeAnswered returns the IDs of the processes that have answered since it was called last.
 func (r *probeResults) takeAnswered() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,7 +44,7 @@
 	return ids
 }
 
-// failures are the processes whose last probe got no answer.
+// failures returns the IDs of the processes whose last probe got no answer.
 func (r *probeResults) failures() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +57,7 @@
 	return r.unanswered[id]
 }
 
-// dropFailure forgets a process that has ended.
+// dropFailure deletes the failure of a process that has ended.
 func (r *probeResults) dropFailure(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// isDisconnected reports whether this process gets no answer from anybody. While it is, it probes all.
+// isDisconnected reports whether this process, although there are others, has had no answer from anybody for a time
+// between disconnectedAfter and disconnectedLimit. It then assumes that it is itself cut off, and probes all others.
 func (m *Mesh) isDisconnected() bool {
 	silence := m.reachability.silence(m.now())
 	return m.processes.liveCount() > 0 && silence > disconnectedAfter && silence < disconnectedLimit
 }
 
-// hasSendFailure reports whether nobody has answered for some time. A leader sends no heartbeats then: its votes must
-// run out early.
+// hasSendFailure reports whether nobody has answered this process for sendFailureAfter. A leader then stops sending
+// heartbeats, so that the votes for it expire early.
 func (m *Mesh) hasSendFailure() bool {
 	return m.processes.liveCount() > 0 && m.reachability.silence(m.now()) > sendFailureAfter
 }
 
-// recordAnswer takes a round trip with a process. One that was confirmed dead without a report is back.
+// recordAnswer records a round trip with a process. A process that was confirmed dead without a report of the failure
+// detector becomes alive again, since the detector will not report its return.
 func (m *Mesh) recordAnswer(p *process) {
 	unreported := m.reachability.recordAnswer(p.id, m.now())
 	if unreported && p.state == Dead {
@@ -22,15 +24,15 @@
 	}
 }
 
-// setState lets a process enter a state; a change shows in the next view.
+// setState sets the state of a process. A change appears in the next view.
 func (m *Mesh) setState(p *process, to State) {
 	if p.transition(to, m.now()) {
 		m.viewStale = true
 	}
 }
 
-// reportDead takes the failure detector's report that a process is dead: it is probed whether that is so. In a large
-// fleet the report decides.
+// reportDead handles the failure detector's report that a process is dead: this process probes it to verify that. In a
+// fleet of more than maxVerifiedFleet the report is taken as it is, unless this process is disconnected.
 func (m *Mesh) reportDead(p *process) {
 	if m.processes.liveCount() > maxVerifiedFleet && !m.isDisconnected() {
 		m.confirmDead(p)
@@ -39,13 +41,13 @@
 	m.reachability.reportDead(p.id, m.now())
 }
 
-// confirmDead takes a process for dead, or for one that has left.
+// confirmDead sets the state of a process that has ended: Left if it had announced that, otherwise Dead.
 func (m *Mesh) confirmDead(p *process) {
 	m.setState(p, p.endState())
 	m.reachability.forget(p.id)
 }
 
-// verify goes through the open inquiries: it finds who is dead, and probes the others.
+// verify opens the inquiries that are due, acts on the result of each open one, and sends probes for the rest.
 func (m *Mesh) verify() {
 	now := m.now()
 	disconnected := m.isDisconnected()
@@ -54,7 +56,7 @@
 	}
 	m.inquireReported(now)
 	if m.reachability.silence(now) > silenceThreshold || m.reachability.openInquiries() > 1 {
-		m.inquireAll(now) // it is this process that is cut off, or many are dead
+		m.inquireAll(now) // this process may be cut off, or many others may be dead
 	}
 	for _, id := range m.reachability.inquired() {
 		m.conclude(id, now, disconnected)
@@ -62,8 +64,9 @@
 	m.sendProbes()
 }
 
-// inquireReported keeps the processes that the failure detector has reported dead as suspects, and probes those that
-// are silent. An answer ends an inquiry, but not the report: the detector reports a death once.
+// inquireReported keeps the processes that the failure detector has reported dead as suspects, and opens inquiries into
+// those without a recent answer. An answer closes the inquiry but does not revoke the report, because the detector
+// reports a death only once.
 func (m *Mesh) inquireReported(now time.Duration) {
 	for _, id := range m.reachability.reported() {
 		p := m.processes.byID[id]
@@ -78,7 +81,7 @@
 	}
 }
 
-// inquireAll begins to probe live processes of which nothing is known lately, up to the bound.
+// inquireAll opens inquiries into live processes without a recent direct or indirect answer, up to maxInquiries.
 func (m *Mesh) inquireAll(now time.Duration) {
 	for id, p := range m.processes.byID {
 		if m.reachability.openInquiries() >= maxInquiries {
@@ -90,7 +93,7 @@
 	}
 }
 
-// conclude acts on the result of an inquiry.
+// conclude acts on the current result of an inquiry.
 func (m *Mesh) conclude(id string, now time.Duration, disconnected bool) {
 	p := m.processes.byID[id]
 	if p == nil || !p.isLive() {
@@ -112,6 +115,7 @@
 	}
 }
 
+// sendProbes probes the processes that are due, if there is a failure detector to send with.
 func (m *Mesh) sendProbes() {
 	if m.detector == nil {
 		return
@@ -122,7 +126,7 @@
 	}
 }
 
-// probe asks a process whether it is there, and a few others whether it has answered them.
+// probe sends a probe to a process, and asks a few others whether the process has answered them.
 func (m *Mesh) probe(id string) {
 	probe := m.newMessage(kindProbe)
 	probe.Subject = id
@@ -139,8 +143,8 @@
 	}
 }
 
-// handleProbe answers for this process, or for one that has answered it lately. It begins to probe a process of which
-// it knows nothing, so that it knows as soon as the other does.
+// handleProbe answers a probe of this process, or a probe of another process that has answered this one recently. If
+// that other process has not, this one opens an inquiry too, so that it finds out as soon as the sender does.
 func (m *Mesh) handleProbe(msg message) {
 	now := m.now()
 	reply := m.newMessage(kindProbeReply)
@@ -158,7 +162,8 @@
 	}
 }
 
-// joinInquiry begins to probe a process that another one probes, within the bounds.
+// joinInquiry opens an inquiry into a live process that another one is probing, unless there are too many inquiries or
+// the fleet is too large.
 func (m *Mesh) joinInquiry(id string, now time.Duration) {
 	p := m.processes.byID[id]
 	if p == nil || !p.isLive() {
@@ -169,7 +174,7 @@
 	}
 }
 
-// handleProbeReply takes a process's answer to this one's probe.
+// handleProbeReply records a process's answer to a probe of this one.
 func (m *Mesh) handleProbeReply(msg message) {
 	p := m.processes.byID[msg.Subject]
 	if p != nil && msg.TargetProcess == m.process && p.number() == msg.Process {
@@ -177,7 +182,8 @@
 	}
 }
 
-// handleIndirectAck takes a process's report that another one has answered it. The report itself is an answer, too.
+// handleIndirectAck records a process's report that another one has answered it. The report is also an answer of its
+// sender.
 func (m *Mesh) handleIndirectAck(msg message) {
 	if m.processes.byID[msg.Subject] == nil || msg.TargetProcess != m.process {
 		return
--- a/internal/membership/probing_test.go
+++ b/internal/membership/probing_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// reportDead lets the failure detector of a process report another one dead.
+// reportDead simulates a report of a process's failure detector that a member is dead.
 func (f *testFleet) reportDead(by *Mesh, name string) {
 	by.do(func() {
 		for _, p := range by.processes.byName[name] {
@@ -14,13 +14,13 @@
 	})
 }
 
-// A member that the failure detector reports dead stays, as a suspect, for as long as it answers this process; one that
-// ends is dead.
+// A member that the failure detector reports dead stays a suspect as long as it answers this process's probes, and is
+// dead after it has ended.
 func TestAnswersOutweighADeadReport(t *testing.T) {
 	f := newTestFleet(t, 4)
 	by := f.meshes[0]
 	f.reportDead(by, "n2")
-	eventually(t, "the member is suspected", func() bool { return stateOf(by, "n2") == Suspect })
+	eventually(t, "n2 is suspect", func() bool { return stateOf(by, "n2") == Suspect })
 	reachableAt := func() time.Duration {
 		at := make(chan time.Duration, 1)
 		by.do(func() { at <- by.reachability.reachableAt(by.processes.byName["n2"][0].id) })
@@ -28,14 +28,14 @@
 	}
 	for from := reachableAt(); reachableAt() < from+2*suspectTimeout; time.Sleep(5 * time.Millisecond) {
 		if state := stateOf(by, "n2"); state != Suspect {
-			t.Fatalf("while it answers the member is %s", state)
+			t.Fatalf("n2, which still answers probes, is %s, want suspect", state)
 		}
 	}
 	f.meshes[2].Close()
-	eventually(t, "once it has ended it is dead", func() bool { return stateOf(by, "n2") == Dead })
+	eventually(t, "n2 is dead after it has ended", func() bool { return stateOf(by, "n2") == Dead })
 }
 
-// newBareMesh is a mesh without a failure detector, that knows of some processes.
+// newBareMesh returns a mesh without a failure detector that knows of some processes, all alive.
 func newBareMesh(ids ...string) *Mesh {
 	m := &Mesh{
 		startedAt:    time.Now().Add(-time.Hour),
@@ -50,13 +50,13 @@
 	return m
 }
 
-// Guards against a death that is found by nobody: an answer that was under way when the failure detector reported the
-// death ended the inquiry, and the detector reports a death once.
+// Guards against a death that is never confirmed: an answer that was in transit when the failure detector reported the
+// death closed the inquiry, and the detector reports a death only once.
 func TestAnswerBesideADeadReportHidesNoDeath(t *testing.T) {
 	for name, answersAfter := range map[string]int{ // ticks
 		"in the tick of the report": 0,
-		"as a suspect":              1,
-		"again and again":           20,
+		"in the tick after it":      1,
+		"in many ticks":             20,
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newBareMesh("a", "b")
@@ -69,20 +69,21 @@
 			m.recordAnswer(suspect)
 			m.passTick("b")
 			if suspect.state != Suspect {
-				t.Errorf("reported dead, and it has answered: %s, want %s", suspect.state, Suspect)
+				t.Errorf("reported dead, with an answer after the report: state %s, want %s", suspect.state, Suspect)
 			}
 			const bound = answerValidity + suspectTimeout + 2*tickInterval
 			for range bound / tickInterval {
 				m.passTick("b")
 			}
 			if suspect.state != Dead {
-				t.Errorf("%v after its last answer it is %s, want %s", bound, suspect.state, Dead)
+				t.Errorf("%v after its last answer: state %s, want %s", bound, suspect.state, Dead)
 			}
 		})
 	}
 }
 
-// passTick lets a bare mesh live through the time of a tick, in which some processes answer and the others are probed.
+// passTick simulates a tick of a bare mesh: time advances by the interval, some processes answer, and those with an
+// open inquiry are probed.
 func (m *Mesh) passTick(answering ...string) {
 	m.startedAt = m.startedAt.Add(-tickInterval)
 	for _, id := range answering {
@@ -94,10 +95,11 @@
 	}
 }
 
-// A process that gets no answer from anybody is the one that is cut off: it confirms nobody dead, until 20 s are over.
+// A process that gets no answer from anybody assumes that it is cut off itself. It confirms nobody dead until 20 s have
+// passed.
 func TestDisconnectedProcessConfirmsNobodyDead(t *testing.T) {
 	for _, tt := range []struct {
-		silence time.Duration // since anybody answered
+		silence time.Duration // since the last answer from anybody
 		want    State
 	}{
 		{0, Dead},
@@ -112,13 +114,13 @@
 		inquiry.since -= suspectTimeout
 		inquiry.probes = suspectProbes
 		if m.verify(); suspect.state != tt.want {
-			t.Errorf("%v without an answer: the suspect is %s, want %s", tt.silence, suspect.state, tt.want)
+			t.Errorf("after %v without an answer from anybody the suspect is %s, want %s", tt.silence, suspect.state, tt.want)
 		}
 	}
 }
 
-// Guards against a fleet that its returning member takes for dead: the answer that ended a disconnection made all other
-// inquiries, which had been open without an answer throughout it, count as the silence of the others.
+// Guards against a reconnected process that confirms all others dead: the first answer ended the disconnection, and the
+// other inquiries, open and unanswered all that time, then counted as silence of the others.
 func TestReturnFromADisconnectionConfirmsNobodyDead(t *testing.T) {
 	m := newBareMesh("a", "b", "c")
 	reported, unreported := m.processes.byID["a"], m.processes.byID["b"]
@@ -133,19 +135,21 @@
 	for range suspectProbes {
 		m.passTick("c")
 		if reported.state == Dead || unreported.state == Dead {
-			t.Fatalf("once another has answered: %s and %s", reported.state, unreported.state)
+			t.Fatalf("soon after the first answer from c: reported a is %s, unreported b is %s, want none gone",
+				reported.state, unreported.state)
 		}
 	}
 	for range 2 * silenceTimeout / tickInterval {
 		m.passTick("c")
 	}
 	if reported.state != Dead || unreported.state != Dead {
-		t.Errorf("after more silence of theirs: %s and %s", reported.state, unreported.state)
+		t.Errorf("after two more silence timeouts: reported a is %s, unreported b is %s, want both gone",
+			reported.state, unreported.state)
 	}
 }
 
-// A process that was known and answers nobody is dead without a report of the failure detector; one that has answered
-// another is not.
+// A process that has answered before and now answers nobody is confirmed dead without a report of the failure detector.
+// A process that has recently answered another one is not.
 func TestManyDeadAreFoundWithoutAReport(t *testing.T) {
 	m := newBareMesh("a", "b", "c")
 	now := m.now()
@@ -161,10 +165,11 @@
 	m.verify()
 	silent, acknowledged := m.processes.byID["a"], m.processes.byID["b"]
 	if silent.state != Dead || acknowledged.state != Alive {
-		t.Errorf("without an answer %s, with an indirect one %s", silent.state, acknowledged.state)
+		t.Errorf("a without an answer is %s, want gone; b with an indirect answer is %s, want alive",
+			silent.state, acknowledged.state)
 	}
-	if m.recordAnswer(silent); silent.state != Alive {
-		t.Error("one that answers after all is not back, and the failure detector will not report that")
+	if m.recordAnswer(silent); silent.state != Alive { // the failure detector will not report its return
+		t.Error("a, which was confirmed dead without a report and has answered since, is not alive")
 	}
 }
 
@@ -172,21 +177,21 @@
 	const now = time.Minute
 	for name, tt := range map[string]struct {
 		reported     bool
-		disconnected bool
+		disconnected bool          // the probing process
 		age          time.Duration // of the inquiry
 		probes       int
-		answered     time.Duration // ago
+		answered     time.Duration // how long ago
 		want         assessment
 	}{
-		"just begun":                   {false, false, 0, 0, time.Second, assessmentOpen},
+		"new":                          {false, false, 0, 0, time.Second, assessmentOpen},
 		"answered since":               {false, false, time.Second, 3, time.Second / 2, assessmentReachable},
 		"answered since, but reported": {true, false, time.Second, 9, time.Second / 2, assessmentSuspect},
 		"reported and silent":          {true, false, suspectTimeout, suspectProbes, 2 * time.Second, assessmentDead},
-		"reported, probed too little":  {true, false, suspectTimeout, suspectProbes - 1, 2 * time.Second, assessmentSuspect},
+		"reported, too few probes":     {true, false, suspectTimeout, suspectProbes - 1, 2 * time.Second, assessmentSuspect},
 		"silent without a report":      {false, false, silenceTimeout, silenceProbes, 2 * time.Second, assessmentDead},
-		"silent, but not for long":     {false, false, suspectTimeout, silenceProbes, 2 * time.Second, assessmentOpen},
-		"reported by a cut-off one":    {true, true, suspectTimeout, suspectProbes, 2 * time.Second, assessmentSuspect},
-		"silent to a cut-off one":      {false, true, silenceTimeout, silenceProbes, 2 * time.Second, assessmentOpen},
+		"silent for too short a time":  {false, false, suspectTimeout, silenceProbes, 2 * time.Second, assessmentOpen},
+		"reported, but disconnected":   {true, true, suspectTimeout, suspectProbes, 2 * time.Second, assessmentSuspect},
+		"silent, but disconnected":     {false, true, silenceTimeout, silenceProbes, 2 * time.Second, assessmentOpen},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newReachability()
@@ -196,7 +201,7 @@
 				r.reportDead("a", now)
 			}
 			if got := r.assess("a", now, tt.disconnected); got != tt.want {
-				t.Errorf("assessment %d, want %d", got, tt.want)
+				t.Errorf("assess = %d, want %d", got, tt.want)
 			}
 		})
 	}
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -11,20 +11,20 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Bounds of what is remembered of processes that have ended.
+// Bounds of the memory of processes that have ended.
 const (
 	maxEndedProcesses = 2048
 	endedRetention    = 10 * time.Minute
 )
 
-// Phases of a process, as its metadata has them.
+// Phases of a process, as they are encoded in its metadata.
 const (
 	phaseJoining = "j"
 	phaseAlive   = "a"
 	phaseLeaving = "l"
 )
 
-// metadata is what a process publishes of itself. Processes of older builds read it, so its tags stay.
+// metadata is what a process publishes about itself. Processes of older builds read it, so the tags must not change.
 type metadata struct {
 	Incarnation uint64 `json:"i"`
 	Phase       string `json:"p"`
@@ -35,42 +35,43 @@
 	Digest      string `json:"d"`
 }
 
-// idSeparator stands between a member's name and the number of its process in the process's ID. Memberlist knows
-// processes by their IDs: two processes of one name are two there.
+// idSeparator separates the member's name from the process's number in a process ID. Memberlist uses these IDs as its
+// node names, so that it tells two processes of one name apart.
 const idSeparator = "~"
 
 func processID(name string, number uint64) string {
 	return fmt.Sprintf("%s%s%016x", name, idSeparator, number)
 }
 
+// nameOf returns the member's name in a process ID.
 func nameOf(id string) string {
 	name, _, _ := strings.Cut(id, idSeparator)
 	return name
 }
 
-// process is one process of a member, as the failure detector and this process's own probes have it.
+// process is one process of a member, in the state that the failure detector and this process's own probes give it.
 //
 //	from             to       when
 //	(new)            Dead     until its first event is applied
 //	Dead, Left       Alive    the failure detector reports it live
 //	Dead             Alive    it answers after it was confirmed dead without a report
 //	Alive            Suspect  it did not answer a probe, or the failure detector reports it dead
-//	Suspect          Alive    it answers the failure detector, or that reports it live
-//	Alive, Suspect   Dead     it is confirmed dead, and is not known to leave
-//	Alive, Suspect   Left     the failure detector reports its end, or it is confirmed, and it is known to leave
-//	Dead             Left     another process knows that it left
+//	Suspect          Alive    it answers the failure detector, or the failure detector reports it live
+//	Alive, Suspect   Dead     it is confirmed dead, and is not known to be leaving
+//	Alive, Suspect   Left     its end is reported by the failure detector or confirmed, and it is known to be leaving
+//	Dead             Left     another process reports that it left
 type process struct {
 	id       string
 	name     string
 	metadata metadata
 	address  string
 	node     memberlist.Node
-	leaving  bool  // it has announced that it leaves, which is never taken back
-	state    State // Alive, Suspect, Dead or Left
-	since    time.Duration
+	leaving  bool          // it has announced that it leaves, which is never revoked
+	state    State         // Alive, Suspect, Dead or Left
+	since    time.Duration // when it entered the state
 }
 
-// updateMetadata takes what the process publishes of itself. What can't be read keeps its last value.
+// updateMetadata decodes the metadata that the process has published. Fields that can't be decoded keep their values.
 func (p *process) updateMetadata(text []byte) {
 	if len(text) > 0 {
 		_ = json.Unmarshal(text, &p.metadata)
@@ -81,7 +82,7 @@
 	p.leaving = p.metadata.Phase == phaseLeaving
 }
 
-// endState is what the process is once it has ended.
+// endState returns the state of the process once it has ended.
 func (p *process) endState() State {
 	if p.leaving {
 		return Left
@@ -89,7 +90,7 @@
 	return Dead
 }
 
-// transition enters a state, and reports whether that is a change.
+// transition sets the state and reports whether it has changed.
 func (p *process) transition(to State, now time.Duration) (changed bool) {
 	if p.state == to {
 		return false
@@ -102,24 +103,25 @@
 // isLive reports whether the process is not known to have ended.
 func (p *process) isLive() bool { return p.state == Alive || p.state == Suspect }
 
-// number is the process's number, as its messages have it.
+// number returns the number in the process's ID, which its messages carry, or 0 if the ID has none.
 func (p *process) number() uint64 {
 	_, hex, _ := strings.Cut(p.id, idSeparator)
-	n, _ := strconv.ParseUint(hex, 16, 64) // an ID of another form has none
+	n, _ := strconv.ParseUint(hex, 16, 64) // 0 if the ID has another form
 	return n
 }
 
-// newerThan reports whether p is to be taken for the newer process of a name.
+// newerThan reports whether p counts as newer than another process of the same name.
 func (p *process) newerThan(other *process) bool {
 	return newer(p.metadata.Incarnation, p.id, other.metadata.Incarnation, other.id)
 }
 
-// newer orders the processes of a name by incarnation, then by ID.
+// newer reports whether the first of two processes of one name counts as newer: by incarnation, then by ID.
 func newer(incarnation uint64, id string, otherIncarnation uint64, otherID string) bool {
 	return incarnation > otherIncarnation || incarnation == otherIncarnation && id > otherID
 }
 
-// preferredTo reports whether p stands for its member rather than another process of it: a live one, then the newer.
+// preferredTo reports whether p represents its member rather than another process of the same name. A live process is
+// preferred to one that has ended, of two live ones the newer, and of two that have ended the one that ended last.
 func (p *process) preferredTo(other *process) bool {
 	if p.isLive() != other.isLive() {
 		return p.isLive()
@@ -130,7 +132,7 @@
 	return p.since > other.since
 }
 
-// processTable is all processes that this one knows of.
+// processTable holds all processes that this one knows of, except itself.
 type processTable struct {
 	byID   map[string]*process
 	byName map[string][]*process
@@ -157,7 +159,7 @@
 	}
 }
 
-// find returns the process of a name that has a number, or nil.
+// find returns the process with a name and a number, or nil.
 func (t *processTable) find(name string, number uint64) *process {
 	for _, p := range t.byName[name] {
 		if p.number() == number {
@@ -167,7 +169,7 @@
 	return nil
 }
 
-// nameOfNumber is the name of the process that has a number; "" if none has.
+// nameOfNumber returns the name of the process with a number, or "" if there is none.
 func (t *processTable) nameOfNumber(number uint64) string {
 	for _, p := range t.byID {
 		if p.number() == number {
@@ -177,7 +179,7 @@
 	return ""
 }
 
-// liveCount is how many processes there seem to be beside this one.
+// liveCount returns how many other processes are not known to have ended.
 func (t *processTable) liveCount() int {
 	count := 0
 	for _, p := range t.byID {
@@ -188,12 +190,13 @@
 	return count
 }
 
-// anyLive reports whether some process of a name is still there.
+// anyLive reports whether any process of a name is not known to have ended.
 func (t *processTable) anyLive(name string) bool {
 	return slices.ContainsFunc(t.byName[name], (*process).isLive)
 }
 
-// expired are the processes to be forgotten: those that ended long ago, and the oldest of those beyond the bound.
+// expired returns the processes to be removed: those that ended longer ago than endedRetention and, if more than
+// maxEndedProcesses remain, those of them that ended first.
 func (t *processTable) expired(now time.Duration) []*process {
 	var expired, ended []*process
 	for _, p := range t.byID {
--- a/internal/membership/process_test.go
+++ b/internal/membership/process_test.go
@@ -14,10 +14,11 @@
 	"time"
 )
 
-// memberEnv asks the test's program to run as a member: name, address, seconds of the clock at the start, seeds.
+// memberEnv names the environment variable that makes the test program run as a member. Its value has the member's
+// name, its address, the clock at its start in Unix seconds, and its seeds.
 const memberEnv = "MESH_MEMBER"
 
-// TestMain runs a member of its own where another test asks for one.
+// TestMain runs a member if a test has started this process for that, otherwise the tests.
 func TestMain(m *testing.M) {
 	if fields := strings.Fields(os.Getenv(memberEnv)); len(fields) > 3 {
 		runMember(fields)
@@ -25,7 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// runMember takes part in a fleet until its input ends, and writes ten times a second what it sees.
+// runMember runs a member until its standard input ends. Ten times a second it prints the digest of its view and the
+// incarnation of n2, as long as it sees n2 alive in a complete fleet of three.
 func runMember(fields []string) {
 	var started int64
 	if _, err := fmt.Sscan(fields[2], &started); err != nil {
@@ -43,7 +45,7 @@
 		panic(err)
 	}
 	m.AnnounceServing()
-	go func() { // ends the process with its input
+	go func() { // ends the process when its input ends
 		_, _ = io.Copy(io.Discard, os.Stdin)
 		os.Exit(0)
 	}()
@@ -61,10 +63,10 @@
 // memberProcess is a process that runs a member.
 type memberProcess struct {
 	*exec.Cmd
-	lastLine atomic.Pointer[string]
+	lastLine atomic.Pointer[string] // of its output
 }
 
-// startMember starts a process by its clock.
+// startMember starts a process of member i whose clock shows the given time at its start.
 func startMember(t *testing.T, f *testFleet, i int, started time.Time) *memberProcess {
 	t.Helper()
 	p := &memberProcess{Cmd: exec.Command(os.Args[0])}
@@ -75,7 +77,7 @@
 	if err := errors.Join(stdinErr, stdoutErr, p.Start()); err != nil {
 		t.Fatal(err)
 	}
-	go func() { // ends with the process
+	go func() { // returns when the process ends
 		for lines := bufio.NewScanner(stdout); lines.Scan(); {
 			text := lines.Text()
 			p.lastLine.Store(&text)
@@ -88,13 +90,13 @@
 	return p
 }
 
-// end kills the process and waits for its end; it may have ended before.
+// end kills the process, which may have ended before, and waits for it.
 func (p *memberProcess) end() {
 	_ = p.Process.Kill()
 	_ = p.Wait()
 }
 
-// agreedLine is the line that all of some processes wrote last, or "".
+// agreedLine returns the last line of all given processes, or "" if they differ or one has printed none.
 func agreedLine(processes ...*memberProcess) string {
 	agreed := ""
 	for i, p := range processes {
@@ -107,8 +109,8 @@
 	return agreed
 }
 
-// A process whose clock was a day ahead is killed, and its next one has the right clock, then one of 1970: each is a
-// member again, for all, with an incarnation above the one before.
+// A process whose clock is a day ahead is killed. The next process of its name has the right clock, the one after that
+// a clock in 1970. Each is a member again for all others, with an incarnation above that of the previous process.
 func TestProcessesWithWrongClocks(t *testing.T) {
 	t.Parallel()
 	f := &testFleet{t: t, addresses: freeAddresses(t, 3)}
@@ -133,6 +135,6 @@
 		third.end()
 	}
 	if ahead := time.Until(time.UnixMilli(int64(before))); ahead < 23*time.Hour {
-		t.Errorf("the last incarnation is %v ahead, want it above the first one's day", ahead)
+		t.Errorf("the last incarnation is %v ahead of the clock, want at least 23 h, as the first one was a day ahead", ahead)
 	}
 }
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -6,54 +6,69 @@
 	"time"
 )
 
-// Times of a process's own probes. They come on top of the failure detector's suspicion, which is short for it.
+// Timeouts and bounds of a process's own probes. They run after the failure detector's suspicion timeout, which is kept
+// short for that reason.
 const (
-	maxInquiries      = 16                      // at a time, but for those that the detector reports; least known first
-	indirectProbes    = 3                       // other processes that are asked about one
-	maxVerifiedFleet  = 64                      // in a larger fleet probes by all would flood the suspect
-	suspectTimeout    = 900 * time.Millisecond  // a process that the detector reports dead answers within, or is dead,
-	suspectProbes     = 6                       // and was probed so often meanwhile
-	silenceTimeout    = 1600 * time.Millisecond // one that answers nobody for so long is dead without a report,
-	silenceProbes     = 10                      // and was probed so often
-	answerValidity    = time.Second
-	silenceThreshold  = 500 * time.Millisecond // without any answer: a probe is answered in each 400 ms
-	sendFailureAfter  = 600 * time.Millisecond
-	disconnectedAfter = 1200 * time.Millisecond
-	disconnectedLimit = 20 * time.Second // then all that are silent are dead, whoever is cut off
-	indirectValidity  = 10 * time.Second // of an inquiry: then indirect answers count no more
+	// maxInquiries bounds the inquiries that are open at a time, except for processes that the detector suspects or
+	// reports dead, and the processes probed in one tick, those without an answer for the longest time first.
+	maxInquiries     = 16
+	indirectProbes   = 3  // other processes that are asked about a probed one
+	maxVerifiedFleet = 64 // in a larger fleet the probes of all members would flood a suspect
+
+	// A process that the detector reports dead is confirmed dead after this time and this many probes without an answer.
+	suspectTimeout = 900 * time.Millisecond
+	suspectProbes  = 6
+
+	// A process that answers nobody is confirmed dead without a report after this time and this many probes.
+	silenceTimeout = 1600 * time.Millisecond
+	silenceProbes  = 10
+
+	// answerValidity is the age up to which an echo of this process's own vote counts as an answer. Half of it is the
+	// age up to which an answer counts as recent.
+	answerValidity = time.Second
+
+	// silenceThreshold is the time without any answer after which this process probes all others. Normally some probe
+	// of the detector is answered every 400 ms.
+	silenceThreshold  = 500 * time.Millisecond
+	sendFailureAfter  = 600 * time.Millisecond  // without any answer: this process does not lead
+	disconnectedAfter = 1200 * time.Millisecond // without any answer: this process confirms nobody dead
+	disconnectedLimit = 20 * time.Second        // without any answer: whoever is cut off, the silent ones are dead
+	indirectValidity  = 10 * time.Second        // age of an inquiry from which indirect answers no longer count
 )
 
-// reachability is what this process knows of the others by its own probes: who has answered it, and who has answered
-// another one. The failure detector advises, own answers decide: a process that the detector reports dead is kept as a
-// suspect while it answers, and one that answers nobody is confirmed dead without a report.
+// reachability holds what this process knows about the others from its own probes: who has answered it, and who has
+// answered another process. A report of the failure detector is only a hint, and the answers to this process's own
+// probes decide: a process that the detector reports dead stays a suspect while it answers, and one that answers nobody
+// is confirmed dead without a report.
 //
-// A packet alone proves little: a process with a receive failure still sends, and suspects everybody. Only a round trip
-// counts. A process that has none with anybody, though there are others, takes itself for the one that is cut off: it
-// confirms nobody dead and leads nobody, until an answer comes or 20 s are over. The answer shows that it can hear
-// again, and nothing of the others: their inquiries begin anew.
+// Only a round trip counts as an answer. A received packet proves little: a process that can send but not receive
+// suspects everybody and keeps sending. A process without a round trip to anybody, although there are others, assumes
+// that it is itself cut off: it confirms nobody dead and does not lead, until an answer arrives or 20 s have passed.
+// That answer proves that this process receives again and says nothing about the other processes, so their inquiries
+// start again.
 type reachability struct {
 	answeredAt   map[string]time.Duration // by process ID: its last answer to this process
-	indirectAt   map[string]time.Duration // its last answer to another process that reported so
-	inquiries    map[string]*inquiry
-	reportedDead map[string]time.Duration // by the failure detector, and not confirmed yet
-	unreported   map[string]bool          // confirmed dead without a report: the detector will not report a return either
-	lastAnswer   time.Duration            // of any process
+	indirectAt   map[string]time.Duration // by process ID: when another process last reported an answer from it
+	inquiries    map[string]*inquiry      // by process ID: the open ones
+	reportedDead map[string]time.Duration // by process ID: when the detector reported it dead; until it is confirmed
+	unreported   map[string]bool          // by process ID: confirmed dead; neither that nor a return is reported
+	lastAnswer   time.Duration            // when any process last answered this one
 }
 
-// inquiry is a series of probes of a process without an answer yet.
+// inquiry is a series of probes of one process that have not been answered yet.
 type inquiry struct {
 	since  time.Duration
 	probes int
 }
 
-// assessment is the result of an inquiry so far.
+// assessment is the current result of an inquiry.
 type assessment int
 
 const (
-	assessmentOpen      assessment = iota // not known yet
-	assessmentReachable                   // answers, and is not reported dead
-	assessmentSuspect                     // reported dead, and may answer yet
-	assessmentDead
+	assessmentOpen      assessment = iota // undecided
+	assessmentReachable                   // has answered, and is not reported dead
+	assessmentSuspect                     // reported dead, but not confirmed
+	assessmentDead                        // confirmed dead
 )
 
 func newReachability() *reachability {
@@ -66,7 +81,8 @@
 	}
 }
 
-// recordAnswer notes a round trip with a process, and reports whether it was confirmed dead without a report.
+// recordAnswer records a round trip with a process. It reports whether the process had been confirmed dead without a
+// report of the detector.
 func (r *reachability) recordAnswer(id string, now time.Duration) (unreported bool) {
 	unreported = r.unreported[id]
 	delete(r.unreported, id)
@@ -79,13 +95,14 @@
 	return unreported
 }
 
-// recordIndirect notes that a process has answered another one.
+// recordIndirect records that a process has answered another one.
 func (r *reachability) recordIndirect(id string, now time.Duration) { r.indirectAt[id] = now }
 
-// recordUnreported notes that a process was confirmed dead without a report.
+// recordUnreported records that a process was confirmed dead without a report of the detector.
 func (r *reachability) recordUnreported(id string) { r.unreported[id] = true }
 
-// reachableAt is when a process last answered this one, or another that reported so; -1: never.
+// reachableAt returns when a process last answered this one, or when another process last reported an answer from it.
+// It returns -1 if neither has happened.
 func (r *reachability) reachableAt(id string) time.Duration {
 	at := time.Duration(-1)
 	if answered, ok := r.answeredAt[id]; ok {
@@ -97,13 +114,13 @@
 	return at
 }
 
-// answeredRecently reports whether a process has answered this one lately.
+// answeredRecently reports whether a process has answered this one within half of answerValidity.
 func (r *reachability) answeredRecently(id string, now time.Duration) bool {
 	at, answered := r.answeredAt[id]
 	return answered && now-at <= answerValidity/2
 }
 
-// forget drops what is known of a process.
+// forget deletes all that is known about a process.
 func (r *reachability) forget(id string) {
 	delete(r.answeredAt, id)
 	delete(r.indirectAt, id)
@@ -112,14 +129,15 @@
 	delete(r.unreported, id)
 }
 
-// inquire begins to probe a process.
+// inquire opens an inquiry into a process, unless there is one.
 func (r *reachability) inquire(id string, now time.Duration) {
 	if _, open := r.inquiries[id]; !open {
 		r.inquiries[id] = &inquiry{since: now}
 	}
 }
 
-// restartInquiries begins all open inquiries anew: what was silent while this process could hear nobody proves nothing.
+// restartInquiries starts all open inquiries again, because silence proves nothing about the others while this process
+// could not receive from anybody.
 func (r *reachability) restartInquiries(now time.Duration) {
 	for _, open := range r.inquiries {
 		*open = inquiry{since: now}
@@ -133,12 +151,12 @@
 // recordProbe counts a probe of an open inquiry.
 func (r *reachability) recordProbe(id string) { r.inquiries[id].probes++ }
 
-// inquired are the processes with an open inquiry.
+// inquired returns the IDs of the processes with an open inquiry.
 func (r *reachability) inquired() []string { return slices.Collect(maps.Keys(r.inquiries)) }
 
 func (r *reachability) openInquiries() int { return len(r.inquiries) }
 
-// reportDead takes the failure detector's report.
+// reportDead records that the failure detector has reported a process dead, and opens an inquiry into it.
 func (r *reachability) reportDead(id string, now time.Duration) {
 	r.inquire(id, now)
 	if !r.isReportedDead(id) {
@@ -146,13 +164,15 @@
 	}
 }
 
-// reportLive ends what was reported before.
+// reportLive records that the failure detector has reported a process live, which revokes an earlier report that it is
+// dead.
 func (r *reachability) reportLive(id string) {
 	delete(r.reportedDead, id)
 	delete(r.unreported, id)
 }
 
-// reported are the processes that the failure detector has reported dead, and that are not confirmed.
+// reported returns the IDs of the processes that the failure detector has reported dead, and that are not confirmed
+// dead.
 func (r *reachability) reported() []string { return slices.Collect(maps.Keys(r.reportedDead)) }
 
 func (r *reachability) isReportedDead(id string) bool {
@@ -160,10 +180,10 @@
 	return reported
 }
 
-// silence is for how long nobody has answered this process.
+// silence returns how long no process has answered this one.
 func (r *reachability) silence(now time.Duration) time.Duration { return now - r.lastAnswer }
 
-// assess weighs an open inquiry. A process that is itself disconnected confirms nobody dead.
+// assess returns the current result of an open inquiry. While this process is disconnected, it confirms nobody dead.
 func (r *reachability) assess(id string, now time.Duration, disconnected bool) assessment {
 	inquiry := r.inquiries[id]
 	reported := r.isReportedDead(id)
@@ -185,7 +205,8 @@
 	return assessmentOpen
 }
 
-// longestUnknown are the processes to probe now: those of which nothing is known for the longest time.
+// longestUnknown returns the IDs of the processes to probe now: those with an open inquiry that have not answered for
+// the longest time, up to maxInquiries.
 func (r *reachability) longestUnknown() []string {
 	byAge := func(a, b string) int { return int(r.reachableAt(a) - r.reachableAt(b)) }
 	ids := slices.SortedFunc(maps.Keys(r.inquiries), byAge)
--- a/internal/membership/replay.go
+++ b/internal/membership/replay.go
@@ -2,14 +2,15 @@
 
 const replayWindowSize = 64
 
-// replayWindow remembers which sequence numbers of a sender have come: all below the newest 64, and a bit for each of
-// these. The zero value has seen none.
+// replayWindow records which sequence numbers of a sender have been received: one bit for each of the newest 64. Older
+// numbers count as received. The zero value has received none.
 type replayWindow struct {
 	newest uint64
-	bits   uint64 // bit i: newest-i has come
+	bits   uint64 // bit i is set if newest-i has been received
 }
 
-// accept reports whether a number comes for the first time, as far as the window reaches back, and remembers it.
+// accept records a sequence number and reports whether it is new. Numbers below the window count as received, and 0 is
+// not accepted, because numbers start at 1.
 func (w *replayWindow) accept(sequence uint64) bool {
 	if sequence == 0 {
 		return false
@@ -26,7 +27,7 @@
 	return true
 }
 
-// advance moves the window to a new newest number.
+// advance moves the window to a higher newest number.
 func (w *replayWindow) advance(sequence uint64) {
 	if shift := sequence - w.newest; shift < replayWindowSize {
 		w.bits = w.bits<<shift | 1
@@ -36,17 +37,17 @@
 	w.newest = sequence
 }
 
-// replayGuard is a window for each sender.
+// replayGuard holds a replay window for each sender.
 type replayGuard struct {
-	windows map[uint64]*replayWindow // by process
+	windows map[uint64]*replayWindow // by process number
 }
 
 func newReplayGuard() replayGuard {
 	return replayGuard{windows: map[uint64]*replayWindow{}}
 }
 
-// accept reports whether a sender's number comes for the first time. Beyond the bound of senders any window makes room:
-// a sender that is still there gets a new one.
+// accept records a sender's sequence number, and reports whether it is new. A new sender beyond maxSenders displaces
+// the window of an arbitrary other one, which gets a new window if it is still there.
 func (g *replayGuard) accept(process, sequence uint64) bool {
 	window := g.windows[process]
 	if window == nil {
--- a/internal/membership/stream.go
+++ b/internal/membership/stream.go
@@ -11,44 +11,44 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Bounds of streams.
+// Limits on streams.
 const (
 	maxInboundStreams  = 6
 	maxOutboundStreams = 4
-	streamOpenTimeout  = 2 * time.Second // also for a free slot
+	streamOpenTimeout  = 2 * time.Second // also bounds the wait for a free slot
 	streamLifetime     = 30 * time.Second
 )
 
-// errStreamSlots is the error of a stream that found no free slot in time.
+// errStreamSlots is the error of an outbound stream for which no slot became free in time.
 var errStreamSlots = errors.New("too many open streams")
 
-// streamSlots bounds open streams: an open one holds a slot.
+// streamSlots limits the number of open streams: each open stream holds a slot.
 type streamSlots chan struct{}
 
-// slotConn is a stream that gives its slot back when it is closed.
+// slotConn is a stream that frees its slot when it is closed.
 type slotConn struct {
 	net.Conn
 	slots     streamSlots
 	closeOnce sync.Once
 }
 
-// Close closes the stream and frees its slot. An error means that the other side has closed it before, or the
-// network is down; nothing is left to do then.
+// Close closes the stream and frees its slot. Callers can ignore the error: it means that the peer has closed the
+// stream before or that the network is down, and nothing is left to do.
 func (c *slotConn) Close() error {
 	c.closeOnce.Do(func() { <-c.slots })
 	return c.Conn.Close()
 }
 
-// setTimeout bounds all that a stream does from now on. It fails only on a closed stream, whose next read or write
-// fails as well.
+// setTimeout sets the deadline of all further reads and writes. It ignores the error, which occurs only on a closed
+// stream, whose next read or write fails as well.
 func (c *slotConn) setTimeout(timeout time.Duration) {
 	_ = c.SetDeadline(time.Now().Add(timeout))
 }
 
-// StreamCh gives the streams that others have opened.
+// StreamCh returns the channel of the streams that other processes have opened.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// acceptStreams takes streams until the transport is shut down. One that finds no free slot is closed.
+// acceptStreams accepts streams until the transport is shut down. Without a free slot it closes the new stream.
 func (t *transport) acceptStreams() {
 	defer t.goroutines.Done()
 	for {
@@ -56,7 +56,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, for now
+		if err != nil { // such as a temporary lack of file descriptors
 			if !t.pause() {
 				return
 			}
@@ -70,7 +70,7 @@
 			continue
 		}
 		t.goroutines.Add(1)
-		go func() { // ends within the timeouts
+		go func() { // returns within the timeouts
 			defer t.goroutines.Done()
 			t.openInbound(&slotConn{Conn: conn, slots: t.inbound})
 		}()
@@ -127,13 +127,13 @@
 	conn.setTimeout(timeout)
 	if _, err := conn.Write(opening.append(nil)); err != nil {
 		_ = conn.Close()
-		return nil, err // as it is: memberlist looks at its type
+		return nil, err // not wrapped, since memberlist examines its type
 	}
 	conn.setTimeout(streamLifetime)
 	return conn, nil
 }
 
-// acquireOutbound waits for a free slot.
+// acquireOutbound takes a slot for an outbound stream, and waits for a free one up to the timeout.
 func (t *transport) acquireOutbound(timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -147,7 +147,7 @@
 	}
 }
 
-// DialTimeout opens a stream to an address without a name.
+// DialTimeout opens a stream to an address whose member name is not known.
 func (t *transport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: address}, timeout)
 }
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -12,26 +12,26 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of the transport.
+// Limits of the transport.
 const (
-	packetQueueSize = 256  // packets that wait for memberlist; more are dropped
-	maxPacketRate   = 4000 // packets a second that are read; a flood beyond is dropped unread
-	packetBurst     = 1000
-	maxSenders      = 4096 // processes whose sequence numbers are kept
+	packetQueueSize = 256  // packets queued for memberlist; further ones are dropped
+	maxPacketRate   = 4000 // packets per second; further ones are dropped without being parsed
+	packetBurst     = 1000 // burst of the rate limit
+	maxSenders      = 4096 // processes for which received sequence numbers are recorded
 	readBufferSize  = 64 << 10
-	errorPause      = 50 * time.Millisecond // after a read or an accept that failed
+	errorPause      = 50 * time.Millisecond // after a failed read or accept
 )
 
-// MaxDescriptors is how many file descriptors a mesh uses at most.
+// MaxDescriptors is the largest number of file descriptors that a mesh uses.
 const MaxDescriptors = 2 + maxInboundStreams + maxOutboundStreams
 
-// transportConfig is what a transport is opened with.
+// transportConfig is the configuration of a transport.
 type transportConfig struct {
-	address  string // for both sockets
-	fleet    uint64
-	process  uint64
-	sequence *atomic.Uint64    // of the process, over all its transports
-	dial     map[string]string // by name: addresses for peers that differ from the advertised ones
+	address  string            // of both sockets
+	fleet    uint64            // hash of the fleet's name
+	process  uint64            // number of this process
+	sequence *atomic.Uint64    // last sequence number sent, shared by all transports of the process
+	dial     map[string]string // by member name: addresses to use instead of the advertised ones
 	drops    *DropCounters
 }
 
@@ -39,7 +39,7 @@
 type transport struct {
 	transportConfig
 	packetsSent atomic.Int64
-	bytesSent   atomic.Int64 // streams left out
+	bytesSent   atomic.Int64 // in packets, with their frames
 
 	udp      *net.UDPConn
 	tcp      *net.TCPListener
@@ -48,8 +48,8 @@
 	inbound  streamSlots
 	outbound streamSlots
 
-	limiter *rate.Limiter // of packets read
-	replays replayGuard   // only readPackets uses it
+	limiter *rate.Limiter // of received packets
+	replays replayGuard   // used only by the goroutine of readPackets
 
 	goroutines sync.WaitGroup
 	closed     chan struct{}
@@ -58,7 +58,7 @@
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
-// listenTransport opens both sockets at one address. Its goroutines end with Shutdown.
+// listenTransport opens both sockets at one address and starts the transport's goroutines, which Shutdown ends.
 func listenTransport(cfg transportConfig) (*transport, error) {
 	udp, tcp, err := listenBoth(cfg.address)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return t, nil
 }
 
-// listenBoth listens at one port over UDP and TCP.
+// listenBoth listens over UDP and TCP at the same port.
 func listenBoth(address string) (*net.UDPConn, *net.TCPListener, error) {
 	at, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -107,13 +107,14 @@
 	return t.packetsSent.Load(), t.bytesSent.Load()
 }
 
-// FinalAdvertiseAddr is the address that peers are given.
+// FinalAdvertiseAddr returns the address to advertise to peers.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	at := t.tcp.Addr().(*net.TCPAddr)
 	return at.IP.To4(), at.Port, nil
 }
 
-// dialAddress is where this process reaches a member: its own address for the name, or the advertised one.
+// dialAddress returns the address at which this process reaches a member: the configured one for its name, otherwise
+// the advertised one.
 func (t *transport) dialAddress(to memberlist.Address) string {
 	if own := t.dial[nameOf(to.Name)]; own != "" {
 		return own
@@ -121,7 +122,7 @@
 	return to.Addr
 }
 
-// newFrame is a frame of this process with the next sequence number.
+// newFrame returns a frame from this process with the next sequence number.
 func (t *transport) newFrame(kind frameKind, payload []byte) frame {
 	return frame{
 		kind:     kind,
@@ -146,12 +147,12 @@
 	return time.Now(), err
 }
 
-// WriteTo sends one packet to an address without a name.
+// WriteTo sends one packet to an address whose member name is not known.
 func (t *transport) WriteTo(payload []byte, address string) (time.Time, error) {
 	return t.WriteToAddress(payload, memberlist.Address{Addr: address})
 }
 
-// PacketCh gives the packets that came.
+// PacketCh returns the channel of received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
 // readPackets reads packets until the transport is shut down.
@@ -164,8 +165,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, syscall.ECONNREFUSED):
-			continue // an earlier packet met a closed port
-		case err != nil: // of the system's; it may stay
+			continue // an earlier packet was sent to a closed port
+		case err != nil: // a system error, which may persist
 			if !t.pause() {
 				return
 			}
@@ -175,7 +176,7 @@
 	}
 }
 
-// receivePacket hands one packet to memberlist, or drops and counts it.
+// receivePacket passes one packet on to memberlist, or drops and counts it.
 func (t *transport) receivePacket(data []byte, from net.Addr) {
 	if !t.limiter.Allow() {
 		t.drops.Flood.Add(1)
@@ -198,7 +199,7 @@
 	}
 }
 
-// parsePacket checks one packet, its sender's sequence number included.
+// parsePacket parses one packet and checks its size, its kind and its sender's sequence number.
 func (t *transport) parsePacket(data []byte) (frame, error) {
 	if len(data) > maxPacketSize+frameHeaderSize {
 		return frame{}, errOversized
@@ -216,7 +217,7 @@
 	return f, nil
 }
 
-// pause waits after an error; false: the transport is shut down.
+// pause waits after an error. It returns false if the transport has been shut down.
 func (t *transport) pause() bool {
 	select {
 	case <-time.After(errorPause):
@@ -226,11 +227,11 @@
 	}
 }
 
-// Shutdown closes both sockets and waits for the goroutines that read them.
+// Shutdown closes both sockets and waits for the transport's goroutines to return.
 func (t *transport) Shutdown() error {
 	t.closeOnce.Do(func() {
 		close(t.closed)
-		_ = t.udp.Close() // nothing is left to do where one of them fails
+		_ = t.udp.Close() // nothing is left to do if a close fails
 		t.tcp.Close()
 	})
 	t.goroutines.Wait()
--- a/internal/membership/transport_test.go
+++ b/internal/membership/transport_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// dialPackets sends packets to an address from outside the fleet.
+// dialPackets returns a function that sends packets to an address from outside the fleet.
 func dialPackets(t *testing.T, address string) (send func(packet []byte)) {
 	t.Helper()
 	conn, err := net.Dial("udp4", address)
@@ -15,11 +15,12 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	return func(packet []byte) {
-		_, _ = conn.Write(packet) // a lost packet shows in the counters
+		_, _ = conn.Write(packet) // a lost packet is missing from the counters that the test checks
 	}
 }
 
-// What is not of this fleet and protocol is dropped and counted by its reason, and the fleet stays as it is.
+// Packets that are invalid, of another fleet or version, or replayed are dropped and counted by reason, and the fleet
+// does not change.
 func TestInvalidPacketsAreDroppedAndCounted(t *testing.T) {
 	f := newTestFleet(t, 2)
 	send := dialPackets(t, f.addresses[0])
@@ -46,17 +47,17 @@
 		"oversized": oversized.append(nil),
 	} {
 		send(packet)
-		eventually(t, reason+" is counted", func() bool { return dropped(reason) > 0 })
+		eventually(t, reason+" packets are counted", func() bool { return dropped(reason) > 0 })
 	}
 	send(valid.append(nil))
 	send(valid.append(nil))
-	eventually(t, "a replay is counted", func() bool { return dropped("replayed") == 1 })
+	eventually(t, "one packet is counted as replayed", func() bool { return dropped("replayed") == 1 })
 	if !f.agree(f.meshes, 2, Complete) {
-		t.Error("the fleet has changed")
+		t.Error("the two members no longer agree on a complete fleet after invalid packets")
 	}
 }
 
-// A flood of packets is dropped unread beyond the rate, and the members stay alive for each other.
+// A flood of packets is dropped unread above the rate limit, and the members stay alive for each other.
 func TestFloodIsDropped(t *testing.T) {
 	f := newTestFleet(t, 3)
 	send := dialPackets(t, f.addresses[1])
@@ -64,6 +65,6 @@
 	for end := time.Now().Add(time.Second); time.Now().Before(end); {
 		send(junk)
 	}
-	eventually(t, "it is counted", func() bool { return f.meshes[1].Counters().Dropped["flood"] > 100 })
-	eventually(t, "all agree", func() bool { return f.agree(f.meshes, 3, Complete) })
+	eventually(t, "over 100 packets count as flood", func() bool { return f.meshes[1].Counters().Dropped["flood"] > 100 })
+	eventually(t, "all agree on the complete fleet", func() bool { return f.agree(f.meshes, 3, Complete) })
 }
--- a/internal/membership/virtual_network_test.go
+++ b/internal/membership/virtual_network_test.go
@@ -20,12 +20,13 @@
 	errVirtualTimeout = errors.New("timeout")
 )
 
-// virtualNetwork carries packets and streams within this process, in whatever time its goroutines run in.
+// virtualNetwork carries packets and streams within this process, in real time or, in a synctest bubble, in virtual
+// time.
 type virtualNetwork struct {
 	mu        sync.Mutex
 	random    *rand.Rand
 	endpoints map[string]*virtualEndpoint // by address
-	loss      float64
+	loss      float64                     // probability that a packet is lost
 }
 
 func newVirtualNetwork(seed uint64) *virtualNetwork {
@@ -41,7 +42,7 @@
 	n.loss = loss
 }
 
-// virtualEndpoint is one process's end of the network. It counts what a frame would have.
+// virtualEndpoint connects one process to the network. It counts sent bytes as if packets were in frames.
 type virtualEndpoint struct {
 	network     *virtualNetwork
 	ip          net.IP
@@ -54,6 +55,7 @@
 
 var _ packetNetwork = (*virtualEndpoint)(nil)
 
+// open adds the endpoint of member i to the network.
 func (n *virtualNetwork) open(i int) *virtualEndpoint {
 	endpoint := &virtualEndpoint{
 		network: n,
@@ -67,6 +69,7 @@
 	return endpoint
 }
 
+// find returns the endpoint at an address, or nil.
 func (n *virtualNetwork) find(address string) *virtualEndpoint {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,7 +103,7 @@
 	return e.DialAddressTimeout(memberlist.Address{Addr: to}, timeout)
 }
 
-// route draws whether and how late a packet arrives.
+// route returns the destination of a packet, and draws its delay and whether it arrives.
 func (e *virtualEndpoint) route(address string) (to *virtualEndpoint, delay time.Duration, arrives bool) {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
@@ -121,6 +124,7 @@
 	return time.Now(), nil
 }
 
+// receive queues a packet for memberlist, or drops it if the queue is full.
 func (e *virtualEndpoint) receive(data []byte, from net.IP) {
 	packet := &memberlist.Packet{
 		Buf:       data,
