--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -29,8 +29,8 @@
 // traffic counts the packets sent and their bytes, without streams.
 type traffic struct{ packets, bytes int64 }
 
-// open listens and starts the failure detector, whose goroutines shut ends.
-func (m *Mesh) open() error {
+// startDetector listens and starts the failure detector, whose goroutines stopDetector ends.
+func (m *Mesh) startDetector() error {
 	network, err := m.listen()
 	if err != nil {
 		return err
@@ -70,8 +70,8 @@
 	return c
 }
 
-// shut stops the failure detector and closes its network, if there is one.
-func (m *Mesh) shut() {
+// stopDetector stops the failure detector and closes its network, if there is one.
+func (m *Mesh) stopDetector() {
 	if m.detector == nil {
 		return
 	}
@@ -120,10 +120,10 @@
 	m.setState(p, state)
 }
 
-// takeProbeResults applies the results of the failure detector's probes since the last tick: a process that failed to
+// applyProbeResults applies the results of the failure detector's probes since the last tick: a process that failed to
 // answer becomes a suspect, and is alive again after an answer unless the detector has reported it dead. Its cost grows
 // with the number of results and suspects, not with the size of the fleet.
-func (m *Mesh) takeProbeResults() {
+func (m *Mesh) applyProbeResults() {
 	probes := &m.reports.probes
 	for _, id := range probes.takeAnswered() {
 		if p := m.processes.byID[id]; p != nil {
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -26,9 +26,9 @@
 	return time.Since(from)
 }
 
-// givenAddresses holds the addresses that tests have been given. An address stays free until its test listens, and must
-// not be given to another test that runs in parallel.
-var givenAddresses sync.Map
+// reservedAddresses holds the addresses that tests have been given. An address stays free until its test listens, and
+// must not be given to another test that runs in parallel.
+var reservedAddresses sync.Map
 
 // freeAddresses returns loopback addresses whose ports are free for both TCP and UDP.
 func freeAddresses(t *testing.T, count int) (all []string) {
@@ -41,7 +41,7 @@
 		address := tcp.Addr().String()
 		udp, err := net.ListenPacket("udp4", address)
 		if err == nil {
-			if _, given := givenAddresses.LoadOrStore(address, true); !given {
+			if _, given := reservedAddresses.LoadOrStore(address, true); !given {
 				all = append(all, address)
 			}
 			_ = udp.Close() // opened only to check that the port is free
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -111,7 +111,7 @@
 	m.log.Error("membership: stepping out of the fleet, a newer process has this one's name; clients are still served",
 		"address", rival.address)
 	_ = m.detector.Leave(tickInterval) // if the broadcast is late, the others detect the end by themselves
-	m.shut()
+	m.stopDetector()
 	m.processes = newProcessTable()
 	m.suspected = map[string]bool{}
 	m.reachability = newReachability()
--- a/internal/membership/mesh.go
+++ b/internal/membership/mesh.go
@@ -107,7 +107,7 @@
 	m := newMesh(cfg)
 	m.listen = func() (packetNetwork, error) { return listen(m) }
 	m.publish()
-	err := m.open()
+	err := m.startDetector()
 	if err != nil && !errors.Is(err, syscall.EADDRINUSE) {
 		return nil, fmt.Errorf("membership: starting on %s: %w", cfg.Listen, err)
 	}
@@ -198,7 +198,7 @@
 // run is the mesh's goroutine, which owns the state, until Close.
 func (m *Mesh) run() {
 	defer close(m.stopped)
-	defer m.shut()
+	defer m.stopDetector()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -227,7 +227,7 @@
 		return
 	}
 	m.nextOpen = m.now() + addressRetryInterval
-	if m.open() != nil {
+	if m.startDetector() != nil {
 		return // a later tick tries again
 	}
 	m.conflict.outsideUntil = 0
@@ -239,8 +239,8 @@
 // publishes the view and looks for lost members.
 func (m *Mesh) tick() {
 	if m.detector != nil {
-		m.takeProbeResults()
-		m.verify()
+		m.applyProbeResults()
+		m.advanceInquiries()
 		if m.reports.dropped.Swap(false) {
 			m.compareMembers()
 		}
--- a/internal/membership/mesh_test.go
+++ b/internal/membership/mesh_test.go
@@ -10,7 +10,7 @@
 
 // A member that is killed is suspected and then dead for all others. After a restart it is the same member again, and
 // its leave is announced to all.
-func TestKillIsDetectedLeaveIsAnnouncedRejoinIsTheSameMember(t *testing.T) {
+func TestKillRestartAndLeaveOfAMember(t *testing.T) {
 	f := newTestFleet(t, 5)
 	others := f.meshes[:4]
 	f.meshes[4].Close() // without an announcement
@@ -64,8 +64,8 @@
 	eventually(t, "all agree on the complete fleet", func() bool { return f.agree(f.meshes, 3, Complete) })
 }
 
-// If two live processes have the same name, both report the conflict. The older one steps out of the fleet, and returns
-// after the newer one has ended.
+// If two live processes have the same name, both report the conflict. The older one steps out of the fleet while it goes
+// on serving clients, and returns after the newer one has ended.
 func TestOlderOfTwoProcessesOfANameStepsOut(t *testing.T) {
 	f := newTestFleet(t, 3)
 	address := freeAddresses(t, 1)[0]
@@ -85,7 +85,7 @@
 	f.meshes[2] = first
 	eventually(t, "all agree with the older process", func() bool { return f.agree(f.meshes, 3, Complete) })
 	if n := f.meshes[0].Counters().Dropped["replayed"]; n > 0 {
-		t.Errorf("n0 dropped %d packets as replayed after the older process had returned, want 0", n)
+		t.Errorf("n0 dropped %d packets as replayed, want 0 although the older process has returned", n)
 	}
 }
 
@@ -124,7 +124,7 @@
 
 // Guards against a crash of a node that sends to a member while it has stepped out of the fleet and has no failure
 // detector.
-func TestSendOutsideTheFleetGoesNowhere(_ *testing.T) {
+func TestSendOutsideTheFleetIsDiscarded(_ *testing.T) {
 	m := newBareMesh("a")
 	m.send("a", m.newMessage(kindUserMessage))
 	m.sendTo(m.processes.byID["a"], m.newMessage(kindProbe))
@@ -140,8 +140,8 @@
 	<-done
 }
 
-// A successor waits for the address and is the same member, and the first process does not become dead for n0 during
-// the change.
+// A successor waits for the address and is the same member as its predecessor. The member does not become dead for n0
+// meanwhile.
 func TestSuccessorTakesOverTheAddress(t *testing.T) {
 	f := newTestFleet(t, 3)
 	second := f.start(2)
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -47,19 +47,20 @@
 	m.reachability.forget(p.id)
 }
 
-// verify opens the inquiries that are due, acts on the result of each open one, and sends probes for the rest.
-func (m *Mesh) verify() {
+// advanceInquiries opens the inquiries that are due, acts on the result of each open one, and sends probes for those
+// that stay open.
+func (m *Mesh) advanceInquiries() {
 	now := m.now()
 	disconnected := m.isDisconnected()
 	for id := range m.suspected {
-		m.reachability.inquire(id, now)
+		m.reachability.openInquiry(id, now)
 	}
 	m.inquireReported(now)
-	if m.reachability.silence(now) > silenceThreshold || m.reachability.openInquiries() > 1 {
+	if m.reachability.silence(now) > silenceThreshold || m.reachability.inquiryCount() > 1 {
 		m.inquireAll(now) // this process may be cut off, or many others may be dead
 	}
-	for _, id := range m.reachability.inquired() {
-		m.conclude(id, now, disconnected)
+	for _, id := range m.reachability.openInquiryIDs() {
+		m.resolveInquiry(id, now, disconnected)
 	}
 	m.sendProbes()
 }
@@ -68,7 +69,7 @@
 // those without a recent answer. An answer closes the inquiry but does not revoke the report, because the detector
 // reports a death only once.
 func (m *Mesh) inquireReported(now time.Duration) {
-	for _, id := range m.reachability.reported() {
+	for _, id := range m.reachability.reportedDeadIDs() {
 		p := m.processes.byID[id]
 		if p == nil || !p.isLive() {
 			m.reachability.forget(id)
@@ -76,7 +77,7 @@
 		}
 		m.setState(p, Suspect)
 		if !m.reachability.answeredRecently(id, now) {
-			m.reachability.inquire(id, now)
+			m.reachability.openInquiry(id, now)
 		}
 	}
 }
@@ -84,17 +85,17 @@
 // inquireAll opens inquiries into live processes without a recent direct or indirect answer, up to maxInquiries.
 func (m *Mesh) inquireAll(now time.Duration) {
 	for id, p := range m.processes.byID {
-		if m.reachability.openInquiries() >= maxInquiries {
+		if m.reachability.inquiryCount() >= maxInquiries {
 			return
 		}
 		if p.isLive() && now-m.reachability.reachableAt(id) > answerValidity/2 {
-			m.reachability.inquire(id, now)
+			m.reachability.openInquiry(id, now)
 		}
 	}
 }
 
-// conclude acts on the current result of an inquiry.
-func (m *Mesh) conclude(id string, now time.Duration, disconnected bool) {
+// resolveInquiry acts on the current result of an inquiry.
+func (m *Mesh) resolveInquiry(id string, now time.Duration, disconnected bool) {
 	p := m.processes.byID[id]
 	if p == nil || !p.isLive() {
 		m.reachability.forget(id)
@@ -120,7 +121,7 @@
 	if m.detector == nil {
 		return
 	}
-	for _, id := range m.reachability.longestUnknown() {
+	for _, id := range m.reachability.probeTargets() {
 		m.reachability.recordProbe(id)
 		m.probe(id)
 	}
@@ -136,7 +137,7 @@
 		if asked == indirectProbes {
 			return
 		}
-		if other != id && p.isLive() && !m.reachability.isInquired(other) {
+		if other != id && p.isLive() && !m.reachability.hasInquiry(other) {
 			m.sendTo(p, probe)
 			asked++
 		}
@@ -169,8 +170,8 @@
 	if p == nil || !p.isLive() {
 		return
 	}
-	if m.reachability.openInquiries() < maxInquiries && m.processes.liveCount() <= maxVerifiedFleet {
-		m.reachability.inquire(id, now)
+	if m.reachability.inquiryCount() < maxInquiries && m.processes.liveCount() <= maxVerifiedFleet {
+		m.reachability.openInquiry(id, now)
 	}
 }
 
--- a/internal/membership/probing_test.go
+++ b/internal/membership/probing_test.go
@@ -52,7 +52,7 @@
 
 // Guards against a death that is never confirmed: an answer that was in transit when the failure detector reported the
 // death closed the inquiry, and the detector reports a death only once.
-func TestAnswerBesideADeadReportHidesNoDeath(t *testing.T) {
+func TestAnswerAfterADeadReportHidesNoDeath(t *testing.T) {
 	for name, answersAfter := range map[string]int{ // ticks
 		"in the tick of the report": 0,
 		"in the tick after it":      1,
@@ -89,8 +89,8 @@
 	for _, id := range answering {
 		m.recordAnswer(m.processes.byID[id])
 	}
-	m.verify()
-	for _, id := range m.reachability.inquired() {
+	m.advanceInquiries()
+	for _, id := range m.reachability.openInquiryIDs() {
 		m.reachability.recordProbe(id)
 	}
 }
@@ -113,7 +113,7 @@
 		inquiry := m.reachability.inquiries["a"]
 		inquiry.since -= suspectTimeout
 		inquiry.probes = suspectProbes
-		if m.verify(); suspect.state != tt.want {
+		if m.advanceInquiries(); suspect.state != tt.want {
 			t.Errorf("after %v without an answer from anybody the suspect is %s, want %s", tt.silence, suspect.state, tt.want)
 		}
 	}
@@ -121,7 +121,7 @@
 
 // Guards against a reconnected process that confirms all others dead: the first answer ended the disconnection, and the
 // other inquiries, open and unanswered all that time, then counted as silence of the others.
-func TestReturnFromADisconnectionConfirmsNobodyDead(t *testing.T) {
+func TestReconnectedProcessConfirmsNobodyDead(t *testing.T) {
 	m := newBareMesh("a", "b", "c")
 	reported, unreported := m.processes.byID["a"], m.processes.byID["b"]
 	m.recordAnswer(reported)
@@ -150,7 +150,7 @@
 
 // A process that has answered before and now answers nobody is confirmed dead without a report of the failure detector.
 // A process that has recently answered another one is not.
-func TestManyDeadAreFoundWithoutAReport(t *testing.T) {
+func TestSilentProcessesAreConfirmedDeadWithoutAReport(t *testing.T) {
 	m := newBareMesh("a", "b", "c")
 	now := m.now()
 	m.reachability.recordAnswer("c", now)
@@ -162,7 +162,7 @@
 		}
 	}
 	m.reachability.indirectAt["b"] = now - silenceTimeout/2
-	m.verify()
+	m.advanceInquiries()
 	silent, acknowledged := m.processes.byID["a"], m.processes.byID["b"]
 	if silent.state != Dead || acknowledged.state != Alive {
 		t.Errorf("a without an answer is %s, want gone; b with an indirect answer is %s, want alive",
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -129,8 +129,8 @@
 	delete(r.unreported, id)
 }
 
-// inquire opens an inquiry into a process, unless there is one.
-func (r *reachability) inquire(id string, now time.Duration) {
+// openInquiry opens an inquiry into a process, unless there is one.
+func (r *reachability) openInquiry(id string, now time.Duration) {
 	if _, open := r.inquiries[id]; !open {
 		r.inquiries[id] = &inquiry{since: now}
 	}
@@ -146,19 +146,19 @@
 
 func (r *reachability) closeInquiry(id string) { delete(r.inquiries, id) }
 
-func (r *reachability) isInquired(id string) bool { return r.inquiries[id] != nil }
+func (r *reachability) hasInquiry(id string) bool { return r.inquiries[id] != nil }
 
 // recordProbe counts a probe of an open inquiry.
 func (r *reachability) recordProbe(id string) { r.inquiries[id].probes++ }
 
-// inquired returns the IDs of the processes with an open inquiry.
-func (r *reachability) inquired() []string { return slices.Collect(maps.Keys(r.inquiries)) }
+// openInquiryIDs returns the IDs of the processes with an open inquiry.
+func (r *reachability) openInquiryIDs() []string { return slices.Collect(maps.Keys(r.inquiries)) }
 
-func (r *reachability) openInquiries() int { return len(r.inquiries) }
+func (r *reachability) inquiryCount() int { return len(r.inquiries) }
 
 // reportDead records that the failure detector has reported a process dead, and opens an inquiry into it.
 func (r *reachability) reportDead(id string, now time.Duration) {
-	r.inquire(id, now)
+	r.openInquiry(id, now)
 	if !r.isReportedDead(id) {
 		r.reportedDead[id] = now
 	}
@@ -171,9 +171,9 @@
 	delete(r.unreported, id)
 }
 
-// reported returns the IDs of the processes that the failure detector has reported dead, and that are not confirmed
-// dead.
-func (r *reachability) reported() []string { return slices.Collect(maps.Keys(r.reportedDead)) }
+// reportedDeadIDs returns the IDs of the processes that the failure detector has reported dead, and that are not
+// confirmed dead.
+func (r *reachability) reportedDeadIDs() []string { return slices.Collect(maps.Keys(r.reportedDead)) }
 
 func (r *reachability) isReportedDead(id string) bool {
 	_, reported := r.reportedDead[id]
@@ -205,9 +205,9 @@
 	return assessmentOpen
 }
 
-// longestUnknown returns the IDs of the processes to probe now: those with an open inquiry that have not answered for
+// probeTargets returns the IDs of the processes to probe now: those with an open inquiry that have not answered for
 // the longest time, up to maxInquiries.
-func (r *reachability) longestUnknown() []string {
+func (r *reachability) probeTargets() []string {
 	byAge := func(a, b string) int { return int(r.reachableAt(a) - r.reachableAt(b)) }
 	ids := slices.SortedFunc(maps.Keys(r.inquiries), byAge)
 	return ids[:min(len(ids), maxInquiries)]
