--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -101,7 +101,7 @@
 	}
 	p := m.processes.byID[e.node.Name]
 	if p == nil {
-		p = &process{id: e.node.Name, name: nameOf(e.node.Name), state: Dead, since: m.now()}
+		p = &process{id: e.node.Name, name: memberNameOf(e.node.Name), state: Dead, since: m.now()}
 		m.processes.add(p)
 	}
 	m.viewStale = true
--- a/internal/membership/mesh_test.go
+++ b/internal/membership/mesh_test.go
@@ -64,8 +64,8 @@
 	eventually(t, "all agree on the complete fleet", func() bool { return f.agree(f.meshes, 3, Complete) })
 }
 
-// If two live processes have the same name, both report the conflict. The older one steps out of the fleet while it goes
-// on serving clients, and returns after the newer one has ended.
+// If two live processes have the same name, both report the conflict. The older one steps out of the fleet, but goes on
+// serving clients. It returns after the newer one has ended.
 func TestOlderOfTwoProcessesOfANameStepsOut(t *testing.T) {
 	f := newTestFleet(t, 3)
 	address := freeAddresses(t, 1)[0]
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -43,8 +43,8 @@
 	return fmt.Sprintf("%s%s%016x", name, idSeparator, number)
 }
 
-// nameOf returns the member's name in a process ID.
-func nameOf(id string) string {
+// memberNameOf returns the member's name in a process ID.
+func memberNameOf(id string) string {
 	name, _, _ := strings.Cut(id, idSeparator)
 	return name
 }
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -51,8 +51,10 @@
 	indirectAt   map[string]time.Duration // by process ID: when another process last reported an answer from it
 	inquiries    map[string]*inquiry      // by process ID: the open ones
 	reportedDead map[string]time.Duration // by process ID: when the detector reported it dead; until it is confirmed
-	unreported   map[string]bool          // by process ID: confirmed dead; neither that nor a return is reported
-	lastAnswer   time.Duration            // when any process last answered this one
+	// unreported has, by ID, the processes that were confirmed dead without a report of the detector. The detector will
+	// not report their return either.
+	unreported map[string]bool
+	lastAnswer time.Duration // when any process last answered this one
 }
 
 // inquiry is a series of probes of one process that have not been answered yet.
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -116,7 +116,7 @@
 // dialAddress returns the address at which this process reaches a member: the configured one for its name, otherwise
 // the advertised one.
 func (t *transport) dialAddress(to memberlist.Address) string {
-	if own := t.dial[nameOf(to.Name)]; own != "" {
+	if own := t.dial[memberNameOf(to.Name)]; own != "" {
 		return own
 	}
 	return to.Addr
