--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// isDisconnected reports whether this process gets no answer from anybody. While it is, it probes all.
+// isDisconnected reports whether this process, although there are others, has had no answer from anybody for a time
+// between disconnectedAfter and disconnectedLimit. It then assumes that it is itself cut off, and probes all others.
 func (m *Mesh) isDisconnected() bool {
 	silence := m.reachability.silence(m.now())
 	return m.processes.liveCount() > 0 && silence > disconnectedAfter && silence < disconnectedLimit
 }
 
-// hasSendFailure reports whether nobody has answered for some time. A leader sends no heartbeats then: its votes must
-// run out early.
+// hasSendFailure reports whether nobody has answered this process for sendFailureAfter. A leader then stops sending
+// heartbeats, so that the votes for it expire early.
 func (m *Mesh) hasSendFailure() bool {
 	return m.processes.liveCount() > 0 && m.reachability.silence(m.now()) > sendFailureAfter
 }
 
-// recordAnswer takes a round trip with a process. One that was confirmed dead without a report is back.
+// recordAnswer records a round trip with a process. A process that was confirmed dead without a report of the failure
+// detector becomes alive again, since the detector will not report its return.
 func (m *Mesh) recordAnswer(p *process) {
 	unreported := m.reachability.recordAnswer(p.id, m.now())
 	if unreported && p.state == Dead {
@@ -22,15 +24,15 @@
 	}
 }
 
-// setState lets a process enter a state; a change shows in the next view.
+// setState sets the state of a process. A change appears in the next view.
 func (m *Mesh) setState(p *process, to State) {
 	if p.transition(to, m.now()) {
 		m.viewStale = true
 	}
 }
 
-// reportDead takes the failure detector's report that a process is dead: it is probed whether that is so. In a large
-// fleet the report decides.
+// reportDead handles the failure detector's report that a process is dead: this process probes it to verify that. In a
+// fleet of more than maxVerifiedFleet the report is taken as it is, unless this process is disconnected.
 func (m *Mesh) reportDead(p *process) {
 	if m.processes.liveCount() > maxVerifiedFleet && !m.isDisconnected() {
 		m.confirmDead(p)
@@ -39,33 +41,35 @@
 	m.reachability.reportDead(p.id, m.now())
 }
 
-// confirmDead takes a process for dead, or for one that has left.
+// confirmDead sets the state of a process that has ended: Left if it had announced that, otherwise Dead.
 func (m *Mesh) confirmDead(p *process) {
 	m.setState(p, p.endState())
 	m.reachability.forget(p.id)
 }
 
-// verify goes through the open inquiries: it finds who is dead, and probes the others.
-func (m *Mesh) verify() {
+// advanceInquiries opens the inquiries that are due, acts on the result of each open one, and sends probes for those
+// that stay open.
+func (m *Mesh) advanceInquiries() {
 	now := m.now()
 	disconnected := m.isDisconnected()
 	for id := range m.suspected {
-		m.reachability.inquire(id, now)
+		m.reachability.openInquiry(id, now)
 	}
 	m.inquireReported(now)
-	if m.reachability.silence(now) > silenceThreshold || m.reachability.openInquiries() > 1 {
-		m.inquireAll(now) // it is this process that is cut off, or many are dead
+	if m.reachability.silence(now) > silenceThreshold || m.reachability.inquiryCount() > 1 {
+		m.inquireAll(now) // this process may be cut off, or many others may be dead
 	}
-	for _, id := range m.reachability.inquired() {
-		m.conclude(id, now, disconnected)
+	for _, id := range m.reachability.openInquiryIDs() {
+		m.resolveInquiry(id, now, disconnected)
 	}
 	m.sendProbes()
 }
 
-// inquireReported keeps the processes that the failure detector has reported dead as suspects, and probes those that
-// are silent. An answer ends an inquiry, but not the report: the detector reports a death once.
+// inquireReported keeps the processes that the failure detector has reported dead as suspects, and opens inquiries into
+// those without a recent answer. An answer closes the inquiry but does not revoke the report, because the detector
+// reports a death only once.
 func (m *Mesh) inquireReported(now time.Duration) {
-	for _, id := range m.reachability.reported() {
+	for _, id := range m.reachability.reportedDeadIDs() {
 		p := m.processes.byID[id]
 		if p == nil || !p.isLive() {
 			m.reachability.forget(id)
@@ -73,25 +77,25 @@
 		}
 		m.setState(p, Suspect)
 		if !m.reachability.answeredRecently(id, now) {
-			m.reachability.inquire(id, now)
+			m.reachability.openInquiry(id, now)
 		}
 	}
 }
 
-// inquireAll begins to probe live processes of which nothing is known lately, up to the bound.
+// inquireAll opens inquiries into live processes without a recent direct or indirect answer, up to maxInquiries.
 func (m *Mesh) inquireAll(now time.Duration) {
 	for id, p := range m.processes.byID {
-		if m.reachability.openInquiries() >= maxInquiries {
+		if m.reachability.inquiryCount() >= maxInquiries {
 			return
 		}
 		if p.isLive() && now-m.reachability.reachableAt(id) > answerValidity/2 {
-			m.reachability.inquire(id, now)
+			m.reachability.openInquiry(id, now)
 		}
 	}
 }
 
-// conclude acts on the result of an inquiry.
-func (m *Mesh) conclude(id string, now time.Duration, disconnected bool) {
+// resolveInquiry acts on the current result of an inquiry.
+func (m *Mesh) resolveInquiry(id string, now time.Duration, disconnected bool) {
 	p := m.processes.byID[id]
 	if p == nil || !p.isLive() {
 		m.reachability.forget(id)
@@ -112,17 +116,18 @@
 	}
 }
 
+// sendProbes probes the processes that are due, if there is a failure detector to send with.
 func (m *Mesh) sendProbes() {
 	if m.detector == nil {
 		return
 	}
-	for _, id := range m.reachability.longestUnknown() {
+	for _, id := range m.reachability.probeTargets() {
 		m.reachability.recordProbe(id)
 		m.probe(id)
 	}
 }
 
-// probe asks a process whether it is there, and a few others whether it has answered them.
+// probe sends a probe to a process, and asks a few others whether the process has answered them.
 func (m *Mesh) probe(id string) {
 	probe := m.newMessage(kindProbe)
 	probe.Subject = id
@@ -132,15 +137,15 @@
 		if asked == indirectProbes {
 			return
 		}
-		if other != id && p.isLive() && !m.reachability.isInquired(other) {
+		if other != id && p.isLive() && !m.reachability.hasInquiry(other) {
 			m.sendTo(p, probe)
 			asked++
 		}
 	}
 }
 
-// handleProbe answers for this process, or for one that has answered it lately. It begins to probe a process of which
-// it knows nothing, so that it knows as soon as the other does.
+// handleProbe answers a probe of this process, or a probe of another process that has answered this one recently. If
+// that other process has not, this one opens an inquiry too, so that it finds out as soon as the sender does.
 func (m *Mesh) handleProbe(msg message) {
 	now := m.now()
 	reply := m.newMessage(kindProbeReply)
@@ -158,18 +163,19 @@
 	}
 }
 
-// joinInquiry begins to probe a process that another one probes, within the bounds.
+// joinInquiry opens an inquiry into a live process that another one is probing, unless there are too many inquiries or
+// the fleet is too large.
 func (m *Mesh) joinInquiry(id string, now time.Duration) {
 	p := m.processes.byID[id]
 	if p == nil || !p.isLive() {
 		return
 	}
-	if m.reachability.openInquiries() < maxInquiries && m.processes.liveCount() <= maxVerifiedFleet {
-		m.reachability.inquire(id, now)
+	if m.reachability.inquiryCount() < maxInquiries && m.processes.liveCount() <= maxVerifiedFleet {
+		m.reachability.openInquiry(id, now)
 	}
 }
 
-// handleProbeReply takes a process's answer to this one's probe.
+// handleProbeReply records a process's answer to a probe of this one.
 func (m *Mesh) handleProbeReply(msg message) {
 	p := m.processes.byID[msg.Subject]
 	if p != nil && msg.TargetProcess == m.process && p.number() == msg.Process {
@@ -177,7 +183,8 @@
 	}
 }
 
-// handleIndirectAck takes a process's report that another one has answered it. The report itself is an answer, too.
+// handleIndirectAck records a process's report that another one has answered it. The report is also an answer of its
+// sender.
 func (m *Mesh) handleIndirectAck(msg message) {
 	if m.processes.byID[msg.Subject] == nil || msg.TargetProcess != m.process {
 		return
