--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -10,27 +10,27 @@
 
 const defaultProbeInterval = 400 * time.Millisecond
 
-// ErrInvalidName is the error of a configuration without a usable fleet or member name.
-var ErrInvalidName = errors.New("a fleet and a name without " + idSeparator + " are needed")
+// ErrInvalidName is returned for a configuration without a valid fleet name or member name.
+var ErrInvalidName = errors.New("fleet and member name are required, without " + idSeparator + " in the name")
 
-// Config is the identity of this process, and the addresses of its fleet.
+// Config holds the identity of this process, the addresses of its fleet and the callbacks of the mesh.
 type Config struct {
 	Fleet   string // processes of other fleets are ignored
-	Name    string // of the member that this process is
+	Name    string // of the member that this process runs as
 	Zone    string
 	Region  string
 	Tier    int
 	Version string
-	Digest  string // of the configuration, shown to the operators
-	Listen  string // address for UDP and TCP
+	Digest  string // of the process's configuration, shown to operators
+	Listen  string // address, for both UDP and TCP
 
-	Seeds   []string          // NAME=ADDRESS, the same in all processes
-	Dial    map[string]string // by name: addresses for peers that differ from the advertised ones
-	Probe   time.Duration     // interval of the failure detector; default: 400 ms
+	Seeds   []string          // as NAME=ADDRESS, the same in all processes of the fleet
+	Dial    map[string]string // by member name: the address to use in place of the advertised one
+	Probe   time.Duration     // probe interval of the failure detector; default: 400 ms
 	Log     *slog.Logger
-	Started time.Time // of the process, by its wall clock; default: now
+	Started time.Time // start of the process by the wall clock; default: now
 
-	// OnMessage takes what another member's Send sent. It must not block, and may be nil.
+	// OnMessage is called with each message that another member's Send sent. It must not block, and may be nil.
 	OnMessage func(from string, body []byte)
 	// OnViewChange is called by the mesh's goroutine whenever the view may have changed. It must not block, and may be
 	// nil.
@@ -53,7 +53,7 @@
 	}
 }
 
-// seedNames are the names of the seeds, the first member list.
+// seedNames returns the names of the seeds, which form the first member list.
 func (c *Config) seedNames() []string {
 	var names []string
 	for _, seed := range c.Seeds {
@@ -63,7 +63,7 @@
 	return names
 }
 
-// localMetadata is what this process publishes of itself at its start.
+// localMetadata returns the metadata that this process publishes at its start.
 func (c *Config) localMetadata() metadata {
 	return metadata{
 		Incarnation: uint64(max(1, c.Started.UnixMilli())),
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// delegate is what memberlist calls for messages and state. It hands everything to the mesh's goroutine; nothing in it
-// may block.
+// delegate implements memberlist's callbacks for messages and state. It passes them on to the mesh's goroutine; no
+// method may block for long.
 type delegate Mesh
 
-// NodeMeta is what this process publishes of itself.
+// NodeMeta returns the encoded metadata of this process, or nil if it exceeds the limit.
 func (d *delegate) NodeMeta(limit int) []byte {
 	text, err := json.Marshal(d.local.load())
 	if err != nil || len(text) > limit {
-		return nil // names are bounded so that it fits
+		return nil // not expected: the length of names is limited so that the metadata fits
 	}
 	return text
 }
 
-// NotifyMsg takes a message of another member.
+// NotifyMsg queues a message from another member. It drops the message if it is malformed or the queue is full.
 func (d *delegate) NotifyMsg(text []byte) {
 	var msg message
 	if err := json.Unmarshal(text, &msg); err != nil || msg.From == "" {
@@ -33,20 +33,20 @@
 	}
 }
 
-// GetBroadcasts has nothing to add to the gossip.
+// GetBroadcasts returns nil: this package adds nothing to memberlist's gossip.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// fullState is what processes exchange at a join and now and then: the member list, and incarnations and leaves of
-// processes that have ended. Processes of older builds read it, so its tags stay.
+// fullState is the state that processes exchange at a join and periodically: the member list, and the incarnations and
+// IDs of processes that have ended or left. Processes of older builds read it, so its tags must not change.
 type fullState struct {
 	Epoch      Epoch             `json:"e"`
 	MemberList []string          `json:"r"`
 	Previous   []string          `json:"b,omitempty"`
-	Highest    map[string]uint64 `json:"h"`
-	Departed   []string          `json:"l,omitempty"` // IDs of processes that leave or have left; older builds have none
+	Highest    map[string]uint64 `json:"h"`           // by member name, of its ended processes
+	Departed   []string          `json:"l,omitempty"` // IDs of processes that leave or left; absent in older builds
 }
 
-// LocalState is this process's full state.
+// LocalState returns this process's encoded full state, or nil if the mesh's goroutine does not answer within a tick.
 func (d *delegate) LocalState(bool) []byte {
 	m := (*Mesh)(d)
 	result := make(chan []byte, 1)
@@ -54,10 +54,11 @@
 	case m.requests <- func() { result <- m.encodeFullState() }:
 		return <-result
 	case <-time.After(tickInterval):
-		return nil // the mesh is busy with memberlist itself
+		return nil // the mesh's goroutine may itself be waiting for memberlist
 	}
 }
 
+// encodeFullState returns the full state as JSON.
 func (m *Mesh) encodeFullState() []byte {
 	state := fullState{
 		Epoch:      m.quorum.list.epoch,
@@ -71,11 +72,11 @@
 			state.Highest[p.name] = p.metadata.Incarnation
 		}
 	}
-	text, _ := json.Marshal(state) // plain values
+	text, _ := json.Marshal(state) // cannot fail: the fields are plain values
 	return text
 }
 
-// MergeRemoteState takes another process's LocalState.
+// MergeRemoteState queues the LocalState of another process. It is dropped if it is invalid or the queue is full.
 func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	var state fullState
 	if len(text) == 0 || json.Unmarshal(text, &state) != nil {
@@ -83,11 +84,11 @@
 	}
 	select {
 	case d.fullStates <- state:
-	default: // the next exchange has it
+	default: // the next exchange carries the same state
 	}
 }
 
-// handleFullState takes the member list, the incarnations and the leaves that another process remembers.
+// handleFullState merges the member list, the incarnations and the departed processes that another process knows of.
 func (m *Mesh) handleFullState(state fullState) {
 	m.quorum.adoptMemberList(message{
 		Epoch:      state.Epoch,
--- a/internal/membership/disagreement.go
+++ b/internal/membership/disagreement.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// disagreements tracks whose view differs from this process's, and since when.
+// disagreements tracks the members whose view differs from this process's view, and since when.
 type disagreements struct {
 	since map[string]time.Duration // by name
 }
@@ -15,7 +15,7 @@
 	return disagreements{since: map[string]time.Duration{}}
 }
 
-// compare holds the digest of a member's message against this process's own.
+// compare compares the view digest in a member's message with this process's own, and records a difference or its end.
 func (d *disagreements) compare(msg message, own uint64, live bool, now time.Duration) {
 	if msg.Digest == own {
 		delete(d.since, msg.From)
@@ -26,7 +26,7 @@
 	}
 }
 
-// list drops members that are not live, and gives the others, sorted by name.
+// list drops the members that are no longer live, and returns the disagreements with the others, sorted by name.
 func (d *disagreements) list(members *liveness, now time.Duration) []Disagreement {
 	list := []Disagreement{}
 	for name, since := range d.since {
@@ -44,8 +44,8 @@
 	return list
 }
 
-// symmetricDifference is what only one of two lists has: what only the first has, then the rest. It is nil if both have
-// the same.
+// symmetricDifference returns the names that are in only one of two lists: first those of the first list, then those of
+// the second. It returns nil if there are none.
 func symmetricDifference(first, second []string) []string {
 	var difference []string
 	for _, name := range first {
@@ -61,6 +61,7 @@
 	return difference
 }
 
+// publishDisagreements updates the list that Disagreements returns.
 func (m *Mesh) publishDisagreements(now time.Duration) {
 	list := m.disagreements.list(&m.quorum.liveness, now)
 	m.publishedDisagreements.Store(&list)
--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// election is what a process that leads, or wants to, knows of the others' votes for it.
+// election holds the votes of other members for this process, as a leader or a candidate, and the claims granted to
+// them.
 type election struct {
-	votes        map[string]receivedVote  // by name, the last of each
-	grantedUntil map[string]time.Duration // by name, when the majority granted to it has run out at the latest
+	votes        map[string]receivedVote  // by name of the voter, its last vote
+	grantedUntil map[string]time.Duration // by name, the latest time at which the member's claim ends
 }
 
-// receivedVote is a member's vote for this process.
+// receivedVote is another member's vote for this process.
 type receivedVote struct {
-	process    uint64
-	epoch      Epoch
+	process    uint64        // number of the voting process
+	epoch      Epoch         // of the voter's member list
 	sentAt     time.Duration // by the voter's clock
 	receivedAt time.Duration // by this process's clock
 	expiry     time.Duration // by this process's clock
@@ -24,7 +25,8 @@
 	}
 }
 
-// record keeps a vote. Its lease counts from the heartbeat that it answers, which left before the voter bound itself.
+// record stores a vote. Its lease is counted from the sending of the heartbeat that it answers: the voter counts from
+// its vote, which is later, so the lease ends here before it ends at the voter.
 func (e *election) record(now time.Duration, m message) {
 	e.votes[m.From] = receivedVote{
 		process:    m.Process,
@@ -35,7 +37,7 @@
 	}
 }
 
-// expire drops the votes that have run out.
+// expire drops the votes whose lease has ended.
 func (e *election) expire(now time.Duration) {
 	for name, v := range e.votes {
 		if v.expiry < now {
@@ -44,7 +46,7 @@
 	}
 }
 
-// voteExpiry is until when a member's vote binds it to this process in an epoch; 0: it does not.
+// voteExpiry returns the end of the lease of a member's vote in an epoch, or 0 if it has not voted in that epoch.
 func (e *election) voteExpiry(name string, epoch Epoch) time.Duration {
 	v, voted := e.votes[name]
 	if !voted || v.epoch != epoch {
@@ -53,18 +55,18 @@
 	return v.expiry
 }
 
-// grant notes that a member may claim the majority of this process until a time.
+// grant records that a member may claim this process's majority until a time.
 func (e *election) grant(name string, until time.Duration) {
 	e.grantedUntil[name] = max(e.grantedUntil[name], until)
 }
 
-// withdraw notes that a member claims this process's majority no more, and reports whether it was the last one.
+// withdraw records that a member no longer claims this process's majority, and reports whether no claim is left.
 func (e *election) withdraw(name string) (last bool) {
 	delete(e.grantedUntil, name)
 	return len(e.grantedUntil) == 0
 }
 
-// claimants are the members that may claim this process's majority.
+// claimants returns the names of the members that may still claim this process's majority.
 func (e *election) claimants(now time.Duration) []string {
 	var names []string
 	for name, until := range e.grantedUntil {
--- a/internal/membership/flap_test.go
+++ b/internal/membership/flap_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// Guards against flap damping that suppresses a member at its first two returns, does not double the suppression up to
+// its maximum, or does not let the penalty decay by half in each half-life.
 func TestSuppressionGrowsAndPenaltyDecays(t *testing.T) {
 	flaps := newFlapDamping()
 	started := time.Now()
@@ -16,10 +18,10 @@
 		suppressions = append(suppressions, max(0, flaps.penalties["x"].suppressedUntil-now()).Round(time.Second))
 	}
 	if got, want := fmt.Sprint(suppressions), "[0s 0s 5s 10s 20s 40s 1m0s 1m0s]"; got != want {
-		t.Errorf("suppressed for %s, want %s", got, want)
+		t.Errorf("suppressions after each return are %s, want %s", got, want)
 	}
 	p := flaps.penalties["x"]
 	if weight := p.weight(p.updatedAt + 2*flapHalfLife); weight < 1.9 || weight > 2.1 {
-		t.Errorf("after two half-lives 8 points weigh %.2f", weight)
+		t.Errorf("after two half-lives the weight of a penalty of 8 is %.2f, want 1.9 to 2.1", weight)
 	}
 }
--- a/internal/membership/frame.go
+++ b/internal/membership/frame.go
@@ -7,21 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A frame carries one packet, or opens one stream. All numbers are big-endian:
+// A frame carries one packet, or opens one stream. Its fields with their sizes in bytes, all numbers big-endian:
 //
 //	"qm" | version 2 | kind 1 | fleet 8 | process 8 | sequence 8 | check 4 | payload
 //
-// The fleet is the hash of its name. The check is over all before it, and the payload. Processes of older builds read
-// it, so the form stays as long as the version does.
+// The fleet field is the hash of the fleet's name. The check covers all fields before it and the payload. Processes of
+// older builds read frames, so the format must not change unless the version does.
 const (
 	frameMagic      = "qm"
 	frameVersion    = 2
 	frameCheckSize  = 4
 	frameHeaderSize = 2 + 1 + 1 + 8 + 8 + 8 + frameCheckSize
-	maxPacketSize   = 1400 // with its frame: no fragments
+	maxPacketSize   = 1400 // bytes with the frame header, to avoid IP fragmentation
 )
 
-// Offsets of a frame's fields.
+// Byte offsets of the fields in a frame.
 const (
 	versionOffset  = 2
 	kindOffset     = 3
@@ -41,30 +41,30 @@
 type frame struct {
 	kind     frameKind
 	fleet    uint64
-	process  uint64 // of the sender, drawn at its start
-	sequence uint64 // from 1, never twice
+	process  uint64 // number of the sending process, drawn at random when it starts
+	sequence uint64 // starts at 1; a process never uses a number twice
 	payload  []byte
 }
 
-// Why a frame is dropped.
+// Errors for frames that are dropped.
 var (
 	errMalformed = errors.New("malformed")
-	errVersion   = errors.New("another protocol version")
-	errForeign   = errors.New("another fleet")
+	errVersion   = errors.New("unsupported protocol version")
+	errForeign   = errors.New("frame of another fleet")
 	errOversized = errors.New("oversized")
 	errReplayed  = errors.New("replayed")
 )
 
-// frameCheck is the check of a frame: half of a hash over its header and its payload.
+// frameCheck returns the check of a frame: the low 32 bits of a hash of its header and its payload.
 func frameCheck(header, payload []byte) uint32 {
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.Write(header) // a digest's writes never fail
+	_, _ = digest.Write(header) // writes to a digest never fail
 	_, _ = digest.Write(payload)
 	return uint32(digest.Sum64())
 }
 
-// append adds the frame's bytes to b.
+// append appends the encoded frame to b.
 func (f *frame) append(b []byte) []byte {
 	start := len(b)
 	b = append(b, frameMagic...)
@@ -76,7 +76,7 @@
 	return append(b, f.payload...)
 }
 
-// parseFrame reads a frame of a fleet. The payload is a part of b.
+// parseFrame decodes a frame, and returns an error unless it is valid and of the given fleet. The payload aliases b.
 func parseFrame(b []byte, fleet uint64) (f frame, err error) {
 	if len(b) < frameHeaderSize || string(b[:versionOffset]) != frameMagic {
 		return f, errMalformed
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -6,15 +6,16 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxPacketMessage is the longest message that goes by packet, with memberlist's own head.
+// maxPacketMessage limits the size of messages that are sent as a packet; longer ones are sent over a stream. 100 bytes
+// are reserved for memberlist's own header.
 const maxPacketMessage = maxPacketSize - frameHeaderSize - 100
 
-// newMessage is a message without the quorum's state.
+// newMessage returns a message of this process without the quorum's state.
 func (m *Mesh) newMessage(kind messageKind) message {
 	return message{From: m.cfg.Name, Process: m.process, Kind: kind}
 }
 
-// handleMessage takes a message of another member.
+// handleMessage dispatches a message from another member by its kind.
 func (m *Mesh) handleMessage(msg message) {
 	switch msg.Kind {
 	case kindProbe:
@@ -34,13 +35,15 @@
 	}
 }
 
+// handleUserMessage passes the body of a Send to OnMessage.
 func (m *Mesh) handleUserMessage(msg message) {
 	if m.cfg.OnMessage != nil {
 		m.cfg.OnMessage(msg.From, msg.Body)
 	}
 }
 
-// handleQuorumMessage hands a message to the quorum. One that echoes what this process has sent is an answer, too.
+// handleQuorumMessage passes a message to the quorum and sends its reply. A message that shows that its sender has
+// received one from this process also counts as an answer to a probe.
 func (m *Mesh) handleQuorumMessage(msg message) {
 	digest := m.view.Load().Digest
 	m.disagreements.compare(msg, digest, m.quorum.liveness.isLive(msg.From), m.now())
@@ -57,7 +60,8 @@
 	}
 }
 
-// isAnswer reports whether a message shows that its sender has received one of this process lately.
+// isAnswer reports whether a message shows that its sender has recently received one from this process: it is a vote
+// for this process, or a heartbeat that echoes a recent vote of it.
 func (m *Mesh) isAnswer(msg message) bool {
 	if msg.TargetProcess != m.process {
 		return false
@@ -66,7 +70,7 @@
 	return msg.Kind == kindVote || echoes
 }
 
-// Send sends a body, in JSON, to a member; it may be lost.
+// Send sends a message to a member. The body must be JSON. Delivery is not guaranteed.
 func (m *Mesh) Send(to string, body []byte) {
 	m.do(func() {
 		msg := m.newMessage(kindUserMessage)
@@ -75,16 +79,16 @@
 	})
 }
 
-// sendTo sends a short message to one process, once.
+// sendTo sends a message that fits into a packet to one process, once.
 func (m *Mesh) sendTo(p *process, msg message) {
 	if p == nil || m.detector == nil {
 		return
 	}
-	_ = m.detector.SendBestEffort(&p.node, msg.encode()) // a lost one is as good as a lost answer
+	_ = m.detector.SendBestEffort(&p.node, msg.encode()) // an error has the same effect as a lost packet
 }
 
-// send brings a message to the live processes of a name; one that fits into no packet goes by a stream. Without a
-// failure detector it goes nowhere.
+// send sends a message to all live processes of a member, over a stream if it does not fit into a packet. It does
+// nothing without a failure detector.
 func (m *Mesh) send(to string, msg message) {
 	if m.detector == nil {
 		return
@@ -96,30 +100,31 @@
 		}
 		node := p.node
 		if len(text) < maxPacketMessage {
-			_ = m.detector.SendBestEffort(&node, text) // lost ones are sent again by the next heartbeat
+			_ = m.detector.SendBestEffort(&node, text) // the next heartbeat makes up for a lost message
 			continue
 		}
 		m.sendByStream(&node, text)
 	}
 }
 
-// sendByStream sends in the background, unless another stream is being opened: the next heartbeat sends again.
+// sendByStream sends a message in the background. If another stream is being opened it drops the message, as the next
+// heartbeat makes up for it.
 func (m *Mesh) sendByStream(node *memberlist.Node, text []byte) {
 	if !m.joiner.acquire() {
 		return
 	}
 	detector := m.detector
-	go func() { // ends within the streams' times
+	go func() { // ends within the stream timeouts
 		defer m.joiner.release()
-		_ = detector.SendReliable(node, text) // as above
+		_ = detector.SendReliable(node, text) // the next heartbeat makes up for a lost message
 	}()
 }
 
-// encode is the message's JSON.
+// encode returns the message as JSON.
 func (msg *message) encode() []byte {
 	text, err := json.Marshal(msg)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // only for a body that is not JSON; all other fields are plain values
 	}
 	return text
 }
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Times and bounds of the search for lost members.
+// Intervals and limits of the search for lost members.
 const (
-	minJoinInterval  = 300 * time.Millisecond // jittered
+	minJoinInterval  = 300 * time.Millisecond // before jitter
 	maxJoinInterval  = 2 * time.Second
-	leftSearchPeriod = 2 * time.Minute // for a member that has left: most are back by then
-	maxSeedsToJoin   = 2               // at a time
-	maxJoinTargets   = 4               // at a time
-	joiningProcesses = 16              // of a larger fleet, about so many search at a time
+	leftSearchPeriod = 2 * time.Minute // for a member that has left: most have restarted by then
+	maxSeedsToJoin   = 2               // in one attempt
+	maxJoinTargets   = 4               // in one attempt, seeds included
+	joiningProcesses = 16              // in a larger fleet, only about this many search at a time
 )
 
-// joiner paces the search for lost members.
+// joiner schedules the search for lost members, and lets one stream at a time be opened.
 type joiner struct {
 	streams chan struct{} // holds a token while no stream is being opened
-	next    time.Duration
-	backoff time.Duration
+	next    time.Duration // time of the next attempt
+	backoff time.Duration // interval before jitter
 }
 
 func newJoiner() joiner {
@@ -29,7 +29,7 @@
 	return joiner{streams: streams, backoff: minJoinInterval}
 }
 
-// acquire takes the right to open a stream, if it is free; release gives it back.
+// acquire takes the token for opening a stream, and reports whether it was free. release returns the token.
 func (j *joiner) acquire() bool {
 	select {
 	case <-j.streams:
@@ -41,20 +41,21 @@
 
 func (j *joiner) release() { j.streams <- struct{}{} }
 
-// postpone waits as long as nobody is lost.
+// postpone schedules the next check while no member is lost, and resets the backoff.
 func (j *joiner) postpone(now time.Duration) {
 	j.backoff = minJoinInterval
 	j.next = now + maxJoinInterval/2 + rand.N(maxJoinInterval)
 }
 
-// backOff waits longer than before, with jitter.
+// backOff doubles the interval to the next attempt up to its maximum, and adds jitter.
 func (j *joiner) backOff(now time.Duration) {
 	j.backoff = min(2*j.backoff, maxJoinInterval)
 	j.next = now + j.backoff/2 + rand.N(j.backoff)
 }
 
-// join looks for members that are lost: seeds, dead ones that were members before, and for a while those that have
-// left. It goes on as long as there are any, so that a partition heals by itself, whichever side the seeds are on.
+// join tries to reach lost members: seeds that are not live, dead members, and for leftSearchPeriod members that have
+// left. It continues as long as there are any, so that a partition heals without an operator, whichever side the seeds
+// are on.
 func (m *Mesh) join() {
 	now := m.now()
 	if now < m.joiner.next {
@@ -77,13 +78,13 @@
 		return
 	}
 	detector := m.detector
-	go func() { // ends within the streams' times
+	go func() { // ends within the stream timeouts
 		defer m.joiner.release()
 		_, _ = detector.Join(targets) // an error means that they are still lost
 	}()
 }
 
-// lostSeeds are the seeds that are not live, as memberlist's addresses.
+// lostSeeds returns the memberlist addresses of the seeds that are not live.
 func (m *Mesh) lostSeeds() []string {
 	var lost []string
 	for _, seed := range m.cfg.Seeds {
@@ -95,8 +96,8 @@
 	return lost
 }
 
-// addLostMembers adds members that may be back, up to the bound: a left one may start again where the seeds are out of
-// reach.
+// addLostMembers appends dead members and those that left recently to the targets, up to maxJoinTargets. A member that
+// has left may restart in a place from which it cannot reach the seeds. fleetSize is the number of live members.
 func (m *Mesh) addLostMembers(targets []string, now time.Duration) (all []string, fleetSize int) {
 	fleetSize = 1
 	for name, member := range m.members {
@@ -112,5 +113,5 @@
 	return targets, fleetSize
 }
 
-// joinAddress names a member at an address, in memberlist's form.
+// joinAddress returns a member's name and address in the form that memberlist expects.
 func joinAddress(name, address string) string { return name + "/" + address }
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// Times and bounds of a leave.
+// Timeouts and limits of a leave.
 const (
-	leaveTimeout      = 800 * time.Millisecond // for the member list to be without this process, and all to know
+	leaveTimeout      = 800 * time.Millisecond // for removal from the member list, step-down and acknowledgements
 	leavePollInterval = tickInterval / 4
-	maxLeaveNotices   = 256 // in one tick: each is acknowledged, and this process's queue of packets is as long
-	maxDepartedIDs    = 256 // in a full state, the newest
+	maxLeaveNotices   = 256 // per tick: each is acknowledged, and the packet queue holds 256
+	maxDepartedIDs    = 256 // in a full state; the most recent ones
 )
 
-// departure is this process's own leave: which processes know of it. The gossip alone does not make sure of that: a
-// member that the end of this process reaches before its changed metadata can't tell the two from a failure.
+// departure tracks which processes have acknowledged that this process is leaving. Gossip alone does not ensure that
+// they know: a member that learns of the end of this process before its changed metadata cannot distinguish the leave
+// from a failure.
 type departure struct {
 	acknowledged map[string]bool // by process ID
 	nextNotice   time.Duration
@@ -25,8 +26,8 @@
 	return departure{acknowledged: map[string]bool{}}
 }
 
-// Leave announces that this process leaves, waits up to 0.8 s for the member list to be without it, for the others to
-// know that it leads no more and that its end is no failure, and ends the mesh.
+// Leave announces that this process is leaving, and closes the mesh. Before that it waits up to 0.8 s until the process
+// is off the member list, has given up leadership, and all others have acknowledged the leave.
 func (m *Mesh) Leave() {
 	m.announcePhase(phaseLeaving)
 	poll := time.NewTicker(leavePollInterval)
@@ -40,14 +41,14 @@
 	}
 	m.do(func() {
 		if m.detector != nil {
-			_ = m.detector.Leave(leaveTimeout / 4) // an error means that not all know in time
+			_ = m.detector.Leave(leaveTimeout / 4) // an error means that not all members were told in time
 		}
 	})
 	m.Close()
 }
 
-// continueLeaving notifies the others, gives up the lead once the member list is without this process, and reports
-// whether all is done.
+// continueLeaving notifies the other processes, and gives up leadership once this process is off the member list. It
+// reports whether nothing is left to do.
 func (m *Mesh) continueLeaving() (done bool) {
 	notified := m.notifyLeaving()
 	if m.quorum.list.contains(m.cfg.Name) || m.quorum.list.previous != nil {
@@ -58,8 +59,8 @@
 	return done && notified
 }
 
-// notifyLeaving lets the live processes that have not acknowledged it know that this one leaves, again in each tick. It
-// reports whether all have.
+// notifyLeaving sends a leave notice, once per tick, to the live processes that have not acknowledged one. It reports
+// whether all have.
 func (m *Mesh) notifyLeaving() (all bool) {
 	var unnotified []*process
 	for _, p := range m.processes.byID {
@@ -77,11 +78,11 @@
 	return len(unnotified) == 0
 }
 
-// handleLeaving takes another process's notice that it leaves, and acknowledges it.
+// handleLeaving records that the sender is leaving, and acknowledges its notice.
 func (m *Mesh) handleLeaving(msg message) {
 	p := m.processes.find(msg.From, msg.Process)
 	if p == nil {
-		return // the failure detector does not know it yet; the notice comes again
+		return // the failure detector does not know it yet; the notice is repeated
 	}
 	m.noteLeaving(p)
 	reply := m.newMessage(kindLeavingAck)
@@ -89,15 +90,15 @@
 	m.sendTo(p, reply)
 }
 
-// handleLeavingAck notes that another process knows of this one's leave.
+// handleLeavingAck records that the sender knows that this process is leaving.
 func (m *Mesh) handleLeavingAck(msg message) {
 	if p := m.processes.find(msg.From, msg.Process); p != nil && msg.TargetProcess == m.process {
 		m.departure.acknowledged[p.id] = true
 	}
 }
 
-// noteLeaving notes that a process leaves, or has left: that is never taken back, and its end is no failure, though
-// it was taken for one before.
+// noteLeaving records that a process is leaving or has left, which is never undone. A process that was confirmed dead
+// is changed to Left.
 func (m *Mesh) noteLeaving(p *process) {
 	if p.leaving {
 		return
@@ -110,7 +111,8 @@
 	}
 }
 
-// departedIDs are the processes that are known to leave or to have left, the newest, for a full state.
+// departedIDs returns the IDs of processes that are leaving or have left, for a full state. Beyond maxDepartedIDs only
+// the most recent ones are included.
 func (m *Mesh) departedIDs() []string {
 	var departed []*process
 	for _, p := range m.processes.byID {
@@ -126,8 +128,8 @@
 	return ids
 }
 
-// noteDeparted takes another process's departedIDs: its word that a process has left outweighs this one's finding that
-// it failed.
+// noteDeparted merges the departedIDs of another process. Its report that a process has left takes precedence over this
+// process's own conclusion that it failed.
 func (m *Mesh) noteDeparted(ids []string) {
 	for _, id := range ids {
 		if p := m.processes.byID[id]; p != nil {
--- a/internal/membership/local.go
+++ b/internal/membership/local.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// localMetadata is what this process publishes of itself. Its methods are safe for concurrent use: memberlist reads it.
+// localMetadata holds the metadata that this process publishes. Its methods are safe for concurrent use, as
+// memberlist's goroutines read it.
 type localMetadata struct {
 	mu       sync.Mutex
 	metadata metadata
@@ -20,7 +21,8 @@
 	l.metadata.Phase = phase
 }
 
-// raiseIncarnation lifts the incarnation above another one, if it is not.
+// raiseIncarnation makes this process's incarnation higher than the given one. It returns the resulting incarnation,
+// and whether it was raised.
 func (l *localMetadata) raiseIncarnation(above uint64) (own uint64, raised bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Member is one member as this process sees it. The JSON is part of the operators' interface.
+// Member is the state of one member as this process sees it. Its JSON form is part of the operators' interface.
 type Member struct {
 	Name        string        `json:"name"`
 	State       State         `json:"state"`
@@ -16,53 +16,54 @@
 	Version     string        `json:"version,omitempty"`
 	Config      string        `json:"config,omitempty"` // digest of its configuration
 	Address     string        `json:"address"`
-	Age         time.Duration `json:"age_ns"`         // of the state, when the view was taken
-	Suppressed  bool          `json:"held,omitempty"` // comes and goes too often: not counted on for now
+	Age         time.Duration `json:"age_ns"`         // time in this state, when the view was taken
+	Suppressed  bool          `json:"held,omitempty"` // flap damping: returned too often, not relied on
 
-	since time.Duration
+	since time.Duration // start of the state, by the mesh's clock
 }
 
-// IsLive reports whether a process of the member takes part.
+// IsLive reports whether the member is neither dead nor has left.
 func (member Member) IsLive() bool { return member.State != Dead && member.State != Left }
 
-// isLive is IsLive, and false for a member that is not known.
+// isLive is like IsLive, but returns false for the zero Member, which stands for an unknown name.
 func (member Member) isLive() bool { return member.Name != "" && member.IsLive() }
 
-// View is what a process knows of its fleet at one moment. Members are sorted by name. Digest is the same in all
+// View is the state of the fleet as a process sees it at one moment. Members are sorted by name. Digest is equal in all
 // processes that see the same live members in the same epoch.
 type View struct {
 	Epoch             Epoch
 	Side              PartitionSide
-	LeaderProcess     uint64 // the leading process that has proved a majority
+	LeaderProcess     uint64 // number of the leading process with a proven majority; 0: none
 	Members           []Member
 	Digest            uint64
-	MemberListSize    int      // members that the side is computed against
+	MemberListSize    int      // number of members against which majorities are counted
 	MemberListSettled bool     // no change of the member list is under way
-	Leader            string   // the name of LeaderProcess; "": none is proved
-	MemberList        []string // sorted; not to be changed
+	Leader            string   // member name of LeaderProcess; "": none
+	MemberList        []string // sorted; must not be modified
 
-	claimUntil time.Duration // of the side, by the mesh's clock
+	claimUntil time.Duration // end of the claim to the side, by the mesh's clock
 }
 
-// Counters count since the mesh's start. The JSON is part of the operators' interface.
+// Counters holds the current numbers of members by state, and counts of events since the mesh's start. Its JSON form is
+// part of the operators' interface.
 type Counters struct {
 	States     map[string]int   `json:"states"`
 	PacketsOut int64            `json:"packets_out"`
 	BytesOut   int64            `json:"bytes_out"`
 	Dropped    map[string]int64 `json:"dropped"`
-	Health     int              `json:"health"` // Lifeguard's score of this process; 0 is healthy
+	Health     int              `json:"health"` // Lifeguard's health score of this process; 0 is healthy
 }
 
-// Disagreement is a member whose view has another digest than this process's. The JSON is part of the operators'
-// interface.
+// Disagreement names a member whose view has a different digest than this process's view. Its JSON form is part of the
+// operators' interface.
 type Disagreement struct {
 	Member   string        `json:"with"`
-	Disputed []string      `json:"about"` // members that one of both misses, as far as both have reported
+	Disputed []string      `json:"about"` // missing in only one of the views, as far as reported
 	Duration time.Duration `json:"for_ns"`
 }
 
-// View returns the newest view. Its side is checked against the time: a process that stood still claims nothing on the
-// strength of what was proved before.
+// View returns the latest view. A claim to the majority that has expired is left out: after a pause of the process, its
+// last view may still hold one.
 func (m *Mesh) View() View {
 	view, now := *m.view.Load(), m.now()
 	if view.Side >= Majority && now >= view.claimUntil {
@@ -77,9 +78,9 @@
 	return view
 }
 
-// Counters returns the counters, as old as a second at most.
+// Counters returns the counters, which are at most one second old.
 func (m *Mesh) Counters() Counters { return *m.counters.Load() }
 
-// Disagreements returns whose view differs from this process's. The leader of a member list knows of all members,
-// others of the leader.
+// Disagreements returns the members whose view differs from this process's view. The leader compares its view with all
+// members, the others compare theirs with the leader only.
 func (m *Mesh) Disagreements() []Disagreement { return *m.publishedDisagreements.Load() }
--- a/internal/membership/member_list.go
+++ b/internal/membership/member_list.go
@@ -6,38 +6,41 @@
 	"time"
 )
 
-// Bounds of the member list.
+// Limits and delays of the member list.
 const (
 	maxMembers       = 4096
-	maxFormerLists   = 8                // kept, to notify others of what has changed since
-	maxChangedBytes  = 600              // of names in one change: what changed since the list before fits into a packet
-	joinDelay        = time.Second      // a new member is live for so long before the list takes it in
-	deadRemovalDelay = 30 * time.Second // then a dead member is removed from the list
+	maxFormerLists   = 8                // kept, so that members that have one can be sent a delta
+	maxChangedBytes  = 600              // total length of the names in one change, so that a delta fits into a packet
+	joinDelay        = time.Second      // a new member is added after it was live for this long
+	deadRemovalDelay = 30 * time.Second // a dead member is removed after this time
 )
 
-// Epoch numbers the member lists. The leader that made a list is part of its name, so that no two lists share one.
+// Epoch identifies a member list by a number and the leader that made it, so that no two lists have the same epoch.
 type Epoch struct {
 	Number uint64 `json:"number"`
 	Leader string `json:"leader"`
 }
 
+// compare orders epochs by number, then by leader. The result is that of cmp.Compare.
 func (e Epoch) compare(o Epoch) int {
 	return cmp.Or(cmp.Compare(e.Number, o.Number), cmp.Compare(e.Leader, o.Leader))
 }
 
-// memberList is the numbered list of names against which majorities are counted.
+// memberList is the list of member names against which majorities are counted, with its epoch.
 type memberList struct {
 	epoch    Epoch
 	names    []string     // sorted
-	previous []string     // the list before, until the change is committed; nil: it is
-	former   []formerList // the newest last
+	previous []string     // the list before, while the change is not committed; nil otherwise
+	former   []formerList // earlier lists, the newest last
 }
 
+// formerList is an earlier member list, the base of a delta.
 type formerList struct {
 	epoch Epoch
 	names []string
 }
 
+// newMemberList returns the list of epoch 0: the seeds, or only this process's member if there are none.
 func newMemberList(self string, seeds []string) memberList {
 	names := slices.Compact(slices.Sorted(slices.Values(seeds)))
 	if len(names) == 0 {
@@ -51,12 +54,12 @@
 	return found
 }
 
-// commit ends a change: a majority of the list before is needed no more.
+// commit completes a change: from now on only the current list needs a majority.
 func (l *memberList) commit() { l.previous = nil }
 
-// enter takes a newer list.
+// enter replaces the list by a newer one.
 func (l *memberList) enter(epoch Epoch, names, previous []string) {
-	if l.epoch.Number > 0 { // the first one is each process's own seeds
+	if l.epoch.Number > 0 { // the list of epoch 0 is not shared: it is from each process's own settings
 		l.former = append(l.former, formerList{l.epoch, l.names})
 		l.former = l.former[max(0, len(l.former)-maxFormerLists):]
 	}
@@ -65,7 +68,8 @@
 	l.previous = previous
 }
 
-// next is the list that should follow this one. It is as near to the live members as one change may bring it.
+// next returns the list that should replace this one: without removable members and with the new live ones, as far as
+// the limits for one change allow.
 func (l *memberList) next(now time.Duration, members *liveness) []string {
 	changedBytes := 0
 	next := make([]string, 0, len(l.names)+1)
@@ -89,12 +93,14 @@
 	return next
 }
 
-// differsFrom reports whether a list is to replace this one. The seeds are always replaced: they have no epoch.
+// differsFrom reports whether a list has to replace this one. The list of epoch 0 is always replaced, as founding the
+// fleet gives it an epoch.
 func (l *memberList) differsFrom(next []string) bool {
 	return l.epoch.Number == 0 || !slices.Equal(next, l.names)
 }
 
-// describe puts the list into a message, for a process that has that of another epoch.
+// describe adds the list to a message for a process that has the list of another epoch: as a delta if that list is
+// among the former ones, otherwise in full.
 func (l *memberList) describe(m *message, has Epoch) {
 	for _, f := range l.former {
 		if f.epoch != has {
@@ -111,7 +117,8 @@
 	m.Previous = l.previous
 }
 
-// read gives the list that a message describes; newer reports whether it is valid and to be entered.
+// read returns the list that a message carries in full or as a delta. newer reports whether that list is valid and
+// newer than this one.
 func (l *memberList) read(m message) (names, previous []string, newer bool) {
 	if m.Epoch.compare(l.epoch) <= 0 {
 		return nil, nil, false
@@ -126,7 +133,7 @@
 	return names, previous, len(names) > 0 && validNames(names) && validNames(previous)
 }
 
-// validNames reports whether names are in order, each there once, and not too many.
+// validNames reports whether names are non-empty, sorted, unique and at most maxMembers.
 func validNames(names []string) bool {
 	for i, name := range names {
 		if name == "" || i > 0 && name <= names[i-1] {
@@ -136,12 +143,13 @@
 	return len(names) <= maxMembers
 }
 
-// delta is what makes one member list of another.
+// delta is the difference between two member lists. Its tags are part of the protocol.
 type delta struct {
 	Add    []string `json:"a,omitempty"`
 	Remove []string `json:"d,omitempty"`
 }
 
+// diff returns the delta that turns one sorted list into another.
 func diff(from, to []string) *delta {
 	d := &delta{}
 	for len(from) > 0 || len(to) > 0 {
@@ -157,6 +165,7 @@
 	return d
 }
 
+// apply returns names with the delta applied, sorted.
 func (d *delta) apply(names []string) []string {
 	removed := func(name string) bool { return slices.Contains(d.Remove, name) }
 	next := slices.DeleteFunc(slices.Concat(names, d.Add), removed)
--- a/internal/membership/member_list_test.go
+++ b/internal/membership/member_list_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A process that has a former list is sent what has changed since; one that has none of them is sent the list itself.
+// Guards against a receiver that reads another list than the leader sent: a receiver that has a former list is sent a
+// delta from it, any other is sent the full list.
 func TestMemberListIsReadFromItsDescription(t *testing.T) {
 	leader := newMemberList("a", []string{"a", "b", "c"})
 	leader.enter(Epoch{1, "a"}, []string{"a", "b", "c"}, nil)
@@ -15,23 +16,24 @@
 		receiver  memberList
 		wantDelta bool
 	}{
-		"with the former list": {follower, true},
-		"without any":          {newMemberList("d", nil), false},
+		"receiver with a former list":    {follower, true},
+		"receiver without a former list": {newMemberList("d", nil), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := message{Epoch: leader.epoch}
 			leader.describe(&m, tt.receiver.epoch)
 			if got := m.ListDelta != nil; got != tt.wantDelta {
-				t.Errorf("described by a delta: %v, want %v", got, tt.wantDelta)
+				t.Errorf("list sent as a delta: %v, want %v", got, tt.wantDelta)
 			}
 			names, previous, newer := tt.receiver.read(m)
 			if !newer || !slices.Equal(names, leader.names) || !slices.Equal(previous, leader.previous) {
-				t.Errorf("read %v after %v, newer %v", names, previous, newer)
+				t.Errorf("read list %v, previous %v, newer %v; the leader has another list", names, previous, newer)
 			}
 		})
 	}
 }
 
+// Guards against a message that replaces the member list by an invalid one, or by one of the same epoch.
 func TestInvalidMemberListsAreNotRead(t *testing.T) {
 	list := newMemberList("a", []string{"a", "b"})
 	for name, names := range map[string][]string{
@@ -42,10 +44,10 @@
 		"too many names": slices.Repeat([]string{"a"}, maxMembers+1),
 	} {
 		if _, _, newer := list.read(message{Epoch: Epoch{1, "b"}, MemberList: names}); newer {
-			t.Errorf("%s: the list was read", name)
+			t.Errorf("%s: the invalid list was accepted", name)
 		}
 	}
 	if _, _, newer := list.read(message{MemberList: []string{"c"}}); newer {
-		t.Error("a list of the same epoch was read")
+		t.Error("a list of the same epoch was accepted")
 	}
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// message is what the members send to each other beside the failure detector's own packets. Processes of older builds
-// read it, so its tags stay.
+// message is a message between members, other than the failure detector's own packets. Processes of older builds read
+// it, so its tags must not change.
 type message struct {
-	From          string   `json:"f"`
-	Process       uint64   `json:"p"`
-	Epoch         Epoch    `json:"e"`
-	MemberList    []string `json:"r,omitempty"` // of the epoch, for a process that may lack it
-	Previous      []string `json:"b,omitempty"`
-	BaseEpoch     Epoch    `json:"b0,omitzero"`  // instead of the list: an epoch that the receiver has had,
-	ListDelta     *delta   `json:"bn,omitempty"` // what makes the list of that one's,
-	PreviousDelta *delta   `json:"bl,omitempty"` // and what makes the one before, until the change is committed
-	Missing       []string `json:"m,omitempty"`  // of the member list, as the sender sees it; the first few
+	From          string   `json:"f"`            // member name of the sender
+	Process       uint64   `json:"p"`            // number of the sending process, drawn at its start
+	Epoch         Epoch    `json:"e"`            // of the sender's member list
+	MemberList    []string `json:"r,omitempty"`  // the sender's, for a receiver that may not have it
+	Previous      []string `json:"b,omitempty"`  // the list before, while the change is not committed
+	BaseEpoch     Epoch    `json:"b0,omitzero"`  // in place of MemberList: an epoch whose list the receiver has,
+	ListDelta     *delta   `json:"bn,omitempty"` // the changes from that list to the member list,
+	PreviousDelta *delta   `json:"bl,omitempty"` // and from that list to the previous one, if any
+	Missing       []string `json:"m,omitempty"`  // first few members that the sender does not see live
 	Digest        uint64   `json:"d,omitempty"`  // of the sender's view
 
 	Kind          messageKind     `json:"k,omitempty"`
-	TargetProcess uint64          `json:"t,omitempty"` // the one that is answered, or whose vote is echoed
+	TargetProcess uint64          `json:"t,omitempty"` // the process that is answered, or whose vote is echoed
 	HeartbeatAt   time.Duration   `json:"q,omitempty"` // the leader's clock at the heartbeat
-	VoteAt        time.Duration   `json:"v,omitempty"` // the voter's clock at the vote; in a heartbeat, at its last one
-	Remaining     time.Duration   `json:"l,omitempty"` // in a heartbeat: of the majority, from that vote's arrival
-	HasMajority   bool            `json:"h,omitempty"` // in a heartbeat: the leader has it, and its list is committed
-	Complete      bool            `json:"w,omitempty"` // in a heartbeat: all of the member list are live
+	VoteAt        time.Duration   `json:"v,omitempty"` // the voter's clock at its vote, or at the echoed vote
+	Remaining     time.Duration   `json:"l,omitempty"` // in a heartbeat: of the majority, after that vote arrived
+	HasMajority   bool            `json:"h,omitempty"` // in a heartbeat: leader has it; its list is committed
+	Complete      bool            `json:"w,omitempty"` // in a heartbeat: no member of the list is missing
 	Body          json.RawMessage `json:"y,omitempty"` // of a user message
-	Subject       string          `json:"a,omitempty"` // of a probe: the process, by its name within memberlist
+	Subject       string          `json:"a,omitempty"` // of a probe: the process ID within memberlist
 }
 
 // messageKind is the kind of a message. The numbers are part of the protocol.
 type messageKind int
 
 const (
-	kindMemberList   messageKind = 0 // for a process that lacks the list, or a request for a newer one
-	kindHeartbeat    messageKind = 1 // of a process that leads, or wants to
-	kindVote         messageKind = 2 // answers a heartbeat
-	kindStepDown     messageKind = 3 // the sender leads no more: its majority is not to be claimed
-	kindStepDownAck  messageKind = 4
-	kindVoteReleased messageKind = 5 // nobody claims the sender's majority: its votes are free
-	kindProbe        messageKind = 6 // asks whether a process is there, or answers the receiver
-	kindProbeReply   messageKind = 7
-	kindIndirectAck  messageKind = 8  // the subject of a probe has answered the sender
-	kindUserMessage  messageKind = 9  // a body of another part of the program
-	kindLeaving      messageKind = 10 // the sender leaves: its end is no failure
-	kindLeavingAck   messageKind = 11 // the sender knows that the target process leaves
+	kindMemberList   messageKind = 0  // carries the member list, or requests a newer one
+	kindHeartbeat    messageKind = 1  // from a leader or a candidate
+	kindVote         messageKind = 2  // answers a heartbeat
+	kindStepDown     messageKind = 3  // the sender has stepped down: claims to its majority must be dropped
+	kindStepDownAck  messageKind = 4  // the sender has dropped its claim
+	kindVoteReleased messageKind = 5  // no claim to the sender's majority is left: its voters are released
+	kindProbe        messageKind = 6  // asks the subject to answer, or others whether it has answered them
+	kindProbeReply   messageKind = 7  // answers a probe
+	kindIndirectAck  messageKind = 8  // the subject of an indirect probe has answered the sender
+	kindUserMessage  messageKind = 9  // carries a body that was passed to Mesh.Send
+	kindLeaving      messageKind = 10 // the sender is leaving; its end must not be taken for a failure
+	kindLeavingAck   messageKind = 11 // the sender knows that the target process is leaving
 )
 
+// newMessage returns a message with the quorum's epoch and missing members, and the digest of the view.
 func (q *quorum) newMessage(kind messageKind, digest uint64) message {
 	return message{
 		From:    q.self,
--- a/internal/membership/message_test.go
+++ b/internal/membership/message_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// FuzzMessage guards against a message that makes the quorum panic, or leaves it with an invalid member list.
 func FuzzMessage(f *testing.F) {
 	f.Add(`{"f":"n1","e":{"number":1,"leader":"n1"},"r":["n1","n2"],"k":1,"q":5}`)
 	f.Add(`{"f":"n1","r":[""],"e":{"number":18446744073709551615}}`)
@@ -20,7 +21,7 @@
 			q.tick(3*time.Second, 1)
 			names := q.list.names
 			if len(names) == 0 || strings.Join(names, "") == "" && len(names) > 1 {
-				t.Errorf("%q made the member list %q", text, names)
+				t.Errorf("after message %q the member list is invalid: %q", text, names)
 			}
 		default:
 		}
--- a/internal/membership/quorum.go
+++ b/internal/membership/quorum.go
@@ -4,31 +4,41 @@
 	"time"
 )
 
-// Times of the quorum, on top of the failure detector's.
+// Intervals and timeouts of the quorum. The failure detector has its own.
 const (
 	heartbeatInterval = 400 * time.Millisecond
-	leaseDuration     = 2 * time.Second // of a vote; a lost heartbeat or two do not matter
-	echoTimeout       = leaseDuration   // a leader that has echoed no vote for so long does not receive the voter's
+	leaseDuration     = 2 * time.Second // of a vote; long enough that one or two lost heartbeats do not end it
+	echoTimeout       = leaseDuration   // without an echo for this long, a leader counts as not receiving the votes
 )
 
-// quorum decides on which side of a partition this process is, and what the member list is. It is a state machine
-// without I/O or a clock: the mesh feeds it the live members, messages and the time since the process began.
+// quorum determines the side of a partition that this process is on, and maintains the member list. It is a state
+// machine that does no I/O and reads no clock: the mesh passes it the live members, the messages received and the time
+// since the process started.
 //
-// The member of the list that has the lowest name among the live ones leads, unless another leads already with the
-// majority. The leader sends heartbeats to all; each vote binds its sender to that process for a lease (Gray and
-// Cheriton, Leases, 1989). While more than half of the list is bound to it, or exactly half with the lowest name of the
-// list among them, it has the majority, and what it grants to others ends no later. Each side counts from its own
-// clock's reading at an event that came no later than the other's, so that delays only shorten a claim. Since two such
-// quorums share a member, no two leaders have the majority at one time. A process votes only a lease after its start,
-// since one before it may have voted.
+// Leader election: the live member with the lowest name in the list leads, unless another member already leads with a
+// majority. The leader sends heartbeats to all live members, and they answer with votes. A vote binds the voter to the
+// leading process for a lease (Gray and Cheriton, Leases, 1989). The leader has the majority while the votes of more
+// than half of the list are in force, or of exactly half if the member with the lowest name is among the voters. As any
+// two such majorities share a member, no two leaders have a majority at the same time.
 //
-// Only a leader with the majority changes the member list, one change after another: it needs the majority of both the
-// old list and the new one, as in joint consensus (Ongaro and Ousterhout, In Search of an Understandable Consensus
-// Algorithm, 2014). Members that leave are removed at once and vote until the list is without them, so that leaving is
-// not a partition, however many leave together; dead ones stay for 30 s, new ones enter after 1 s. The first list is
-// the seeds, and founds a fleet only with the votes of all of them: a majority of the seeds may have started again
-// without a memory, cut off from the fleet that has gone on without them. One seed that remembers is enough to prevent
-// that. (Rejected: counting a member that has left as a vote. Its next process may vote on the other side.)
+// Leases: the leader grants its voters a claim to the majority that ends no later than the majority itself. No two
+// clocks are compared. The leader counts the lease of a vote from the sending of the heartbeat that the vote answers,
+// which precedes the vote. A voter counts its claim from the sending of its vote, which precedes the arrival of the
+// vote at the leader. A message delay can therefore only shorten a lease or a claim. A process does not vote until one
+// lease after its start, as an earlier process of the same name may have voted.
+//
+// Member list: only a leader with a majority changes the list, one change at a time. A change needs a majority of both
+// the old and the new list, as in joint consensus (Ongaro and Ousterhout, In Search of an Understandable Consensus
+// Algorithm, 2014). Members that leave are removed at once and vote until they are off the list, so any number of
+// members can leave together without a loss of the majority. Dead members are removed after 30 s, and new members are
+// added after 1 s.
+//
+// Founding: the first list is the seeds, and founding a fleet needs the votes of all seeds. A majority of them would
+// not be enough: these seeds may have restarted without their state, in a partition from a fleet that goes on without
+// them. One seed that still has its state prevents the founding of a second fleet.
+//
+// Rejected alternative: to count a member that has left as a vote. The next process of that name may vote on the other
+// side of a partition.
 type quorum struct {
 	self     string
 	process  uint64
@@ -41,20 +51,20 @@
 	stepDown stepDown
 
 	nextSend    time.Duration
-	sendFailure bool // nobody answers this process: it leads nobody for now
+	sendFailure bool // no member answers this process, so it does not act as a leader for now
 }
 
-// followedLeader is the member whose heartbeats this process follows, as long as they come.
+// followedLeader is the leader that this process follows until a time, which each of its heartbeats extends.
 type followedLeader struct {
 	name  string
 	until time.Duration
 }
 
-// majorityClaim is until when this process may claim to be with the majority, and which process has granted it.
+// majorityClaim is the permission to claim the majority that a leading process has granted to this one.
 type majorityClaim struct {
-	leader   uint64
+	leader   uint64 // number of the leading process
 	until    time.Duration
-	complete bool
+	complete bool // no member of the list is missing
 }
 
 func newQuorum(self string, process uint64, seeds []string, now time.Duration) *quorum {
@@ -68,13 +78,14 @@
 	}
 }
 
-// updateLiveness takes who is live, this process included, and who leaves or has left, by name.
+// updateLiveness sets the names of the live members, this process included, and of those that are leaving or have left.
 func (q *quorum) updateLiveness(now time.Duration, live, left map[string]bool) {
 	q.liveness.update(now, live, left, q.list.names)
 	q.election.expire(now)
 }
 
-// currentLeader is whom this process follows, or else the lowest live name of the member list; "" if none is live.
+// currentLeader returns the name of the leader that this process follows, or else the lowest name in the member list
+// that may lead. It returns "" if there is none.
 func (q *quorum) currentLeader(now time.Duration) string {
 	if now < q.leader.until && q.mayLead(q.leader.name, now) {
 		return q.leader.name
@@ -87,12 +98,13 @@
 	return ""
 }
 
-// mayLead reports whether a member is live and receives this process's votes.
+// mayLead reports whether a member is live and is not known to miss this process's votes.
 func (q *quorum) mayLead(name string, now time.Duration) bool {
 	return q.liveness.isLive(name) && !q.voter.hasReceiveFailure(name, now)
 }
 
-// majorityUntil is until when this process, as the leader, has the majority of what it needs; 0: it has none.
+// majorityUntil returns the time at which this process's majority ends, or 0 if it has none. While a change of the
+// member list is under way, it needs a majority of the old and of the new list.
 func (q *quorum) majorityUntil(now time.Duration) time.Duration {
 	until := q.boundUntil(now, q.list.names)
 	if q.list.previous != nil {
@@ -101,7 +113,7 @@
 	return until
 }
 
-// boundUntil is until when a majority of a member list is bound to this process; 0: it is not.
+// boundUntil returns the time until which this process has enough votes of a member list, or 0 if it has too few.
 func (q *quorum) boundUntil(now time.Duration, names []string) time.Duration {
 	count := newTally(len(names))
 	for i, name := range names {
@@ -113,19 +125,19 @@
 			count.add(i, expiry)
 		}
 	}
-	if q.list.epoch.Number == 0 { // founding: who only starts again may not know of a fleet that went on without it
+	if q.list.epoch.Number == 0 { // founding: restarted seeds may not know of a running fleet
 		return count.unanimousUntil()
 	}
 	return count.majorityUntil()
 }
 
-// quorumStatus is what the view shows of the quorum.
+// quorumStatus is the part of the quorum's state that the view shows.
 type quorumStatus struct {
 	epoch      Epoch
 	memberList []string
 	settled    bool // no change of the member list is under way
 	side       PartitionSide
-	leader     uint64
+	leader     uint64 // number of the leading process
 	claimUntil time.Duration
 }
 
@@ -141,7 +153,8 @@
 	}
 }
 
-// side is on which side of a partition this process is, and under which leading process it knows so.
+// side returns the side of a partition that this process is on, and the number of the process whose majority it claims,
+// or 0 without a claim.
 func (q *quorum) side(now time.Duration) (side PartitionSide, leader uint64) {
 	switch {
 	case now < q.claim.until && q.claim.complete:
@@ -154,8 +167,8 @@
 	return Minority, 0
 }
 
-// tick returns the messages to send now, by receiver: the leader's heartbeats, or the member list for a member that is
-// to lead and has sent no heartbeat.
+// tick returns the messages to send now, by receiver: heartbeats if this process leads or is to lead, otherwise the
+// member list for a leader from which no heartbeats arrive.
 func (q *quorum) tick(now time.Duration, digest uint64) map[string]message {
 	if !q.sendDue(now) {
 		return nil
@@ -169,12 +182,13 @@
 	if until > now {
 		q.lead(now, until)
 	} else {
-		q.nextSend = now + heartbeatInterval/2 // it asks for votes
+		q.nextSend = now + heartbeatInterval/2 // it has no majority yet and asks for votes
 	}
 	return q.heartbeats(now, until, digest)
 }
 
-// sendDue reports whether it is time to send: each interval, and at once when this process has won the majority.
+// sendDue reports whether to send now: at each interval, and at once when this process has a majority that it has not
+// yet acted on, as it has no claim or a change of the member list is to be committed.
 func (q *quorum) sendDue(now time.Duration) bool {
 	if q.stepDown.started || q.sendFailure {
 		return false
@@ -186,7 +200,8 @@
 	return q.voter.votedFor == q.process && unannounced && q.majorityUntil(now) > now
 }
 
-// notifyLeader sends the member list to a leader that is silent: it may not know yet that it is to lead.
+// notifyLeader returns the member list for a leader whose heartbeats this process does not get. The leader may not know
+// yet that it is to lead.
 func (q *quorum) notifyLeader(now time.Duration, leader string, digest uint64) map[string]message {
 	if leader == "" || now < q.leader.until {
 		return nil
@@ -194,7 +209,8 @@
 	return map[string]message{leader: q.newMessage(kindMemberList, digest)}
 }
 
-// voteForSelf renews this process's vote for itself, if it is free. A fleet of one founds itself: nobody else votes.
+// voteForSelf casts or renews this process's vote for itself, if it may vote and is not bound to another process. The
+// only seed of a new fleet votes at once: there is no other member whose lease it has to wait for.
 func (q *quorum) voteForSelf(now time.Duration) {
 	founder := len(q.list.names) == 1 && q.list.names[0] == q.self && q.list.epoch.Number == 0
 	if (founder || q.voter.eligible(now)) && q.voter.freeFor(q.process, now) {
@@ -202,7 +218,8 @@
 	}
 }
 
-// lead takes note of this process's own majority, and brings the member list closer to the live members.
+// lead commits a pending change of the member list, renews this process's claim to its own majority, and starts the
+// next change if the list differs from the live members.
 func (q *quorum) lead(now, until time.Duration) {
 	q.list.commit()
 	q.leader = followedLeader{q.self, now + leaseDuration}
@@ -214,8 +231,9 @@
 	}
 }
 
-// heartbeats are a leader's messages to the live members. Each one that has voted is granted the majority until the
-// leader's own claim ends, counted from its vote on its own clock.
+// heartbeats returns the leader's messages to the other live members, by receiver. A member that has voted is granted a
+// claim to the majority until the leader's own majority ends. The grant is the time that remains after the arrival of
+// the vote, and the member counts it from the time of that vote by its own clock.
 func (q *quorum) heartbeats(now, until time.Duration, digest uint64) map[string]message {
 	common := q.newMessage(kindHeartbeat, digest)
 	common.HeartbeatAt = now
@@ -241,13 +259,14 @@
 	return out
 }
 
-// enterMemberList takes a newer member list.
+// enterMemberList replaces the member list by a newer one.
 func (q *quorum) enterMemberList(epoch Epoch, names, previous []string) {
 	q.list.enter(epoch, names, previous)
 	q.liveness.updateMissing(names)
 }
 
-// adoptMemberList takes the member list of a message, if it is newer.
+// adoptMemberList replaces the member list by that of a message, if that is newer. The removal delay of dead members
+// then starts anew.
 func (q *quorum) adoptMemberList(m message) {
 	names, previous, newer := q.list.read(m)
 	if !newer {
@@ -257,11 +276,12 @@
 	q.liveness.deadSince = map[string]time.Duration{}
 }
 
-// handle takes a message and returns the reply, if there is one. An older epoch is sent the member list, a newer one
-// is asked for it.
+// handle processes a message and returns the reply, if there is one. A sender with an older epoch is sent the member
+// list. A sender with a newer epoch, whose list could not be adopted, gets a message with this process's epoch, to
+// which it answers with its list.
 func (q *quorum) handle(now time.Duration, m message, digest uint64) (reply message, ok bool) {
 	if m.From == q.self || !q.liveness.isLive(m.From) {
-		return reply, false // the failure detector does not know it yet, or no more
+		return reply, false // the failure detector does not know the sender yet, or reports it dead
 	}
 	q.adoptMemberList(m)
 	q.liveness.reportedMissing[m.From] = m.Missing
@@ -285,7 +305,8 @@
 	return reply, reply.Kind != kindMemberList || order != 0
 }
 
-// handleHeartbeat follows a leader and votes for it, where this process's vote is free.
+// handleHeartbeat follows the sender of a heartbeat if it is the leader, and votes for it unless this process's vote is
+// bound to another process. It takes over the grant of the majority that the heartbeat carries.
 func (q *quorum) handleHeartbeat(now time.Duration, m message, reply *message) {
 	if q.stepDown.sentBefore(m) {
 		return
@@ -314,7 +335,7 @@
 	reply.VoteAt = now
 }
 
-// handleVote counts a vote for this process.
+// handleVote records a vote for this process.
 func (q *quorum) handleVote(now time.Duration, m message) {
 	if m.TargetProcess == q.process && m.HeartbeatAt <= now {
 		q.election.record(now, m)
--- a/internal/membership/quorum_model_test.go
+++ b/internal/membership/quorum_model_test.go
@@ -10,14 +10,14 @@
 
 const (
 	modelStep      = 20 * time.Millisecond
-	modelDetection = 1500 * time.Millisecond // how long an unreachable member stays live
+	modelDetection = 1500 * time.Millisecond // after this long, an unreachable member is dead
 	modelDigest    = 1
 )
 
-// link is the way from one process to another.
+// link is the network path from one process to another, in one direction.
 type link struct{ from, to string }
 
-// quorumModel runs quorums in virtual time over a network that delays, loses and splits.
+// quorumModel runs quorums in virtual time, over a network with delay, loss and partitions.
 type quorumModel struct {
 	t             *testing.T
 	random        *rand.Rand
@@ -25,20 +25,21 @@
 	names         []string
 	seeds         []string
 	quorums       map[string]*quorum       // nil: the process is down
-	clockOffset   map[string]time.Duration // what a process's clock is ahead
-	stoppedUntil  map[string]time.Duration // a process stands still until then
+	clockOffset   map[string]time.Duration // by which a process's clock is ahead of the model's time
+	stoppedUntil  map[string]time.Duration // until then the process is stopped
 	cut           map[link]bool
 	loss          float64
 	delay         time.Duration
 	inFlight      []delivery
-	lastReachable map[link]time.Duration // by observer and observed: when the link was last open both ways
+	lastReachable map[link]time.Duration // by observer and observed process: when both directions were last open
 	lastProcess   uint64
-	left          map[string]bool
-	leavingSince  map[string]time.Duration
+	left          map[string]bool          // by name: leaving, or has left
+	leavingSince  map[string]time.Duration // by name of a process in continueLeaving
 
-	record func(from, to string, m message) // of all that is sent; may be nil
+	record func(from, to string, m message) // called for each message sent; may be nil
 }
 
+// delivery is a message that is on its way.
 type delivery struct {
 	at time.Duration
 	to string
@@ -68,24 +69,24 @@
 	return model
 }
 
-// newFoundedModel is the model of seed 1, whose processes have founded a fleet.
+// newFoundedModel returns a model with seed 1 whose processes have founded a fleet.
 func newFoundedModel(t *testing.T, size int) *quorumModel {
 	t.Helper()
 	model := newQuorumModel(t, 1, size)
-	model.until("founding", 10*time.Second, model.agreed(size))
+	model.until("the fleet is founded", 10*time.Second, model.agreed(size))
 	return model
 }
 
 func (model *quorumModel) start(name string) {
 	model.lastProcess++
-	offset := time.Duration(model.random.Int64N(int64(time.Hour))) // each process has a clock of its own
+	offset := time.Duration(model.random.Int64N(int64(time.Hour))) // the clocks of the processes differ
 	model.clockOffset[name] = offset
 	model.quorums[name] = newQuorum(name, model.lastProcess, model.seeds, model.clock(name))
 	delete(model.left, name)
 	delete(model.leavingSince, name)
 }
 
-// anyFounded reports whether some of the processes that run know of a fleet.
+// anyFounded reports whether any running process among the names has the member list of a founded fleet.
 func (model *quorumModel) anyFounded(names []string) bool {
 	return slices.ContainsFunc(names, func(name string) bool {
 		q := model.quorums[name]
@@ -93,13 +94,14 @@
 	})
 }
 
-// leave lets a process end as Mesh.Leave does.
+// leave starts the leave of a process, as Mesh.Leave does.
 func (model *quorumModel) leave(name string) {
 	model.left[name] = true
 	model.leavingSince[name] = model.now
 }
 
-// continueLeaving ends a process that leaves once the member list is without it, or its time is over.
+// continueLeaving takes the next step of a process's leave. The process ends once it is off the member list and has
+// given up leadership, or after leaveTimeout.
 func (model *quorumModel) continueLeaving(name string) {
 	q := model.quorums[name]
 	done := model.now-model.leavingSince[name] > leaveTimeout
@@ -114,15 +116,18 @@
 	}
 }
 
+// clock returns the current time by a process's clock.
 func (model *quorumModel) clock(name string) time.Duration {
 	return model.now + model.clockOffset[name]
 }
 
+// isUp reports whether a process runs and is not stopped.
 func (model *quorumModel) isUp(name string) bool {
 	return model.quorums[name] != nil && model.stoppedUntil[name] <= model.now
 }
 
-// detect is a failure detector that is right after 1.5 s, as far as a process can receive from others.
+// detect returns the names that an accurate failure detector reports live: of the observer, and of the processes that
+// ran and were reachable in both directions within the last 1.5 s.
 func (model *quorumModel) detect(observer string) (live map[string]bool) {
 	live = map[string]bool{observer: true}
 	for _, other := range model.names {
@@ -141,7 +146,7 @@
 }
 
 func (model *quorumModel) sendAll(from string, out map[string]message) {
-	for _, to := range model.names { // in order, so that a seed is a run
+	for _, to := range model.names { // in a fixed order, so that a seed always gives the same run
 		if m, ok := out[to]; ok {
 			model.send(from, to, m)
 		}
@@ -159,7 +164,8 @@
 	model.inFlight = append(model.inFlight, delivery{arrival, to, m})
 }
 
-// advance runs for some time and checks at each step that all who claim the majority have it from one leader.
+// advance runs the model for a time, and checks at each step that all processes that claim the majority have it from
+// the same leader.
 func (model *quorumModel) advance(d time.Duration) {
 	model.t.Helper()
 	for end := model.now + d; model.now < end; model.now += modelStep {
@@ -173,7 +179,7 @@
 	}
 }
 
-// deliver hands out the messages that have arrived; a stopped process takes its own later.
+// deliver passes the messages that have arrived to their receivers. Those to a stopped process wait until it continues.
 func (model *quorumModel) deliver() {
 	var later []delivery
 	due := model.inFlight
@@ -207,12 +213,13 @@
 	}
 }
 
+// checkOneMajority fails the test if the processes claim majorities of more than one leader.
 func (model *quorumModel) checkOneMajority() {
 	model.t.Helper()
 	claims := map[uint64][]string{}
 	for _, name := range model.names {
 		q := model.quorums[name]
-		if q == nil { // stopped ones claim by their clocks, too
+		if q == nil { // stopped processes are checked too: their claims end by their clocks
 			continue
 		}
 		if side, leader := q.side(model.clock(name)); side >= Majority {
@@ -220,10 +227,11 @@
 		}
 	}
 	if len(claims) > 1 {
-		model.t.Fatalf("%v: two majorities: %v", model.now, claims)
+		model.t.Fatalf("at %v: majorities of two or more leading processes: %v", model.now, claims)
 	}
 }
 
+// sides returns the names of the processes that run, by side.
 func (model *quorumModel) sides() map[PartitionSide][]string {
 	bySide := map[PartitionSide][]string{}
 	for _, name := range model.names {
@@ -235,7 +243,8 @@
 	return bySide
 }
 
-// until advances until a condition holds, and fails after a time.
+// until advances the model until a condition holds, and returns the time that it took. It fails the test after a
+// timeout.
 func (model *quorumModel) until(what string, timeout time.Duration, holds func() bool) time.Duration {
 	model.t.Helper()
 	for from := model.now; ; model.advance(modelStep) {
@@ -244,22 +253,23 @@
 		}
 		if model.now-from > timeout {
 			model.log()
-			model.t.Fatalf("%s: not within %v; sides %v", what, timeout, model.sides())
+			model.t.Fatalf("condition %q does not hold after %v; sides are %v", what, timeout, model.sides())
 		}
 	}
 }
 
+// log writes the state of all quorums to the test's log.
 func (model *quorumModel) log() {
 	model.t.Helper()
 	for _, name := range model.names {
 		if q := model.quorums[name]; q != nil {
-			model.t.Logf("%s: epoch %v list %v previous %v leader %s live %d", name, q.list.epoch, q.list.names,
+			model.t.Logf("%s: epoch %v, list %v, previous %v, leader %q, %d live", name, q.list.epoch, q.list.names,
 				q.list.previous, q.currentLeader(model.clock(name)), len(q.liveness.liveSince))
 		}
 	}
 }
 
-// allOn is the condition that all that run are on one side.
+// allOn returns the condition that all running processes are on the given side.
 func (model *quorumModel) allOn(want PartitionSide) func() bool {
 	return func() bool {
 		for side := range model.sides() {
@@ -271,7 +281,8 @@
 	}
 }
 
-// agreed is the condition that all have the same epoch, with a member list of a size.
+// agreed returns the condition that all running processes are complete, and have the same epoch and the same committed
+// member list with size members.
 func (model *quorumModel) agreed(size int) func() bool {
 	return func() bool {
 		var first *quorum
@@ -292,11 +303,12 @@
 	}
 }
 
-// healed reports whether some processes run, and all that do see the complete member list.
+// healed reports whether at least one process runs, and all running ones are complete.
 func (model *quorumModel) healed() bool {
 	return model.allOn(Complete)() && model.sides()[Complete] != nil
 }
 
+// split cuts the links between processes of different groups, and opens all others.
 func (model *quorumModel) split(groups ...[]string) {
 	model.cut = map[link]bool{}
 	groupOf := map[string]int{}
@@ -314,12 +326,13 @@
 	}
 }
 
-// drawName draws one of the first names.
+// drawName returns a random one of the first names.
 func (model *quorumModel) drawName(first int) string {
 	return model.names[model.random.IntN(first)]
 }
 
-// injectFault draws one change: a split, a cut, a stop, an end, a start, a leave, or another loss and delay.
+// injectFault makes one random change: a partition, one cut link, the end of all cuts, a stopped, killed, started or
+// leaving process, or a new loss and delay of messages.
 func (model *quorumModel) injectFault() {
 	size := len(model.names)
 	switch model.random.IntN(10) {
@@ -342,7 +355,7 @@
 	case 7:
 		model.loss = model.random.Float64() * 0.4
 		model.delay = time.Duration(1 + model.random.Int64N(int64(time.Second)))
-	case 8, 9: // mostly the one that leads
+	case 8, 9: // low names, which usually lead, are drawn more often
 		name := model.drawName(1 + model.random.IntN(size))
 		if model.quorums[name] != nil && !model.left[name] {
 			model.leave(name)
@@ -350,6 +363,7 @@
 	}
 }
 
+// splitAtRandom makes a partition into two or three random groups.
 func (model *quorumModel) splitAtRandom() {
 	groups := make([][]string, 2+model.random.IntN(2))
 	for _, name := range model.names {
@@ -359,7 +373,7 @@
 	model.split(groups...)
 }
 
-// repair ends all faults and starts the processes that are down.
+// repair ends all faults, and starts the processes that are down or leaving.
 func (model *quorumModel) repair() {
 	model.split(model.names)
 	model.loss, model.delay = 0, 5*time.Millisecond
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -1,15 +1,15 @@
 package membership
 
-// State is what a member is to the others. The texts of its String are part of the operators' interface.
+// State is the state of a member. The strings that String returns are part of the operators' interface.
 type State int
 
 // States of a member.
 //
-//	Joining   its process runs and does not serve yet
-//	Alive     serves
-//	Suspect   has not answered this process's probe, or is called dead by the failure detector, and may answer yet
-//	Dead      is confirmed dead
-//	Left      has announced that it leaves
+//	Joining   its process runs but does not serve yet
+//	Alive     it serves
+//	Suspect   it did not answer a probe, or the failure detector reports it dead, and that is not confirmed yet
+//	Dead      it is confirmed dead
+//	Left      it has announced that it is leaving
 //	Conflict  two live processes claim its name
 const (
 	Joining State = iota
@@ -20,25 +20,24 @@
 	Conflict
 )
 
-// String is the state's name in logs and JSON.
+// String returns the state's name in logs and JSON.
 func (s State) String() string {
 	return [...]string{"joining", "alive", "suspect", "gone", "left", "conflict"}[s]
 }
 
-// MarshalText makes a state readable in JSON.
+// MarshalText encodes the state in JSON by its String.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// PartitionSide is the side of a partition that a process is on. The texts of its String are part of the operators'
-// interface.
+// PartitionSide is the side of a partition that a process is on. The strings that String returns are part of the
+// operators' interface.
 type PartitionSide int
 
-// Sides of a partition. Isolated and Minority mean that no majority of the member list is known to be with this
-// process.
+// Sides of a partition. Isolated and Minority mean that this process does not know of a majority on its side.
 //
-//	Isolated  sees no other member, though the member list has some
-//	Minority  sees others, but not with a majority behind them
-//	Majority  a majority of the member list is with it, some members are missing
-//	Complete  the complete member list is with it
+//	Isolated  no other member is live, although the member list has others
+//	Minority  other members are live, but no leader has a proven majority
+//	Majority  a majority of the member list is on its side, some members are missing
+//	Complete  all members of the list are on its side
 const (
 	Isolated PartitionSide = iota
 	Minority
@@ -46,10 +45,10 @@
 	Complete
 )
 
-// String is the side's name in logs and JSON.
+// String returns the side's name in logs and JSON.
 func (s PartitionSide) String() string {
 	return [...]string{"alone", "minority", "majority", "whole"}[s]
 }
 
-// MarshalText makes a side readable in JSON.
+// MarshalText encodes the side in JSON by its String.
 func (s PartitionSide) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
--- a/internal/membership/stepdown.go
+++ b/internal/membership/stepdown.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// stepDown is which leaders have stepped down: whether this process has, and the last one that has notified it.
+// stepDown records whether this process has stepped down as a leader, and which other process did so last.
 type stepDown struct {
-	started bool   // this process leads no more, and never again
-	last    uint64 // the process whose step down came last
+	started bool   // this process has given up leadership for good
+	last    uint64 // number of the process whose kindStepDown message arrived last
 }
 
-// sentBefore reports whether a heartbeat was sent before its leader stepped down.
+// sentBefore reports whether a heartbeat was sent before its leader stepped down, and must be ignored.
 func (s *stepDown) sentBefore(heartbeat message) bool { return heartbeat.Process == s.last }
 
-// giveUpLead ends this process's leadership, as it leaves, so that the next leader need not wait for the votes to run
-// out: all that claim this process's majority give it up and confirm that, then the votes are free. It
-// returns the messages to send; done reports that no more follow. A member that does not confirm claims the majority no
-// longer than the votes last, and all wait for that.
+// giveUpLead ends the leadership of a process that is leaving, so that the next leader does not have to wait for the
+// leases of the votes to end. First every member that may claim this process's majority is told to drop the claim and
+// confirms that, then all voters are released. It returns the messages to send; done reports that none follow. If a
+// member does not confirm, its claim ends with the leases at the latest, and the release waits until then.
 func (q *quorum) giveUpLead(now time.Duration, digest uint64) (out map[string]message, done bool) {
 	if q.voter.votedFor != q.process {
 		return nil, true
@@ -35,6 +35,7 @@
 	return toAll(q.liveness.others(), q.newMessage(kindVoteReleased, digest)), true
 }
 
+// toAll returns one message for each of the names.
 func toAll(names []string, m message) map[string]message {
 	out := map[string]message{}
 	for _, name := range names {
@@ -43,7 +44,7 @@
 	return out
 }
 
-// handleStepDown gives up the claim that the sender granted to this process, and confirms that.
+// handleStepDown drops the claim that the sender has granted to this process, and confirms that in the reply.
 func (q *quorum) handleStepDown(m message, reply *message) {
 	q.stepDown.last = m.Process
 	if q.claim.leader == m.Process {
@@ -56,7 +57,7 @@
 	reply.TargetProcess = m.Process
 }
 
-// handleStepDownAck notes that the sender claims the majority no more. After the last one the votes are freed at once.
+// handleStepDownAck records that the sender has dropped its claim. After the last one the votes are released at once.
 func (q *quorum) handleStepDownAck(now time.Duration, m message) {
 	if m.TargetProcess != q.process || !q.stepDown.started {
 		return
@@ -66,7 +67,7 @@
 	}
 }
 
-// handleVoteReleased frees this process's vote for the sender.
+// handleVoteReleased ends the lease of this process's vote, if it voted for the sender.
 func (q *quorum) handleVoteReleased(now time.Duration, m message) {
 	if q.voter.release(m.Process) {
 		q.nextSend = now
--- a/internal/membership/tally.go
+++ b/internal/membership/tally.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// tally counts the votes of a member list that are in force at one moment.
+// tally counts the votes of a member list's members that are in force at one moment.
 type tally struct {
-	size     int // of the member list
-	expiries []time.Duration
-	lowest   bool // the member with the lowest name has voted
+	size     int             // of the member list
+	expiries []time.Duration // of the votes, in any order
+	lowest   bool            // the member with the lowest name has voted
 }
 
 func newTally(size int) *tally { return &tally{size: size} }
 
-// add counts the vote of a member by its index in the sorted list.
+// add counts a vote that ends at expiry. The voter is given by its index in the sorted member list.
 func (t *tally) add(index int, expiry time.Duration) {
 	t.expiries = append(t.expiries, expiry)
 	if index == 0 {
@@ -22,11 +22,11 @@
 	}
 }
 
-// unanimousUntil is until when all votes are in force; 0: some are missing.
+// unanimousUntil returns the time until which the votes of all members are in force, or 0 if any is missing.
 func (t *tally) unanimousUntil() time.Duration { return t.until(t.size) }
 
-// majorityUntil is until when more than half of the votes are in force, or half of them with that of the lowest name;
-// 0: there are too few.
+// majorityUntil returns the time until which a majority of the votes is in force, or 0 if there are too few. Exactly
+// half of the votes are a majority if the member with the lowest name has voted.
 func (t *tally) majorityUntil() time.Duration {
 	half := t.size / 2
 	if t.size%2 == 0 && len(t.expiries) == half && t.lowest {
@@ -35,7 +35,7 @@
 	return t.until(half + 1)
 }
 
-// until is when fewer than a number of votes are in force; 0: they are now.
+// until returns the time until which at least the given number of votes are in force, or 0 if there are fewer now.
 func (t *tally) until(votes int) time.Duration {
 	if len(t.expiries) < votes {
 		return 0
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// refreshInterval is how often the counters are made anew where nothing has changed, and the view while some member
-	// has a flap penalty.
+	// refreshInterval is the interval at which the counters are updated if nothing has changed, and the view is rebuilt
+	// while any member has a flap penalty.
 	refreshInterval = time.Second
-	memberLogRate   = 20 // lines a second
+	memberLogRate   = 20 // lines per second
 )
 
-// publish brings the quorum and the view up to date, and logs what has changed.
+// publish updates the quorum's liveness and the view, and logs a change of the side or the epoch.
 func (m *Mesh) publish() {
 	now := m.now()
 	before := m.view.Load()
@@ -57,8 +57,8 @@
 	}
 }
 
-// updateSide takes the side and the member list of the quorum. A process that has stepped out, or left, has no part in
-// the fleet.
+// updateSide copies the side, the leader and the member list from the quorum to the view. The side of a process that
+// has stepped out of the fleet or is leaving it is always Isolated.
 func (m *Mesh) updateSide(view, before *View, status quorumStatus) {
 	view.Side = status.side
 	view.LeaderProcess = status.leader
@@ -75,7 +75,7 @@
 	}
 }
 
-// leaderName is the name of the process that has proved a majority to this one.
+// leaderName returns the member name of the view's leading process, or "" without a proven majority.
 func (m *Mesh) leaderName(view *View) string {
 	switch {
 	case view.Side < Majority:
@@ -86,6 +86,7 @@
 	return m.processes.nameOfNumber(view.LeaderProcess)
 }
 
+// logView logs the view's side, epoch and leader.
 func (m *Mesh) logView(view *View) {
 	m.log.Info("view",
 		"side", view.Side.String(),
@@ -96,7 +97,8 @@
 		"digest", fmt.Sprintf("%016x", view.Digest))
 }
 
-// rebuildMembers makes the members anew, sorted by name, and lets the quorum know who is live.
+// rebuildMembers computes all members from their processes, passes the live ones to the quorum, and returns the members
+// sorted by name.
 func (m *Mesh) rebuildMembers(now time.Duration) []Member {
 	members := m.currentMembers(now)
 	live, left := map[string]bool{m.cfg.Name: true}, map[string]bool{}
@@ -105,7 +107,7 @@
 		if member.State == Left {
 			left[name] = true
 		}
-		// A process that leaves votes on until it has ended.
+		// A process that is leaving continues to vote until it has ended.
 		votes := member.IsLive() || member.State == Left && m.processes.anyLive(name)
 		if m.detector != nil && votes {
 			live[name] = true
@@ -117,7 +119,8 @@
 	return slices.SortedFunc(maps.Values(members), byName)
 }
 
-// noteChange completes a member by the time of its state, logs a change, and counts a return from the dead.
+// noteChange returns the member with the start of its state set. If state or incarnation have changed it logs that, and
+// it records a return from the dead for flap damping.
 func (m *Mesh) noteChange(member Member, now time.Duration) Member {
 	before, known := m.members[member.Name]
 	member.since = before.since
@@ -132,7 +135,7 @@
 	return member
 }
 
-// currentMembers makes a member of all processes of each name.
+// currentMembers returns the members by name, each as the preferred one of its processes shows it.
 func (m *Mesh) currentMembers(now time.Duration) map[string]Member {
 	chosen, claims := map[string]*process{}, map[string]int{}
 	for _, p := range m.processes.byID {
@@ -153,7 +156,8 @@
 	return members
 }
 
-// memberOf is the member that a process stands for, with so many live processes that claim its name.
+// memberOf returns the member that a process represents. claims is the number of live processes that use the member's
+// name and are not leaving.
 func (m *Mesh) memberOf(p *process, claims int, now time.Duration) Member {
 	member := newMember(p.name, p.metadata, p.address)
 	member.State = p.state
@@ -170,7 +174,7 @@
 	return member
 }
 
-// selfMember is this process's own member.
+// selfMember returns the member that this process runs as.
 func (m *Mesh) selfMember() Member {
 	own := m.local.load()
 	member := newMember(m.cfg.Name, own, m.cfg.Listen)
@@ -200,8 +204,8 @@
 	}
 }
 
-// viewDigest is over the epoch and the live members with their incarnations. All processes of a fleet compute it the
-// same way.
+// viewDigest returns a hash of the epoch and of the live members with their incarnations. Processes compare their
+// digests, so all of a fleet must compute them in the same way.
 func viewDigest(epoch Epoch, sorted []Member) uint64 {
 	text := fmt.Appendf(nil, "%d/%s", epoch.Number, epoch.Leader)
 	for _, member := range sorted {
@@ -212,17 +216,18 @@
 	return xxhash.Sum64(text)
 }
 
-// memberLog logs changes of members, so many a second at most.
+// memberLog logs changes of members, at most memberLogRate lines per second after a burst of twice as many.
 type memberLog struct {
 	log        *slog.Logger
 	limiter    *rate.Limiter
-	suppressed int // lines since the last one
+	suppressed int // lines dropped since the last one that was written
 }
 
 func newMemberLog(log *slog.Logger) memberLog {
 	return memberLog{log: log, limiter: rate.NewLimiter(memberLogRate, 2*memberLogRate)}
 }
 
+// write logs the change of a member, or counts it as suppressed above the rate.
 func (l *memberLog) write(before, member Member, known bool) {
 	if !l.limiter.Allow() {
 		l.suppressed++
@@ -247,7 +252,7 @@
 	l.log.Info("member", args...)
 }
 
-// publishCounters makes the counters anew.
+// publishCounters updates the counters that Counters returns.
 func (m *Mesh) publishCounters(view *View) {
 	counters := &Counters{
 		States:     map[string]int{},
--- a/internal/membership/virtual_test.go
+++ b/internal/membership/virtual_test.go
@@ -13,8 +13,9 @@
 	"time"
 )
 
-// Fleets of many members in virtual time: how soon a silent end is known to all, who is wrongly confirmed dead under
-// 10% loss, and what membership costs each. MESH_SIZES=64,256,500 plays larger ones than CI does, and prints the table.
+// Guards against failure detection in large fleets that is slow or wrong: all members must confirm a killed one dead
+// within 15 s, and must confirm no live one dead under 10% packet loss. It also logs the packets and bytes that
+// membership costs each member. MESH_SIZES=64,256,500 runs larger fleets than CI does and prints a table row for each.
 func TestFleetInVirtualTime(t *testing.T) {
 	sizes := "32"
 	if s := os.Getenv("MESH_SIZES"); s != "" {
@@ -23,7 +24,7 @@
 	for _, text := range strings.Split(sizes, ",") {
 		size, err := strconv.Atoi(text)
 		if err != nil || size < 4 || size > 2000 {
-			t.Fatalf("MESH_SIZES: %q", text)
+			t.Fatalf("MESH_SIZES: %q is not a size from 4 to 2000", text)
 		}
 		t.Run(text, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { playVirtualFleet(t, size) })
@@ -31,15 +32,16 @@
 	}
 }
 
+// playVirtualFleet measures and checks one fleet.
 func playVirtualFleet(t *testing.T, size int) {
 	f := newVirtualFleet(t, size)
 	agreed := f.until("all agree", f.agreed)
-	time.Sleep(10 * time.Second) // until the joins have gone round
+	time.Sleep(10 * time.Second) // until gossip about the joins has ended
 	packets, bytes := f.measure(20 * time.Second)
 	last := size - 1
 	f.kill(last)
-	first := f.until("one knows", func() bool { return f.countDead(last) > 0 })
-	all := first + f.until("all know", func() bool { return f.countDead(last) == size-1 })
+	first := f.until("one member sees it as dead", func() bool { return f.countDead(last) > 0 })
+	all := first + f.until("all see it as dead", func() bool { return f.countDead(last) == size-1 })
 	f.network.setLoss(0.1)
 	time.Sleep(30 * time.Second)
 	wrong := 0
@@ -47,15 +49,15 @@
 		wrong += f.countDead(i)
 	}
 	lossy, _ := f.measure(10 * time.Second)
-	t.Logf("| %d | complete after %.1f s | %.2f packets/s | %.0f bytes/s | dead for the first %.2f s | for all %.2f s "+
-		"| wrongly dead under 10%% loss for 30 s: %d | then %.2f packets/s |",
+	t.Logf("| %d | agreed after %.1f s | %.2f packets/s | %.0f bytes/s | dead: first member %.2f s | all %.2f s "+
+		"| wrongly dead in 30 s of 10%% loss: %d | then %.2f packets/s |",
 		size, agreed.Seconds(), packets, bytes, first.Seconds(), all.Seconds(), wrong, lossy)
 	if wrong != 0 || all > 15*time.Second {
-		t.Errorf("%d members: %d wrongly dead, an end known to all after %v", size, wrong, all)
+		t.Errorf("%d members: %d wrongly dead, want 0; killed one dead for all after %v, want 15 s", size, wrong, all)
 	}
 }
 
-// virtualFleet is members over a virtual network.
+// virtualFleet is a fleet whose members communicate over a virtual network.
 type virtualFleet struct {
 	t         *testing.T
 	size      int
@@ -64,7 +66,7 @@
 	meshes    []*Mesh // nil: killed
 }
 
-// newVirtualFleet starts a fleet, twenty members each 0.1 s.
+// newVirtualFleet starts a fleet, twenty members every 0.1 s.
 func newVirtualFleet(t *testing.T, size int) *virtualFleet {
 	t.Helper()
 	f := &virtualFleet{t: t, size: size, network: newVirtualNetwork(uint64(size))}
@@ -105,16 +107,18 @@
 			m.Close()
 		}
 	}
-	time.Sleep(time.Minute) // memberlist's goroutines end with their last probe
+	time.Sleep(time.Minute) // memberlist's goroutines end only after their last probe
 }
 
-// kill ends a member from one moment to the next.
+// kill ends a member without a leave: its endpoint goes down first, so nothing more is sent.
 func (f *virtualFleet) kill(i int) {
 	f.endpoints[i].down.Store(true)
 	f.meshes[i].Close()
 	f.meshes[i] = nil
 }
 
+// agreed reports whether all running members have a majority, the same view digest, and a member list that lacks one
+// member at most.
 func (f *virtualFleet) agreed() bool {
 	for _, m := range f.meshes {
 		if m == nil {
@@ -128,19 +132,20 @@
 	return true
 }
 
+// until waits until a condition holds, and returns the time that it took. It fails the test after two minutes.
 func (f *virtualFleet) until(what string, holds func() bool) time.Duration {
 	f.t.Helper()
 	from := time.Now()
 	for !holds() {
 		if time.Since(from) > 2*time.Minute {
-			f.t.Fatalf("%d members, never: %s; %v", f.size, what, f.meshes[0].Counters().States)
+			f.t.Fatalf("%d members: %q: false after 2 min; states %v", f.size, what, f.meshes[0].Counters().States)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(from)
 }
 
-// sent is what all members have sent.
+// sent returns the total of packets and bytes that all members have sent.
 func (f *virtualFleet) sent() (packets, bytes int64) {
 	for _, endpoint := range f.endpoints {
 		p, b := endpoint.sent()
@@ -150,7 +155,7 @@
 	return packets, bytes
 }
 
-// measure counts for some time what a member sends in a second.
+// measure runs the fleet for a time, and returns the packets and bytes per second that one member sends on average.
 func (f *virtualFleet) measure(d time.Duration) (packets, bytes float64) {
 	packetsBefore, bytesBefore := f.sent()
 	time.Sleep(d)
@@ -159,10 +164,10 @@
 	return float64(packetsAfter-packetsBefore) / memberSeconds, float64(bytesAfter-bytesBefore) / memberSeconds
 }
 
-// countDead is how many members see one as dead.
+// countDead returns how many members see member i as dead.
 func (f *virtualFleet) countDead(i int) int { return f.countState(i, Dead) }
 
-// countState is how many members see one in a state.
+// countState returns how many members see member i in a state.
 func (f *virtualFleet) countState(i int, state State) int {
 	count := 0
 	for _, m := range f.meshes {
@@ -173,7 +178,8 @@
 	return count
 }
 
-// newestState is a member's state in the newest view, without a copy of all of it.
+// newestState returns a member's state in the latest view, or -1 if the view does not have it. Unlike View it does not
+// copy the members.
 func (m *Mesh) newestState(name string) State {
 	members := m.view.Load().Members
 	byName := func(member Member, name string) int { return strings.Compare(member.Name, name) }
--- a/internal/membership/voter.go
+++ b/internal/membership/voter.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// voter is the vote of this process. It binds the process to one leading process for a lease, by this process's clock.
+// voter holds the vote of this process. A vote binds it to one leading process for a lease, by its own clock.
 type voter struct {
-	eligibleAt time.Duration // a lease after the start: an earlier process of this name may have voted
-	votedFor   uint64
-	since      time.Duration // the first of its votes in a row
-	expiry     time.Duration
+	eligibleAt time.Duration // one lease after the start, as an earlier process of this name may have voted
+	votedFor   uint64        // number of the leading process
+	since      time.Duration // of the first vote in an unbroken series for that process
+	expiry     time.Duration // of the lease
 
-	receiveFailureUntil map[string]time.Duration // by name: a leader that does not receive this process's votes
+	receiveFailureUntil map[string]time.Duration // by name of a leader that does not receive this process's votes
 }
 
 func newVoter(now time.Duration) voter {
@@ -22,12 +22,12 @@
 // eligible reports whether this process may vote yet.
 func (v *voter) eligible(now time.Duration) bool { return now >= v.eligibleAt }
 
-// freeFor reports whether no other process than this one has the vote.
+// freeFor reports whether the vote may go to a process: no lease binds the voter to a different one.
 func (v *voter) freeFor(process uint64, now time.Duration) bool {
 	return v.votedFor == process || now >= v.expiry
 }
 
-// vote binds this process for a lease.
+// vote binds this process to a leading process for a lease, or renews the lease.
 func (v *voter) vote(process uint64, now time.Duration) {
 	if v.votedFor != process || now >= v.expiry {
 		v.since = now
@@ -36,7 +36,7 @@
 	v.expiry = now + leaseDuration
 }
 
-// release frees the vote that a process has.
+// release ends the lease of the vote, and reports false if the vote is not for the given process.
 func (v *voter) release(process uint64) (released bool) {
 	if v.votedFor != process {
 		return false
@@ -45,8 +45,9 @@
 	return true
 }
 
-// observeEcho looks for this process's last vote in a heartbeat. A leader that does not receive the votes cannot lead:
-// it gets none, so that those it has run out.
+// observeEcho checks whether a heartbeat echoes a recent vote of this process. A leader that does not receive votes
+// cannot get a majority: once its echoes are missing for echoTimeout it is marked for a lease, and it gets no more
+// votes, so that the lease of the last vote ends and another member can lead.
 func (v *voter) observeEcho(now time.Duration, heartbeat message, self uint64) {
 	if heartbeat.TargetProcess == self && now-heartbeat.VoteAt < echoTimeout {
 		delete(v.receiveFailureUntil, heartbeat.From)
@@ -58,7 +59,7 @@
 	}
 }
 
-// hasReceiveFailure reports whether a member does not receive this process's votes.
+// hasReceiveFailure reports whether a member is marked as not receiving this process's votes.
 func (v *voter) hasReceiveFailure(name string, now time.Duration) bool {
 	return now < v.receiveFailureUntil[name]
 }
--- a/internal/membership/voter_test.go
+++ b/internal/membership/voter_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A leader whose heartbeats show that it has received no vote of a voter for a lease gets none from it any more, so
-// that another may lead.
+// Guards against a leader that keeps a vote although it does not receive any: its heartbeats echo no vote of the voter
+// for a lease. The voter must stop voting for it, so that another member can lead.
 func TestLeaderWithReceiveFailureGetsNoVote(t *testing.T) {
 	q := newQuorum("b", 2, []string{"a", "b", "c"}, 0)
 	q.updateLiveness(0, map[string]bool{"a": true, "b": true, "c": true}, nil)
@@ -22,7 +22,7 @@
 	}
 	for range 10 {
 		if !votes(now) {
-			t.Fatal("a leader that receives votes gets none")
+			t.Fatal("a leader whose heartbeats echo the votes got no vote")
 		}
 	}
 	last, count := now, 0
@@ -32,21 +32,23 @@
 		}
 	}
 	if count > int(echoTimeout/heartbeatInterval) || q.currentLeader(now) != "b" {
-		t.Errorf("a leader with a receive failure got %d more votes, and %s is to lead", count, q.currentLeader(now))
+		t.Errorf("without echoes a leader got %d more votes; the leader is %q, want \"b\"", count, q.currentLeader(now))
 	}
 }
 
+// Guards against two votes in force at one time: a vote must bind to one process until its lease ends, or until that
+// process releases it, and no other process may release it.
 func TestVoteBindsForALeaseUnlessReleased(t *testing.T) {
 	v := newVoter(0)
 	v.vote(1, leaseDuration)
 	if v.freeFor(2, 2*leaseDuration-1) || !v.freeFor(1, leaseDuration) || !v.freeFor(2, 2*leaseDuration) {
-		t.Error("a vote does not bind for a lease and to one process")
+		t.Error("a vote does not bind for exactly one lease, or not to one process only")
 	}
 	v.vote(1, leaseDuration)
 	if v.release(2) || v.freeFor(2, leaseDuration) {
-		t.Error("a process released a vote that another has")
+		t.Error("a vote was released by a process that it is not for")
 	}
 	if !v.release(1) || !v.freeFor(2, leaseDuration) {
-		t.Error("a released vote is not free")
+		t.Error("after its release a vote is still bound")
 	}
 }
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -11,7 +11,7 @@
 
 var wireEpoch = Epoch{Number: 7, Leader: "n1"}
 
-// wireMessage has every field.
+// wireMessage is a message with every field set.
 var wireMessage = message{
 	From:          "n1",
 	Process:       2,
@@ -34,7 +34,7 @@
 	Subject:       "n1~0a",
 }
 
-// wireMember has every field.
+// wireMember is a member with every field set.
 var wireMember = Member{
 	Name:        "n",
 	State:       Dead,
@@ -49,8 +49,8 @@
 	Suppressed:  true,
 }
 
-// Processes of an older build are of the same fleet, so the bytes of every form that goes over the network or to the
-// operators are part of the protocol.
+// Guards against a change of any encoding that goes over the network or to operators. Processes of older builds run in
+// the same fleet and must be able to read it.
 func TestWireForms(t *testing.T) {
 	for name, form := range map[string]struct {
 		value any
@@ -82,11 +82,12 @@
 			t.Fatal(err)
 		}
 		if string(text) != form.want {
-			t.Errorf("%s is\n%s, want\n%s", name, text, form.want)
+			t.Errorf("%s is encoded as\n%s, want\n%s", name, text, form.want)
 		}
 	}
 }
 
+// Guards against a change of the frame's byte format, which processes of older builds read.
 func TestFrameBytes(t *testing.T) {
 	packet := frame{kind: framePacket, fleet: 1, process: 2, sequence: 3, payload: []byte("x")}
 	const want = "716d0201000000000000000100000000000000020000000000000003d6a7de0a78"
@@ -95,7 +96,8 @@
 	}
 }
 
-// The messages of a drawn run stay the same, byte for byte and in the same order, whatever is made of the code.
+// Guards against a refactoring that changes what the quorum sends: the messages of random runs with fixed seeds must
+// stay the same, byte for byte and in the same order.
 func TestDrawnRunSendsRecordedMessages(t *testing.T) {
 	recorded := fnv.New64a()
 	for seed := range 12 {
@@ -112,10 +114,10 @@
 			model.advance(time.Duration(model.random.Int64N(int64(6 * time.Second))))
 		}
 		model.repair()
-		model.until("healing", 30*time.Second, model.healed)
+		model.until("all are complete", 30*time.Second, model.healed)
 	}
 	const want = uint64(0x993a159251c3122f)
 	if got := recorded.Sum64(); got != want {
-		t.Errorf("the messages sum up to %#x, want %#x", got, want)
+		t.Errorf("hash of all messages sent is %#x, want %#x", got, want)
 	}
 }
