--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -96,5 +96,5 @@
 		Previous:   state.Previous,
 	})
 	m.incarnations.merge(state.Highest, m.cfg.Name)
-	m.noteDeparted(state.Departed)
+	m.mergeDeparted(state.Departed)
 }
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -8,12 +8,12 @@
 
 // Intervals and limits of the search for lost members.
 const (
-	minJoinInterval  = 300 * time.Millisecond // before jitter
-	maxJoinInterval  = 2 * time.Second
-	leftSearchPeriod = 2 * time.Minute // for a member that has left: most have restarted by then
-	maxSeedsToJoin   = 2               // in one attempt
-	maxJoinTargets   = 4               // in one attempt, seeds included
-	joiningProcesses = 16              // in a larger fleet, only about this many search at a time
+	minJoinInterval   = 300 * time.Millisecond // before jitter
+	maxJoinInterval   = 2 * time.Second
+	leftSearchPeriod  = 2 * time.Minute // for a member that has left: most have restarted by then
+	maxSeedsToJoin    = 2               // in one attempt
+	maxJoinTargets    = 4               // in one attempt, seeds included
+	concurrentJoiners = 16              // in a larger fleet, only about this many search at a time
 )
 
 // joiner schedules the search for lost members, and lets one stream at a time be opened.
@@ -73,7 +73,7 @@
 		return
 	}
 	m.joiner.backOff(now)
-	if fleetSize > joiningProcesses && rand.N(fleetSize) > joiningProcesses {
+	if fleetSize > concurrentJoiners && rand.N(fleetSize) > concurrentJoiners {
 		m.joiner.release()
 		return
 	}
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -54,7 +54,7 @@
 	if m.quorum.list.contains(m.cfg.Name) || m.quorum.list.previous != nil {
 		return len(m.quorum.liveness.liveSince) == 1
 	}
-	out, done := m.quorum.giveUpLead(m.now(), m.view.Load().Digest)
+	out, done := m.quorum.continueStepDown(m.now(), m.view.Load().Digest)
 	m.sendAll(out)
 	return done && notified
 }
@@ -62,20 +62,20 @@
 // notifyLeaving sends a leave notice, once per tick, to the live processes that have not acknowledged one. It reports
 // whether all have.
 func (m *Mesh) notifyLeaving() (all bool) {
-	var unnotified []*process
+	var unacknowledged []*process
 	for _, p := range m.processes.byID {
 		if p.isLive() && !m.departure.acknowledged[p.id] {
-			unnotified = append(unnotified, p)
+			unacknowledged = append(unacknowledged, p)
 		}
 	}
 	if m.now() < m.departure.nextNotice {
-		return len(unnotified) == 0
+		return len(unacknowledged) == 0
 	}
 	m.departure.nextNotice = m.now() + tickInterval
-	for _, p := range unnotified[:min(len(unnotified), maxLeaveNotices)] {
+	for _, p := range unacknowledged[:min(len(unacknowledged), maxLeaveNotices)] {
 		m.sendTo(p, m.newMessage(kindLeaving))
 	}
-	return len(unnotified) == 0
+	return len(unacknowledged) == 0
 }
 
 // handleLeaving records that the sender is leaving, and acknowledges its notice.
@@ -84,7 +84,7 @@
 	if p == nil {
 		return // the failure detector does not know it yet; the notice is repeated
 	}
-	m.noteLeaving(p)
+	m.recordLeaving(p)
 	reply := m.newMessage(kindLeavingAck)
 	reply.TargetProcess = msg.Process
 	m.sendTo(p, reply)
@@ -97,9 +97,9 @@
 	}
 }
 
-// noteLeaving records that a process is leaving or has left, which is never undone. A process that was confirmed dead
+// recordLeaving records that a process is leaving or has left, which is never undone. A process that was confirmed dead
 // is changed to Left.
-func (m *Mesh) noteLeaving(p *process) {
+func (m *Mesh) recordLeaving(p *process) {
 	if p.leaving {
 		return
 	}
@@ -128,12 +128,12 @@
 	return ids
 }
 
-// noteDeparted merges the departedIDs of another process. Its report that a process has left takes precedence over this
-// process's own conclusion that it failed.
-func (m *Mesh) noteDeparted(ids []string) {
+// mergeDeparted merges the departedIDs of another process. Its report that a process has left takes precedence over
+// this process's own conclusion that it failed.
+func (m *Mesh) mergeDeparted(ids []string) {
 	for _, id := range ids {
 		if p := m.processes.byID[id]; p != nil {
-			m.noteLeaving(p)
+			m.recordLeaving(p)
 		}
 	}
 }
--- a/internal/membership/leave_test.go
+++ b/internal/membership/leave_test.go
@@ -14,15 +14,15 @@
 	for _, loss := range []float64{0, 0.2, 0.4} {
 		for _, leaver := range []int{0, size - 1} { // the first member leads
 			t.Run(fmt.Sprintf("%d leaves, %.0f%% lost", leaver, 100*loss), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playLeave(t, size, leaver, loss) })
+				synctest.Test(t, func(t *testing.T) { checkLeave(t, size, leaver, loss) })
 			})
 		}
 	}
 }
 
-// playLeave lets one member of a fleet leave under packet loss, and checks how long Leave takes and that all others see
-// the member as left.
-func playLeave(t *testing.T, size, leaver int, loss float64) {
+// checkLeave lets one member of a fleet leave under packet loss, and checks how long Leave takes and that all others
+// see the member as left.
+func checkLeave(t *testing.T, size, leaver int, loss float64) {
 	f := newVirtualFleet(t, size)
 	f.until("all agree", f.agreed)
 	time.Sleep(5 * time.Second) // until gossip about the joins has ended
@@ -59,13 +59,13 @@
 
 // Guards against a leave that is undone: once a process is known to have left, older metadata that arrives late must
 // not change its phase, and its end must not count as a failure.
-func TestLeaveIsNeverTakenBack(t *testing.T) {
+func TestLeaveIsNeverUndone(t *testing.T) {
 	m := newBareMesh("a", "b")
 	p := m.processes.byID["a"]
 	m.setState(p, Dead)
-	m.noteDeparted([]string{"a", "unknown"})
+	m.mergeDeparted([]string{"a", "unknown"})
 	if p.state != Left {
-		t.Errorf("state of a dead process that is reported as departed is %s, want %s", p.state, Left)
+		t.Errorf("state of a dead process that is reported as departed is %s, want left", p.state)
 	}
 	p.updateMetadata([]byte(`{"p":"a"}`))
 	if p.metadata.Phase != phaseLeaving || p.endState() != Left {
--- a/internal/membership/member_list.go
+++ b/internal/membership/member_list.go
@@ -57,8 +57,8 @@
 // commit completes a change: from now on only the current list needs a majority.
 func (l *memberList) commit() { l.previous = nil }
 
-// enter replaces the list by a newer one.
-func (l *memberList) enter(epoch Epoch, names, previous []string) {
+// install replaces the list by a newer one.
+func (l *memberList) install(epoch Epoch, names, previous []string) {
 	if l.epoch.Number > 0 { // the list of epoch 0 is not shared: it is from each process's own settings
 		l.former = append(l.former, formerList{l.epoch, l.names})
 		l.former = l.former[max(0, len(l.former)-maxFormerLists):]
@@ -99,9 +99,9 @@
 	return l.epoch.Number == 0 || !slices.Equal(next, l.names)
 }
 
-// describe adds the list to a message for a process that has the list of another epoch: as a delta if that list is
+// writeTo adds the list to a message for a process that has the list of another epoch: as a delta if that list is
 // among the former ones, otherwise in full.
-func (l *memberList) describe(m *message, has Epoch) {
+func (l *memberList) writeTo(m *message, has Epoch) {
 	for _, f := range l.former {
 		if f.epoch != has {
 			continue
@@ -117,9 +117,9 @@
 	m.Previous = l.previous
 }
 
-// read returns the list that a message carries in full or as a delta. newer reports whether that list is valid and
+// readFrom returns the list that a message carries in full or as a delta. newer reports whether that list is valid and
 // newer than this one.
-func (l *memberList) read(m message) (names, previous []string, newer bool) {
+func (l *memberList) readFrom(m message) (names, previous []string, newer bool) {
 	if m.Epoch.compare(l.epoch) <= 0 {
 		return nil, nil, false
 	}
--- a/internal/membership/quorum.go
+++ b/internal/membership/quorum.go
@@ -62,9 +62,9 @@
 
 // majorityClaim is the permission to claim the majority that a leading process has granted to this one.
 type majorityClaim struct {
-	leader   uint64 // number of the leading process
-	until    time.Duration
-	complete bool // no member of the list is missing
+	leaderProcess uint64 // number of the leading process
+	until         time.Duration
+	complete      bool // no member of the list is missing
 }
 
 func newQuorum(self string, process uint64, seeds []string, now time.Duration) *quorum {
@@ -106,15 +106,15 @@
 // majorityUntil returns the time at which this process's majority ends, or 0 if it has none. While a change of the
 // member list is under way, it needs a majority of the old and of the new list.
 func (q *quorum) majorityUntil(now time.Duration) time.Duration {
-	until := q.boundUntil(now, q.list.names)
+	until := q.enoughVotesUntil(now, q.list.names)
 	if q.list.previous != nil {
-		until = min(until, q.boundUntil(now, q.list.previous))
+		until = min(until, q.enoughVotesUntil(now, q.list.previous))
 	}
 	return until
 }
 
-// boundUntil returns the time until which this process has enough votes of a member list, or 0 if it has too few.
-func (q *quorum) boundUntil(now time.Duration, names []string) time.Duration {
+// enoughVotesUntil returns the time until which this process has enough votes of a member list, or 0 if it has too few.
+func (q *quorum) enoughVotesUntil(now time.Duration, names []string) time.Duration {
 	count := newTally(len(names))
 	for i, name := range names {
 		expiry := q.election.voteExpiry(name, q.list.epoch)
@@ -133,23 +133,23 @@
 
 // quorumStatus is the part of the quorum's state that the view shows.
 type quorumStatus struct {
-	epoch      Epoch
-	memberList []string
-	settled    bool // no change of the member list is under way
-	side       PartitionSide
-	leader     uint64 // number of the leading process
-	claimUntil time.Duration
+	epoch         Epoch
+	memberList    []string
+	settled       bool // no change of the member list is under way
+	side          PartitionSide
+	leaderProcess uint64 // number of the leading process
+	claimUntil    time.Duration
 }
 
 func (q *quorum) status(now time.Duration) quorumStatus {
 	side, leader := q.side(now)
 	return quorumStatus{
-		epoch:      q.list.epoch,
-		memberList: q.list.names,
-		settled:    q.list.previous == nil,
-		side:       side,
-		leader:     leader,
-		claimUntil: q.claim.until,
+		epoch:         q.list.epoch,
+		memberList:    q.list.names,
+		settled:       q.list.previous == nil,
+		side:          side,
+		leaderProcess: leader,
+		claimUntil:    q.claim.until,
 	}
 }
 
@@ -158,9 +158,9 @@
 func (q *quorum) side(now time.Duration) (side PartitionSide, leader uint64) {
 	switch {
 	case now < q.claim.until && q.claim.complete:
-		return Complete, q.claim.leader
+		return Complete, q.claim.leaderProcess
 	case now < q.claim.until:
-		return Majority, q.claim.leader
+		return Majority, q.claim.leaderProcess
 	case len(q.liveness.liveSince) == 1:
 		return Isolated, 0
 	}
@@ -213,7 +213,7 @@
 // only seed of a new fleet votes at once: there is no other member whose lease it has to wait for.
 func (q *quorum) voteForSelf(now time.Duration) {
 	founder := len(q.list.names) == 1 && q.list.names[0] == q.self && q.list.epoch.Number == 0
-	if (founder || q.voter.eligible(now)) && q.voter.freeFor(q.process, now) {
+	if (founder || q.voter.eligible(now)) && q.voter.mayVoteFor(q.process, now) {
 		q.voter.vote(q.process, now)
 	}
 }
@@ -227,7 +227,7 @@
 	next := q.list.next(now, &q.liveness)
 	if q.list.differsFrom(next) {
 		epoch := Epoch{q.list.epoch.Number + 1, q.self}
-		q.enterMemberList(epoch, next, q.list.names)
+		q.installMemberList(epoch, next, q.list.names)
 	}
 }
 
@@ -251,7 +251,7 @@
 			heartbeat.Remaining = max(0, until-v.receivedAt)
 			q.election.grant(name, until)
 			if v.epoch != q.list.epoch {
-				q.list.describe(&heartbeat, v.epoch)
+				q.list.writeTo(&heartbeat, v.epoch)
 			}
 		}
 		out[name] = heartbeat
@@ -259,20 +259,20 @@
 	return out
 }
 
-// enterMemberList replaces the member list by a newer one.
-func (q *quorum) enterMemberList(epoch Epoch, names, previous []string) {
-	q.list.enter(epoch, names, previous)
+// installMemberList replaces the member list by a newer one.
+func (q *quorum) installMemberList(epoch Epoch, names, previous []string) {
+	q.list.install(epoch, names, previous)
 	q.liveness.updateMissing(names)
 }
 
 // adoptMemberList replaces the member list by that of a message, if that is newer. The removal delay of dead members
 // then starts anew.
 func (q *quorum) adoptMemberList(m message) {
-	names, previous, newer := q.list.read(m)
+	names, previous, newer := q.list.readFrom(m)
 	if !newer {
 		return
 	}
-	q.enterMemberList(m.Epoch, names, previous)
+	q.installMemberList(m.Epoch, names, previous)
 	q.liveness.deadSince = map[string]time.Duration{}
 }
 
@@ -288,7 +288,7 @@
 	reply = q.newMessage(kindMemberList, digest)
 	order := m.Epoch.compare(q.list.epoch)
 	if order < 0 {
-		q.list.describe(&reply, m.Epoch)
+		q.list.writeTo(&reply, m.Epoch)
 	}
 	switch m.Kind {
 	case kindHeartbeat:
@@ -308,7 +308,7 @@
 // handleHeartbeat follows the sender of a heartbeat if it is the leader, and votes for it unless this process's vote is
 // bound to another process. It takes over the grant of the majority that the heartbeat carries.
 func (q *quorum) handleHeartbeat(now time.Duration, m message, reply *message) {
-	if q.stepDown.sentBefore(m) {
+	if q.stepDown.isOutdated(m) {
 		return
 	}
 	q.voter.observeEcho(now, m, q.process)
@@ -318,7 +318,7 @@
 	if m.HasMajority && now >= q.claim.until || m.From == q.currentLeader(now) {
 		q.leader = followedLeader{m.From, now + leaseDuration}
 	}
-	if m.From != q.currentLeader(now) || !q.voter.eligible(now) || !q.voter.freeFor(m.Process, now) {
+	if m.From != q.currentLeader(now) || !q.voter.eligible(now) || !q.voter.mayVoteFor(m.Process, now) {
 		return
 	}
 	if m.HasMajority && m.Epoch == q.list.epoch {
--- a/internal/membership/quorum_model_test.go
+++ b/internal/membership/quorum_model_test.go
@@ -107,7 +107,7 @@
 	done := model.now-model.leavingSince[name] > leaveTimeout
 	if !done && !q.list.contains(name) && q.list.previous == nil {
 		var out map[string]message
-		out, done = q.giveUpLead(model.clock(name), modelDigest)
+		out, done = q.continueStepDown(model.clock(name), modelDigest)
 		model.sendAll(name, out)
 	}
 	if done {
@@ -326,8 +326,8 @@
 	}
 }
 
-// drawName returns a random one of the first names.
-func (model *quorumModel) drawName(first int) string {
+// randomName returns a random one of the first names.
+func (model *quorumModel) randomName(first int) string {
 	return model.names[model.random.IntN(first)]
 }
 
@@ -339,16 +339,16 @@
 	case 0, 1:
 		model.splitAtRandom()
 	case 2:
-		model.cut[link{model.drawName(size), model.drawName(size)}] = true
+		model.cut[link{model.randomName(size), model.randomName(size)}] = true
 	case 3:
 		model.split(model.names)
 	case 4:
-		name := model.drawName(size)
+		name := model.randomName(size)
 		model.stoppedUntil[name] = model.now + time.Duration(model.random.Int64N(int64(15*time.Second)))
 	case 5:
-		model.quorums[model.drawName(size)] = nil
+		model.quorums[model.randomName(size)] = nil
 	case 6:
-		name := model.drawName(size)
+		name := model.randomName(size)
 		if model.quorums[name] == nil && (model.anyFounded(model.seeds) || !model.anyFounded(model.names)) {
 			model.start(name)
 		}
@@ -356,7 +356,7 @@
 		model.loss = model.random.Float64() * 0.4
 		model.delay = time.Duration(1 + model.random.Int64N(int64(time.Second)))
 	case 8, 9: // low names, which usually lead, are drawn more often
-		name := model.drawName(1 + model.random.IntN(size))
+		name := model.randomName(1 + model.random.IntN(size))
 		if model.quorums[name] != nil && !model.left[name] {
 			model.leave(name)
 		}
--- a/internal/membership/quorum_test.go
+++ b/internal/membership/quorum_test.go
@@ -77,7 +77,7 @@
 
 // Guards against a second fleet: two of three seeds leave and restart without their state, in a partition from the
 // fleet that goes on without them. They must not found another one.
-func TestSeedsThatStartAgainFoundNoSecondFleet(t *testing.T) {
+func TestRestartedSeedsFoundNoSecondFleet(t *testing.T) {
 	model := newFoundedModel(t, 5)
 	model.leave("n01")
 	model.leave("n02")
--- a/internal/membership/stepdown.go
+++ b/internal/membership/stepdown.go
@@ -4,18 +4,19 @@
 
 // stepDown records whether this process has stepped down as a leader, and which other process did so last.
 type stepDown struct {
-	started bool   // this process has given up leadership for good
-	last    uint64 // number of the process whose kindStepDown message arrived last
+	started     bool   // this process has given up leadership for good
+	lastProcess uint64 // number of the process whose kindStepDown message arrived last
 }
 
-// sentBefore reports whether a heartbeat was sent before its leader stepped down, and must be ignored.
-func (s *stepDown) sentBefore(heartbeat message) bool { return heartbeat.Process == s.last }
+// isOutdated reports whether a heartbeat was sent before its leader stepped down, and must be ignored.
+func (s *stepDown) isOutdated(heartbeat message) bool { return heartbeat.Process == s.lastProcess }
 
-// giveUpLead ends the leadership of a process that is leaving, so that the next leader does not have to wait for the
-// leases of the votes to end. First every member that may claim this process's majority is told to drop the claim and
-// confirms that, then all voters are released. It returns the messages to send; done reports that none follow. If a
-// member does not confirm, its claim ends with the leases at the latest, and the release waits until then.
-func (q *quorum) giveUpLead(now time.Duration, digest uint64) (out map[string]message, done bool) {
+// continueStepDown takes the next step to end the leadership of a process that is leaving, so that the next leader does
+// not have to wait for the leases of the votes to end. First every member that may claim this process's majority is
+// told to drop the claim and confirms that, then all voters are released. It returns the messages to send; done reports
+// that none follow. If a member does not confirm, its claim ends with the leases at the latest, and the release waits
+// until then.
+func (q *quorum) continueStepDown(now time.Duration, digest uint64) (out map[string]message, done bool) {
 	if q.voter.votedFor != q.process {
 		return nil, true
 	}
@@ -46,8 +47,8 @@
 
 // handleStepDown drops the claim that the sender has granted to this process, and confirms that in the reply.
 func (q *quorum) handleStepDown(m message, reply *message) {
-	q.stepDown.last = m.Process
-	if q.claim.leader == m.Process {
+	q.stepDown.lastProcess = m.Process
+	if q.claim.leaderProcess == m.Process {
 		q.claim.until = 0
 	}
 	if q.leader.name == m.From {
--- a/internal/membership/tally.go
+++ b/internal/membership/tally.go
@@ -23,20 +23,21 @@
 }
 
 // unanimousUntil returns the time until which the votes of all members are in force, or 0 if any is missing.
-func (t *tally) unanimousUntil() time.Duration { return t.until(t.size) }
+func (t *tally) unanimousUntil() time.Duration { return t.inForceUntil(t.size) }
 
 // majorityUntil returns the time until which a majority of the votes is in force, or 0 if there are too few. Exactly
 // half of the votes are a majority if the member with the lowest name has voted.
 func (t *tally) majorityUntil() time.Duration {
 	half := t.size / 2
 	if t.size%2 == 0 && len(t.expiries) == half && t.lowest {
-		return t.until(half)
+		return t.inForceUntil(half)
 	}
-	return t.until(half + 1)
+	return t.inForceUntil(half + 1)
 }
 
-// until returns the time until which at least the given number of votes are in force, or 0 if there are fewer now.
-func (t *tally) until(votes int) time.Duration {
+// inForceUntil returns the time until which at least the given number of votes are in force, or 0 if there are fewer
+// now.
+func (t *tally) inForceUntil(votes int) time.Duration {
 	if len(t.expiries) < votes {
 		return 0
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -61,7 +61,7 @@
 // has stepped out of the fleet or is leaving it is always Isolated.
 func (m *Mesh) updateSide(view, before *View, status quorumStatus) {
 	view.Side = status.side
-	view.LeaderProcess = status.leader
+	view.LeaderProcess = status.leaderProcess
 	view.claimUntil = status.claimUntil
 	view.MemberListSettled = status.settled
 	view.MemberList = status.memberList
@@ -103,7 +103,7 @@
 	members := m.currentMembers(now)
 	live, left := map[string]bool{m.cfg.Name: true}, map[string]bool{}
 	for name, member := range members {
-		members[name] = m.noteChange(member, now)
+		members[name] = m.recordChange(member, now)
 		if member.State == Left {
 			left[name] = true
 		}
@@ -119,9 +119,9 @@
 	return slices.SortedFunc(maps.Values(members), byName)
 }
 
-// noteChange returns the member with the start of its state set. If state or incarnation have changed it logs that, and
-// it records a return from the dead for flap damping.
-func (m *Mesh) noteChange(member Member, now time.Duration) Member {
+// recordChange returns the member with the start of its state set. If state or incarnation have changed it logs that,
+// and it records a return from the dead for flap damping.
+func (m *Mesh) recordChange(member Member, now time.Duration) Member {
 	before, known := m.members[member.Name]
 	member.since = before.since
 	if known && before.State == member.State && before.Incarnation == member.Incarnation {
--- a/internal/membership/virtual_test.go
+++ b/internal/membership/virtual_test.go
@@ -27,13 +27,13 @@
 			t.Fatalf("MESH_SIZES: %q is not a size from 4 to 2000", text)
 		}
 		t.Run(text, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playVirtualFleet(t, size) })
+			synctest.Test(t, func(t *testing.T) { checkVirtualFleet(t, size) })
 		})
 	}
 }
 
-// playVirtualFleet measures and checks one fleet.
-func playVirtualFleet(t *testing.T, size int) {
+// checkVirtualFleet measures and checks one fleet.
+func checkVirtualFleet(t *testing.T, size int) {
 	f := newVirtualFleet(t, size)
 	agreed := f.until("all agree", f.agreed)
 	time.Sleep(10 * time.Second) // until gossip about the joins has ended
--- a/internal/membership/voter.go
+++ b/internal/membership/voter.go
@@ -6,7 +6,7 @@
 type voter struct {
 	eligibleAt time.Duration // one lease after the start, as an earlier process of this name may have voted
 	votedFor   uint64        // number of the leading process
-	since      time.Duration // of the first vote in an unbroken series for that process
+	votedSince time.Duration // of the first vote in an unbroken series for that process
 	expiry     time.Duration // of the lease
 
 	receiveFailureUntil map[string]time.Duration // by name of a leader that does not receive this process's votes
@@ -22,15 +22,15 @@
 // eligible reports whether this process may vote yet.
 func (v *voter) eligible(now time.Duration) bool { return now >= v.eligibleAt }
 
-// freeFor reports whether the vote may go to a process: no lease binds the voter to a different one.
-func (v *voter) freeFor(process uint64, now time.Duration) bool {
+// mayVoteFor reports whether the vote may go to a process: no lease binds the voter to a different one.
+func (v *voter) mayVoteFor(process uint64, now time.Duration) bool {
 	return v.votedFor == process || now >= v.expiry
 }
 
 // vote binds this process to a leading process for a lease, or renews the lease.
 func (v *voter) vote(process uint64, now time.Duration) {
 	if v.votedFor != process || now >= v.expiry {
-		v.since = now
+		v.votedSince = now
 	}
 	v.votedFor = process
 	v.expiry = now + leaseDuration
@@ -54,7 +54,7 @@
 		return
 	}
 	bound := v.votedFor == heartbeat.Process && now < v.expiry
-	if bound && now-v.since >= echoTimeout {
+	if bound && now-v.votedSince >= echoTimeout {
 		v.receiveFailureUntil[heartbeat.From] = now + leaseDuration
 	}
 }
--- a/internal/membership/voter_test.go
+++ b/internal/membership/voter_test.go
@@ -41,14 +41,14 @@
 func TestVoteBindsForALeaseUnlessReleased(t *testing.T) {
 	v := newVoter(0)
 	v.vote(1, leaseDuration)
-	if v.freeFor(2, 2*leaseDuration-1) || !v.freeFor(1, leaseDuration) || !v.freeFor(2, 2*leaseDuration) {
+	if v.mayVoteFor(2, 2*leaseDuration-1) || !v.mayVoteFor(1, leaseDuration) || !v.mayVoteFor(2, 2*leaseDuration) {
 		t.Error("a vote does not bind for exactly one lease, or not to one process only")
 	}
 	v.vote(1, leaseDuration)
-	if v.release(2) || v.freeFor(2, leaseDuration) {
+	if v.release(2) || v.mayVoteFor(2, leaseDuration) {
 		t.Error("a vote was released by a process that it is not for")
 	}
-	if !v.release(1) || !v.freeFor(2, leaseDuration) {
+	if !v.release(1) || !v.mayVoteFor(2, leaseDuration) {
 		t.Error("after its release a vote is still bound")
 	}
 }
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -98,7 +98,7 @@
 
 // Guards against a refactoring that changes what the quorum sends: the messages of random runs with fixed seeds must
 // stay the same, byte for byte and in the same order.
-func TestDrawnRunSendsRecordedMessages(t *testing.T) {
+func TestRandomRunSendsRecordedMessages(t *testing.T) {
 	recorded := fnv.New64a()
 	for seed := range 12 {
 		model := newQuorumModel(t, uint64(seed), 2+seed%8)
