--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -11,7 +11,7 @@
 const defaultProbeInterval = 400 * time.Millisecond
 
 // ErrInvalidName is returned for a configuration without a valid fleet name or member name.
-var ErrInvalidName = errors.New("fleet and member name are required, without " + idSeparator + " in the name")
+var ErrInvalidName = errors.New("fleet and name are required; the name must contain no " + idSeparator + " character")
 
 // Config holds the identity of this process, the addresses of its fleet and the callbacks of the mesh.
 type Config struct {
--- a/internal/membership/frame.go
+++ b/internal/membership/frame.go
@@ -9,10 +9,10 @@
 
 // A frame carries one packet, or opens one stream. Its fields with their sizes in bytes, all numbers big-endian:
 //
-//	"qm" | version 2 | kind 1 | fleet 8 | process 8 | sequence 8 | check 4 | payload
+//	"qm" 2 | version 1 | kind 1 | fleet 8 | process 8 | sequence 8 | check 4 | payload
 //
-// The fleet field is the hash of the fleet's name. The check covers all fields before it and the payload. Processes of
-// older builds read frames, so the format must not change unless the version does.
+// The version is 2. The fleet field is the hash of the fleet's name. The check covers all fields before it and the
+// payload. Processes of older builds read frames, so the format must not change unless the version does.
 const (
 	frameMagic      = "qm"
 	frameVersion    = 2
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -100,15 +100,15 @@
 		}
 		node := p.node
 		if len(text) < maxPacketMessage {
-			_ = m.detector.SendBestEffort(&node, text) // the next heartbeat makes up for a lost message
+			_ = m.detector.SendBestEffort(&node, text) // the next heartbeat makes up for a lost quorum message
 			continue
 		}
 		m.sendByStream(&node, text)
 	}
 }
 
-// sendByStream sends a message in the background. If another stream is being opened it drops the message, as the next
-// heartbeat makes up for it.
+// sendByStream sends a message in the background. If another stream is being opened it drops the message: the next
+// heartbeat makes up for a lost quorum message.
 func (m *Mesh) sendByStream(node *memberlist.Node, text []byte) {
 	if !m.joiner.acquire() {
 		return
@@ -116,7 +116,7 @@
 	detector := m.detector
 	go func() { // ends within the stream timeouts
 		defer m.joiner.release()
-		_ = detector.SendReliable(node, text) // the next heartbeat makes up for a lost message
+		_ = detector.SendReliable(node, text) // the next heartbeat makes up for a lost quorum message
 	}()
 }
 
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -15,8 +15,8 @@
 )
 
 // departure tracks which processes have acknowledged that this process is leaving. Gossip alone does not ensure that
-// they know: a member that learns of the end of this process before its changed metadata cannot distinguish the leave
-// from a failure.
+// they know: a member that learns of the end of this process before it has the changed metadata cannot distinguish the
+// leave from a failure.
 type departure struct {
 	acknowledged map[string]bool // by process ID
 	nextNotice   time.Duration
--- a/internal/membership/quorum.go
+++ b/internal/membership/quorum.go
@@ -50,8 +50,8 @@
 	election election
 	stepDown stepDown
 
-	nextSend    time.Duration
-	sendFailure bool // no member answers this process, so it does not act as a leader for now
+	nextSend    time.Duration // time at which the next messages are due
+	sendFailure bool          // no member answers this process, so it does not act as a leader for now
 }
 
 // followedLeader is the leader that this process follows until a time, which each of its heartbeats extends.
@@ -98,7 +98,7 @@
 	return ""
 }
 
-// mayLead reports whether a member is live and is not known to miss this process's votes.
+// mayLead reports whether a member is live and, as far as known, receives this process's votes.
 func (q *quorum) mayLead(name string, now time.Duration) bool {
 	return q.liveness.isLive(name) && !q.voter.hasReceiveFailure(name, now)
 }
--- a/internal/membership/quorum_model_test.go
+++ b/internal/membership/quorum_model_test.go
@@ -126,7 +126,7 @@
 	return model.quorums[name] != nil && model.stoppedUntil[name] <= model.now
 }
 
-// detect returns the names that an accurate failure detector reports live: of the observer, and of the processes that
+// detect returns the names that an accurate failure detector reports live: the observer itself, and the processes that
 // ran and were reachable in both directions within the last 1.5 s.
 func (model *quorumModel) detect(observer string) (live map[string]bool) {
 	live = map[string]bool{observer: true}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -19,7 +19,7 @@
 	memberLogRate   = 20 // lines per second
 )
 
-// publish updates the quorum's liveness and the view, and logs a change of the side or the epoch.
+// publish updates the quorum's liveness and the view, logs a change of the side or the epoch, and calls OnViewChange.
 func (m *Mesh) publish() {
 	now := m.now()
 	before := m.view.Load()
@@ -119,8 +119,8 @@
 	return slices.SortedFunc(maps.Values(members), byName)
 }
 
-// recordChange returns the member with the start of its state set. If state or incarnation have changed it logs that,
-// and it records a return from the dead for flap damping.
+// recordChange returns the member with the start of its state set. If the state or the incarnation has
+// changed, it logs the change and records a return from the dead for flap damping.
 func (m *Mesh) recordChange(member Member, now time.Duration) Member {
 	before, known := m.members[member.Name]
 	member.since = before.since
@@ -135,7 +135,7 @@
 	return member
 }
 
-// currentMembers returns the members by name, each as the preferred one of its processes shows it.
+// currentMembers returns the members by name, each represented by the preferred one of its processes.
 func (m *Mesh) currentMembers(now time.Duration) map[string]Member {
 	chosen, claims := map[string]*process{}, map[string]int{}
 	for _, p := range m.processes.byID {
