--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	lingerTimeout  = 250 * time.Millisecond // for a client to close a connection that the node ends over unread bytes
-	maxLingerBytes = 256 << 10              // of which so many are read
+	lingerTimeout  = 250 * time.Millisecond // for the client to close its end of a connection with unread bytes
+	maxLingerBytes = 256 << 10              // that are read and discarded within lingerTimeout
 
-	// backgroundReadSize is how many bytes net/http asks for while a request is served, to notice a disconnect. It
-	// does so when the whole request has been read, and at no other time.
+	// backgroundReadSize is the size of the read by which net/http notices a disconnect while it serves a request. It
+	// makes a read of this size only after it has read the whole request.
 	backgroundReadSize = 1
 )
 
-// pastDeadline is a deadline that ends a read at once.
+// pastDeadline is a read deadline that has passed: it interrupts a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// clientConn is a client's connection, counted by its listener until it is closed. It is safe for concurrent use.
+// clientConn is a client's connection. Its listener counts it until it is closed. It is safe for concurrent use.
 type clientConn struct {
 	net.Conn
 	listener *limitedListener
@@ -37,13 +37,13 @@
 
 	// Guarded by listener.mu.
 	state          clientConnState
-	list           *list.List    // the listener's, that element is in
-	element        *list.Element // nil: the connection cannot be evicted
+	list           *list.List    // the list of the listener that holds element
+	element        *list.Element // nil if the connection cannot be evicted
 	listedSince    time.Time
-	reused         bool      // it had a request before
-	idleSince      time.Time // since its last response; zero: it had none
-	closeRequested bool      // its reader is to end it if no request has begun to arrive
-	readDeadline   time.Time // of the HTTP server's read; zero: none
+	reused         bool      // a response has been written to it before
+	idleSince      time.Time // when its last response was written; zero if it had none
+	closeRequested bool      // its reader closes it unless a request has begun to arrive
+	readDeadline   time.Time // of the HTTP server's read; zero if it has none
 }
 
 // newClientConn wraps an accepted connection. The caller holds the listener's lock.
@@ -58,9 +58,10 @@
 	return c
 }
 
-// Close is called by the HTTP server. A close over unread bytes, such as those of the next request, resets the
-// connection, and the part of a response that is still on its way is lost: such bytes are read first, after the end of
-// sending was announced. Without a response on its way the reset is right: the client retries what was not read.
+// Close is called by the HTTP server. Closing a socket that has unread bytes, such as those of the next request, resets
+// the connection, and the client loses the part of the response that it has not received yet. Such bytes are therefore
+// read first, after the sending direction has been shut down. A connection that its reader has given up has no response
+// in flight and may be reset: the client retries what was not read.
 func (c *clientConn) Close() error {
 	if expired := c.startClose(); !expired && !c.listener.aborting.Load() && hasUnreadBytes(c.Conn) {
 		c.linger()
@@ -70,7 +71,7 @@
 	return c.endClose()
 }
 
-// startClose begins the close and reports whether the reader had ended the connection before.
+// startClose begins the close and reports whether the reader had given up the connection before.
 func (c *clientConn) startClose() (expired bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -82,16 +83,16 @@
 	return expired
 }
 
-// linger ends the sending and reads what the client still sends, as a rule until the client closes. Its errors are
-// ignored: each of them means that the connection has ended already.
+// linger shuts down the sending direction and discards what the client still sends, usually until the client closes its
+// end. Errors are ignored: each of them means that the connection has already ended.
 func (c *clientConn) linger() {
 	_ = c.Conn.(interface{ CloseWrite() error }).CloseWrite()
 	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 }
 
-// endClose closes the socket under the lock, which the caller holds: no further connection may be admitted while the
-// descriptor is in use.
+// endClose closes the socket. The caller holds the lock, so that no further connection is admitted while the descriptor
+// is still in use.
 func (c *clientConn) endClose() error {
 	if c.state == clientConnClosed {
 		return net.ErrClosed
@@ -102,8 +103,9 @@
 	return c.Conn.Close()
 }
 
-// idleFor is for how long the connection can have been without a request: a client sends its next one when it has the
-// response to the one before. An unknown connection, nil, may have been idle for any time.
+// idleFor returns the longest time for which the connection may have been without a request: a client sends its next
+// request after it has received the response to the previous one. An unknown connection (nil) may have been idle for
+// any time, so the result is then inbound.MaxBudget.
 func (c *clientConn) idleFor() time.Duration {
 	if c == nil {
 		return inbound.MaxBudget
@@ -113,7 +115,7 @@
 	return time.Since(c.idleSince)
 }
 
-// sinceLastBytes is how long ago the system received the last bytes from the client, read or not; 0 if unknown.
+// sinceLastBytes returns how long ago the kernel received the last bytes from the client, read or not; 0 if unknown.
 func (c *clientConn) sinceLastBytes() time.Duration {
 	if c == nil {
 		return 0
@@ -121,8 +123,8 @@
 	return sinceLastBytes(c.Conn)
 }
 
-// SetReadDeadline is called by the HTTP server. The deadline takes effect later if the connection is being evicted,
-// which has ended the read in progress by a deadline of its own.
+// SetReadDeadline is called by the HTTP server. While the connection is being evicted the deadline is only stored and
+// takes effect later, since the eviction has interrupted the read in progress by a deadline of its own.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -133,21 +135,22 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// applyReadDeadline restores the HTTP server's deadline. The error is ignored: it fails only on a closed connection,
-// and so does the read that follows. The caller holds the lock.
+// applyReadDeadline sets the socket's deadline to readDeadline. The error is ignored: the call fails only on a closed
+// connection, where the next read fails too. The caller holds the lock.
 func (c *clientConn) applyReadDeadline() { _ = c.Conn.SetReadDeadline(c.readDeadline) }
 
-// postponeReadDeadline gives the read more time than the HTTP server did. The caller holds the lock.
+// postponeReadDeadline extends the HTTP server's read deadline to a duration from now. The caller holds the lock.
 func (c *clientConn) postponeReadDeadline(by time.Duration) {
 	c.readDeadline = time.Now().Add(by)
 	c.applyReadDeadline()
 }
 
-// interruptRead ends the read in progress and those that follow; their reader then decides in handleReadTimeout. The
-// error is ignored: it fails only on a closed connection, and so do the reads. The caller holds the lock.
+// interruptRead makes the read in progress and those that follow time out; handleReadTimeout then decides how they end.
+// The error is ignored: the call fails only on a closed connection, where the reads fail too. The caller holds the
+// lock.
 func (c *clientConn) interruptRead() { _ = c.Conn.SetReadDeadline(pastDeadline) }
 
-// Read is called by the HTTP server. It makes sure that no idle connection is ended while a request arrives.
+// Read is called by the HTTP server. It makes sure that no connection is closed as idle while a request arrives.
 func (c *clientConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -162,9 +165,9 @@
 	}
 }
 
-// handleReadTimeout decides what a read returns whose deadline is over: bytes after all, the timeout, or nothing, so
-// that it is retried. Go checks the deadline before it asks the system, so that bytes may be waiting there: a
-// connection without a whole request is ended only if there are none.
+// handleReadTimeout decides how a read ends whose deadline has passed: with bytes that were waiting in the kernel, with
+// the timeout, or with a retry. Go checks the deadline before it makes the system call, so there may be such bytes: a
+// connection without a complete request is closed only if there are none.
 func (c *clientConn) handleReadTimeout(b []byte, timeout error) (n int, retry bool, err error) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -186,7 +189,7 @@
 		n = readAvailable(c.Conn, b)
 	}
 	switch (guard.Close{RequestRead: requestComplete || c.element == nil, BytesUnread: n > 0}).Verdict() {
-	case guard.RequestRead: // the HTTP server itself wants this read to end, and the request goes on
+	case guard.RequestRead: // the HTTP server set this deadline itself; the request is still served
 		return 0, false, timeout
 	case guard.BytesUnread:
 		if idle && !evicted {
@@ -205,13 +208,13 @@
 	return 0, false, timeout
 }
 
-// readDeadlineOver reports whether the HTTP server's deadline is over. The caller holds the lock.
+// readDeadlineOver reports whether the HTTP server's deadline has passed. The caller holds the lock.
 func (c *clientConn) readDeadlineOver() bool {
 	return !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline)
 }
 
-// headTimeLeft is how much longer a head may take that has started to arrive on a reused connection, whose idle time
-// may end before. The caller holds the lock.
+// headTimeLeft returns how much longer a head may take that has started to arrive on a reused connection: the read
+// deadline is that of the idle connection, which may pass before headTimeout. The caller holds the lock.
 func (c *clientConn) headTimeLeft() time.Duration {
 	if !c.reused || !c.awaitsHead() || !c.head.Started() {
 		return 0
@@ -219,7 +222,7 @@
 	return headTimeout - c.head.Age()
 }
 
-// closeCause is why the reader ends the connection. The caller holds the lock.
+// closeCause returns why the reader closes the connection. The caller holds the lock.
 func (c *clientConn) closeCause(evicted, idle bool) metrics.CloseCause {
 	switch {
 	case evicted:
@@ -232,9 +235,10 @@
 	return metrics.CloseSlowHead
 }
 
-// clientState tells whether the client has closed the connection. A client that only ended its sending cannot be told
-// from one that did, and counts as gone. net/http notices a disconnect by reading on, but not behind unread bytes of a
-// body or of a next request, nor while the process is suspended or busy.
+// clientState reports whether the client has closed the connection. A client that has shut down only its sending
+// direction cannot be told from one that has closed, and counts as disconnected. net/http notices a disconnect by its
+// background read, but not behind unread bytes of a body or of a next request, nor while the process is suspended or
+// busy.
 func (c *clientConn) clientState() guard.ClientState {
 	if c == nil {
 		return guard.ClientConnected
--- a/internal/node/client_conn_state.go
+++ b/internal/node/client_conn_state.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// clientConnState is what a client's connection is used for. It is guarded by limitedListener.mu.
+// clientConnState is the state of a client's connection. It is guarded by limitedListener.mu. Each row lists the state
+// that follows on each event:
 //
 //	state      headRead   requestRead  responseWritten  readExpired  closeStarted  closeEnded
 //	idle       receiving  serving      idle             expired      closing       closed
@@ -17,18 +18,18 @@
 //	closing    -          -            -                -            -             closed
 //	closed     -          -            -                -            -             -
 //
-// A dash is an event that changes nothing. An idle, receiving or expired connection stands in a list of the listener's,
-// from which one is evicted when the limit is reached. A transition to idle or receiving puts it last in its list,
-// also one from that same state; an expired connection stays where it stood.
+// A dash is an event that has no effect. Idle, receiving and expired connections are in the lists of the listener from
+// which it evicts when the limit is reached. A transition to idle or receiving, also from that same state, moves the
+// connection to the end of the list of that state; an expired connection keeps its position.
 type clientConnState int
 
 const (
-	clientConnIdle      clientConnState = iota // it waits for the head of a request
-	clientConnReceiving                        // a head was read, its body not yet
-	clientConnServing                          // a request was read, or is forwarded while it is read
-	clientConnExpired                          // its reader has ended it, without a response on its way
-	clientConnClosing                          // the HTTP server closes it; unread bytes may be read first
-	clientConnClosed                           // its socket is closed
+	clientConnIdle      clientConnState = iota // waits for the head of a request
+	clientConnReceiving                        // the head of a request has been read, its body not completely
+	clientConnServing                          // a request has been read, or is forwarded while its body arrives
+	clientConnExpired                          // its reader has given it up; no response is in flight
+	clientConnClosing                          // the HTTP server is closing it; unread bytes may be read first
+	clientConnClosed                           // the socket is closed
 	clientConnStates
 )
 
@@ -36,10 +37,10 @@
 type clientConnEvent int
 
 const (
-	headRead        clientConnEvent = iota // the handler has a request's head
-	requestRead                            // the handler has all of a request, or streams its body
+	headRead        clientConnEvent = iota // the handler has received the head of a request
+	requestRead                            // the handler has read the whole request, or streams its body
 	responseWritten                        // the HTTP server waits for the next request
-	readExpired                            // the reader ends a connection without a request
+	readExpired                            // the reader gives up a connection without a request
 	closeStarted
 	closeEnded
 	clientConnEvents
@@ -78,7 +79,8 @@
 	clientConnClosed: {},
 }
 
-// transition moves the connection to its next state, and to the list that goes with it. The caller holds the lock.
+// transition moves the connection to the state that follows on the event, and to the list of that state. The caller
+// holds the lock.
 func (c *clientConn) transition(event clientConnEvent) {
 	next, ok := clientConnTransitions[c.state][event]
 	if !ok {
@@ -102,20 +104,21 @@
 	}
 }
 
-// awaitsHead reports whether no complete head has been read since the last request. The caller holds the lock.
+// awaitsHead reports whether the connection has no request whose head has been read completely. The caller holds the
+// lock.
 func (c *clientConn) awaitsHead() bool {
 	return c.state == clientConnIdle || c.state == clientConnExpired
 }
 
-// enterList puts the connection last in a list of connections that may be evicted. The caller holds the lock.
+// enterList appends the connection to a list of connections that may be evicted. The caller holds the lock.
 func (c *clientConn) enterList(l *list.List) {
 	c.list = l
 	c.element = l.PushBack(c)
 	c.listedSince = time.Now()
 }
 
-// leaveList takes the connection out of its list. If it was to be evicted, another one is in its place. The caller
-// holds the lock.
+// leaveList removes the connection from its list. If it was being evicted, the listener may evict another one instead.
+// The caller holds the lock.
 func (c *clientConn) leaveList() {
 	if c.element != nil {
 		c.list.Remove(c.element)
--- a/internal/node/client_handler.go
+++ b/internal/node/client_handler.go
@@ -1,4 +1,4 @@
-// The handler of clients' requests.
+// The HTTP handler of clients' requests.
 
 package node
 
@@ -17,27 +17,27 @@
 	"keelusher/policy/guard"
 )
 
-// A well-behaved client takes up to 2 s for a head and sends its body at 64 kB a second at least; a peer that
-// sends no whole request is owed an error or a close within 3 s of connecting.
+// A well-behaved client takes up to 2 s for a head and sends its body at 64 kB/s or more; a client that sends no
+// complete request must get an error or a close within 3 s of connecting.
 const (
-	headTimeout          = 2500 * time.Millisecond // from connecting on
+	headTimeout          = 2500 * time.Millisecond // from the connect
 	firstBodyByteTimeout = 2 * time.Second
-	headAndBodyTimeout   = 2800 * time.Millisecond // for a head and the first bytes of a body, from connecting on
+	headAndBodyTimeout   = 2800 * time.Millisecond // for a head and the first bytes of a body, from the connect
 	responseWriteTimeout = 5 * time.Second         // for the next bytes of a response
-	clientIdleTimeout    = 2 * time.Second         // between the requests on a connection
+	clientIdleTimeout    = 2 * time.Second         // between two requests on a connection
 )
 
-// clientHandler turns HTTP requests into requests for the loop, and writes the loop's responses.
+// clientHandler passes clients' requests to the event loop, and writes the responses that the loop returns.
 type clientHandler struct {
 	clock       clock
 	arrivals    chan<- *clientRequest
 	disconnects chan<- *clientRequest
-	stopped     <-chan struct{} // closed when the loop has ended
+	stopped     <-chan struct{} // closed when the loop has stopped
 	metrics     *metrics.Recorder
 	decisions   *metrics.Decisions
 	buffers     buffers
-	methods     map[string]string             // by class; other classes are unknown
-	suspension  *lifecycle.SuspensionDetector // nil: suspensions of the process are not noticed
+	methods     map[string]string             // by class name; other classes are unknown
+	suspension  *lifecycle.SuspensionDetector // nil: suspensions of the process are not detected
 	ready       func() bool
 
 	closeConnections func() bool // whether every response closes its connection
@@ -66,12 +66,13 @@
 		h.abortEvicted()
 	}
 	if c.bodyStream != nil {
-		// The response may come before the body's end. An error is ignored: HTTP/1.1 connections support it.
+		// The response may be written before the body's end has been read. The error is ignored: HTTP/1.1 connections
+		// support this.
 		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
 	select {
 	case h.arrivals <- c:
-	case <-h.stopped: // the node has ended and closed this connection
+	case <-h.stopped: // the node has stopped and closed this connection
 		panic(http.ErrAbortHandler)
 	}
 	select {
@@ -85,7 +86,7 @@
 	}
 }
 
-// serveReadiness answers whether the node serves clients.
+// serveReadiness answers 200 if the node serves clients, else 503.
 func (h *clientHandler) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	status := http.StatusOK
 	if !h.ready() {
@@ -95,13 +96,13 @@
 	w.WriteHeader(status)
 }
 
-// disconnected tells the loop that the client of a request has disconnected, and ends its handling.
+// disconnected notifies the loop that the client of a request has disconnected, and aborts its handling.
 func (h *clientHandler) disconnected(c *clientRequest) {
 	select {
 	case h.disconnects <- c:
 	case <-h.stopped:
 	}
-	select { // a response may have come at the same moment; the loop sends none after the message
+	select { // a response may have arrived at the same time; the loop sends none after the notification
 	case final := <-c.responses:
 		final.discard()
 	default:
@@ -110,7 +111,7 @@
 }
 
 // abort ends the handling of a request whose client has disconnected. A plain return would send an empty 200, which a
-// client could read that closed only its sending.
+// client that has shut down only its sending direction could read.
 func (h *clientHandler) abort(c *clientRequest) {
 	if c.bodyStream != nil {
 		c.bodyStream.Stop()
@@ -118,17 +119,17 @@
 	panic(http.ErrAbortHandler)
 }
 
-// abortEvicted ends the handling of a request whose connection the node has closed. Its client retries, so that
-// forwarding it would run it twice.
+// abortEvicted ends the handling of a request whose connection the node has closed. The client retries the request, so
+// forwarding this one could execute it twice.
 func (h *clientHandler) abortEvicted() {
 	h.metrics.Update(func(c *metrics.Counters) { c.RequestsAfterClose++ })
 	h.decisions.Violation(guard.RequestRead)
 	panic(http.ErrAbortHandler)
 }
 
-// reject answers a request that does not reach the loop, and closes its connection: the body may not have been read to
-// its end, and what follows on the connection need not be a request. An error that is no *inbound.Rejection counts as
-// the client's.
+// reject answers a request that is not passed to the loop, and closes its connection: the body may not have been read
+// to its end, so the bytes that follow need not be a request. Errors other than *inbound.Rejection count as faults of
+// the client and are answered with 400.
 func (h *clientHandler) reject(w http.ResponseWriter, reason error) {
 	status := http.StatusBadRequest
 	var rejection *inbound.Rejection
@@ -143,7 +144,7 @@
 	http.Error(w, reason.Error(), status)
 }
 
-// beginResponse prepares the connection for its next request, or for its close after this response.
+// beginResponse prepares the connection for its next request, or announces that it is closed after this response.
 func (h *clientHandler) beginResponse(w http.ResponseWriter, r *http.Request) {
 	if c := clientConnOf(r); c != nil {
 		c.head.Reset()
@@ -153,8 +154,8 @@
 	}
 }
 
-// writeResponse writes the final response to a request. Errors of its writes are ignored: a client that has
-// disconnected is noticed by its request's context.
+// writeResponse writes the final response to a request. Write errors are ignored: the request's context reports that
+// the client has disconnected.
 func (h *clientHandler) writeResponse(w http.ResponseWriter, r *http.Request, c *clientRequest, final response) {
 	controller := http.NewResponseController(w)
 	defer final.bodyMemory.release()
@@ -183,8 +184,8 @@
 	}
 }
 
-// streamResponse forwards a response while it arrives. If it breaks off the connection is closed, so that the client
-// does not take it for complete.
+// streamResponse forwards a response while it arrives. If the response is cut off, the client's connection is closed,
+// so that the client does not take the response for complete.
 func (h *clientHandler) streamResponse(w http.ResponseWriter, controller *http.ResponseController, final response) {
 	if length := final.bodyStream.response.ContentLength; length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
@@ -200,7 +201,7 @@
 		n, err := final.bodyStream.Read(buffer)
 		chunk = buffer[:n]
 		switch {
-		case n > 0: // an error is returned again by the next read
+		case n > 0: // the next read returns the error again
 		case errors.Is(err, io.EOF):
 			final.bodyStream.finish(nil, false)
 			return
@@ -211,15 +212,15 @@
 	}
 }
 
-// writeChunk sends a part of a streamed response to the client.
+// writeChunk writes a part of a streamed response to the client and flushes it.
 func writeChunk(w io.Writer, controller *http.ResponseController, chunk []byte) error {
-	// An error is ignored: it fails only on a closed connection, and so does the write.
+	// The error is ignored: the call fails only on a closed connection, where the write fails too.
 	_ = controller.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	_, err := w.Write(chunk)
 	return errors.Join(err, controller.Flush())
 }
 
-// methodsByClass gives the HTTP method of each class.
+// methodsByClass returns the HTTP method of each class by its name.
 func methodsByClass(classes []policy.Class) map[string]string {
 	methods := map[string]string{}
 	for _, class := range classes {
@@ -231,7 +232,7 @@
 	return methods
 }
 
-// longestDeadline is the longest time that a client may wait for a response.
+// longestDeadline returns the longest deadline of any class: no client waits longer for a response.
 func longestDeadline(s policy.Settings) time.Duration {
 	longest := slices.MaxFunc(s.Classes, func(a, b policy.Class) int { return int(a.Deadline - b.Deadline) })
 	return longest.Deadline
--- a/internal/node/client_listener.go
+++ b/internal/node/client_listener.go
@@ -1,4 +1,4 @@
-// The listener for clients: the limit on their connections, and the eviction of those without a request.
+// The listener for clients: the limit on their connections, and the eviction of connections without a request.
 
 package node
 
@@ -14,26 +14,26 @@
 	"keelusher/internal/metrics"
 )
 
-// limitedListener admits a limited number of connections at once. At the limit a further connection evicts the one
-// that has been without a request's head for longest, else the one whose body has been arriving for longest: clients
-// must not wait behind peers that send nothing, half a head or half a body. The reader of the evicted connection ends
-// it, since it alone knows whether a whole request has arrived meanwhile; such a request is served, and another
-// connection is evicted. The listener is safe for concurrent use.
+// limitedListener limits the number of connections that are open at once. At the limit, a further connection evicts the
+// one that has waited for the head of a request for longest, or if there is none, the one whose body has been arriving
+// for longest: clients must not wait for others that send nothing, half a head or half a body. The reader of the
+// evicted connection closes it, since only the reader knows whether a complete request has arrived meanwhile; such a
+// request is served, and another connection is evicted instead. The listener is safe for concurrent use.
 type limitedListener struct {
 	net.Listener
 	metrics   *metrics.Recorder
 	decisions *metrics.Decisions
 	closing   chan struct{} // closed by Close
-	aborting  atomic.Bool   // the node ends: open connections are closed at once
+	aborting  atomic.Bool   // the node stops: connections are closed without lingering
 
 	mu           sync.Mutex
 	changed      *sync.Cond // signaled when a connection has been closed or may be evicted
 	limit        int        // on admitted connections
 	admitted     int
 	closed       bool
-	awaitingHead *list.List  // of *clientConn, the longest waiting first
-	awaitingBody *list.List  // of *clientConn, the longest waiting first
-	evicting     *clientConn // its reader is to end it; nil: none
+	awaitingHead *list.List  // of *clientConn, longest waiting first
+	awaitingBody *list.List  // of *clientConn, longest waiting first
+	evicting     *clientConn // its reader is to close it; nil if none
 }
 
 func newLimitedListener(ln net.Listener, limit int, m *metrics.Recorder, d *metrics.Decisions) *limitedListener {
@@ -50,7 +50,7 @@
 	return l
 }
 
-// Accept waits for a connection, and until the limit admits it.
+// Accept accepts a connection, and waits until the limit admits it.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	accepted, err := l.acceptWithBackoff()
 	if err != nil {
@@ -68,9 +68,9 @@
 	return newClientConn(accepted, l, acceptedAt), nil
 }
 
-// acceptWithBackoff accepts a connection, and retries after errors that pass. It fails only when the listener can
-// accept no more: http.Server.Serve, and the node with it, would end on each error that Go does not call temporary,
-// such as ENOBUFS.
+// acceptWithBackoff accepts a connection, and retries after temporary errors. It returns an error only when the
+// listener cannot accept any more: http.Server.Serve, and the node with it, would stop on every error that Go does not
+// consider temporary, such as ENOBUFS.
 func (l *limitedListener) acceptWithBackoff() (net.Conn, error) {
 	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		accepted, err := l.Listener.Accept()
@@ -78,7 +78,7 @@
 			return accepted, err
 		}
 		l.decisions.AcceptFailed(err)
-		if !isShortage(err) { // it concerns that connection only
+		if !isShortage(err) { // the error concerns only that connection
 			backoff = minAcceptBackoff
 		}
 		select {
@@ -89,8 +89,8 @@
 	}
 }
 
-// evictOne asks the reader of one connection to end it, unless another is being evicted. The caller holds the lock
-// and waits for changed, which is signaled when the connection is closed or has a request.
+// evictOne asks the reader of one connection to close it, unless another one is being evicted. The caller holds the
+// lock and waits for changed, which is signaled when the connection is closed or has received a request.
 func (l *limitedListener) evictOne() {
 	oldest := l.awaitingHead.Front()
 	if oldest == nil {
@@ -104,7 +104,7 @@
 	l.evicting.interruptRead()
 }
 
-// Close ends the accepting. Admitted connections stay open.
+// Close stops accepting connections. Admitted connections stay open.
 func (l *limitedListener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,7 +116,7 @@
 	return l.Listener.Close()
 }
 
-// setLimit changes the limit. Admitted connections beyond it stay until they end.
+// setLimit changes the limit on admitted connections. Those beyond a lower limit stay open until they end.
 func (l *limitedListener) setLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,8 +124,9 @@
 	l.changed.Broadcast()
 }
 
-// connStateChanged is called by the HTTP server. Of its states only StateIdle matters: that bytes of a request have
-// arrived is no reason to keep a connection, and recordHeadRead is called when its head has.
+// connStateChanged is called by the HTTP server when the state of a connection changes. Only StateIdle matters:
+// StateActive means that some bytes of a request have arrived, which does not keep a connection from being evicted, and
+// recordHeadRead is called when the whole head has.
 func (l *limitedListener) connStateChanged(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*clientConn)
 	if !ok || state != http.StateIdle {
@@ -136,8 +137,8 @@
 	c.transition(responseWritten)
 }
 
-// closeIdle ends the connections that have been without a request for an age at least. Their readers end them, since
-// nobody else knows whether a request has arrived meanwhile.
+// closeIdle closes the connections that have waited for a request for at least age. Their readers close them, since
+// only a reader knows whether a request has arrived meanwhile.
 func (l *limitedListener) closeIdle(age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,23 +152,23 @@
 	}
 }
 
-// openConnections is the number of admitted connections.
+// openConnections returns the number of admitted connections.
 func (l *limitedListener) openConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.admitted
 }
 
-// clientConnKey finds the connection in the context of its requests.
+// clientConnKey is the key of a connection in the context of its requests.
 type clientConnKey struct{}
 
-// clientConnOf is the connection of a request; nil: it has none of a limitedListener's.
+// clientConnOf returns the connection of a request; nil if it was not accepted by a limitedListener.
 func clientConnOf(r *http.Request) *clientConn {
 	c, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return c
 }
 
-// headOf is the head of a request as its connection read it; nil: not known.
+// headOf returns the head of a request as its connection has read it; nil if the connection is unknown.
 func headOf(r *http.Request) *inbound.Head {
 	if c := clientConnOf(r); c != nil {
 		return &c.head
@@ -175,12 +176,12 @@
 	return nil
 }
 
-// recordHeadRead records that the head of a request has been read. It reports whether the connection is still open: the
-// connection may have been evicted since the read, and the request could not be answered.
+// recordHeadRead records that the head of a request has been read. It reports whether the connection is still open: it
+// may have been evicted since the read, and the request could then not be answered.
 func recordHeadRead(r *http.Request) (open bool) { return recordProgress(r, headRead) }
 
-// recordRequestRead records that a request has been read, or that the remainder is about to be streamed: from now on
-// until its response the connection is not evicted. It reports whether the connection is still open.
+// recordRequestRead records that a request has been read, or that the remainder of its body is about to be streamed:
+// the connection is not evicted until the response has been written. It reports whether the connection is still open.
 func recordRequestRead(r *http.Request) (open bool) { return recordProgress(r, requestRead) }
 
 func recordProgress(r *http.Request, event clientConnEvent) (open bool) {
@@ -194,7 +195,7 @@
 	return c.state != clientConnClosed
 }
 
-// firstBodyByteDue is how soon the first bytes of a request's body have to arrive.
+// firstBodyByteDue returns how soon the first bytes of a request's body have to arrive.
 func firstBodyByteDue(r *http.Request) time.Duration {
 	c := clientConnOf(r)
 	if c == nil {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -1,4 +1,4 @@
-// The descriptors of a node, and how processes share the limits during a hand-over.
+// The limits on the file descriptors of a node, and how the processes of a hand-over share the limits.
 
 package node
 
@@ -8,13 +8,14 @@
 )
 
 const (
-	// reservedDescriptors are for the listeners, discovery, logs, the runtime and the admin endpoint.
+	// reservedDescriptors is the number of descriptors for the listeners, discovery, logs, the runtime and the admin
+	// endpoint.
 	reservedDescriptors    = 24 + admin.MaxConnections
-	defaultDescriptorLimit = 1024 // where the configuration sets none
-	minConnections         = 4    // to clients and to servers, however many processes share the limit
+	defaultDescriptorLimit = 1024 // if the configuration sets none
+	minConnections         = 4    // to clients and as many to servers, however many processes share the limit
 )
 
-// reservedDescriptors is how many descriptors are neither for clients nor for servers.
+// reservedDescriptors returns how many descriptors are neither for clients nor for servers.
 func (c *Config) reservedDescriptors() int {
 	if c.hasMembership() {
 		return reservedDescriptors + membership.MaxDescriptors
@@ -22,12 +23,12 @@
 	return reservedDescriptors
 }
 
-// clientConnectionLimit is how many of a number of descriptors are for clients' connections.
+// clientConnectionLimit returns how many of the given descriptors are for clients' connections.
 func (c *Config) clientConnectionLimit(descriptors int) int {
 	return (descriptors - c.reservedDescriptors()) * 5 / 8
 }
 
-// changeProcesses changes the number of other processes that share the limits, and adapts this process's part.
+// changeProcesses adds change to the number of other processes that share the limits, and adapts the share of this one.
 func (n *Node) changeProcesses(change int) {
 	n.sharingMutex.Lock()
 	defer n.sharingMutex.Unlock()
--- a/internal/node/memory_budget.go
+++ b/internal/node/memory_budget.go
@@ -1,23 +1,23 @@
-// The memory for buffered bodies: a budget for each direction, and the reservations taken from it.
+// The memory for buffered bodies: a budget for each direction, and reservations of parts of it.
 
 package node
 
 import "sync/atomic"
 
 const (
-	maxBufferedBody = 64 << 10 // of a request or a response
+	maxBufferedBody = 64 << 10 // longest body of a request or a response that is buffered completely
 
-	defaultBufferMemory = 32 << 20 // a direction, where no memory limit is set
-	memoryShareDivisor  = 8        // of the memory limit, for the buffers of one direction
+	defaultBufferMemory = 32 << 20 // for each direction, if no memory limit is set
+	memoryShareDivisor  = 8        // the buffers of one direction get this fraction of the memory limit
 	minChunkSize        = 2 << 10
 	maxChunkSize        = 32 << 10
 )
 
-// memoryBudget bounds the total size of the bodies that are buffered completely. It never makes anyone wait: a body
-// for which no memory is available is streamed. It is safe for concurrent use.
+// memoryBudget limits the total size of the bodies that are buffered completely. A reservation never blocks: a body for
+// which no memory is available is streamed. The budget is safe for concurrent use.
 type memoryBudget struct {
 	total     int
-	available atomic.Int64 // negative while more is reserved than a reduced budget has
+	available atomic.Int64 // negative while more is reserved than a reduced budget allows
 }
 
 func newMemoryBudget(total int) *memoryBudget {
@@ -26,12 +26,12 @@
 	return b
 }
 
-// rescale changes the number of processes that share the memory limit in equal parts.
+// rescale adapts the budget to a changed number of processes that share the memory limit in equal parts.
 func (b *memoryBudget) rescale(oldProcesses, newProcesses int) {
 	b.available.Add(int64(b.total/newProcesses - b.total/oldProcesses))
 }
 
-// reserve takes size bytes from the budget. It returns nil if they are not available.
+// reserve takes size bytes from the budget. It returns nil if fewer are available.
 func (b *memoryBudget) reserve(size int) *memoryReservation {
 	if b.available.Add(int64(-size)) < 0 {
 		b.available.Add(int64(size))
@@ -40,13 +40,13 @@
 	return &memoryReservation{budget: b, size: size}
 }
 
-// memoryReservation is a reserved part of a budget. It has one owner at a time; nil reserves nothing.
+// memoryReservation is a reserved part of a budget. It has one owner at a time; a nil reservation holds no memory.
 type memoryReservation struct {
 	budget *memoryBudget
 	size   int
 }
 
-// shrinkTo returns what exceeds size bytes to the budget.
+// shrinkTo reduces the reservation to size bytes and returns the rest to the budget.
 func (r *memoryReservation) shrinkTo(size int) {
 	if r != nil && size < r.size {
 		r.budget.available.Add(int64(r.size - size))
@@ -54,16 +54,16 @@
 	}
 }
 
-// release returns all of the reservation to the budget. Further calls do nothing.
+// release returns the whole reservation to the budget. Further calls have no effect.
 func (r *memoryReservation) release() { r.shrinkTo(0) }
 
-// buffers are the buffer sizes that follow from the limits, chosen so that all buffers together fit into memory.
+// buffers holds the buffer sizes for the configured limits, chosen so that all buffers together fit into memory.
 type buffers struct {
 	requests, responses *memoryBudget
-	chunkSize           int // of a streamed body, for each connection and direction
+	chunkSize           int // buffer size of a streamed body, for each connection and direction
 }
 
-// newBuffers divides the memory limit among the buffers; no limit is 0.
+// newBuffers divides the memory limit among the buffers; 0 means that no limit is set.
 func newBuffers(memoryMB, connections int) buffers {
 	directionMemory := memoryMB << 20 / memoryShareDivisor
 	if memoryMB == 0 {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -1,4 +1,4 @@
-// Requests, their responses, and the messages about them that the loop receives.
+// Requests, their responses, and the messages about them that the event loop receives.
 
 package node
 
@@ -15,27 +15,27 @@
 
 // clientRequest is a request of a client from its acceptance until its last attempt has ended.
 type clientRequest struct {
-	meta          policy.Request // what the policy knows of it
+	meta          policy.Request // the request as the policy sees it
 	method        string
 	url           *url.URL
 	host          string
 	header        http.Header
-	body          []byte             // complete, or what was read before the request was accepted
+	body          []byte             // complete, or the part that was read before the request was passed to the loop
 	bodyMemory    *memoryReservation // for body
-	bodyStream    *inbound.Body      // what follows body; nil: nothing
-	contentLength int64              // of body and bodyStream together; -1: not known
+	bodyStream    *inbound.Body      // the remainder after body; nil if body is complete
+	contentLength int64              // of body and bodyStream together; -1 if unknown
 	budget        time.Duration
 	deadline      time.Duration
-	responses     chan response // takes the one final response without blocking
-	connection    *clientConn   // nil: not known
+	responses     chan response // buffered, so that sending the final response does not block
+	connection    *clientConn   // nil if unknown
 
-	finished       atomic.Bool // answered or abandoned by the client: nothing more may be sent for it
+	finished       atomic.Bool // answered, or its client has disconnected: no further attempt may be sent
 	disconnectedAt atomicTime  // when the node learned that the client had disconnected
 
 	// Used by the loop only.
 	attemptCount int
-	inFlight     int // attempts
-	counted      bool
+	inFlight     int  // number of attempts
+	counted      bool // in the metrics
 }
 
 // response is the final response to a request.
@@ -45,10 +45,10 @@
 	contentType string
 	body        []byte
 	bodyMemory  *memoryReservation // for body
-	bodyStream  *responseStream    // what follows body; nil: nothing
+	bodyStream  *responseStream    // the remainder after body; nil if body is complete
 }
 
-// discard releases what belongs to a response that no client gets.
+// discard releases the resources of a response that is not sent to any client.
 func (r response) discard() {
 	r.bodyMemory.release()
 	if r.bodyStream != nil {
@@ -56,10 +56,10 @@
 	}
 }
 
-// abortResponse closes the connection of a request without a response: its client has disconnected.
+// abortResponse tells the handler to close the connection without a response, because the client has disconnected.
 var abortResponse = response{}
 
-// attemptOutcome is the message that an attempt has ended, from its goroutine to the loop.
+// attemptOutcome is the message from the goroutine of an attempt to the loop that the attempt has ended.
 type attemptOutcome struct {
 	attempt       *attempt
 	result        policy.AttemptResult
@@ -70,15 +70,15 @@
 	err           error         // why there is no response
 }
 
-// requestWritten is the message that a streamed request has been written completely, from the attempt's goroutine to
-// the loop.
+// requestWritten is the message from the goroutine of an attempt to the loop that a streamed request has been written
+// completely.
 type requestWritten struct {
 	attempt   *attempt
 	writtenAt time.Duration
 }
 
-// responseStarted is the message that a response is ready to be forwarded while it arrives, from the attempt's
-// goroutine to the loop.
+// responseStarted is the message from the goroutine of an attempt to the loop that a response can be forwarded while it
+// arrives.
 type responseStarted struct {
 	attempt  *attempt
 	response response
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -1,4 +1,4 @@
-// What the event loop does with requests and attempts.
+// How the event loop handles requests and attempts.
 
 package node
 
@@ -13,7 +13,7 @@
 	"keelusher/policy/guard"
 )
 
-// handleRequest takes a request whose head, and body up to a limit, has been read.
+// handleRequest accepts a request whose head has been read, and its body up to a limit.
 func (l *eventLoop) handleRequest(request *clientRequest) {
 	l.awaitOverdueUpdates()
 	if open := l.openRequests[request.meta.ID]; open != nil {
@@ -27,9 +27,10 @@
 	l.handle(request.meta)
 }
 
-// rejectDuplicate rejects a request whose ID is in use: the policy would take it for the open one, and never answer it.
-// Where only attempts are left of the open one because its client has disconnected, that client has come again: an
-// idempotent request gets 503, so that it is sent once more; of the others the client must not think that nothing ran.
+// rejectDuplicate rejects a request whose ID is in use: the policy would confuse it with the open request and never
+// answer it. If the open request is finished and only its attempts are left, its client has disconnected and retries:
+// an idempotent request then gets 503, so that the client retries it again. Any other request gets 409, since 503 would
+// tell the client that nothing was executed, though the first request may have been.
 func (l *eventLoop) rejectDuplicate(request, open *clientRequest) {
 	status := http.StatusConflict
 	if open.finished.Load() && request.method == http.MethodGet {
@@ -40,7 +41,7 @@
 	request.responses <- response{status: status}
 }
 
-// countRequest counts a request once it is complete, or has its final response before that.
+// countRequest counts a request in the metrics, once only: when it is complete, or has its final response before that.
 func (l *eventLoop) countRequest(request *clientRequest) {
 	if request.counted {
 		return
@@ -56,7 +57,7 @@
 	l.forget(request)
 }
 
-// disconnect finishes a request whose client has disconnected. It returns false if the request has finished already.
+// disconnect finishes a request whose client has disconnected. It reports false if the request was finished already.
 func (l *eventLoop) disconnect(request *clientRequest) bool {
 	if request.finished.Swap(true) {
 		return false
@@ -69,14 +70,14 @@
 	return true
 }
 
-// failOpenRequests gives every open request its final response now.
+// failOpenRequests makes the policy give every open request its final response now, because the node shuts down.
 func (l *eventLoop) failOpenRequests() {
 	for _, id := range slices.Sorted(maps.Keys(l.openRequests)) {
 		l.handle(policy.ShutdownDeadline{ID: id})
 	}
 }
 
-// sendAttempt starts an attempt. One to an endpoint that is no longer in service ends without being sent.
+// sendAttempt starts an attempt. An attempt to an endpoint that is no longer in service ends without being sent.
 func (l *eventLoop) sendAttempt(now time.Duration, action policy.SendAttempt) {
 	request := l.openRequests[action.ID]
 	if request == nil {
@@ -102,7 +103,8 @@
 	l.sender.start(att)
 }
 
-// handleRequestSent starts the deadline of a request whose body was streamed to a server.
+// handleRequestSent sets the deadline of a request whose body has been streamed to a server: its budget counts from the
+// time when the body was written.
 func (l *eventLoop) handleRequestSent(written requestWritten) {
 	request := written.attempt.request
 	request.deadline = written.writtenAt + request.budget
@@ -112,7 +114,7 @@
 	l.handle(policy.RequestSent{ID: request.meta.ID, Attempt: written.attempt.number, Deadline: request.deadline})
 }
 
-// handleResponseStarted passes a response that is streamed to the client. It is counted when it has ended.
+// handleResponseStarted passes a streamed response to the client. It is counted when it has ended.
 func (l *eventLoop) handleResponseStarted(started responseStarted) {
 	request := started.attempt.request
 	if request.finished.Swap(true) {
@@ -123,7 +125,7 @@
 	request.responses <- started.response
 }
 
-// reject gives a request that the policy rejects or fails its final response, unless it has one.
+// reject sends the final response to a request that the policy rejects or fails, unless the request is finished.
 func (l *eventLoop) reject(id string, final response, why guard.Verdict) {
 	request := l.openRequests[id]
 	if request == nil || request.finished.Swap(true) {
@@ -136,7 +138,7 @@
 	l.forget(request)
 }
 
-// forget drops a request that is finished and has no attempt in flight.
+// forget removes a request that is finished and has no attempt in flight.
 func (l *eventLoop) forget(request *clientRequest) {
 	if !request.finished.Load() || request.inFlight > 0 || l.openRequests[request.meta.ID] != request {
 		return
@@ -145,12 +147,12 @@
 	request.bodyMemory.release()
 }
 
-// logName names an attempt in the log of decisions.
+// logName returns the identification of an attempt in the log of decisions.
 func (att *attempt) logName() metrics.Attempt {
 	return metrics.Attempt{RequestID: att.request.meta.ID, Number: att.number, Endpoint: att.endpoint.id}
 }
 
-// handleAttemptResult notifies the policy of an attempt that ended, and answers the client if it can.
+// handleAttemptResult notifies the policy of an attempt that has ended, and answers the client if that is possible.
 func (l *eventLoop) handleAttemptResult(outcome attemptOutcome) {
 	l.awaitOverdueUpdates()
 	att, request := outcome.attempt, outcome.attempt.request
@@ -175,8 +177,9 @@
 	l.forget(request)
 }
 
-// checkBodyStream reports whether some of a streamed body has been read, so that the request cannot be sent again. If
-// the client failed to send its body, no server is at fault and none would get more of it: the request ends.
+// checkBodyStream reports whether a part of a streamed body has been consumed, so that the request cannot be sent
+// again. If the client has failed to send its body, the request ends with 408: no server is at fault, and another
+// attempt would not get more of the body.
 func (l *eventLoop) checkBodyStream(request *clientRequest) (consumed bool) {
 	if request.bodyStream == nil || request.finished.Load() {
 		return false
@@ -189,10 +192,10 @@
 	return consumed
 }
 
-// passResponse gives the client the response of an attempt, if it is the final one, and counts it.
+// passResponse sends the response of an attempt to the client if it is the final one, and counts it.
 func (l *eventLoop) passResponse(request *clientRequest, outcome attemptOutcome) {
 	switch {
-	case outcome.streamed: // the client has it already
+	case outcome.streamed: // the client has received it already
 		l.countRequest(request)
 		l.metrics.CountResponse(request.meta.Class, outcome.response.status, request.attemptCount)
 	case outcome.result == policy.Success && !request.finished.Swap(true):
--- a/internal/node/request_parsing.go
+++ b/internal/node/request_parsing.go
@@ -1,4 +1,4 @@
-// The step from an HTTP request to a request for the loop.
+// The conversion of HTTP requests into requests for the event loop.
 
 package node
 
@@ -11,14 +11,14 @@
 	"keelusher/internal/inbound"
 )
 
-// Reasons to reject a request. Their texts are sent to the client.
+// Reasons for rejecting a request. Their texts are sent to the client.
 var (
 	errBudgetUsedQueued = errors.New("the request waited to be read for longer than its time")
 	errBodyOverLimit    = fmt.Errorf("the body is over %d bytes", maxStreamedBody)
 	errBodyUnreadable   = errors.New("the body could not be read")
 )
 
-// parseRequest turns an HTTP request into a request for the loop. It fails with an *inbound.Rejection.
+// parseRequest converts an HTTP request into a request for the loop. Its errors are of type *inbound.Rejection.
 func (h *clientHandler) parseRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
 	meta, budget, err := inbound.ParseHeaders(r, h.methods)
 	if err != nil {
@@ -46,16 +46,17 @@
 	return c, nil
 }
 
-// timeQueued is how long a request that has just been read may have waited for that, while its client's time went on:
-// for a suspended process, for a connection to be accepted or admitted, or for a processor.
+// timeQueued returns how long a request that has just been read may have waited to be read, which its client counts
+// against the budget: while the process was suspended, its connection was not yet accepted or admitted, or no processor
+// was free.
 func (h *clientHandler) timeQueued(c *clientConn) time.Duration {
 	suspended := min(h.suspension.TimeQueued(), c.idleFor())
 	return max(suspended, c.sinceLastBytes())
 }
 
 // readBody reads a short body completely, and of a long one as much as memory is available for. The remainder is
-// streamed later. A peer that sends only the head of a request with a long body thus takes no server's time. It fails
-// with an *inbound.Rejection.
+// streamed later. A client that sends only the head of a request with a long body thus occupies no server. Its errors
+// are of type *inbound.Rejection.
 func (h *clientHandler) readBody(w http.ResponseWriter, r *http.Request, c *clientRequest) error {
 	if r.ContentLength > maxStreamedBody {
 		return inbound.Reject(http.StatusRequestEntityTooLarge, errBodyOverLimit)
@@ -65,7 +66,7 @@
 		return nil
 	}
 	stream := inbound.NewBody(w, r, firstBodyByteDue(r))
-	// The maximum, if the length is not known: -1 is then the greatest unsigned number.
+	// An unknown length is -1, which is the greatest value as an unsigned number, so that the maximum is reserved.
 	c.bodyMemory = h.buffers.requests.reserve(int(min(uint64(c.contentLength), maxBufferedBody)))
 	if c.bodyMemory == nil {
 		c.bodyStream = stream
--- a/internal/node/response_stream.go
+++ b/internal/node/response_stream.go
@@ -1,7 +1,7 @@
-// Streamed bodies. A body of up to maxBufferedBody is buffered completely: that of a request can then be sent again,
-// and that of a response is known to be complete before a byte of it is forwarded. A longer one is streamed through a
-// buffer of fixed size for each connection and direction, so that a slow peer slows the other side down and occupies
-// no further memory.
+// Streamed bodies. A body of up to maxBufferedBody bytes is buffered completely: a request can then be sent again, and
+// a response is known to be complete before a byte of it is forwarded. A longer body is streamed through a buffer of
+// fixed size for each connection and direction, so that a slow receiver slows the sender down and occupies no further
+// memory.
 
 package node
 
@@ -13,22 +13,22 @@
 	"keelusher/internal/inbound"
 )
 
-const maxStreamedBody = inbound.MaxBody // of a request or a response
+const maxStreamedBody = inbound.MaxBody // length in bytes of a request's or a response's body
 
-// responseStream is the part of a response's body that is forwarded while it arrives. Whoever reads it calls finish.
+// responseStream is the part of a response's body that is forwarded while it arrives. Its reader must call finish.
 type responseStream struct {
 	conn      *serverConn
 	response  *http.Response
 	bytesRead int64
 	done      chan struct{} // closed by finish
 	once      sync.Once
-	err       error // once done: why it was not forwarded completely
-	abandoned bool  // once done: the endpoint is not to blame for err
+	err       error // set before done is closed: why the body was not forwarded completely
+	abandoned bool  // set before done is closed: err is not a failure of the endpoint
 }
 
-// Read implements io.Reader with the timeout of a server's body.
+// Read implements io.Reader. Each read has the timeout for the body of a server's response.
 func (s *responseStream) Read(b []byte) (int, error) {
-	// An error is ignored: it fails only on a closed connection, and so does the read.
+	// The error is ignored: the call fails only on a closed connection, where the read fails too.
 	_ = s.conn.SetReadDeadline(time.Now().Add(s.conn.pool.streamTimeout))
 	n, err := s.response.Body.Read(b)
 	if s.bytesRead += int64(n); s.bytesRead > maxStreamedBody && err == nil {
@@ -37,7 +37,7 @@
 	return n, err
 }
 
-// finish records how the forwarding ended. Only the first call counts.
+// finish records how the forwarding ended. Further calls have no effect.
 func (s *responseStream) finish(err error, abandoned bool) {
 	s.once.Do(func() {
 		s.err, s.abandoned = err, abandoned
@@ -49,7 +49,8 @@
 	})
 }
 
-// closeIfBytesFollow makes sure that bytes after a response are not taken for the next request's response.
+// closeIfBytesFollow marks the connection for closing if bytes follow the response, so that they are not taken for the
+// response to the next request.
 func (s *responseStream) closeIfBytesFollow() {
 	if s.conn.reader.Buffered() == 0 {
 		return
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -1,4 +1,4 @@
-// What the system knows of a connection's socket, asked for without waiting.
+// Non-blocking queries of the state that the kernel keeps of a connection's socket.
 
 package node
 
@@ -12,23 +12,23 @@
 	"golang.org/x/sys/unix"
 )
 
-const maxPollAttempts = 3 // poll(2) may be interrupted, or lack memory for a moment
+const maxPollAttempts = 3 // poll(2) may be interrupted, or fail for a temporary lack of memory
 
-// peerState tells whether the peer has closed a connection or ended its sending.
+// peerState reports whether the peer has closed a connection or shut down its sending direction.
 func peerState(c net.Conn) guard.ClientState {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
-		return guard.ClientConnected // a connection without a descriptor to ask
+		return guard.ClientConnected // the connection has no descriptor to query
 	}
 	state := guard.ClientStateUnknown
 	err = raw.Control(func(fd uintptr) { state = pollPeer(int32(fd)) })
-	if err != nil { // closed by this side
+	if err != nil { // the node has closed the connection
 		return guard.ClientClosed
 	}
 	return state
 }
 
-// pollPeer is peerState for a descriptor.
+// pollPeer returns the state of the peer of a socket, given its descriptor.
 func pollPeer(fd int32) guard.ClientState {
 	descriptors := []unix.PollFd{{Fd: fd, Events: unix.POLLRDHUP}}
 	for range maxPollAttempts {
@@ -43,7 +43,7 @@
 	return guard.ClientStateUnknown
 }
 
-// hasUnreadBytes reports whether received bytes wait in the system.
+// hasUnreadBytes reports whether the kernel holds received bytes that have not been read.
 func hasUnreadBytes(c net.Conn) (unread bool) {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -56,27 +56,27 @@
 	return err == nil && unread
 }
 
-// readAvailable reads what waits in the system, which may be nothing.
+// readAvailable reads the bytes that the kernel holds, without waiting for more. It returns 0 if there are none.
 func readAvailable(c net.Conn, b []byte) (n int) {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0
 	}
 	err = raw.Control(func(fd uintptr) { n, _ = syscall.Read(int(fd), b) })
-	if err != nil { // closed by this side
+	if err != nil { // the node has closed the connection
 		return 0
 	}
 	return max(n, 0)
 }
 
-// sinceLastBytes is how long ago the system received the last bytes on a connection, to a few milliseconds; 0 if that
-// is unknown.
+// sinceLastBytes returns how long ago the kernel received the last bytes on a connection, with a precision of a few
+// milliseconds; 0 if unknown.
 func sinceLastBytes(c net.Conn) (ago time.Duration) {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0
 	}
-	_ = raw.Control(func(fd uintptr) { // fails on a connection that this side has closed
+	_ = raw.Control(func(fd uintptr) { // fails on a connection that the node has closed
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			ago = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
--- a/internal/node/transient_errors.go
+++ b/internal/node/transient_errors.go
@@ -1,4 +1,4 @@
-// Errors of the operating system that pass by themselves, and the retries after them.
+// Transient errors of the operating system, and the retries after them.
 
 package node
 
@@ -12,14 +12,14 @@
 )
 
 const (
-	startRetryPeriod   = 5 * time.Second // for the system to provide what a start needs
+	startRetryPeriod   = 5 * time.Second // during which the start of a process waits for system resources
 	startRetryInterval = 50 * time.Millisecond
 
-	minAcceptBackoff = 5 * time.Millisecond // after an accept that lacked memory or descriptors
+	minAcceptBackoff = 5 * time.Millisecond // after an accept failed for lack of memory or descriptors
 	maxAcceptBackoff = 100 * time.Millisecond
 )
 
-// shortageErrnos are the errors by which the system reports a temporary lack of some resource.
+// shortageErrnos are the errors by which the system reports a temporary shortage of a resource.
 var shortageErrnos = []syscall.Errno{
 	syscall.EINTR,
 	syscall.EAGAIN,
@@ -35,8 +35,8 @@
 	return errors.As(err, &errno) && slices.Contains(shortageErrnos, errno)
 }
 
-// unusableListenerErrnos are the errors of accept(2) that concern the listener itself. All others are temporary, or
-// concern only the connection that was about to be accepted.
+// unusableListenerErrnos are the errors of accept(2) that make the listener unusable. All others are temporary, or
+// concern only the connection that was being accepted.
 var unusableListenerErrnos = []syscall.Errno{syscall.EBADF, syscall.ENOTSOCK, syscall.EINVAL, syscall.EFAULT}
 
 // endsListener reports whether no further accept can succeed.
@@ -45,8 +45,8 @@
 	return errors.Is(err, net.ErrClosed) || errors.As(err, &errno) && slices.Contains(unusableListenerErrnos, errno)
 }
 
-// RetryOnShortage calls open until it succeeds or fails with an error that is no shortage of the system's, for
-// startRetryPeriod or until ctx ends. It returns the last result of open.
+// RetryOnShortage calls open until it succeeds or fails with an error that isShortage does not report, for at most
+// startRetryPeriod and no longer than ctx lives. It returns the last result of open.
 func RetryOnShortage[T any](ctx context.Context, open func() (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, startRetryPeriod)
 	defer cancel()
