--- a/internal/node/accept_faults_test.go
+++ b/internal/node/accept_faults_test.go
@@ -16,7 +16,7 @@
 	"keelusher/internal/metrics"
 )
 
-// faultyListener fails its first calls of Accept with system errors, then accepts.
+// faultyListener is a listener whose first calls of Accept fail with system errors.
 type faultyListener struct {
 	net.Listener
 	errors chan error
@@ -47,18 +47,18 @@
 	}
 }
 
-// SyscallConn lets the node pass the listener to its successor.
+// SyscallConn returns the raw connection, by which the node passes the listener to its successor.
 func (l *faultyListener) SyscallConn() (syscall.RawConn, error) {
 	return l.Listener.(syscall.Conn).SyscallConn()
 }
 
-// acceptErrors are the errors that accept(2) documents, except those of an unusable listener.
+// acceptErrors are the errors documented for accept(2), except those of an unusable listener.
 var acceptErrors = []syscall.Errno{syscall.EAGAIN, syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EPROTO, syscall.ENOSR, syscall.ETIMEDOUT, syscall.ENETDOWN,
 	syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH}
 
-// serves reports whether a path is answered with 200 on a new connection.
-func serves(url string) func() bool {
+// respondsOK returns a function that reports whether a URL is answered with 200 on a new connection.
+func respondsOK(url string) func() bool {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	return func() bool {
 		resp, err := client.Get(url)
@@ -71,7 +71,7 @@
 	}
 }
 
-// No failed accept ends the node, whether of a client or of an operator.
+// Guards against a node that stops because an accept fails, on the listener for clients or on the admin endpoint.
 func TestFailedAcceptsDoNotEndTheNode(t *testing.T) {
 	for _, errno := range acceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -87,26 +87,26 @@
 			ended := make(chan error, 1)
 			go func() { ended <- n.serve(ctx, clients, operators, nil) }()
 			for _, at := range []string{clients.Addr().String() + "/ready", operators.Addr().String() + "/control/ready"} {
-				served := serves("http://" + at)
-				eventually(t, at+" is served, or the node has ended", func() bool { return len(ended) > 0 || served() })
+				served := respondsOK("http://" + at)
+				eventually(t, at+" is served, or the node has stopped", func() bool { return len(ended) > 0 || served() })
 			}
 			if clients.failed.Load() != 2 || operators.failed.Load() != 2 {
-				t.Errorf("%d and %d accepts failed, want 2 of each", clients.failed.Load(), operators.failed.Load())
+				t.Errorf("failed accepts: clients %d, operators %d, want 2 each", clients.failed.Load(), operators.failed.Load())
 			}
 			stop()
 			if err := <-ended; err != nil {
-				t.Errorf("the node ended with %v", err)
+				t.Errorf("the node stopped with %v, want no error", err)
 			}
 		})
 	}
 }
 
-// An unusable listener ends the accepting, and so does a close during the backoff after an error.
-func TestAcceptingEnds(t *testing.T) {
+// Accept returns when its listener is unusable, and when the listener is closed during the backoff after an error.
+func TestAcceptReturnsOnFatalErrorOrClose(t *testing.T) {
 	faulty := newFaultyListener(t, syscall.EBADF)
 	broken := newLimitedListener(faulty, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
 	if _, err := broken.Accept(); !errors.Is(err, syscall.EBADF) {
-		t.Errorf("a listener without a descriptor: %v", err)
+		t.Errorf("accept on a bad descriptor: %v, want EBADF", err)
 	}
 	failing := newFaultyListener(t, slices.Repeat([]syscall.Errno{syscall.ENOMEM}, 10_000)...)
 	closed := newLimitedListener(failing, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
@@ -115,16 +115,17 @@
 		_, err := closed.Accept()
 		ended <- err
 	}()
-	eventually(t, "it backs off", func() bool { return failing.failed.Load() > 0 })
+	eventually(t, "an accept has failed", func() bool { return failing.failed.Load() > 0 })
 	if err := closed.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closed during the backoff: %v", err)
+		t.Errorf("accept on a listener closed during the backoff: %v, want net.ErrClosed", err)
 	}
 }
 
-// An open is retried during a shortage, not after a permanent error.
+// RetryOnShortage retries after a shortage of system resources, but neither after a permanent error nor once its
+// context is canceled.
 func TestRetryOnShortage(t *testing.T) {
 	calls := 0
 	opens := func(errs ...error) func() (int, error) {
@@ -140,14 +141,14 @@
 	shortage := &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}
 	got, err := RetryOnShortage(t.Context(), opens(shortage, shortage))
 	if got != 7 || err != nil || calls != 3 {
-		t.Errorf("after two shortages: %d, %v, %d calls", got, err, calls)
+		t.Errorf("after two shortages: result %d, %v in %d calls, want 7 in 3", got, err, calls)
 	}
 	if _, err := RetryOnShortage(t.Context(), opens(syscall.EACCES)); !errors.Is(err, syscall.EACCES) || calls != 1 {
-		t.Errorf("after a permanent error: %v, %d calls", err, calls)
+		t.Errorf("after a permanent error: %v in %d calls, want EACCES in 1", err, calls)
 	}
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := RetryOnShortage(canceled, opens(shortage)); !errors.Is(err, shortage) {
-		t.Errorf("as the process is to stop: %v", err)
+		t.Errorf("with a canceled context: %v, want the shortage", err)
 	}
 }
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// longBody is the size of a body that is streamed.
+// longBody is the size in bytes of a body that is streamed.
 const longBody = 40 * maxBufferedBody
 
-// noise is a body without a pattern, so that a misplaced part shows.
-func noise(n int) string {
+// randomBody returns a body of n bytes without a pattern, in which a misplaced part shows.
+func randomBody(n int) string {
 	b := make([]byte, n)
 	for i, x := 0, uint32(1); i < n; i++ {
 		x = x*1664525 + 1013904223
@@ -28,7 +28,7 @@
 	return string(b)
 }
 
-// Bodies of all sizes and framings are forwarded unchanged in both directions.
+// Guards against bodies that are changed on the way: all sizes and framings are forwarded unchanged in both directions.
 func TestBodiesAreForwardedUnchanged(t *testing.T) {
 	framings := map[string]func(c net.Conn, body string) bool{
 		"length": func(c net.Conn, body string) bool { return respond(c, "200 OK", body) },
@@ -49,7 +49,7 @@
 	}
 	for name, frame := range framings {
 		for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, longBody} {
-			body := noise(size)
+			body := randomBody(size)
 			b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool { return frame(c, body) })
 			n := startWith(t, b)
 			for i, chunked := range []bool{false, true, false, true} {
@@ -70,14 +70,14 @@
 	}
 }
 
-// A response that breaks off never looks complete to the client, and is not counted as served.
+// Guards against a response that is cut off by its server and looks complete to the client, or is counted as served.
 func TestBrokenStreamedResponse(t *testing.T) {
 	for name, head := range map[string]string{
 		"length": fmt.Sprintf("Content-Length: %d\r\n\r\n", longBody),
 		"chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", longBody),
 	} {
 		b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+noise(longBody/2))
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+randomBody(longBody/2))
 			return false
 		})
 		n := startWith(t, b)
@@ -87,17 +87,17 @@
 			resp.Body.Close()
 		}
 		if err == nil {
-			t.Errorf("%s: looked complete", name)
+			t.Errorf("%s: the truncated response was read without an error", name)
 		}
-		eventually(t, "it is counted", func() bool {
+		eventually(t, "the response is counted as failed", func() bool {
 			c := n.loop.metrics.Snapshot()
 			return c.Failed["unsafe"] == 1 && c.Succeeded["unsafe"] == 0 && c.InFlight() == 0
 		})
 	}
 }
 
-// The first bytes of a long response reach the client before the server has sent the others, and a client that does
-// not read slows the server down.
+// Guards against a node that buffers long responses: the first bytes reach the client before the server has sent the
+// others, and a client that does not read slows the server down.
 func TestResponsesAreStreamed(t *testing.T) {
 	const total = maxStreamedBody - 1
 	release := make(chan struct{})
@@ -124,26 +124,26 @@
 	defer resp.Body.Close()
 	first := make([]byte, 5)
 	if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != "first" {
-		t.Fatalf("got %q, %v", first, err)
+		t.Fatalf("first bytes of the response: %q, %v, want \"first\"", first, err)
 	}
 	close(release)
 	var before int64 = -1
-	eventually(t, "the server is slowed down", func() bool {
+	eventually(t, "the server cannot write any more", func() bool {
 		was := before
 		before = written.Load()
 		time.Sleep(50 * time.Millisecond)
 		return before > 0 && was == before
 	})
 	if before == total-5 {
-		t.Error("the node buffered the whole response")
+		t.Error("the server could write the whole response before the client read it")
 	}
 	if rest, err := io.Copy(io.Discard, resp.Body); rest != total-5 || err != nil {
-		t.Errorf("the rest was %d bytes, %v", rest, err)
+		t.Errorf("remainder of the response: %d bytes, %v", rest, err)
 	}
 }
 
-// open sends the head of a request on a new connection.
-func open(t *testing.T, n *running, length string) net.Conn {
+// sendHead opens a connection and sends the head of a request, which ends with the header length.
+func sendHead(t *testing.T, n *running, length string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
@@ -155,7 +155,8 @@
 	return c
 }
 
-func status(t *testing.T, c net.Conn) int {
+// readStatus reads the head of a response and returns its status.
+func readStatus(t *testing.T, c net.Conn) int {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -164,7 +165,8 @@
 	return resp.StatusCode
 }
 
-// A client may take 2 s for its head and send its body at 64 kB a second.
+// Guards against timeouts that are too short for slow clients: a client may take 2 s for its head and send its body at
+// 64 kB/s.
 func TestSlowClientIsServed(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, ok)
@@ -188,14 +190,15 @@
 				time.Sleep(time.Until(begin.Add(time.Duration(size-left+6400) * time.Second / 64000)))
 			}
 			setReadTimeout(t, c, 20*time.Second)
-			if got := status(t, c); got != http.StatusOK {
+			if got := readStatus(t, c); got != http.StatusOK {
 				t.Errorf("answered %d", got)
 			}
 		})
 	}
 }
 
-// A long body that stops arriving is rejected or closed in time, and no server gets a whole request of it.
+// Guards against a client whose long body stops arriving and that occupies a connection or a server: within 3 s it gets
+// an error or a close, and no server gets a complete request.
 func TestStalledBodyIsRejected(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, ok)
@@ -204,7 +207,7 @@
 		t.Run(length, func(t *testing.T) {
 			t.Parallel()
 			begin := time.Now()
-			c := open(t, n, length)
+			c := sendHead(t, n, length)
 			if length[0] == 'T' {
 				write(t, c, "f4240\r\n")
 			}
@@ -213,20 +216,21 @@
 			if err == nil && (resp.StatusCode < 400 || resp.StatusCode > 499) {
 				t.Errorf("answered %d", resp.StatusCode)
 			} else if errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Error("left open")
+				t.Error("the connection was neither answered nor closed")
 			}
 			if took := time.Since(begin); took > 2900*time.Millisecond {
-				t.Errorf("after %v", took)
+				t.Errorf("answered or closed after %v, want 2.9s at most", took)
 			}
 			if got := b.requests(); got != 0 {
-				t.Errorf("a server saw %d requests", got)
+				t.Errorf("the server got %d complete requests, want none", got)
 			}
 		})
 	}
 }
 
-// A streamed body of which no byte was sent is retried with the next server. After a byte was sent, the request is
-// rejected at once, since it never ran.
+// Guards against retries of a streamed body that has been consumed in part: such a request is answered with 503 at
+// once, since it was not executed. While no byte of the body has been consumed, the request is retried with another
+// server.
 func TestStreamedBodyIsRetriedOnlyIfUnconsumed(t *testing.T) {
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -237,8 +241,8 @@
 	cfg := testConfig(t, "pushed", inService("s-0", refusing.Addr().String()), inService("s-1", good.addr()))
 	cfg.Discovery = silentDiscovery(t)
 	n := start(t, cfg)
-	body := noise(longBody)
-	for i := range 8 { // the refusing one is drawn for some
+	body := randomBody(longBody)
+	for i := range 8 { // the policy selects the refusing server for some
 		if got, _, _ := do(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), body)); got != http.StatusOK {
 			t.Errorf("answered %d", got)
 		}
@@ -267,23 +271,24 @@
 	cfg = testConfig(t, "pushed", inService("s-0", cutting.Addr().String()), inService("s-1", cutting.Addr().String()))
 	cfg.Discovery = silentDiscovery(t)
 	n = start(t, cfg)
-	c := open(t, n, fmt.Sprintf("Content-Length: %d", longBody))
-	go func() { // ends as the node has closed the connection
+	c := sendHead(t, n, fmt.Sprintf("Content-Length: %d", longBody))
+	go func() { // returns when the node has closed the connection
 		_, _ = io.WriteString(c, body[:longBody-1])
-		<-firstCut // the system takes all of a body for a server that is slow to cut: the last byte may not be written
+		<-firstCut // the last byte waits: socket buffers may take a whole body before the server closes
 		_, _ = io.WriteString(c, body[longBody-1:])
 	}()
-	if got := status(t, c); got != http.StatusServiceUnavailable {
+	if got := readStatus(t, c); got != http.StatusServiceUnavailable {
 		t.Errorf("answered %d, want 503", got)
 	}
 	if got := cuts.Load(); got != 1 {
-		t.Errorf("sent %d times", got)
+		t.Errorf("the request was sent %d times, want once", got)
 	}
 }
 
-// The memory for buffered bodies is bounded, other bodies are streamed, and all memory is released.
+// Guards against memory that is reserved beyond the budget or never released: bodies for which there is none are
+// streamed unchanged.
 func TestMemoryBudgetsHold(t *testing.T) {
-	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", noise(1000)) })
+	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", randomBody(1000)) })
 	cfg := testConfig(t, "pushed", inService("s", b.addr()))
 	cfg.Discovery = silentDiscovery(t)
 	const memory = 1500 // for one body of either direction
@@ -293,13 +298,13 @@
 	})
 	done := make(chan error)
 	for i := range 20 {
-		r := newRequest(t, n.url, "keyed", fmt.Sprint(i), noise(1000))
+		r := newRequest(t, n.url, "keyed", fmt.Sprint(i), randomBody(1000))
 		go func() {
 			resp, err := http.DefaultClient.Do(r)
 			if err == nil {
 				var got []byte
-				if got, err = io.ReadAll(resp.Body); err == nil && !bytes.Equal(got, []byte(noise(1000))) {
-					err = errors.New("changed")
+				if got, err = io.ReadAll(resp.Body); err == nil && !bytes.Equal(got, []byte(randomBody(1000))) {
+					err = errors.New("the body was changed on the way")
 				}
 				resp.Body.Close()
 			}
@@ -317,36 +322,37 @@
 	small := newMemoryBudget(10)
 	reservation := small.reserve(8)
 	if reservation == nil || small.reserve(3) != nil {
-		t.Error("a budget gave more than it had")
+		t.Error("reservations of a budget of 10 bytes: 8 bytes failed, or 3 more succeeded")
 	}
 	small.rescale(1, 2)
 	if reservation.release(); small.reserve(6) != nil || small.reserve(5) == nil {
-		t.Error("a rescaled budget did not give its half")
+		t.Error("reservations of a budget halved to 5 bytes: 6 bytes succeeded, or 5 failed")
 	}
 }
 
-// A client that is rejected while its body still arrives gets the response at once, and may send the whole body.
+// Guards against a reset that loses a rejection: a client that is rejected while its body still arrives gets the
+// response at once, and may send the whole body.
 func TestRejectedClientMayFinishItsBody(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, ok)
 	n := startWith(t, b)
 	b.ln.Close()
-	c := open(t, n, fmt.Sprintf("Content-Length: %d", maxBufferedBody+256000))
-	write(t, c, string(make([]byte, maxBufferedBody))) // so that it is accepted
+	c := sendHead(t, n, fmt.Sprintf("Content-Length: %d", maxBufferedBody+256000))
+	write(t, c, string(make([]byte, maxBufferedBody))) // so much is read before the request is passed to the loop
 	begin := time.Now()
-	if got := status(t, c); got != http.StatusServiceUnavailable {
+	if got := readStatus(t, c); got != http.StatusServiceUnavailable {
 		t.Errorf("answered %d, want 503", got)
 	}
 	if took := time.Since(begin); took > time.Second {
-		t.Errorf("answered after %v", took)
+		t.Errorf("answered after %v, want 1s at most", took)
 	}
 	for left := 256000; left > 0; left -= 6400 {
 		if _, err := c.Write(make([]byte, 6400)); err != nil {
-			t.Fatalf("cut off with %d bytes left: %v", left, err)
+			t.Fatalf("connection closed with %d bytes of the body left: %v", left, err)
 		}
 		time.Sleep(time.Until(begin.Add(time.Duration(256000-left+6400) * time.Second / 64000)))
 	}
 	if rest, err := io.ReadAll(c); err != nil {
-		t.Errorf("the connection ended with %q, %v", rest, err)
+		t.Errorf("after the response: %q, %v, want a close", rest, err)
 	}
 }
--- a/internal/node/client_conn_state_test.go
+++ b/internal/node/client_conn_state_test.go
@@ -9,7 +9,7 @@
 	"keelusher/internal/metrics"
 )
 
-// newListedConn is a connection in a state, beside another one in each list.
+// newListedConn returns a connection in the given state, with one connection before and one behind it in each list.
 func newListedConn(t *testing.T, state clientConnState) *clientConn {
 	t.Helper()
 	l := newLimitedListener(nil, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
@@ -32,7 +32,7 @@
 	return c
 }
 
-// newPipeConn is a connection as it is after its admission. The caller holds the lock.
+// newPipeConn returns a connection that has just been admitted. The caller holds the lock.
 func newPipeConn(t *testing.T, l *limitedListener) *clientConn {
 	t.Helper()
 	nodeEnd, peerEnd := net.Pipe()
@@ -43,7 +43,7 @@
 	return newClientConn(nodeEnd, l, time.Now())
 }
 
-// Every event in every state leads to the state that the table of clientConnState says, and to the list of that state.
+// Every event in every state leads to the state in the table at clientConnState, and to the list of that state.
 func TestClientConnTransitions(t *testing.T) {
 	const unchanged = clientConnStates
 	table := map[clientConnState][clientConnEvents]clientConnState{
@@ -74,15 +74,15 @@
 			if c.state != want {
 				t.Errorf("state %d, event %d: state %d, want %d", from, event, c.state, want)
 			}
-			if got := listOf(c); got != wantedList(l, want) {
-				t.Errorf("state %d, event %d: in the wrong list", from, event)
+			if got := listOf(c); got != expectedList(l, want) {
+				t.Errorf("state %d, event %d: the connection is in the wrong list", from, event)
 			}
 			entered := want == clientConnIdle || want == clientConnReceiving && table[from][event] != unchanged
 			if entered && isFollowed(c) {
-				t.Errorf("state %d, event %d: not the last of its list", from, event)
+				t.Errorf("state %d, event %d: the connection is not the last in its list", from, event)
 			}
 			if want == clientConnExpired && (listBefore != listOf(c) || followsBefore != isFollowed(c)) {
-				t.Errorf("state %d, event %d: the expired connection has moved", from, event)
+				t.Errorf("state %d, event %d: the expired connection has moved in its list", from, event)
 			}
 			if reused := from != clientConnIdle || event == responseWritten; want == clientConnIdle && c.reused != reused {
 				t.Errorf("state %d, event %d: reused %v, want %v", from, event, c.reused, reused)
@@ -92,8 +92,8 @@
 	}
 }
 
-// A connection that is to be evicted and leaves its list lets another one be evicted.
-func TestEvictionEndsWithTheList(t *testing.T) {
+// Guards against an eviction that blocks all others: once the connection leaves its list, another one can be evicted.
+func TestEvictionEndsWhenConnectionLeavesList(t *testing.T) {
 	for event := headRead; event < clientConnEvents; event++ {
 		c := newListedConn(t, clientConnIdle)
 		l := c.listener
@@ -101,13 +101,13 @@
 		l.evicting = c
 		c.transition(event)
 		if want := event == readExpired; (l.evicting == c) != want {
-			t.Errorf("event %d: still to be evicted: %v, want %v", event, !want, want)
+			t.Errorf("event %d: connection is being evicted: %v, want %v", event, !want, want)
 		}
 		l.mu.Unlock()
 	}
 }
 
-// listOf is the list that a connection stands in; nil: none.
+// listOf returns the list that contains a connection; nil if none does.
 func listOf(c *clientConn) *list.List {
 	for _, l := range []*list.List{c.listener.awaitingHead, c.listener.awaitingBody} {
 		for e := l.Front(); e != nil; e = e.Next() {
@@ -119,11 +119,11 @@
 	return nil
 }
 
-// isFollowed reports whether another connection stands behind one in its list.
+// isFollowed reports whether another connection comes after c in its list.
 func isFollowed(c *clientConn) bool { return c.element != nil && c.element.Next() != nil }
 
-// wantedList is the list that goes with a state.
-func wantedList(l *limitedListener, state clientConnState) *list.List {
+// expectedList returns the list that contains the connections of a state; nil if none does.
+func expectedList(l *limitedListener, state clientConnState) *list.List {
 	switch state {
 	case clientConnIdle, clientConnExpired:
 		return l.awaitingHead
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -11,23 +11,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// disconnected reports whether the client's end of the connection has reached the node's machine.
+// disconnected reports whether the kernel of the node's machine knows that the client has disconnected.
 func (c *gatedConn) disconnected() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
 	}
-	look := []unix.PollFd{{Events: unix.POLLRDHUP}}
+	pollFds := []unix.PollFd{{Events: unix.POLLRDHUP}}
 	var pollErr error
 	err = raw.Control(func(fd uintptr) {
-		look[0].Fd = int32(fd)
-		_, pollErr = unix.Poll(look, 0)
+		pollFds[0].Fd = int32(fd)
+		_, pollErr = unix.Poll(pollFds, 0)
 	})
-	return err != nil || pollErr == nil && look[0].Revents != 0
+	return err != nil || pollErr == nil && pollFds[0].Revents != 0
 }
 
-// disconnects are the ways to disconnect while a request waits. A read of the next byte does not show any of them.
-var disconnects = map[string]struct {
+// disconnectKinds are the ways in which a client may disconnect while its request waits, each with the request.
+var disconnectKinds = map[string]struct {
 	request string
 	leave   func(*testing.T, *gatedClient)
 }{
@@ -67,7 +67,7 @@
 	},
 }
 
-// stalled is a backend that does not answer before the test releases it.
+// stalled returns a backend that does not answer before the test calls release.
 func stalled(t *testing.T, answer func(net.Conn, *http.Request) bool) (b *backend, release func()) {
 	t.Helper()
 	open := make(chan struct{})
@@ -86,8 +86,8 @@
 	return b, release
 }
 
-// got is the number of requests with an id.
-func (b *backend) got(id string) int {
+// requestsWithID returns the number of requests with an ID that the backend has received.
+func (b *backend) requestsWithID(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	count := 0
@@ -99,16 +99,16 @@
 	return count
 }
 
-// idle reports whether no request is left, queued or at a server.
+// idle reports whether the node has no request, neither queued nor in flight.
 func (n *running) idle() bool {
 	var calls int
 	n.loop.runTask(func() { calls = len(n.loop.openRequests) })
 	return calls == 0
 }
 
-// A queued request whose client has disconnected is not forwarded when there is capacity.
+// Guards against a queued request that is forwarded after its client has disconnected, when capacity becomes free.
 func TestDisconnectWhileQueued(t *testing.T) {
-	for name, l := range disconnects {
+	for name, l := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b, release := stalled(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
@@ -116,50 +116,50 @@
 			filling := ln.fill(t, b)
 			c := ln.dial(t)
 			c.send(t, l.request)
-			eventually(t, "it is queued", func() bool { return n.waits("left") })
+			eventually(t, "the loop has the request", func() bool { return n.hasOpenRequest("left") })
 			l.leave(t, c)
-			eventually(t, "it has disconnected", c.node.disconnected)
+			eventually(t, "the client has disconnected", c.node.disconnected)
 			release()
 			for _, c := range filling {
 				if status := c.answered(); status != http.StatusOK {
-					t.Errorf("a request of a connected client got %d", status)
+					t.Errorf("a request of a connected client got status %d, want 200", status)
 				}
 			}
-			eventually(t, "all is over", n.idle)
-			if got := b.got("left") + b.got("next"); got != 0 {
-				t.Errorf("forwarded %d times, though its client had disconnected", got)
+			eventually(t, "no request is left", n.idle)
+			if got := b.requestsWithID("left") + b.requestsWithID("next"); got != 0 {
+				t.Errorf("forwarded %d times after its client had disconnected, want never", got)
 			}
 		})
 	}
 }
 
-// checkOnlyConnectedServed sends a request that is served, and then checks that none was whose client had
-// disconnected.
+// checkOnlyConnectedServed checks that a request of a connected client is served, and then that no request whose client
+// had disconnected was forwarded.
 func (n *running) checkOnlyConnectedServed(t *testing.T, ln *gatedListener, b *backend) {
 	t.Helper()
 	stays := ln.dial(t)
 	stays.send(t, text("unsafe", "stays", ""))
 	if status := stays.answered(); status != http.StatusOK {
-		t.Errorf("a request of a connected client got %d", status)
+		t.Errorf("a request of a connected client got status %d, want 200", status)
 	}
-	eventually(t, "all is over", n.idle)
-	if got := b.got("left") + b.got("next"); got != 0 {
-		t.Errorf("forwarded %d times, though its client had disconnected", got)
+	eventually(t, "no request is left", n.idle)
+	if got := b.requestsWithID("left") + b.requestsWithID("next"); got != 0 {
+		t.Errorf("forwarded %d times after its client had disconnected, want never", got)
 	}
 }
 
-// waits reports whether the loop has a request.
-func (n *running) waits(id string) bool {
+// hasOpenRequest reports whether the loop has an open request with an ID.
+func (n *running) hasOpenRequest(id string) bool {
 	var there bool
 	n.loop.runTask(func() { there = n.loop.openRequests[id] != nil })
 	return there
 }
 
-// The same for a request that waits for a retry: the first attempt was rejected after the client had disconnected.
+// Guards against a retry of a request whose client has disconnected before the server rejected the first attempt.
 func TestDisconnectBeforeRetry(t *testing.T) {
-	for name, l := range disconnects {
+	for name, l := range disconnectKinds {
 		if strings.Contains(name, "long body") {
-			continue // a streamed body is not sent again
+			continue // a streamed body is not retried
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -173,23 +173,23 @@
 			n := startOn(t, ln, cfg)
 			c := ln.dial(t)
 			c.send(t, l.request)
-			eventually(t, "it is out", func() bool { return b.got("left") == 1 })
+			eventually(t, "the server has received the request", func() bool { return b.requestsWithID("left") == 1 })
 			l.leave(t, c)
-			eventually(t, "it has disconnected", c.node.disconnected)
+			eventually(t, "the client has disconnected", c.node.disconnected)
 			moved := []listedEndpoint{inService("s-1", other.addr())}
 			n.loop.endpointUpdates <- watchEvent{list: endpointList{Version: 2, Endpoints: moved}}
 			release()
-			eventually(t, "all is over", n.idle)
+			eventually(t, "no request is left", n.idle)
 			if got := other.requests(); got != 0 {
-				t.Errorf("retried %d times, though its client had disconnected", got)
+				t.Errorf("retried %d times after its client had disconnected, want never", got)
 			}
 		})
 	}
 }
 
-// The same for a request that waits for a connection to its server.
+// Guards against a request that is forwarded though its client disconnected while the node connected to the server.
 func TestDisconnectWhileDialing(t *testing.T) {
-	for name, l := range disconnects {
+	for name, l := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, ok)
@@ -199,7 +199,7 @@
 			up := newGate()
 			up.shut = true
 			n := startOn(t, ln, cfg, func(n *Node) {
-				n.pool.dialer.Timeout = 0 // the gate may take longer than the settings allow
+				n.pool.dialer.Timeout = 0 // the gate may stay shut for longer than the configured timeout
 				n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 					up.pass()
 					return nil
@@ -207,18 +207,19 @@
 			})
 			c := ln.dial(t)
 			c.send(t, l.request)
-			eventually(t, "it waits for the dial", up.held)
+			eventually(t, "the attempt waits for the dial", up.held)
 			l.leave(t, c)
-			eventually(t, "it has disconnected", c.node.disconnected)
+			eventually(t, "the client has disconnected", c.node.disconnected)
 			up.set(false)
 			n.checkOnlyConnectedServed(t, ln, b)
 		})
 	}
 }
 
-// The same for a request that waits for the loop, as in a process that was suspended or is busy.
+// Guards against a request that is forwarded though its client disconnected before the loop received the request, as in
+// a process that was suspended or is busy.
 func TestDisconnectWhileLoopIsBusy(t *testing.T) {
-	for name, l := range disconnects {
+	for name, l := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, ok)
@@ -229,16 +230,16 @@
 			c := ln.dial(t)
 			c.send(t, l.request)
 			l.leave(t, c)
-			eventually(t, "it has disconnected", c.node.disconnected)
-			eventually(t, "its handler has it, or has ended", func() bool { return n.inbound.handles(c.node) })
+			eventually(t, "the client has disconnected", c.node.disconnected)
+			eventually(t, "it is handled or closed", func() bool { return n.inbound.isHandledOrClosed(c.node) })
 			close(busy)
 			n.checkOnlyConnectedServed(t, ln, b)
 		})
 	}
 }
 
-// handles reports whether a connection has a whole request, or is closed.
-func (b *limitedListener) handles(c *gatedConn) bool {
+// isHandledOrClosed reports whether a connection has a complete request, or is closed.
+func (b *limitedListener) isHandledOrClosed(c *gatedConn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, l := range []*list.List{b.awaitingHead, b.awaitingBody} {
--- a/internal/node/client_handler.go
+++ b/internal/node/client_handler.go
@@ -82,7 +82,7 @@
 		}
 		h.writeResponse(w, r, c, final)
 	case <-r.Context().Done():
-		h.disconnected(c)
+		h.reportDisconnect(c)
 	}
 }
 
@@ -96,8 +96,8 @@
 	w.WriteHeader(status)
 }
 
-// disconnected notifies the loop that the client of a request has disconnected, and aborts its handling.
-func (h *clientHandler) disconnected(c *clientRequest) {
+// reportDisconnect notifies the loop that the client of a request has reportDisconnect, and aborts its handling.
+func (h *clientHandler) reportDisconnect(c *clientRequest) {
 	select {
 	case h.disconnects <- c:
 	case <-h.stopped:
--- a/internal/node/client_handler_test.go
+++ b/internal/node/client_handler_test.go
@@ -16,6 +16,7 @@
 	"keelusher/internal/lifecycle"
 )
 
+// A request reaches the server with its URL, body and end-to-end headers, and with what is left of its budget.
 func TestRequestIsForwarded(t *testing.T) {
 	b := newBackend(t, ok)
 	n := startWith(t, b)
@@ -23,7 +24,7 @@
 	r.Header.Set("Connection", "X-Hop")
 	r.Header.Set("X-Hop", "1")
 	if status, _, body := do(t, r); status != http.StatusOK || body != "done" {
-		t.Fatalf("got %d %q", status, body)
+		t.Fatalf("got status %d, body %q, want 200, \"done\"", status, body)
 	}
 	got := b.seen[0]
 	if got.RequestURI != "/api/x%2Fy?q=1&r=%20" || b.body[0] != "payload" || got.Header.Get("X-Call-Id") != "id-1" ||
@@ -31,11 +32,11 @@
 		t.Errorf("the server got %s %q %v", got.RequestURI, b.body[0], got.Header)
 	}
 	if left, err := inbound.ParseBudget(got.Header.Get("X-Budget")); err != nil || left > 30*time.Second {
-		t.Errorf("X-Budget %v, %v", left, err)
+		t.Errorf("the server got X-Budget %v, %v, want 30s at most", left, err)
 	}
 }
 
-// Malformed requests get a 4xx and reach no server.
+// Guards against malformed requests that are forwarded: each gets a 4xx, and none reaches a server.
 func TestMalformedRequests(t *testing.T) {
 	b := newBackend(t, ok)
 	n := startWith(t, b)
@@ -67,7 +68,7 @@
 			r := newRequest(t, n.url, "keyed", "id-"+name, "payload")
 			spoil(r)
 			if status, _, _ := do(t, r); status < 400 || status > 499 {
-				t.Errorf("answered %d", status)
+				t.Errorf("got status %d, want 4xx", status)
 			}
 		})
 	}
@@ -76,8 +77,8 @@
 	}
 }
 
-// A request inside the body of another is not served, however ambiguous the end of the body is: the outer one is
-// rejected and its connection closed before the inner one is read.
+// Guards against request smuggling: however ambiguous the end of a body is, a request inside it is not served. The
+// outer request is rejected and its connection closed before the inner one is read.
 func TestNoRequestSmuggledInABody(t *testing.T) {
 	b := newBackend(t, ok)
 	n := startWith(t, b)
@@ -104,7 +105,7 @@
 				t.Fatal(err)
 			}
 			setReadTimeout(t, c, 20*time.Second)
-			received, _ := io.ReadAll(c) // the close may be a reset, since what follows is not read
+			received, _ := io.ReadAll(c) // the close may be a reset, since bytes stay unread
 			answers := strings.Count(string(received), "HTTP/1.")
 			rejected := strings.Contains(string(received), " 4") || strings.Contains(string(received), " 505 ")
 			if answers != 1 || !rejected {
@@ -113,12 +114,12 @@
 		})
 	}
 	if got := b.requests(); got != 0 {
-		t.Errorf("%d requests reached a server", got)
+		t.Errorf("%d smuggled or ambiguous requests reached the server", got)
 	}
 }
 
-// A peer that sends no whole request is answered or closed within 3 s of connecting, and so is an idle connection: the
-// limit on connections is for clients.
+// Guards against idle connections that use up the limit: a client that sends no complete request is answered or closed
+// within 3 s of the connect, and so is a connection that is idle after a request.
 func TestClientsWithoutARequestAreClosed(t *testing.T) {
 	b := newBackend(t, ok)
 	n := startWith(t, b)
@@ -142,31 +143,32 @@
 			}
 			setReadTimeout(t, c, 2900*time.Millisecond)
 			if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Error("left open")
+				t.Error("the connection was not closed within 2.9s")
 			}
 		})
 	}
 }
 
-// A request that is not idempotent and whose reused connection broke may have run. http.Transport would retry it by
-// itself because of its idempotency key.
+// Guards against an unsafe retry: when a reused connection breaks, a request that is not idempotent may have been
+// executed. http.Transport would retry it by itself because of its idempotency key.
 func TestNoImplicitRetry(t *testing.T) {
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool { return n == 1 && respond(c, "200 OK", "done") })
 	n := startWith(t, b)
 	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
-		t.Fatalf("answered %d", status)
+		t.Fatalf("the first request got status %d, want 200", status)
 	}
 	r := newRequest(t, n.url, "unsafe", "2", "x")
 	r.Header.Set("Idempotency-Key", "k")
 	if status, _, _ := do(t, r); status != http.StatusBadGateway {
-		t.Errorf("answered %d, want 502: it may have run", status)
+		t.Errorf("got status %d, want 502, since the request may have been executed", status)
 	}
 	if got := b.requests(); got != 2 {
-		t.Errorf("the server saw %d requests, want 2", got)
+		t.Errorf("the server got %d requests, want 2", got)
 	}
 }
 
-// A request that the policy gives up is answered at once, and a rejection says when to retry.
+// A request that the policy rejects or fails is answered without waiting for its deadline, and a rejection has
+// Retry-After.
 func TestFinalResponses(t *testing.T) {
 	full := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "503 Service Unavailable", "", "X-Rejected: 1")
@@ -177,18 +179,19 @@
 	begin := time.Now()
 	status, header, _ := do(t, newRequest(t, startWith(t, full).url, "unsafe", "1", "x"))
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "0.002" {
-		t.Errorf("rejected with %d, Retry-After %q", status, header.Get("Retry-After"))
+		t.Errorf("rejected with %d, Retry-After %q, want 503, \"0.002\"", status, header.Get("Retry-After"))
 	}
 	status, header, _ = do(t, newRequest(t, startWith(t, broken).url, "unsafe", "1", "x"))
 	if status != http.StatusBadGateway || header.Get("Retry-After") != "" {
-		t.Errorf("failed with %d, Retry-After %q", status, header.Get("Retry-After"))
+		t.Errorf("failed with %d, Retry-After %q, want 502 without", status, header.Get("Retry-After"))
 	}
-	if took := time.Since(begin); took > 15*time.Second { // of 30 s that each had
-		t.Errorf("answered after %v", took)
+	if took := time.Since(begin); took > 15*time.Second { // of the 30 s that each request had
+		t.Errorf("both were answered after %v, want 15s at most", took)
 	}
 }
 
-// The policy knows a single request by an id: a second one with the same id would never be answered.
+// Guards against a request that is never answered: the policy knows one request by an ID, so a second one with the ID
+// of an open request is rejected.
 func TestIDInUseIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
@@ -201,16 +204,17 @@
 		status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x"))
 		first <- status
 	}()
-	eventually(t, "the first is out", func() bool { return b.requests() == 1 })
+	eventually(t, "the server has received the first request", func() bool { return b.requests() == 1 })
 	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusConflict {
-		t.Errorf("answered %d, want 409", status)
+		t.Errorf("the second request got status %d, want 409", status)
 	}
 	close(release)
 	if status := <-first; status != http.StatusOK {
-		t.Errorf("the first was answered %d", status)
+		t.Errorf("the first request got status %d, want 200", status)
 	}
 }
 
+// Guards against requests that the loop keeps after their client has disconnected.
 func TestDisconnectedClientIsForgotten(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
@@ -225,20 +229,21 @@
 		_, err := http.DefaultClient.Do(r)
 		left <- err
 	}()
-	eventually(t, "it is out", func() bool { return b.requests() == 1 })
+	eventually(t, "the server has received the request", func() bool { return b.requests() == 1 })
 	leave()
 	if err := <-left; err == nil {
-		t.Fatal("it was answered")
+		t.Fatal("the canceled request was answered")
 	}
 	close(release)
-	// Its id is free again when the loop has forgotten the request and its attempt.
-	eventually(t, "its id is free", func() bool {
+	// The ID can be used again when the loop has removed the request and its attempt.
+	eventually(t, "a request with its ID is served", func() bool {
 		status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x"))
 		return status == http.StatusOK
 	})
 }
 
-// A client that ends its sending has disconnected: it gets a close, not a response that no server made.
+// Guards against a response that no server sent: a client that shuts down its sending direction counts as disconnected
+// and gets a close.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.Copy(io.Discard, c)
@@ -253,17 +258,18 @@
 	if err := newRequest(t, n.url, "unsafe", "1", "x").Write(c); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "it is out", func() bool { return b.requests() == 1 })
+	eventually(t, "the server has received the request", func() bool { return b.requests() == 1 })
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	setReadTimeout(t, c, 20*time.Second)
 	if received, err := io.ReadAll(c); len(received) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("got %q, %v, want a close", received, err)
+		t.Errorf("the client read %q, %v, want a close without a response", received, err)
 	}
 }
 
-// A node that is stopped accepts requests while the front notices, finishes those it has and ends without an error.
+// Guards against requests that are lost in a shutdown: the node still accepts requests until its callers have noticed,
+// finishes those in flight, and stops without an error.
 func TestShutdownLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
@@ -278,19 +284,19 @@
 		status, _, _ := do(t, newRequest(t, n.url, "unsafe", "held", "x"))
 		inFlight <- status
 	}()
-	eventually(t, "it is out", func() bool { return b.requests() == 1 })
+	eventually(t, "the server has received the request", func() bool { return b.requests() == 1 })
 	n.stop()
-	eventually(t, "shutting down", func() bool { return n.lifecycle.Current() == lifecycle.ShuttingDown })
+	eventually(t, "the node shuts down", func() bool { return n.lifecycle.Current() == lifecycle.ShuttingDown })
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := fresh.Do(newRequest(t, n.url, "unsafe", "late", "x"))
 	if err != nil {
-		t.Fatalf("a late connection was not accepted: %v", err)
+		t.Fatalf("a request during the shutdown failed: %v", err)
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		t.Errorf("answered %d", resp.StatusCode)
+		t.Errorf("a request during the shutdown got status %d, want 200", resp.StatusCode)
 	}
-	eventually(t, "closed to new connections", func() bool {
+	eventually(t, "the node refuses new connections", func() bool {
 		c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 		if err == nil {
 			c.Close()
@@ -299,9 +305,9 @@
 	})
 	close(release)
 	if status := <-inFlight; status != http.StatusOK {
-		t.Errorf("the request in flight was answered %d", status)
+		t.Errorf("the request in flight got status %d, want 200", status)
 	}
 	if err := <-n.done; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the node stopped with %v, want no error", err)
 	}
 }
--- a/internal/node/client_listener.go
+++ b/internal/node/client_listener.go
@@ -74,7 +74,7 @@
 func (l *limitedListener) acceptWithBackoff() (net.Conn, error) {
 	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		accepted, err := l.Listener.Accept()
-		if err == nil || endsListener(err) {
+		if err == nil || isFatalAcceptError(err) {
 			return accepted, err
 		}
 		l.decisions.AcceptFailed(err)
--- a/internal/node/client_listener_test.go
+++ b/internal/node/client_listener_test.go
@@ -11,8 +11,9 @@
 	"keelusher/internal/metrics"
 )
 
-// accepting passes on what a listener with a limit of one accepts; dial opens a connection to it.
-func accepting(t *testing.T) (b *limitedListener, accepted <-chan net.Conn, dial func()) {
+// startAccepting starts a listener with a limit of one connection. It returns the listener, the channel of the
+// connections that it accepts, and a function that connects to it.
+func startAccepting(t *testing.T) (b *limitedListener, accepted <-chan net.Conn, dial func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +46,8 @@
 	}
 }
 
-// readUntilEnd reads from a connection and closes it as the HTTP server does. It returns what ended the reading.
+// readUntilEnd reads from a connection until an error, and closes it as the HTTP server does. The result receives the
+// error.
 func readUntilEnd(c net.Conn) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
@@ -59,17 +61,18 @@
 	return ended
 }
 
-// inWork marks a connection as serving a request.
-func inWork(c net.Conn) {
+// markServing records that a request has been read on a connection.
+func markServing(c net.Conn) {
 	r := &http.Request{}
 	recordRequestRead(r.WithContext(context.WithValue(context.Background(), clientConnKey{}, c)))
 }
 
+// Guards against connections beyond the limit, and against a second Close that frees another place.
 func TestConnectionLimit(t *testing.T) {
-	b, accepted, dial := accepting(t)
+	b, accepted, dial := startAccepting(t)
 	dial()
 	first := <-accepted
-	inWork(first)
+	markServing(first)
 	dial()
 	select {
 	case <-accepted:
@@ -77,17 +80,17 @@
 	default:
 	}
 	if b.admitted != 1 {
-		t.Errorf("%d connections admitted, want 1", b.admitted)
+		t.Errorf("%d connections are admitted, want 1", b.admitted)
 	}
 	first.Close()
-	first.Close() // counts once only
+	first.Close() // must not be counted again
 	(<-accepted).Close()
 }
 
-// A client does not wait behind a peer that sends nothing or half a head, and does not evict a connection with a
-// request.
+// Guards against clients that are locked out by connections without a request: at the limit a new connection evicts one
+// that sends nothing or half a head, but none with a request.
 func TestIdleConnectionIsEvicted(t *testing.T) {
-	b, accepted, dial := accepting(t)
+	b, accepted, dial := startAccepting(t)
 	dial()
 	silent := <-accepted
 	b.connStateChanged(silent, http.StateNew)
@@ -96,9 +99,9 @@
 	dial()
 	client := <-accepted
 	if err := <-silentEnds; !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the silent connection reads %v, want it to end", err)
+		t.Errorf("the read of the silent connection returned %v, want a timeout", err)
 	}
-	inWork(client)
+	markServing(client)
 	b.closeIdle(0)
 	dial()
 	select {
@@ -111,10 +114,9 @@
 	(<-accepted).Close()
 }
 
-// At the limit, connections whose body is arriving are evicted, the oldest first, but after those without a whole
-// head.
+// At the limit, connections whose body is still arriving are evicted too, but only after those without a complete head.
 func TestPartialRequestsAreEvictedLast(t *testing.T) {
-	b, accepted, dial := accepting(t)
+	b, accepted, dial := startAccepting(t)
 	b.setLimit(2)
 	dial()
 	half := <-accepted
@@ -125,15 +127,15 @@
 	dial()
 	client := <-accepted
 	if len(halfEnds) > 0 {
-		t.Error("the partial request was evicted before a connection without any")
+		t.Error("the connection with a partial request was evicted before one without a request")
 	}
 	if err := <-silentEnds; !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the silent connection reads %v, want it to end", err)
+		t.Errorf("the read of the silent connection returned %v, want a timeout", err)
 	}
-	inWork(client)
+	markServing(client)
 	dial()
 	(<-accepted).Close()
 	if err := <-halfEnds; !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the partial request reads %v, want it to end", err)
+		t.Errorf("the read of the partial request returned %v, want a timeout", err)
 	}
 }
--- a/internal/node/connection_race_test.go
+++ b/internal/node/connection_race_test.go
@@ -13,7 +13,7 @@
 	"keelusher/policy"
 )
 
-// gatedNode runs a node that serves one backend over a gated listener.
+// gatedNode starts a node with one backend on a gated listener.
 func gatedNode(t *testing.T, b *backend) (*running, *gatedListener) {
 	t.Helper()
 	cfg := testConfig(t, "pushed", inService("s-0", b.addr()))
@@ -22,8 +22,8 @@
 	return startOn(t, ln, cfg), ln
 }
 
-// A node that shuts down ends idle connections while a request arrives on one. Wherever the request is at that moment,
-// in the kernel, read but not yet examined, or half of each, it is served.
+// Guards against requests that are lost when a shutdown closes idle connections. Wherever the request is when its
+// connection is closed as idle, in the kernel, read but not yet examined, or half of each, it is served.
 func TestRequestWhileIdleConnectionIsClosed(t *testing.T) {
 	request := text("unsafe", "2", "")
 	for name, cross := range map[string]func(*testing.T, *gatedClient) *gate{
@@ -34,18 +34,18 @@
 		"first bytes read, the others in the kernel": func(t *testing.T, c *gatedClient) *gate {
 			c.send(t, text("safe", "1", ""))
 			if status := c.answered(); status != http.StatusOK {
-				t.Fatalf("the first got %d", status)
+				t.Fatalf("the first request got status %d, want 200", status)
 			}
-			c.node.before.set(true) // its reader is past this one, and comes back for more
+			c.node.before.set(true) // for the next read: the reader has passed the gate and waits for bytes
 			c.send(t, request[:2])
-			eventually(t, "the reader is held up", c.node.before.held)
+			eventually(t, "the reader is blocked at the gate", c.node.before.held)
 			c.send(t, request[2:])
 			return c.node.before
 		},
 		"read completely": func(t *testing.T, c *gatedClient) *gate {
 			c.send(t, text("safe", "1", ""))
 			if status := c.answered(); status != http.StatusOK {
-				t.Fatalf("the first got %d", status)
+				t.Fatalf("the first request got status %d, want 200", status)
 			}
 			c.node.after.set(true)
 			c.send(t, request)
@@ -59,76 +59,77 @@
 			ln.hold.Store(name == "in the kernel of a new connection")
 			c := ln.dial(t)
 			g := cross(t, c)
-			eventually(t, "the reader is held up", g.held)
+			eventually(t, "the reader is blocked at the gate", g.held)
 			n.stop()
-			eventually(t, "the node ends the connection", c.node.ending)
+			eventually(t, "the node closes the connection or interrupts its read", c.node.isClosedOrInterrupted)
 			g.set(false)
 			if status := c.answered(); status != http.StatusOK {
-				t.Errorf("the request got %d", status)
+				t.Errorf("the request got status %d, want 200", status)
 			}
 			eventually(t, "the connection is closed", c.node.isClosed)
 		})
 	}
 }
 
-// The same at the end of the idle timeout: a request that arrives after the read has timed out, and before the
-// connection is closed, is served.
+// Guards against requests that are lost when the idle timeout expires: one that arrives after the read has timed out,
+// and before the connection is closed, is served.
 func TestRequestWhileIdleTimeoutExpires(t *testing.T) {
 	b := newBackend(t, ok)
 	_, ln := gatedNode(t, b)
 	c := ln.dial(t)
 	c.send(t, text("safe", "1", ""))
 	if status := c.answered(); status != http.StatusOK {
-		t.Fatalf("the first got %d", status)
+		t.Fatalf("the first request got status %d, want 200", status)
 	}
-	c.node.late.set(true)
-	eventually(t, "the idle timeout is over", c.node.late.held)
+	c.node.afterTimeout.set(true)
+	eventually(t, "the idle timeout has expired", c.node.afterTimeout.held)
 	c.send(t, text("unsafe", "2", ""))
-	c.node.late.set(false)
+	c.node.afterTimeout.set(false)
 	if status := c.answered(); status != http.StatusOK {
-		t.Errorf("the request got %d", status)
+		t.Errorf("the request got status %d, want 200", status)
 	}
 }
 
-// The connection that has been idle for longest is evicted while a request on it has been read and not yet examined.
-// The request is served, once, and the connection is evicted after its response.
+// Guards against a request that is lost or executed twice when its connection is evicted: the connection that has been
+// idle for longest is to be evicted after a request on it has been read, and before the request is examined. The
+// request is served once, and the connection is evicted after its response.
 func TestRequestWhileConnectionIsEvicted(t *testing.T) {
 	b := newBackend(t, ok)
 	n, ln := gatedNode(t, b)
 	oldest := ln.dial(t)
 	oldest.send(t, text("safe", "first", ""))
 	if status := oldest.answered(); status != http.StatusOK {
-		t.Fatalf("the first got %d", status)
+		t.Fatalf("the first request got status %d, want 200", status)
 	}
-	http.DefaultClient.CloseIdleConnections() // of the readiness check
-	eventually(t, "it is the only one, and idle", func() bool {
+	http.DefaultClient.CloseIdleConnections() // closes the connection of the readiness check
+	eventually(t, "the connection is the only one, and idle", func() bool {
 		return n.inbound.openConnections() == 1 && n.inbound.isIdle(oldest.node)
 	})
 	n.inbound.setLimit(1)
 	sent := b.requests()
 	oldest.node.after.set(true)
 	oldest.send(t, text("unsafe", "crossed", ""))
-	eventually(t, "the reader is held up", oldest.node.after.held)
+	eventually(t, "the reader is blocked at the gate", oldest.node.after.held)
 	c := ln.dial(t)
-	eventually(t, "the oldest is to be evicted", oldest.node.ending)
+	eventually(t, "the oldest connection is being evicted", oldest.node.isClosedOrInterrupted)
 	oldest.node.after.set(false)
 	if status := oldest.answered(); status != http.StatusOK {
-		t.Errorf("the crossed request got %d", status)
+		t.Errorf("the request on the evicted connection got status %d, want 200", status)
 	}
 	c.send(t, text("unsafe", "new", ""))
 	if status := c.answered(); status != http.StatusOK {
-		t.Errorf("the next got %d", status)
+		t.Errorf("the request on the new connection got status %d, want 200", status)
 	}
 	if got := b.requests(); got != sent+2 {
-		t.Errorf("servers got %d requests, want 2", got-sent)
+		t.Errorf("the server got %d requests, want 2", got-sent)
 	}
 	dropped, violations := n.loop.metrics.Snapshot().RequestsAfterClose, n.loop.decisions.Violations()
 	if dropped != 0 || len(violations) > 0 {
-		t.Errorf("%d were dropped, violations %v", dropped, violations)
+		t.Errorf("%d requests dropped, violations %v, want none", dropped, violations)
 	}
 }
 
-// isIdle reports whether a connection awaits the head of a request.
+// isIdle reports whether a connection waits for the head of a request.
 func (b *limitedListener) isIdle(c net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -140,8 +141,8 @@
 	return false
 }
 
-// blocked reports whether some goroutine waits for a lock in a function.
-func blocked(in string) func() bool {
+// goroutineBlockedIn returns a function that reports whether a goroutine waits for a mutex in the named function.
+func goroutineBlockedIn(in string) func() bool {
 	return func() bool {
 		stacks := make([]byte, 1<<20)
 		for one := range strings.SplitSeq(string(stacks[:runtime.Stack(stacks, true)]), "\n\n") {
@@ -153,7 +154,7 @@
 	}
 }
 
-// ageIdle makes idle connections old enough to be used again.
+// ageIdle makes idle connections appear idle for long enough to be reused.
 func ageIdle(p *pool, t *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,14 +163,15 @@
 	}
 }
 
-// Bytes that arrive on an idle connection while an attempt acquires it, after the read of the socket and before the
-// reader examines them, are neither the response to that attempt nor its failure.
+// Guards against a stray response that is taken for that of the next attempt: bytes arrive on an idle connection while
+// an attempt acquires it, after the read of the socket and before the reader examines them. They neither become the
+// attempt's response nor make it fail.
 func TestUnexpectedBytesWhileConnectionIsAcquired(t *testing.T) {
 	unexpected := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 	for name, cross := range map[string]func(net.Conn){
 		"a whole response": func(c net.Conn) { _, _ = io.WriteString(c, unexpected) },
 		"half a line":      func(c net.Conn) { _, _ = io.WriteString(c, unexpected[:7]) },
-		"an end":           func(c net.Conn) { c.Close() },
+		"a close":          func(c net.Conn) { c.Close() },
 		"a reset":          reset,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -177,87 +179,89 @@
 			p := testPool(t)
 			att := testAttempt(p, b.addr(), time.Minute)
 			if first := p.runAttempt(att); first.result != policy.Success {
-				t.Fatalf("the first ended with %v", first.result)
+				t.Fatalf("the first attempt ended with %v, want success", first.result)
 			}
 			second := *att
 			ageIdle(p, att.endpoint)
 			p.mu.Lock()
 			ended := make(chan attemptOutcome, 1)
 			go func() { ended <- p.runAttempt(&second) }()
-			eventually(t, "the attempt is about to acquire it", blocked("(*pool).acquire"))
+			eventually(t, "the attempt waits in acquire", goroutineBlockedIn("(*pool).acquire"))
 			b.mu.Lock()
 			c := b.conns[0]
 			b.mu.Unlock()
 			cross(c)
-			eventually(t, "the reader is about to examine them", blocked("(*serverConn).readResponses"))
+			eventually(t, "the reader waits before it examines the bytes", goroutineBlockedIn("(*serverConn).readResponses"))
 			p.mu.Unlock()
 			if r := <-ended; r.result != policy.Success || string(r.response.body) != "done" {
-				t.Errorf("it ended with %v, %v and %q", r.result, r.err, r.response.body)
+				t.Errorf("the second attempt ended with %v, error %v, body %q", r.result, r.err, r.response.body)
 			}
 			if got := b.accepted(); got != 2 {
-				t.Errorf("%d connections, want a new one for the second", got)
+				t.Errorf("the server accepted %d connections, want 2", got)
 			}
 		})
 	}
 }
 
-// The same for bytes that the reader has not read yet: those in the system are found too.
+// Guards against a stray response that the reader has not read yet: the reuse check finds bytes in the kernel too.
 func TestUnreadUnexpectedBytesWhileConnectionIsAcquired(t *testing.T) {
 	b := newBackend(t, ok)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
 	if first := p.runAttempt(att); first.result != policy.Success {
-		t.Fatalf("the first ended with %v", first.result)
+		t.Fatalf("the first attempt ended with %v, want success", first.result)
 	}
 	ageIdle(p, att.endpoint)
 	c := att.endpoint.idle[0]
-	c.readMu.Lock() // holds up both the reader and the attempt
+	c.readMu.Lock() // blocks both the reader and the attempt
 	second := *att
 	ended := make(chan attemptOutcome, 1)
 	go func() { ended <- p.runAttempt(&second) }()
-	eventually(t, "the attempt is about to check it", blocked("(*serverConn).claimForReuse"))
+	eventually(t, "the attempt waits in the reuse check", goroutineBlockedIn("(*serverConn).claimForReuse"))
 	b.mu.Lock()
 	_, _ = io.WriteString(b.conns[0], "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 	b.mu.Unlock()
-	eventually(t, "the reader is about to read", blocked("(*serverConn).Read"))
+	eventually(t, "the reader waits in Read", goroutineBlockedIn("(*serverConn).Read"))
 	c.readMu.Unlock()
 	if r := <-ended; r.result != policy.Success || string(r.response.body) != "done" {
-		t.Errorf("it ended with %v, %v and %q", r.result, r.err, r.response.body)
+		t.Errorf("the second attempt ended with %v, error %v, body %q", r.result, r.err, r.response.body)
 	}
 }
 
-// A response that ends its connection arrives completely, also at a slow reader that has sent more meanwhile: a close
-// over unread bytes would reset the connection and lose what is still on its way.
-func TestResponseOverUnreadBytes(t *testing.T) {
+// Guards against truncated responses: a response after which the node closes the connection arrives completely, also at
+// a slow client that has sent more bytes meanwhile. A close with unread bytes would reset the connection and lose the
+// part of the response that the client has not received yet.
+func TestResponseIsCompleteDespiteUnreadBytes(t *testing.T) {
 	const long = 16 << 10
 	b, release := stalled(t, func(c net.Conn, _ *http.Request) bool {
 		return respond(c, "200 OK", strings.Repeat("x", long))
 	})
 	n, ln := gatedNode(t, b)
 	c := ln.dial(t)
-	if err := c.SetReadBuffer(1); err != nil { // the minimum: most of the response stays with the node
+	if err := c.SetReadBuffer(1); err != nil { // the minimum: most of the response stays on the node's side
 		t.Fatal(err)
 	}
 	c.send(t, text("safe", "1", ""))
-	eventually(t, "it is out", func() bool { return b.requests() == 1 })
+	eventually(t, "the server has received the request", func() bool { return b.requests() == 1 })
 	c.send(t, text("unsafe", "2", "")[:40])
 	n.stop()
-	eventually(t, "responses end their connections", n.closing)
+	eventually(t, "the node closes connections after their responses", n.closing)
 	release()
-	eventually(t, "the node has ended the connection", func() bool { return c.node.isClosed() || c.node.hasEnded() })
+	eventually(t, "the node has shut it down", func() bool { return c.node.isClosed() || c.node.isWriteClosed() })
 	setReadTimeout(t, c, 20*time.Second)
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != long {
-		t.Errorf("%d bytes came, %v", len(body), err)
+		t.Errorf("the client got %d bytes of the body, %v, want 16384", len(body), err)
 	}
 }
 
-// A client that has disconnected and retries with an id that an attempt still uses is rejected if the request is
-// idempotent, and otherwise gets a failure, since the first may have run.
-func TestClientRetriesWithItsID(t *testing.T) {
+// A client disconnects and retries with an ID that an attempt still uses. Guards against a 503 for a request that is
+// not idempotent, after which the client would assume that it had not been executed: such a request gets 409, and an
+// idempotent one 503.
+func TestClientRetriesWithIDInUse(t *testing.T) {
 	for class, want := range map[string]int{"safe": http.StatusServiceUnavailable, "unsafe": http.StatusConflict} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
@@ -265,9 +269,9 @@
 			n, ln := gatedNode(t, b)
 			first := ln.dial(t)
 			first.send(t, text(class, "1", ""))
-			eventually(t, "it is out", func() bool { return b.requests() == 1 })
+			eventually(t, "the server has received the request", func() bool { return b.requests() == 1 })
 			first.disconnect()
-			eventually(t, "the loop knows that it disconnected", func() bool {
+			eventually(t, "the loop knows that the client has disconnected", func() bool {
 				var finished bool
 				n.loop.runTask(func() { finished = n.loop.openRequests["1"].finished.Load() })
 				return finished
@@ -275,20 +279,21 @@
 			again := ln.dial(t)
 			again.send(t, text(class, "1", ""))
 			if status := again.answered(); status != want {
-				t.Errorf("while the first is out: %d, want %d", status, want)
+				t.Errorf("retry while the first attempt is in flight: status %d, want %d", status, want)
 			}
 			release()
-			eventually(t, "the first is over", n.idle)
+			eventually(t, "the first request has ended", n.idle)
 			again.send(t, text(class, "1", ""))
 			if status := again.answered(); status != http.StatusOK {
-				t.Errorf("after it: %d", status)
+				t.Errorf("retry after the first request: status %d, want 200", status)
 			}
 		})
 	}
 }
 
-// A server responds twice, the second time some milliseconds late: the next request on that connection may be written
-// by then, and nothing tells the two responses apart. No client gets the response to another's request.
+// Guards against a client that gets the response to another request: a server responds twice, the second time some
+// milliseconds late. If the next request had been written to that connection by then, nothing would tell the two
+// responses apart.
 func TestLateSecondResponse(t *testing.T) {
 	answer := func(c net.Conn, r *http.Request) bool { return respond(c, "200 OK", r.Header.Get("X-Call-Id")) }
 	late := make(chan struct{})
@@ -321,17 +326,18 @@
 	}
 }
 
-// Guards against a client that is served another's response: a server's second response to a request comes later than
-// a connection rests, and crosses the next request. Nothing tells the first such response from a true one; after it no
-// connection of the server carries a second request, and a request that is not idempotent takes no such connection.
-func TestServerThatRespondsTwiceLateIsFoundOut(t *testing.T) {
-	const late = 3 * minIdlePeriod // the second response
+// Guards against a client that gets another's response: the second response of a server to a request comes after
+// minIdlePeriod, in which a connection is not reused, and arrives when the next request has been written. The first
+// such response cannot be told from a true one. After it, no connection of that server carries a second request, and a
+// request that is not idempotent takes no connection that has been idle for so short a time.
+func TestLateSecondResponsesAreDetected(t *testing.T) {
+	const late = 3 * minIdlePeriod // delay of the second response
 	for class, allowed := range map[string]int{"safe": 1, "unsafe": 0} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, func(n int, c net.Conn, r *http.Request) bool {
 				if n > 1 {
-					time.Sleep(2 * late) // the second response to the request before comes first
+					time.Sleep(2 * late) // so that the second response to the previous request arrives first
 				}
 				id := r.Header.Get("X-Call-Id")
 				time.AfterFunc(late, func() { respond(c, "200 OK", id) })
@@ -355,9 +361,9 @@
 					foreign++
 				}
 				if i%2 == 0 {
-					time.Sleep(late / 2) // the next request crosses the second response
+					time.Sleep(late / 2) // the second response arrives after the next request has been written
 				} else {
-					time.Sleep(3 * late) // the true response to it comes while the connection rests
+					time.Sleep(3 * late) // its true response arrives while the connection may not be reused
 				}
 			}
 			if foreign > allowed {
@@ -367,7 +373,8 @@
 	}
 }
 
-// A server may announce the end of an idle connection: that is no second response, and its connections are used again.
+// Guards against a server's notice that it closes an idle connection being taken for a second response, after which
+// none of its connections would be reused.
 func TestAnnouncedIdleTimeoutIsNoSecondResponse(t *testing.T) {
 	for text, notice := range map[string]bool{
 		"HTTP/1.1 408 Request Timeout\r\n": true,
@@ -376,7 +383,7 @@
 		"HTTP/1.1 40":                      false,
 	} {
 		if got := isTimeoutNotice([]byte(text)); got != notice {
-			t.Errorf("%q is a notice: %v, want %v", text, got, notice)
+			t.Errorf("isTimeoutNotice(%q) = %v, want %v", text, got, notice)
 		}
 	}
 }
--- a/internal/node/gated_conn_test.go
+++ b/internal/node/gated_conn_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// gate blocks those who pass it while it is shut, and counts them.
+// gate blocks the goroutines that call pass while it is shut, and counts them.
 type gate struct {
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -29,6 +29,7 @@
 	return g
 }
 
+// pass returns once the gate is open.
 func (g *gate) pass() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -40,6 +41,7 @@
 	g.waiting--
 }
 
+// set shuts or opens the gate.
 func (g *gate) set(shut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,23 +49,23 @@
 	g.changed.Broadcast()
 }
 
-// held reports whether somebody waits at it.
+// held reports whether a goroutine waits at the shut gate.
 func (g *gate) held() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.shut && g.waiting > 0
 }
 
-// gatedConn is the node's end of a client's connection, with a gate before each read of the socket and one after.
+// gatedConn is the node's end of a client's connection, with gates before and after each read of the socket.
 type gatedConn struct {
 	*net.TCPConn
 	before, after *gate
-	late          *gate // after a read that timed out
+	afterTimeout  *gate // after a read that timed out
 
 	mu          sync.Mutex
 	closed      bool
-	interrupted bool // reads are to end at once
-	ended       bool // its sending has ended
+	interrupted bool // the read deadline has passed
+	writeClosed bool // the node has shut down its sending direction
 }
 
 func (c *gatedConn) Read(b []byte) (int, error) {
@@ -73,7 +75,7 @@
 	case n > 0:
 		c.after.pass()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.late.pass()
+		c.afterTimeout.pass()
 	}
 	return n, err
 }
@@ -87,16 +89,16 @@
 
 func (c *gatedConn) CloseWrite() error {
 	c.mu.Lock()
-	c.ended = true
+	c.writeClosed = true
 	c.mu.Unlock()
 	return c.TCPConn.CloseWrite()
 }
 
-// hasEnded reports whether the node has ended its sending.
-func (c *gatedConn) hasEnded() bool {
+// isWriteClosed reports whether the node has shut down its sending direction.
+func (c *gatedConn) isWriteClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ended
+	return c.writeClosed
 }
 
 func (c *gatedConn) SetReadDeadline(t time.Time) error {
@@ -106,8 +108,8 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// ending reports whether the node has closed the connection or interrupted its reader.
-func (c *gatedConn) ending() bool {
+// isClosedOrInterrupted reports whether the node has closed the connection or interrupted its reads.
+func (c *gatedConn) isClosedOrInterrupted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed || c.interrupted
@@ -119,11 +121,11 @@
 	return c.closed
 }
 
-// gatedListener accepts connections with gates for a node, and passes them to the test too.
+// gatedListener accepts connections with gates for a node, and also passes them to the test.
 type gatedListener struct {
 	*net.TCPListener
 	conns chan *gatedConn
-	hold  atomic.Bool // the first read of new connections waits
+	hold  atomic.Bool // the first read of a new connection blocks
 }
 
 func newGatedListener(t *testing.T) *gatedListener {
@@ -140,20 +142,20 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &gatedConn{TCPConn: c, before: newGate(), after: newGate(), late: newGate()}
+	g := &gatedConn{TCPConn: c, before: newGate(), after: newGate(), afterTimeout: newGate()}
 	g.before.shut = l.hold.Load()
 	l.conns <- g
 	return g, nil
 }
 
-// gatedClient is a client on one connection, and the node's end of it.
+// gatedClient is a client with one connection, and the node's end of that connection.
 type gatedClient struct {
 	*net.TCPConn
 	in   *bufio.Reader
 	node *gatedConn
 }
 
-// dial connects and finds the node's end by its address.
+// dial connects to the listener and finds the node's end of the connection by the client's address.
 func (l *gatedListener) dial(t *testing.T) *gatedClient {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -168,12 +170,12 @@
 				return &gatedClient{c.(*net.TCPConn), bufio.NewReader(c), g}
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("never accepted")
+			t.Fatal("the connection was not accepted within 20s")
 		}
 	}
 }
 
-// fill sends as many requests as the concurrency limit of one server allows, and waits until all are there.
+// fill sends as many requests as the concurrency limit of one server allows, and waits until the server has them all.
 func (l *gatedListener) fill(t *testing.T, b *backend) (filling []*gatedClient) {
 	t.Helper()
 	for range 5 { // the concurrency limit of one server
@@ -181,11 +183,11 @@
 		c.send(t, text("unsafe", "fill-"+c.LocalAddr().String(), ""))
 		filling = append(filling, c)
 	}
-	eventually(t, "the server is full", func() bool { return b.requests() == len(filling) })
+	eventually(t, "the server has all requests", func() bool { return b.requests() == len(filling) })
 	return filling
 }
 
-// text is a request as it is written to a connection, with further headers.
+// text returns a request as it is written to a connection, with further headers.
 func text(class, id, body string, headers ...string) string {
 	method := http.MethodPost
 	if class == "safe" {
@@ -204,16 +206,16 @@
 	return strings.Join(append(head, headers...), "\r\n") + "\r\n\r\n" + body
 }
 
-// send writes a text to the connection.
+// send writes to the client's end of the connection.
 func (c *gatedClient) send(t *testing.T, what string) {
 	t.Helper()
 	write(t, c, what)
 }
 
-// disconnect closes the client's end. Its error is ignored: the connection is closed in any case.
+// disconnect closes the client's end. The error is ignored: the connection is closed in any case.
 func (c *gatedClient) disconnect() { _ = c.Close() }
 
-// reset closes a connection with a reset.
+// reset resets a connection instead of closing it in the normal way.
 func reset(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	c.Close()
@@ -227,7 +229,8 @@
 	}
 }
 
-// answered reads one complete response and returns its status; 0: the connection ended without one.
+// answered reads one complete response and returns its status; 0 if there is none within 20 s or the connection ends
+// before.
 func (c *gatedClient) answered() int {
 	if err := c.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		return 0
--- a/internal/node/memory_reservation_test.go
+++ b/internal/node/memory_reservation_test.go
@@ -13,8 +13,8 @@
 	"keelusher/policy"
 )
 
-// A client that disconnects while its response arrives leaves nothing behind: neither reserved memory nor a streamed
-// response that somebody waits for. The handler may see either first, so that a hundred requests show both.
+// Guards against memory of a response that stays reserved when its client disconnects while the response is passed to
+// the handler. The handler may see either first, so a hundred requests are sent to cover both cases.
 func TestDisconnectWhileResponseArrives(t *testing.T) {
 	arrivals, disconnects := make(chan *clientRequest), make(chan *clientRequest)
 	h := &clientHandler{
@@ -38,7 +38,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			defer func() { _ = recover() }() // it may abort the connection
+			defer func() { _ = recover() }() // the handler may panic with http.ErrAbortHandler
 			h.ServeHTTP(httptest.NewRecorder(), r)
 		}()
 		c := <-arrivals
@@ -50,19 +50,20 @@
 		case <-ended:
 		}
 		if left := h.buffers.responses.available.Load(); left != available {
-			t.Fatalf("%d bytes stay reserved", available-left)
+			t.Fatalf("%d bytes of the memory budget are still reserved", available-left)
 		}
 	}
 }
 
-// A server that responds and closes before it has read a request leaves no memory reserved.
-func TestResponseBesideFailedWrite(t *testing.T) {
+// Guards against memory of a response that stays reserved when the server responds and closes before it has read the
+// request, so that the write of the request fails.
+func TestResponseDespiteFailedWrite(t *testing.T) {
 	p := testPool(t)
 	available := p.buffers.responses.available.Load()
 	b := newBackend(t, ok)
 	att := testAttempt(p, b.addr(), time.Minute)
 	if first := p.runAttempt(att); first.result != policy.Success {
-		t.Fatalf("the first ended with %v", first.result)
+		t.Fatalf("the first attempt ended with %v, want success", first.result)
 	} else {
 		first.response.discard()
 	}
@@ -71,40 +72,40 @@
 	c.transition(serverConnAcquired)
 	p.mu.Unlock()
 	if !c.claimForReuse() {
-		t.Fatal("it does not pass the reuse check")
+		t.Fatal("the idle connection does not pass the reuse check")
 	}
 	b.mu.Lock()
 	respond(b.conns[0], "503 Service Unavailable", strings.Repeat("x", 100), "X-Rejected: 1")
 	b.mu.Unlock()
-	eventually(t, "the response waits", func() bool { return len(c.replies) == 1 })
-	c.Close() // the write fails
+	eventually(t, "the reader has passed on the response", func() bool { return len(c.replies) == 1 })
+	c.Close() // makes the write fail
 	if _, err := p.roundTrip(c, att); err == nil {
-		t.Fatal("the write did not fail")
+		t.Fatal("the attempt succeeded on a closed connection")
 	}
 	p.close(c)
 	if left := p.buffers.responses.available.Load(); left != available {
-		t.Errorf("%d bytes stay reserved", available-left)
+		t.Errorf("%d bytes of the memory budget are still reserved", available-left)
 	}
 }
 
-// The body of a request that is rejected for its id is released.
+// Guards against memory of a request's body that stays reserved when the request is rejected because its ID is in use.
 func TestBodyOfIDInUseIsReleased(t *testing.T) {
 	b, release := stalled(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
 	n, ln := gatedNode(t, b)
 	available := n.buffers.requests.available.Load()
 	first, second := ln.dial(t), ln.dial(t)
 	first.send(t, text("unsafe", "1", "payload"))
-	eventually(t, "it is out", func() bool { return b.requests() == 1 })
+	eventually(t, "the server has received the request", func() bool { return b.requests() == 1 })
 	second.send(t, text("unsafe", "1", "payload"))
 	if status := second.answered(); status != http.StatusConflict {
-		t.Errorf("the second got %d", status)
+		t.Errorf("the second request got status %d, want 409", status)
 	}
 	release()
 	if status := first.answered(); status != http.StatusOK {
-		t.Errorf("the first got %d", status)
+		t.Errorf("the first request got status %d, want 200", status)
 	}
-	eventually(t, "all is over", n.idle)
+	eventually(t, "no request is left", n.idle)
 	if left := n.buffers.requests.available.Load(); left != available {
-		t.Errorf("%d bytes stay reserved", available-left)
+		t.Errorf("%d bytes of the memory budget are still reserved", available-left)
 	}
 }
--- a/internal/node/queued_request_test.go
+++ b/internal/node/queued_request_test.go
@@ -11,9 +11,9 @@
 	"keelusher/internal/inbound"
 )
 
-// Guards against servers that are given time that the client no longer has: a request may wait for its connection to be
-// accepted, at the limit on connections or on a busy machine, and its client's time goes on.
-func TestTimeBeforeTheAcceptIsNotGivenToServers(t *testing.T) {
+// Guards against a budget for the server that is longer than the client's: a request may wait for its connection to be
+// accepted, at the limit on connections or on a busy machine, and this time counts against the client's budget.
+func TestBudgetExcludesTimeBeforeAccept(t *testing.T) {
 	const queued = 600 * time.Millisecond
 	for name, tt := range map[string]struct {
 		budget time.Duration
@@ -44,14 +44,14 @@
 			startOn(t, listener, cfg)
 			response, err := http.ReadResponse(bufio.NewReader(client), request)
 			if err != nil || response.StatusCode != tt.status {
-				t.Fatalf("%v, %v, want the status %d", response, err, tt.status)
+				t.Fatalf("response %v, error %v, want status %d", response, err, tt.status)
 			}
 			if tt.status != http.StatusOK {
 				return
 			}
 			given, err := inbound.ParseBudget(server.seen[0].Header.Get("X-Budget"))
 			if left := tt.budget - queued; err != nil || given > left {
-				t.Errorf("the server was given %v, %v, the client had %v left at most", given, err, left)
+				t.Errorf("the server got the budget %v, %v, the client had %v left at most", given, err, left)
 			}
 		})
 	}
--- a/internal/node/request_benchmark_test.go
+++ b/internal/node/request_benchmark_test.go
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// benchmarkSockets leaves room for as many server connections as sequential requests use within the idle period that
-// a connection needs between two requests.
+// benchmarkSockets is the limit on sockets. It allows as many server connections as sequential requests use within
+// minIdlePeriod, for which a connection must be idle between two requests.
 const benchmarkSockets = 4096
 
-// benchmarkListener opens a listener on loopback that is closed at the benchmark's end.
+// benchmarkListener opens a listener on loopback and closes it at the end of the benchmark.
 func benchmarkListener(b *testing.B) net.Listener {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,11 +26,11 @@
 	return listener
 }
 
-// startBenchmarkServer answers each request on each connection with a short response.
+// startBenchmarkServer starts a server that answers every request with a short response.
 func startBenchmarkServer(b *testing.B) (address string) {
 	b.Helper()
 	listener := benchmarkListener(b)
-	go func() { // ends as the listener is closed
+	go func() { // returns when the listener is closed
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
@@ -42,7 +42,7 @@
 	return listener.Addr().String()
 }
 
-// answerRequests ends with the connection.
+// answerRequests answers the requests on a connection until the connection ends.
 func answerRequests(connection net.Conn) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
@@ -60,7 +60,7 @@
 	}
 }
 
-// startBenchmarkNode runs a node whose only endpoint is a server's address, until the benchmark's end.
+// startBenchmarkNode starts a node whose only endpoint is the server, and stops it at the end of the benchmark.
 func startBenchmarkNode(b *testing.B, server string) (address string) {
 	b.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -87,17 +87,17 @@
 	listener := benchmarkListener(b)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- n.serve(ctx, listener, nil, nil) }() // ends as ctx is canceled
+	go func() { ended <- n.serve(ctx, listener, nil, nil) }() // returns when ctx is canceled
 	b.Cleanup(func() {
 		stop()
 		if err := <-ended; err != nil {
-			b.Errorf("the node ended with %v", err)
+			b.Errorf("the node stopped with %v, want no error", err)
 		}
 	})
 	return listener.Addr().String()
 }
 
-// benchmarkClient sends one request after another on one connection.
+// benchmarkClient sends its requests one after another on one connection.
 type benchmarkClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -124,7 +124,7 @@
 
 // BenchmarkRequestThroughNode measures one request on loopback: client connection, loop, server connection and back.
 func BenchmarkRequestThroughNode(b *testing.B) {
-	const untimedRequests = 3000 // until as many server connections are open as are used
+	const untimedRequests = 3000 // enough to open as many server connections as the requests use
 	connection, err := net.Dial("tcp", startBenchmarkNode(b, startBenchmarkServer(b)))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/node/request_parsing.go
+++ b/internal/node/request_parsing.go
@@ -13,9 +13,9 @@
 
 // Reasons for rejecting a request. Their texts are sent to the client.
 var (
-	errBudgetUsedQueued = errors.New("the request waited to be read for longer than its time")
-	errBodyOverLimit    = fmt.Errorf("the body is over %d bytes", maxStreamedBody)
-	errBodyUnreadable   = errors.New("the body could not be read")
+	errBudgetSpentWaiting = errors.New("the request waited to be read for longer than its time")
+	errBodyOverLimit      = fmt.Errorf("the body is over %d bytes", maxStreamedBody)
+	errBodyUnreadable     = errors.New("the body could not be read")
 )
 
 // parseRequest converts an HTTP request into a request for the loop. Its errors are of type *inbound.Rejection.
@@ -38,7 +38,7 @@
 	c.header = inbound.ForwardableHeaders(r.Header)
 	c.budget = budget - h.timeQueued(c.connection)
 	if c.budget <= 0 {
-		return nil, inbound.Reject(http.StatusServiceUnavailable, errBudgetUsedQueued)
+		return nil, inbound.Reject(http.StatusServiceUnavailable, errBudgetSpentWaiting)
 	}
 	c.deadline = h.clock.now() + c.budget
 	c.meta.Deadline = c.deadline
--- a/internal/node/slow_body_test.go
+++ b/internal/node/slow_body_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// lateReader is a server that reads nothing of a request for a while, then all of it, and responds.
-func lateReader(t *testing.T, wait time.Duration) (addr string) {
+// startSlowServer starts a server that waits before it reads a request, then reads all of it and responds.
+func startSlowServer(t *testing.T, wait time.Duration) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,20 +43,20 @@
 	return ln.Addr().String()
 }
 
-// A client whose long body is ready is not rejected as too slow because the server is.
+// Guards against a 408 for a client that is not slow: its long body is ready, and only the server reads it slowly.
 func TestSlowServerIsNotBlamedOnClient(t *testing.T) {
 	t.Parallel()
-	cfg := testConfig(t, "pushed", inService("s-0", lateReader(t, 4*time.Second)))
+	cfg := testConfig(t, "pushed", inService("s-0", startSlowServer(t, 4*time.Second)))
 	cfg.Discovery = silentDiscovery(t)
 	n := start(t, cfg)
 	status, _, text := do(t, newRequest(t, n.url, "unsafe", "1", strings.Repeat("x", 16<<20)))
 	if status != http.StatusOK {
-		t.Errorf("it got %d: %s", status, text)
+		t.Errorf("got status %d, want 200; body: %s", status, text)
 	}
 }
 
-// A client that has sent most of a long body and stops gets an error or a close within 3 s, though at the minimum rate
-// its bytes would have taken far longer.
+// Guards against a time limit for the body that is computed from its length only: a client that has sent most of a long
+// body and stops gets an error or a close within 3 s, though at the minimum rate its bytes would have taken far longer.
 func TestClientStopsWithinLongBody(t *testing.T) {
 	t.Parallel()
 	for name, length := range map[string]int{"of 3 MB": 3 << 20, "of 64 KiB": maxBufferedBody} {
@@ -74,7 +74,7 @@
 			setReadTimeout(t, c, 10*time.Second)
 			_, err = c.Read(make([]byte, 1))
 			if took := time.Since(stopped); errors.Is(err, os.ErrDeadlineExceeded) || took > 3*time.Second {
-				t.Errorf("an error or a close came after %v, %v", took, err)
+				t.Errorf("the client got an error or a close after %v, %v, want 3s at most", took, err)
 			}
 		})
 	}
--- a/internal/node/transient_errors.go
+++ b/internal/node/transient_errors.go
@@ -39,8 +39,8 @@
 // concern only the connection that was being accepted.
 var unusableListenerErrnos = []syscall.Errno{syscall.EBADF, syscall.ENOTSOCK, syscall.EINVAL, syscall.EFAULT}
 
-// endsListener reports whether no further accept can succeed.
-func endsListener(err error) bool {
+// isFatalAcceptError reports whether no further accept can succeed.
+func isFatalAcceptError(err error) bool {
 	var errno syscall.Errno
 	return errors.Is(err, net.ErrClosed) || errors.As(err, &errno) && slices.Contains(unusableListenerErrnos, errno)
 }
