--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// sendHead opens a connection and sends the head of a request, which ends with the header length.
+// sendHead opens a connection and sends the head of a request with length as its last header.
 func sendHead(t *testing.T, n *running, length string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -139,7 +139,8 @@
 // connection, where the next read fails too. The caller holds the lock.
 func (c *clientConn) applyReadDeadline() { _ = c.Conn.SetReadDeadline(c.readDeadline) }
 
-// postponeReadDeadline extends the HTTP server's read deadline to a duration from now. The caller holds the lock.
+// postponeReadDeadline replaces the HTTP server's read deadline with one that is the given duration from now. The
+// caller holds the lock.
 func (c *clientConn) postponeReadDeadline(by time.Duration) {
 	c.readDeadline = time.Now().Add(by)
 	c.applyReadDeadline()
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -26,44 +26,45 @@
 	return err != nil || pollErr == nil && pollFds[0].Revents != 0
 }
 
-// disconnectKinds are the ways in which a client may disconnect while its request waits, each with the request.
+// disconnectKinds are the ways in which a client may disconnect while its request waits, each with that request. A read
+// of the next byte does not show a disconnect behind unread bytes.
 var disconnectKinds = map[string]struct {
-	request string
-	leave   func(*testing.T, *gatedClient)
+	request    string
+	disconnect func(*testing.T, *gatedClient)
 }{
 	"a close": {
-		request: text("unsafe", "left", "x"),
-		leave:   func(_ *testing.T, c *gatedClient) { c.disconnect() },
+		request:    text("unsafe", "left", "x"),
+		disconnect: func(_ *testing.T, c *gatedClient) { c.disconnect() },
 	},
 	"a reset": {
-		request: text("unsafe", "left", "x"),
-		leave:   func(_ *testing.T, c *gatedClient) { reset(c.TCPConn) },
+		request:    text("unsafe", "left", "x"),
+		disconnect: func(_ *testing.T, c *gatedClient) { reset(c.TCPConn) },
 	},
 	"an end of sending": {
-		request: text("unsafe", "left", "x"),
-		leave:   func(_ *testing.T, c *gatedClient) { _ = c.CloseWrite() },
+		request:    text("unsafe", "left", "x"),
+		disconnect: func(_ *testing.T, c *gatedClient) { _ = c.CloseWrite() },
 	},
 	"a close behind more bytes": {
 		request: text("unsafe", "left", "x"),
-		leave: func(t *testing.T, c *gatedClient) {
+		disconnect: func(t *testing.T, c *gatedClient) {
 			c.send(t, "P")
 			c.disconnect()
 		},
 	},
 	"a close behind a request": {
 		request: text("unsafe", "left", "x"),
-		leave: func(t *testing.T, c *gatedClient) {
+		disconnect: func(t *testing.T, c *gatedClient) {
 			c.send(t, text("unsafe", "next", ""))
 			c.disconnect()
 		},
 	},
 	"a close behind a long body": {
-		request: text("unsafe", "left", strings.Repeat("x", 3*maxBufferedBody/2)),
-		leave:   func(_ *testing.T, c *gatedClient) { c.disconnect() },
+		request:    text("unsafe", "left", strings.Repeat("x", 3*maxBufferedBody/2)),
+		disconnect: func(_ *testing.T, c *gatedClient) { c.disconnect() },
 	},
 	"a close behind a chunked body": {
-		request: text("unsafe", "left", "", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n",
-		leave:   func(_ *testing.T, c *gatedClient) { c.disconnect() },
+		request:    text("unsafe", "left", "", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n",
+		disconnect: func(_ *testing.T, c *gatedClient) { c.disconnect() },
 	},
 }
 
@@ -108,16 +109,16 @@
 
 // Guards against a queued request that is forwarded after its client has disconnected, when capacity becomes free.
 func TestDisconnectWhileQueued(t *testing.T) {
-	for name, l := range disconnectKinds {
+	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b, release := stalled(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
 			n, ln := gatedNode(t, b)
 			filling := ln.fill(t, b)
 			c := ln.dial(t)
-			c.send(t, l.request)
+			c.send(t, kind.request)
 			eventually(t, "the loop has the request", func() bool { return n.hasOpenRequest("left") })
-			l.leave(t, c)
+			kind.disconnect(t, c)
 			eventually(t, "the client has disconnected", c.node.disconnected)
 			release()
 			for _, c := range filling {
@@ -137,9 +138,9 @@
 // had disconnected was forwarded.
 func (n *running) checkOnlyConnectedServed(t *testing.T, ln *gatedListener, b *backend) {
 	t.Helper()
-	stays := ln.dial(t)
-	stays.send(t, text("unsafe", "stays", ""))
-	if status := stays.answered(); status != http.StatusOK {
+	connected := ln.dial(t)
+	connected.send(t, text("unsafe", "stays", ""))
+	if status := connected.answered(); status != http.StatusOK {
 		t.Errorf("a request of a connected client got status %d, want 200", status)
 	}
 	eventually(t, "no request is left", n.idle)
@@ -157,7 +158,7 @@
 
 // Guards against a retry of a request whose client has disconnected before the server rejected the first attempt.
 func TestDisconnectBeforeRetry(t *testing.T) {
-	for name, l := range disconnectKinds {
+	for name, kind := range disconnectKinds {
 		if strings.Contains(name, "long body") {
 			continue // a streamed body is not retried
 		}
@@ -172,12 +173,12 @@
 			ln := newGatedListener(t)
 			n := startOn(t, ln, cfg)
 			c := ln.dial(t)
-			c.send(t, l.request)
+			c.send(t, kind.request)
 			eventually(t, "the server has received the request", func() bool { return b.requestsWithID("left") == 1 })
-			l.leave(t, c)
+			kind.disconnect(t, c)
 			eventually(t, "the client has disconnected", c.node.disconnected)
-			moved := []listedEndpoint{inService("s-1", other.addr())}
-			n.loop.endpointUpdates <- watchEvent{list: endpointList{Version: 2, Endpoints: moved}}
+			update := []listedEndpoint{inService("s-1", other.addr())}
+			n.loop.endpointUpdates <- watchEvent{list: endpointList{Version: 2, Endpoints: update}}
 			release()
 			eventually(t, "no request is left", n.idle)
 			if got := other.requests(); got != 0 {
@@ -189,28 +190,28 @@
 
 // Guards against a request that is forwarded though its client disconnected while the node connected to the server.
 func TestDisconnectWhileDialing(t *testing.T) {
-	for name, l := range disconnectKinds {
+	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, ok)
 			cfg := testConfig(t, "pushed", inService("s-0", b.addr()))
 			cfg.Discovery = silentDiscovery(t)
 			ln := newGatedListener(t)
-			up := newGate()
-			up.shut = true
+			dialGate := newGate()
+			dialGate.shut = true
 			n := startOn(t, ln, cfg, func(n *Node) {
 				n.pool.dialer.Timeout = 0 // the gate may stay shut for longer than the configured timeout
 				n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
-					up.pass()
+					dialGate.pass()
 					return nil
 				}
 			})
 			c := ln.dial(t)
-			c.send(t, l.request)
-			eventually(t, "the attempt waits for the dial", up.held)
-			l.leave(t, c)
+			c.send(t, kind.request)
+			eventually(t, "the attempt waits for the dial", dialGate.held)
+			kind.disconnect(t, c)
 			eventually(t, "the client has disconnected", c.node.disconnected)
-			up.set(false)
+			dialGate.set(false)
 			n.checkOnlyConnectedServed(t, ln, b)
 		})
 	}
@@ -219,31 +220,31 @@
 // Guards against a request that is forwarded though its client disconnected before the loop received the request, as in
 // a process that was suspended or is busy.
 func TestDisconnectWhileLoopIsBusy(t *testing.T) {
-	for name, l := range disconnectKinds {
+	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, ok)
 			n, ln := gatedNode(t, b)
-			busy, asleep := make(chan struct{}), make(chan struct{})
-			go func() { n.loop.tasks <- func() { close(asleep); <-busy } }()
-			<-asleep
+			unblock, loopBlocked := make(chan struct{}), make(chan struct{})
+			go func() { n.loop.tasks <- func() { close(loopBlocked); <-unblock } }()
+			<-loopBlocked
 			c := ln.dial(t)
-			c.send(t, l.request)
-			l.leave(t, c)
+			c.send(t, kind.request)
+			kind.disconnect(t, c)
 			eventually(t, "the client has disconnected", c.node.disconnected)
 			eventually(t, "it is handled or closed", func() bool { return n.inbound.isHandledOrClosed(c.node) })
-			close(busy)
+			close(unblock)
 			n.checkOnlyConnectedServed(t, ln, b)
 		})
 	}
 }
 
 // isHandledOrClosed reports whether a connection has a complete request, or is closed.
-func (b *limitedListener) isHandledOrClosed(c *gatedConn) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, l := range []*list.List{b.awaitingHead, b.awaitingBody} {
-		for e := l.Front(); e != nil; e = e.Next() {
+func (l *limitedListener) isHandledOrClosed(c *gatedConn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, waiting := range []*list.List{l.awaitingHead, l.awaitingBody} {
+		for e := waiting.Front(); e != nil; e = e.Next() {
 			if e.Value.(*clientConn).Conn == c {
 				return c.isClosed()
 			}
--- a/internal/node/client_handler.go
+++ b/internal/node/client_handler.go
@@ -56,33 +56,33 @@
 		h.serveReadiness(w, r)
 		return
 	}
-	c, err := h.parseRequest(w, r)
+	request, err := h.parseRequest(w, r)
 	if err != nil {
 		h.reject(w, err)
 		return
 	}
 	if !recordRequestRead(r) {
-		c.bodyMemory.release()
+		request.bodyMemory.release()
 		h.abortEvicted()
 	}
-	if c.bodyStream != nil {
+	if request.bodyStream != nil {
 		// The response may be written before the body's end has been read. The error is ignored: HTTP/1.1 connections
 		// support this.
 		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
 	select {
-	case h.arrivals <- c:
+	case h.arrivals <- request:
 	case <-h.stopped: // the node has stopped and closed this connection
 		panic(http.ErrAbortHandler)
 	}
 	select {
-	case final := <-c.responses:
+	case final := <-request.responses:
 		if final.status == abortResponse.status {
-			h.abort(c)
+			h.abort(request)
 		}
-		h.writeResponse(w, r, c, final)
+		h.writeResponse(w, r, request, final)
 	case <-r.Context().Done():
-		h.reportDisconnect(c)
+		h.reportDisconnect(request)
 	}
 }
 
@@ -97,24 +97,24 @@
 }
 
 // reportDisconnect notifies the loop that the client of a request has reportDisconnect, and aborts its handling.
-func (h *clientHandler) reportDisconnect(c *clientRequest) {
+func (h *clientHandler) reportDisconnect(request *clientRequest) {
 	select {
-	case h.disconnects <- c:
+	case h.disconnects <- request:
 	case <-h.stopped:
 	}
 	select { // a response may have arrived at the same time; the loop sends none after the notification
-	case final := <-c.responses:
+	case final := <-request.responses:
 		final.discard()
 	default:
 	}
-	h.abort(c)
+	h.abort(request)
 }
 
 // abort ends the handling of a request whose client has disconnected. A plain return would send an empty 200, which a
 // client that has shut down only its sending direction could read.
-func (h *clientHandler) abort(c *clientRequest) {
-	if c.bodyStream != nil {
-		c.bodyStream.Stop()
+func (h *clientHandler) abort(request *clientRequest) {
+	if request.bodyStream != nil {
+		request.bodyStream.Stop()
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -156,12 +156,12 @@
 
 // writeResponse writes the final response to a request. Write errors are ignored: the request's context reports that
 // the client has disconnected.
-func (h *clientHandler) writeResponse(w http.ResponseWriter, r *http.Request, c *clientRequest, final response) {
+func (h *clientHandler) writeResponse(w http.ResponseWriter, r *http.Request, request *clientRequest, final response) {
 	controller := http.NewResponseController(w)
 	defer final.bodyMemory.release()
 	_ = controller.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	h.beginResponse(w, r)
-	bodyUnread := c.bodyStream != nil && !c.bodyStream.Stop()
+	bodyUnread := request.bodyStream != nil && !request.bodyStream.Stop()
 	if bodyUnread {
 		w.Header().Set("Connection", "close")
 	}
@@ -180,7 +180,7 @@
 	}
 	if bodyUnread {
 		_ = controller.Flush()
-		c.bodyStream.Discard()
+		request.bodyStream.Discard()
 	}
 }
 
--- a/internal/node/client_handler_test.go
+++ b/internal/node/client_handler_test.go
@@ -40,7 +40,7 @@
 func TestMalformedRequests(t *testing.T) {
 	b := newBackend(t, ok)
 	n := startWith(t, b)
-	for name, spoil := range map[string]func(*http.Request){
+	for name, corrupt := range map[string]func(*http.Request){
 		"no id":          func(r *http.Request) { r.Header.Del("X-Call-Id") },
 		"no class":       func(r *http.Request) { r.Header.Del("X-Call-Class") },
 		"unknown class":  func(r *http.Request) { r.Header.Set("X-Call-Class", "unsafes") },
@@ -66,7 +66,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRequest(t, n.url, "keyed", "id-"+name, "payload")
-			spoil(r)
+			corrupt(r)
 			if status, _, _ := do(t, r); status < 400 || status > 499 {
 				t.Errorf("got status %d, want 4xx", status)
 			}
--- a/internal/node/client_listener_test.go
+++ b/internal/node/client_listener_test.go
@@ -13,18 +13,18 @@
 
 // startAccepting starts a listener with a limit of one connection. It returns the listener, the channel of the
 // connections that it accepts, and a function that connects to it.
-func startAccepting(t *testing.T) (b *limitedListener, accepted <-chan net.Conn, dial func()) {
+func startAccepting(t *testing.T) (listener *limitedListener, accepted <-chan net.Conn, dial func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b = newLimitedListener(ln, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
+	listener = newLimitedListener(ln, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
 	out := make(chan net.Conn)
 	go func() {
 		defer close(out)
 		for {
-			c, err := b.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -37,7 +37,7 @@
 			c.Close()
 		}
 	})
-	return b, out, func() {
+	return listener, out, func() {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/connection_race_test.go
+++ b/internal/node/connection_race_test.go
@@ -26,7 +26,7 @@
 // connection is closed as idle, in the kernel, read but not yet examined, or half of each, it is served.
 func TestRequestWhileIdleConnectionIsClosed(t *testing.T) {
 	request := text("unsafe", "2", "")
-	for name, cross := range map[string]func(*testing.T, *gatedClient) *gate{
+	for name, sendRequest := range map[string]func(*testing.T, *gatedClient) *gate{
 		"in the kernel of a new connection": func(t *testing.T, c *gatedClient) *gate {
 			c.send(t, request)
 			return c.node.before
@@ -58,7 +58,7 @@
 			n, ln := gatedNode(t, b)
 			ln.hold.Store(name == "in the kernel of a new connection")
 			c := ln.dial(t)
-			g := cross(t, c)
+			g := sendRequest(t, c)
 			eventually(t, "the reader is blocked at the gate", g.held)
 			n.stop()
 			eventually(t, "the node closes the connection or interrupts its read", c.node.isClosedOrInterrupted)
@@ -130,10 +130,10 @@
 }
 
 // isIdle reports whether a connection waits for the head of a request.
-func (b *limitedListener) isIdle(c net.Conn) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for e := b.awaitingHead.Front(); e != nil; e = e.Next() {
+func (l *limitedListener) isIdle(c net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for e := l.awaitingHead.Front(); e != nil; e = e.Next() {
 		if e.Value.(*clientConn).Conn == c {
 			return true
 		}
@@ -168,7 +168,7 @@
 // attempt's response nor make it fail.
 func TestUnexpectedBytesWhileConnectionIsAcquired(t *testing.T) {
 	unexpected := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
-	for name, cross := range map[string]func(net.Conn){
+	for name, sendUnexpected := range map[string]func(net.Conn){
 		"a whole response": func(c net.Conn) { _, _ = io.WriteString(c, unexpected) },
 		"half a line":      func(c net.Conn) { _, _ = io.WriteString(c, unexpected[:7]) },
 		"a close":          func(c net.Conn) { c.Close() },
@@ -190,7 +190,7 @@
 			b.mu.Lock()
 			c := b.conns[0]
 			b.mu.Unlock()
-			cross(c)
+			sendUnexpected(c)
 			eventually(t, "the reader waits before it examines the bytes", goroutineBlockedIn("(*serverConn).readResponses"))
 			p.mu.Unlock()
 			if r := <-ended; r.result != policy.Success || string(r.response.body) != "done" {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -29,7 +29,7 @@
 	responses     chan response // buffered, so that sending the final response does not block
 	connection    *clientConn   // nil if unknown
 
-	finished       atomic.Bool // answered, or its client has disconnected: no further attempt may be sent
+	finished       atomic.Bool // answered, or its client has disconnected: nothing more may be sent for it
 	disconnectedAt atomicTime  // when the node learned that the client had disconnected
 
 	// Used by the loop only.
--- a/internal/node/request_parsing.go
+++ b/internal/node/request_parsing.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &clientRequest{
+	request := &clientRequest{
 		meta:       meta,
 		method:     r.Method,
 		url:        r.URL,
@@ -32,18 +32,18 @@
 		responses:  make(chan response, 1),
 		connection: clientConnOf(r),
 	}
-	if err := h.readBody(w, r, c); err != nil {
+	if err := h.readBody(w, r, request); err != nil {
 		return nil, err
 	}
-	c.header = inbound.ForwardableHeaders(r.Header)
-	c.budget = budget - h.timeQueued(c.connection)
-	if c.budget <= 0 {
+	request.header = inbound.ForwardableHeaders(r.Header)
+	request.budget = budget - h.timeQueued(request.connection)
+	if request.budget <= 0 {
 		return nil, inbound.Reject(http.StatusServiceUnavailable, errBudgetSpentWaiting)
 	}
-	c.deadline = h.clock.now() + c.budget
-	c.meta.Deadline = c.deadline
-	c.meta.BodyIncomplete = c.bodyStream != nil
-	return c, nil
+	request.deadline = h.clock.now() + request.budget
+	request.meta.Deadline = request.deadline
+	request.meta.BodyIncomplete = request.bodyStream != nil
+	return request, nil
 }
 
 // timeQueued returns how long a request that has just been read may have waited to be read, which its client counts
@@ -57,36 +57,36 @@
 // readBody reads a short body completely, and of a long one as much as memory is available for. The remainder is
 // streamed later. A client that sends only the head of a request with a long body thus occupies no server. Its errors
 // are of type *inbound.Rejection.
-func (h *clientHandler) readBody(w http.ResponseWriter, r *http.Request, c *clientRequest) error {
+func (h *clientHandler) readBody(w http.ResponseWriter, r *http.Request, request *clientRequest) error {
 	if r.ContentLength > maxStreamedBody {
 		return inbound.Reject(http.StatusRequestEntityTooLarge, errBodyOverLimit)
 	}
-	c.contentLength = r.ContentLength
-	if c.contentLength == 0 {
+	request.contentLength = r.ContentLength
+	if request.contentLength == 0 {
 		return nil
 	}
 	stream := inbound.NewBody(w, r, firstBodyByteDue(r))
 	// An unknown length is -1, which is the greatest value as an unsigned number, so that the maximum is reserved.
-	c.bodyMemory = h.buffers.requests.reserve(int(min(uint64(c.contentLength), maxBufferedBody)))
-	if c.bodyMemory == nil {
-		c.bodyStream = stream
+	request.bodyMemory = h.buffers.requests.reserve(int(min(uint64(request.contentLength), maxBufferedBody)))
+	if request.bodyMemory == nil {
+		request.bodyStream = stream
 		return nil
 	}
 	var complete bool
 	var err error
-	c.body, complete, err = stream.Buffer(c.bodyMemory.size, c.contentLength)
+	request.body, complete, err = stream.Buffer(request.bodyMemory.size, request.contentLength)
 	if err != nil {
-		c.bodyMemory.release()
+		request.bodyMemory.release()
 		return inbound.Reject(http.StatusBadRequest, errBodyUnreadable)
 	}
 	if complete {
-		c.contentLength = int64(len(c.body))
-		c.bodyMemory.shrinkTo(len(c.body))
+		request.contentLength = int64(len(request.body))
+		request.bodyMemory.shrinkTo(len(request.body))
 	} else {
-		c.bodyStream = stream
+		request.bodyStream = stream
 	}
-	if r.Method == http.MethodGet && len(c.body) > 0 {
-		c.bodyMemory.release()
+	if r.Method == http.MethodGet && len(request.body) > 0 {
+		request.bodyMemory.release()
 		return inbound.Reject(http.StatusBadRequest, inbound.ErrBodyOnGet)
 	}
 	return nil
