--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -11,63 +11,64 @@
 	"golang.org/x/sys/unix"
 )
 
-// disconnected reports whether the client's end of the connection has reached the node's machine.
+// disconnected reports whether the kernel of the node's machine knows that the client has disconnected.
 func (c *gatedConn) disconnected() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
 	}
-	look := []unix.PollFd{{Events: unix.POLLRDHUP}}
+	pollFds := []unix.PollFd{{Events: unix.POLLRDHUP}}
 	var pollErr error
 	err = raw.Control(func(fd uintptr) {
-		look[0].Fd = int32(fd)
-		_, pollErr = unix.Poll(look, 0)
+		pollFds[0].Fd = int32(fd)
+		_, pollErr = unix.Poll(pollFds, 0)
 	})
-	return err != nil || pollErr == nil && look[0].Revents != 0
+	return err != nil || pollErr == nil && pollFds[0].Revents != 0
 }
 
-// disconnects are the ways to disconnect while a request waits. A read of the next byte does not show any of them.
-var disconnects = map[string]struct {
-	request string
-	leave   func(*testing.T, *gatedClient)
+// disconnectKinds are the ways in which a client may disconnect while its request waits, each with that request. A read
+// of the next byte does not show a disconnect behind unread bytes.
+var disconnectKinds = map[string]struct {
+	request    string
+	disconnect func(*testing.T, *gatedClient)
 }{
 	"a close": {
-		request: text("unsafe", "left", "x"),
-		leave:   func(_ *testing.T, c *gatedClient) { c.disconnect() },
+		request:    text("unsafe", "left", "x"),
+		disconnect: func(_ *testing.T, c *gatedClient) { c.disconnect() },
 	},
 	"a reset": {
-		request: text("unsafe", "left", "x"),
-		leave:   func(_ *testing.T, c *gatedClient) { reset(c.TCPConn) },
+		request:    text("unsafe", "left", "x"),
+		disconnect: func(_ *testing.T, c *gatedClient) { reset(c.TCPConn) },
 	},
 	"an end of sending": {
-		request: text("unsafe", "left", "x"),
-		leave:   func(_ *testing.T, c *gatedClient) { _ = c.CloseWrite() },
+		request:    text("unsafe", "left", "x"),
+		disconnect: func(_ *testing.T, c *gatedClient) { _ = c.CloseWrite() },
 	},
 	"a close behind more bytes": {
 		request: text("unsafe", "left", "x"),
-		leave: func(t *testing.T, c *gatedClient) {
+		disconnect: func(t *testing.T, c *gatedClient) {
 			c.send(t, "P")
 			c.disconnect()
 		},
 	},
 	"a close behind a request": {
 		request: text("unsafe", "left", "x"),
-		leave: func(t *testing.T, c *gatedClient) {
+		disconnect: func(t *testing.T, c *gatedClient) {
 			c.send(t, text("unsafe", "next", ""))
 			c.disconnect()
 		},
 	},
 	"a close behind a long body": {
-		request: text("unsafe", "left", strings.Repeat("x", 3*maxBufferedBody/2)),
-		leave:   func(_ *testing.T, c *gatedClient) { c.disconnect() },
+		request:    text("unsafe", "left", strings.Repeat("x", 3*maxBufferedBody/2)),
+		disconnect: func(_ *testing.T, c *gatedClient) { c.disconnect() },
 	},
 	"a close behind a chunked body": {
-		request: text("unsafe", "left", "", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n",
-		leave:   func(_ *testing.T, c *gatedClient) { c.disconnect() },
+		request:    text("unsafe", "left", "", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n",
+		disconnect: func(_ *testing.T, c *gatedClient) { c.disconnect() },
 	},
 }
 
-// stalled is a backend that does not answer before the test releases it.
+// stalled returns a backend that does not answer before the test calls release.
 func stalled(t *testing.T, answer func(net.Conn, *http.Request) bool) (b *backend, release func()) {
 	t.Helper()
 	open := make(chan struct{})
@@ -86,8 +87,8 @@
 	return b, release
 }
 
-// got is the number of requests with an id.
-func (b *backend) got(id string) int {
+// requestsWithID returns the number of requests with an ID that the backend has received.
+func (b *backend) requestsWithID(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	count := 0
@@ -99,67 +100,67 @@
 	return count
 }
 
-// idle reports whether no request is left, queued or at a server.
+// idle reports whether the node has no request, neither queued nor in flight.
 func (n *running) idle() bool {
 	var calls int
 	n.loop.runTask(func() { calls = len(n.loop.openRequests) })
 	return calls == 0
 }
 
-// A queued request whose client has disconnected is not forwarded when there is capacity.
+// Guards against a queued request that is forwarded after its client has disconnected, when capacity becomes free.
 func TestDisconnectWhileQueued(t *testing.T) {
-	for name, l := range disconnects {
+	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b, release := stalled(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
 			n, ln := gatedNode(t, b)
 			filling := ln.fill(t, b)
 			c := ln.dial(t)
-			c.send(t, l.request)
-			eventually(t, "it is queued", func() bool { return n.waits("left") })
-			l.leave(t, c)
-			eventually(t, "it has disconnected", c.node.disconnected)
+			c.send(t, kind.request)
+			eventually(t, "the loop has the request", func() bool { return n.hasOpenRequest("left") })
+			kind.disconnect(t, c)
+			eventually(t, "the client has disconnected", c.node.disconnected)
 			release()
 			for _, c := range filling {
 				if status := c.answered(); status != http.StatusOK {
-					t.Errorf("a request of a connected client got %d", status)
+					t.Errorf("a request of a connected client got status %d, want 200", status)
 				}
 			}
-			eventually(t, "all is over", n.idle)
-			if got := b.got("left") + b.got("next"); got != 0 {
-				t.Errorf("forwarded %d times, though its client had disconnected", got)
+			eventually(t, "no request is left", n.idle)
+			if got := b.requestsWithID("left") + b.requestsWithID("next"); got != 0 {
+				t.Errorf("forwarded %d times after its client had disconnected, want never", got)
 			}
 		})
 	}
 }
 
-// checkOnlyConnectedServed sends a request that is served, and then checks that none was whose client had
-// disconnected.
+// checkOnlyConnectedServed checks that a request of a connected client is served, and then that no request whose client
+// had disconnected was forwarded.
 func (n *running) checkOnlyConnectedServed(t *testing.T, ln *gatedListener, b *backend) {
 	t.Helper()
-	stays := ln.dial(t)
-	stays.send(t, text("unsafe", "stays", ""))
-	if status := stays.answered(); status != http.StatusOK {
-		t.Errorf("a request of a connected client got %d", status)
+	connected := ln.dial(t)
+	connected.send(t, text("unsafe", "stays", ""))
+	if status := connected.answered(); status != http.StatusOK {
+		t.Errorf("a request of a connected client got status %d, want 200", status)
 	}
-	eventually(t, "all is over", n.idle)
-	if got := b.got("left") + b.got("next"); got != 0 {
-		t.Errorf("forwarded %d times, though its client had disconnected", got)
+	eventually(t, "no request is left", n.idle)
+	if got := b.requestsWithID("left") + b.requestsWithID("next"); got != 0 {
+		t.Errorf("forwarded %d times after its client had disconnected, want never", got)
 	}
 }
 
-// waits reports whether the loop has a request.
-func (n *running) waits(id string) bool {
+// hasOpenRequest reports whether the loop has an open request with an ID.
+func (n *running) hasOpenRequest(id string) bool {
 	var there bool
 	n.loop.runTask(func() { there = n.loop.openRequests[id] != nil })
 	return there
 }
 
-// The same for a request that waits for a retry: the first attempt was rejected after the client had disconnected.
+// Guards against a retry of a request whose client has disconnected before the server rejected the first attempt.
 func TestDisconnectBeforeRetry(t *testing.T) {
-	for name, l := range disconnects {
+	for name, kind := range disconnectKinds {
 		if strings.Contains(name, "long body") {
-			continue // a streamed body is not sent again
+			continue // a streamed body is not retried
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -172,77 +173,78 @@
 			ln := newGatedListener(t)
 			n := startOn(t, ln, cfg)
 			c := ln.dial(t)
-			c.send(t, l.request)
-			eventually(t, "it is out", func() bool { return b.got("left") == 1 })
-			l.leave(t, c)
-			eventually(t, "it has disconnected", c.node.disconnected)
-			moved := []listedEndpoint{inService("s-1", other.addr())}
-			n.loop.endpointUpdates <- watchEvent{list: endpointList{Version: 2, Endpoints: moved}}
+			c.send(t, kind.request)
+			eventually(t, "the server has received the request", func() bool { return b.requestsWithID("left") == 1 })
+			kind.disconnect(t, c)
+			eventually(t, "the client has disconnected", c.node.disconnected)
+			update := []listedEndpoint{inService("s-1", other.addr())}
+			n.loop.endpointUpdates <- watchEvent{list: endpointList{Version: 2, Endpoints: update}}
 			release()
-			eventually(t, "all is over", n.idle)
+			eventually(t, "no request is left", n.idle)
 			if got := other.requests(); got != 0 {
-				t.Errorf("retried %d times, though its client had disconnected", got)
+				t.Errorf("retried %d times after its client had disconnected, want never", got)
 			}
 		})
 	}
 }
 
-// The same for a request that waits for a connection to its server.
+// Guards against a request that is forwarded though its client disconnected while the node connected to the server.
 func TestDisconnectWhileDialing(t *testing.T) {
-	for name, l := range disconnects {
+	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, ok)
 			cfg := testConfig(t, "pushed", inService("s-0", b.addr()))
 			cfg.Discovery = silentDiscovery(t)
 			ln := newGatedListener(t)
-			up := newGate()
-			up.shut = true
+			dialGate := newGate()
+			dialGate.shut = true
 			n := startOn(t, ln, cfg, func(n *Node) {
-				n.pool.dialer.Timeout = 0 // the gate may take longer than the settings allow
+				n.pool.dialer.Timeout = 0 // the gate may stay shut for longer than the configured timeout
 				n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
-					up.pass()
+					dialGate.pass()
 					return nil
 				}
 			})
 			c := ln.dial(t)
-			c.send(t, l.request)
-			eventually(t, "it waits for the dial", up.held)
-			l.leave(t, c)
-			eventually(t, "it has disconnected", c.node.disconnected)
-			up.set(false)
+			c.send(t, kind.request)
+			eventually(t, "the attempt waits for the dial", dialGate.held)
+			kind.disconnect(t, c)
+			eventually(t, "the client has disconnected", c.node.disconnected)
+			dialGate.set(false)
 			n.checkOnlyConnectedServed(t, ln, b)
 		})
 	}
 }
 
-// The same for a request that waits for the loop, as in a process that was suspended or is busy.
+// Guards against a request that is forwarded though its client disconnected before the loop received the request, as in
+// a process that was suspended or is busy.
 func TestDisconnectWhileLoopIsBusy(t *testing.T) {
-	for name, l := range disconnects {
+	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, ok)
 			n, ln := gatedNode(t, b)
-			busy, asleep := make(chan struct{}), make(chan struct{})
-			go func() { n.loop.tasks <- func() { close(asleep); <-busy } }()
-			<-asleep
+			unblock, loopBlocked := make(chan struct{}), make(chan struct{})
+			go func() { n.loop.tasks <- func() { close(loopBlocked); <-unblock } }()
+			<-loopBlocked
 			c := ln.dial(t)
-			c.send(t, l.request)
-			l.leave(t, c)
-			eventually(t, "it has disconnected", c.node.disconnected)
-			eventually(t, "its handler has it, or has ended", func() bool { return n.inbound.handles(c.node) })
-			close(busy)
+			c.send(t, kind.request)
+			kind.disconnect(t, c)
+			eventually(t, "the client has disconnected", c.node.disconnected)
+			eventually(t, "it is handled or closed", func() bool { return n.inbound.isHandledOrClosed(c.node) })
+			close(unblock)
 			n.checkOnlyConnectedServed(t, ln, b)
 		})
 	}
 }
 
-// handles reports whether a connection has a whole request, or is closed.
-func (b *limitedListener) handles(c *gatedConn) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, l := range []*list.List{b.awaitingHead, b.awaitingBody} {
-		for e := l.Front(); e != nil; e = e.Next() {
+// isHandledOrClosed reports whether a connection has a complete request, or is closed.
+func (l *limitedListener) isHandledOrClosed(c *gatedConn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, waiting := range []*list.List{l.awaitingHead, l.awaitingBody} {
+		for e := waiting.Front(); e != nil; e = e.Next() {
 			if e.Value.(*clientConn).Conn == c {
 				return c.isClosed()
 			}
--- a/internal/node/request_parsing.go
+++ b/internal/node/request_parsing.go
@@ -1,4 +1,4 @@
-// The step from an HTTP request to a request for the loop.
+// The conversion of HTTP requests into requests for the event loop.
 
 package node
 
@@ -11,20 +11,20 @@
 	"keelusher/internal/inbound"
 )
 
-// Reasons to reject a request. Their texts are sent to the client.
+// Reasons for rejecting a request. Their texts are sent to the client.
 var (
-	errBudgetUsedQueued = errors.New("the request waited to be read for longer than its time")
-	errBodyOverLimit    = fmt.Errorf("the body is over %d bytes", maxStreamedBody)
-	errBodyUnreadable   = errors.New("the body could not be read")
+	errBudgetSpentWaiting = errors.New("the request waited to be read for longer than its time")
+	errBodyOverLimit      = fmt.Errorf("the body is over %d bytes", maxStreamedBody)
+	errBodyUnreadable     = errors.New("the body could not be read")
 )
 
-// parseRequest turns an HTTP request into a request for the loop. It fails with an *inbound.Rejection.
+// parseRequest converts an HTTP request into a request for the loop. Its errors are of type *inbound.Rejection.
 func (h *clientHandler) parseRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
 	meta, budget, err := inbound.ParseHeaders(r, h.methods)
 	if err != nil {
 		return nil, err
 	}
-	c := &clientRequest{
+	request := &clientRequest{
 		meta:       meta,
 		method:     r.Method,
 		url:        r.URL,
@@ -32,60 +32,61 @@
 		responses:  make(chan response, 1),
 		connection: clientConnOf(r),
 	}
-	if err := h.readBody(w, r, c); err != nil {
+	if err := h.readBody(w, r, request); err != nil {
 		return nil, err
 	}
-	c.header = inbound.ForwardableHeaders(r.Header)
-	c.budget = budget - h.timeQueued(c.connection)
-	if c.budget <= 0 {
-		return nil, inbound.Reject(http.StatusServiceUnavailable, errBudgetUsedQueued)
+	request.header = inbound.ForwardableHeaders(r.Header)
+	request.budget = budget - h.timeQueued(request.connection)
+	if request.budget <= 0 {
+		return nil, inbound.Reject(http.StatusServiceUnavailable, errBudgetSpentWaiting)
 	}
-	c.deadline = h.clock.now() + c.budget
-	c.meta.Deadline = c.deadline
-	c.meta.BodyIncomplete = c.bodyStream != nil
-	return c, nil
+	request.deadline = h.clock.now() + request.budget
+	request.meta.Deadline = request.deadline
+	request.meta.BodyIncomplete = request.bodyStream != nil
+	return request, nil
 }
 
-// timeQueued is how long a request that has just been read may have waited for that, while its client's time went on:
-// for a suspended process, for a connection to be accepted or admitted, or for a processor.
+// timeQueued returns how long a request that has just been read may have waited to be read, which its client counts
+// against the budget: while the process was suspended, its connection was not yet accepted or admitted, or no processor
+// was free.
 func (h *clientHandler) timeQueued(c *clientConn) time.Duration {
 	suspended := min(h.suspension.TimeQueued(), c.idleFor())
 	return max(suspended, c.sinceLastBytes())
 }
 
 // readBody reads a short body completely, and of a long one as much as memory is available for. The remainder is
-// streamed later. A peer that sends only the head of a request with a long body thus takes no server's time. It fails
-// with an *inbound.Rejection.
-func (h *clientHandler) readBody(w http.ResponseWriter, r *http.Request, c *clientRequest) error {
+// streamed later. A client that sends only the head of a request with a long body thus occupies no server. Its errors
+// are of type *inbound.Rejection.
+func (h *clientHandler) readBody(w http.ResponseWriter, r *http.Request, request *clientRequest) error {
 	if r.ContentLength > maxStreamedBody {
 		return inbound.Reject(http.StatusRequestEntityTooLarge, errBodyOverLimit)
 	}
-	c.contentLength = r.ContentLength
-	if c.contentLength == 0 {
+	request.contentLength = r.ContentLength
+	if request.contentLength == 0 {
 		return nil
 	}
 	stream := inbound.NewBody(w, r, firstBodyByteDue(r))
-	// The maximum, if the length is not known: -1 is then the greatest unsigned number.
-	c.bodyMemory = h.buffers.requests.reserve(int(min(uint64(c.contentLength), maxBufferedBody)))
-	if c.bodyMemory == nil {
-		c.bodyStream = stream
+	// An unknown length is -1, which is the greatest value as an unsigned number, so that the maximum is reserved.
+	request.bodyMemory = h.buffers.requests.reserve(int(min(uint64(request.contentLength), maxBufferedBody)))
+	if request.bodyMemory == nil {
+		request.bodyStream = stream
 		return nil
 	}
 	var complete bool
 	var err error
-	c.body, complete, err = stream.Buffer(c.bodyMemory.size, c.contentLength)
+	request.body, complete, err = stream.Buffer(request.bodyMemory.size, request.contentLength)
 	if err != nil {
-		c.bodyMemory.release()
+		request.bodyMemory.release()
 		return inbound.Reject(http.StatusBadRequest, errBodyUnreadable)
 	}
 	if complete {
-		c.contentLength = int64(len(c.body))
-		c.bodyMemory.shrinkTo(len(c.body))
+		request.contentLength = int64(len(request.body))
+		request.bodyMemory.shrinkTo(len(request.body))
 	} else {
-		c.bodyStream = stream
+		request.bodyStream = stream
 	}
-	if r.Method == http.MethodGet && len(c.body) > 0 {
-		c.bodyMemory.release()
+	if r.Method == http.MethodGet && len(request.body) > 0 {
+		request.bodyMemory.release()
 		return inbound.Reject(http.StatusBadRequest, inbound.ErrBodyOnGet)
 	}
 	return nil
