--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet reads the fleet configuration, a TOML file that turns on what a node does together with others. A part
-// that the file does not name is off.
+// Package fleet reads the fleet configuration, a TOML file that enables the features for which nodes cooperate:
+// membership and overrides. A feature without a table in the file is off.
 package fleet
 
 import (
@@ -15,18 +15,18 @@
 
 // Config is a fleet configuration.
 type Config struct {
-	Name      string    `toml:"name"`   // of the fleet; processes of other fleets do not become members
-	Region    string    `toml:"region"` // of this node; default: its zone
+	Name      string    `toml:"name"`   // of the fleet; nodes of other fleets cannot become members
+	Region    string    `toml:"region"` // region of this node; default: its zone
 	Mesh      *Mesh     `toml:"mesh"`   // nil: no membership
 	Overrides *struct{} `toml:"orders"` // nil: no overrides
 }
 
 // Mesh configures membership.
 type Mesh struct {
-	Listen        string            `toml:"listen"` // address for UDP and TCP, which peers know
-	Seeds         []string          `toml:"seeds"`  // NAME=ADDRESS of the first members, the same on all nodes
-	DialAddresses map[string]string `toml:"dial"`   // by peer, for this process alone; default: the peer's own
-	ProbeInterval time.Duration     `toml:"probe"`  // default: defaultProbeInterval
+	Listen        string            `toml:"listen"` // address for UDP and TCP, under which other nodes know this one
+	Seeds         []string          `toml:"seeds"`  // NAME=ADDRESS of the initial members; the same on all nodes
+	DialAddresses map[string]string `toml:"dial"`   // by member; used by this process in place of the member's own address
+	ProbeInterval time.Duration     `toml:"probe"`  // between two probes; default: defaultProbeInterval
 }
 
 const (
@@ -53,7 +53,7 @@
 	return c, errors.Join(p.found...)
 }
 
-// problems collects what is wrong with a file.
+// problems collects the invalid values of a file.
 type problems struct {
 	path  string
 	text  []byte
@@ -66,10 +66,10 @@
 
 func (c *Config) check(p *problems) {
 	if c.Name == "" || len(c.Name) > maxNameBytes {
-		p.add("name", "must have 1 to %d bytes", maxNameBytes)
+		p.add("name", "must have from 1 to %d bytes", maxNameBytes)
 	}
 	if len(c.Region) > maxNameBytes {
-		p.add("region", "has over %d bytes", maxNameBytes)
+		p.add("region", "must have at most %d bytes", maxNameBytes)
 	}
 	if c.Mesh != nil {
 		c.Mesh.setDefaults()
@@ -94,7 +94,7 @@
 		p.add("mesh.probe", "must be from %v to %v", minProbeInterval, maxProbeInterval)
 	}
 	if len(m.Seeds) > maxSeeds || len(m.DialAddresses) > maxDialAddresses {
-		p.add("mesh.seeds", "at most %d seeds and %d addresses to dial", maxSeeds, maxDialAddresses)
+		p.add("mesh.seeds", "must have at most %d seeds, and [mesh.dial] at most %d addresses", maxSeeds, maxDialAddresses)
 	}
 	m.checkSeeds(p)
 	for name, address := range m.DialAddresses {
@@ -109,7 +109,7 @@
 	for _, seed := range m.Seeds {
 		name, address, _ := strings.Cut(seed, "=")
 		if err := checkAddress(address); err != nil || !isValidName(name) || seen[name] {
-			p.add("mesh.seeds", "%q is not NAME=ADDRESS with a name of its own: %v", seed, err)
+			p.add("mesh.seeds", "%q is not NAME=ADDRESS with a unique name: %v", seed, err)
 		}
 		seen[name] = true
 	}
@@ -117,14 +117,15 @@
 
 func isValidName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
-// checkAddress checks for an IPv4 address and a port: the platform has no names to resolve.
+// checkAddress returns an error unless address is an IPv4 address with a port. Host names are not allowed, since the
+// platform has no name resolution.
 func checkAddress(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
 	if ip := net.ParseIP(host); ip == nil || ip.To4() == nil {
-		return fmt.Errorf("%q is no IPv4 address", host)
+		return fmt.Errorf("%q is not an IPv4 address", host)
 	}
 	return nil
 }
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -9,11 +9,12 @@
 // sockoptReusePort is SO_REUSEPORT on Linux, which package syscall lacks.
 const sockoptReusePort = 0xf
 
-// Listen listens where a process that could not hand over may listen too.
+// Listen opens a TCP listener with SO_REUSEPORT, so that it also succeeds while an older process that could not hand
+// over its listener still listens on the address.
 func Listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
 		return conn.Control(func(descriptor uintptr) {
-			// Where the system has no such option, the address is not shared.
+			// Ignored: on a system without the option, the address cannot be shared.
 			_ = syscall.SetsockoptInt(int(descriptor), syscall.SOL_SOCKET, sockoptReusePort, 1)
 		})
 	}}
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -12,19 +12,19 @@
 	"keelusher/internal/lifecycle"
 )
 
-// descriptorSize is that of a descriptor in a control message, in bytes.
+// descriptorSize is the size in bytes of a file descriptor in a control message.
 const descriptorSize = 4
 
-// Predecessor is the process that served before, at the other end of a hand-over.
+// Predecessor is the connection to the process that hands its listener over to this one.
 type Predecessor struct {
 	Listener net.Listener
-	Phase    lifecycle.Phase // as it handed the listener over
+	Phase    lifecycle.Phase // of the predecessor when it handed the listener over
 
 	conn *net.UnixConn
 }
 
-// Connect asks the process that serves already for its listener; nil: there is no such process. A socket
-// file that a killed process left behind refuses connections.
+// Connect receives the listener of the process that is serving now. It returns nil if there is no such process; the
+// socket file that a killed process leaves behind refuses connections.
 func Connect(path string) (*Predecessor, error) {
 	if path == "" {
 		return nil, nil
@@ -44,7 +44,7 @@
 	return p, nil
 }
 
-// receive reads the predecessor's phase and its listener.
+// receive reads the predecessor's phase and the listener.
 func (p *Predecessor) receive() error {
 	if err := p.conn.SetDeadline(time.Now().Add(Timeout)); err != nil {
 		return err
@@ -55,7 +55,7 @@
 		return err
 	}
 	if stateLength != 1 {
-		return errors.New("no phase came")
+		return errors.New("got a message without a phase")
 	}
 	p.Phase = lifecycle.Phase(state[0])
 	if p.Listener, err = parseListener(rights[:rightsLength]); err != nil {
@@ -64,32 +64,32 @@
 	return p.conn.SetDeadline(time.Time{})
 }
 
-// parseListener makes a listener of the descriptor in a control message.
+// parseListener returns the listener whose descriptor is in a control message.
 func parseListener(rights []byte) (net.Listener, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
 		return nil, err
 	}
 	if len(messages) != 1 {
-		return nil, fmt.Errorf("%d control messages came, want one", len(messages))
+		return nil, fmt.Errorf("got %d control messages, want one", len(messages))
 	}
 	descriptors, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil {
 		return nil, err
 	}
-	file := os.NewFile(uintptr(descriptors[0]), "listener") // the buffer has space for one
+	file := os.NewFile(uintptr(descriptors[0]), "listener") // the only one: the buffer has no space for more
 	defer file.Close()
 	return net.FileListener(file)
 }
 
-// AnnounceServing announces to the predecessor that clients are accepted here. What it answers to the front from then
-// on relies on that, so nobody else may be notified before the predecessor knows.
+// AnnounceServing tells the predecessor that this process accepts clients. Nobody else may be told before the
+// predecessor has acknowledged it, because the predecessor's answers to readiness checks depend on it.
 func (p *Predecessor) AnnounceServing() {
-	_, _ = p.conn.Write([]byte{1}) // fails only if the predecessor has exited, which AwaitEnd notices
+	_, _ = p.conn.Write([]byte{1}) // fails only if the predecessor has exited, which AwaitEnd detects
 }
 
-// AwaitEnd returns when the predecessor has exited or the connection was closed here. It calls onAcknowledged for each
-// acknowledgement that the predecessor knows that clients are accepted here.
+// AwaitEnd returns when the predecessor has exited or Close was called. It calls onAcknowledged for each message with
+// which the predecessor acknowledges AnnounceServing.
 func (p *Predecessor) AwaitEnd(onAcknowledged func()) {
 	for message := make([]byte, 1); ; onAcknowledged() {
 		if _, err := p.conn.Read(message); err != nil {
--- a/internal/handover/server.go
+++ b/internal/handover/server.go
@@ -1,14 +1,15 @@
-// Package handover passes the listening socket of a node from one process to the next, while a new version takes over.
+// Package handover passes the listening socket of a node from one process, the predecessor, to the next, its successor,
+// during an upgrade.
 //
-// Two processes serve one address meanwhile. The new one gets the listening socket itself from the old one, so that
-// both accept from one queue and nothing queued is lost when the old one closes its end. They connect through the
-// hand-over socket, a Unix socket in $TMPDIR:
+// For a while both processes serve one address. The successor receives the listening socket itself, so that both accept
+// from the same queue and no queued connection is lost when the predecessor closes its descriptor. They connect through
+// the hand-over socket, a Unix socket in $TMPDIR:
 //
-//	old to new: one byte, its phase, with the listening socket
-//	new to old: one byte, once it serves
-//	old to new: one byte, once it knows
+//	predecessor to successor: one byte, its phase, with the listening socket
+//	successor to predecessor: one byte, once it serves
+//	predecessor to successor: one byte, to acknowledge that
 //
-// The connection stays open while both live: its end shows either that the other has exited, for whatever reason.
+// The connection stays open as long as both processes run. Its end tells either process that the other has exited.
 package handover
 
 import (
@@ -27,10 +28,10 @@
 	"keelusher/internal/lifecycle"
 )
 
-// Timeout is for the old process to hand over; then the new one listens by itself.
+// Timeout is the time that a predecessor has to hand over. After it, the successor opens a listener of its own.
 const Timeout = time.Second
 
-// Path is the path of the hand-over socket of an address; "": there is none.
+// Path returns the path of the hand-over socket for a listen address; "" if there is no directory for it.
 func Path(directory, listen string) string {
 	if directory == "" {
 		return ""
@@ -40,21 +41,23 @@
 
 // Config is what a Server needs of the node.
 type Config struct {
-	Path            string // of the hand-over socket; "": there is none
-	Log             *slog.Logger
-	Listener        syscall.Conn
-	Phase           func() lifecycle.Phase
-	ChangeProcesses func(change int) // called when so many more processes share the limits
+	Path     string // of the hand-over socket; "": there is none
+	Log      *slog.Logger
+	Listener syscall.Conn
+	Phase    func() lifecycle.Phase
+
+	// ChangeProcesses is called with +1 or -1 when the number of processes that share the node's limits changes.
+	ChangeProcesses func(change int)
 }
 
 // Server hands the listener over to successors.
 type Server struct {
 	config          Config
-	successorServes atomic.Bool   // clients are accepted by a successor
+	successorServes atomic.Bool   // a successor accepts clients
 	changed         chan struct{} // holds a token after successorServes has changed
 }
 
-// NewServer makes a server; Serve runs it.
+// NewServer returns a server, which Serve runs.
 func NewServer(config Config) *Server {
 	return &Server{config: config, changed: make(chan struct{}, 1)}
 }
@@ -62,11 +65,12 @@
 // SuccessorServes reports whether a successor accepts clients.
 func (s *Server) SuccessorServes() bool { return s.successorServes.Load() }
 
-// Changed holds a token after SuccessorServes has changed. It has one receiver.
+// Changed returns a channel that gets a value after each change of SuccessorServes; changes that were not received yet
+// share one value. It must have a single receiver.
 func (s *Server) Changed() <-chan struct{} { return s.changed }
 
-// Serve waits for successors, one after another, until ctx ends; without a path it returns at once. A successor binds
-// the path for itself, so it is bound anew after a successor that exited before this process.
+// Serve waits for successors, one after another, until ctx ends; without a path it returns at once. A successor takes
+// over the path for its own successors, so the path is bound again if the successor exits before this process.
 func (s *Server) Serve(ctx context.Context) {
 	if s.config.Path == "" {
 		return
@@ -75,7 +79,7 @@
 	for ctx.Err() == nil {
 		listener, err := s.bind()
 		if err != nil {
-			if err.Error() != lastError { // one line for each cause
+			if err.Error() != lastError { // log each cause once
 				s.config.Log.Warn("no successor can take over for now", "err", err)
 			}
 			lastError = err.Error()
@@ -87,7 +91,7 @@
 	}
 }
 
-// pause waits before the next try, or until ctx ends.
+// pause waits before a retry, or until ctx ends.
 func (s *Server) pause(ctx context.Context) {
 	select {
 	case <-time.After(Timeout):
@@ -95,7 +99,7 @@
 	}
 }
 
-// serveOne waits for a successor, hands the listener over and stays until the successor exits or ctx ends.
+// serveOne waits for a successor, hands the listener over, and returns when the successor exits or ctx ends.
 func (s *Server) serveOne(ctx context.Context, listener *net.UnixListener) {
 	defer closeSocket(listener)
 	stop := context.AfterFunc(ctx, func() { closeSocket(listener) })
@@ -104,33 +108,34 @@
 	if err == nil {
 		s.handOver(ctx, conn.(*net.UnixConn))
 	} else {
-		s.pause(ctx) // without descriptors it fails again at once
+		s.pause(ctx) // a retry would fail at once while there are no free descriptors
 	}
-	if ctx.Err() != nil && !s.successorServes.Load() { // else the file is the successor's
+	if ctx.Err() != nil && !s.successorServes.Load() { // otherwise the file belongs to the successor
 		removeFile(s.config.Path)
 	}
 }
 
-// closeSocket closes what is no longer needed; a failure would change nothing.
+// closeSocket closes a socket that is no longer needed, and ignores errors.
 func closeSocket(socket io.Closer) { socket.Close() }
 
-// removeFile removes a socket file that may be missing. One that stays refuses connections, which does no harm.
+// removeFile removes a socket file, which need not exist. Errors are ignored: a file that is left behind refuses
+// connections, which does no harm.
 func removeFile(path string) { _ = os.Remove(path) }
 
-// setSuccessorServes notes whether a successor serves, and notifies the receiver of Changed.
+// setSuccessorServes records whether a successor serves, and notifies the receiver of Changed.
 func (s *Server) setSuccessorServes(serves bool) {
 	s.successorServes.Store(serves)
 	select {
 	case s.changed <- struct{}{}:
-	default: // a token is there already
+	default: // the receiver has not taken the previous token
 	}
 }
 
-// bind binds beside the path and renames the file to it in one step: whoever is bound there before loses nothing but
-// the name.
+// bind listens on a temporary path and renames it to the configured one. That is atomic, and a process that listened on
+// the configured path before keeps its socket and its connections.
 func (s *Server) bind() (*net.UnixListener, error) {
 	ownPath := fmt.Sprintf("%s.%d", s.config.Path, os.Getpid())
-	removeFile(ownPath) // left by a killed process that had this number
+	removeFile(ownPath) // left behind by a killed process with the same process id
 	listener, err := net.Listen("unix", ownPath)
 	if err != nil {
 		return nil, err
@@ -145,7 +150,7 @@
 	return unixListener, nil
 }
 
-// handOver hands the listener to one successor and stays until that exits or ctx ends.
+// handOver hands the listener to one successor, and returns when the successor exits or ctx ends.
 func (s *Server) handOver(ctx context.Context, conn *net.UnixConn) {
 	defer closeSocket(conn)
 	stop := context.AfterFunc(ctx, func() { closeSocket(conn) })
@@ -164,13 +169,13 @@
 	}
 }
 
-// sendListener sends the phase and the listener.
+// sendListener sends the phase of the node and its listener.
 func (s *Server) sendListener(conn *net.UnixConn) error {
 	raw, err := s.config.Listener.SyscallConn()
 	if err != nil {
 		return err
 	}
-	// Not through File and its Fd: that would make the socket blocking, for both processes.
+	// File and its Fd are not used, because they would put the socket into blocking mode for both processes.
 	var sendErr error
 	err = raw.Control(func(descriptor uintptr) {
 		_, _, sendErr = conn.WriteMsgUnix([]byte{byte(s.config.Phase())}, syscall.UnixRights(int(descriptor)), nil)
@@ -187,6 +192,6 @@
 		}
 		s.setSuccessorServes(true)
 		s.config.Log.Info("the successor serves")
-		_, _ = conn.Write(message) // if it fails, so does the next read
+		_, _ = conn.Write(message) // if it fails, the next read fails too
 	}
 }
--- a/internal/handover/server_test.go
+++ b/internal/handover/server_test.go
@@ -13,7 +13,7 @@
 	"keelusher/internal/lifecycle"
 )
 
-// canTakeOver reports whether a successor gets the listener.
+// canTakeOver reports whether a successor receives the listener.
 func canTakeOver(path string) bool {
 	p, err := Connect(path)
 	if p == nil || err != nil {
@@ -23,7 +23,8 @@
 	return p.Listener.Close() == nil
 }
 
-// A hand-over socket that cannot be bound is tried again: a node may live for months before its next version comes.
+// Binding of the hand-over socket has to be retried after a failure, here that of a missing folder. Otherwise the next
+// upgrade, perhaps months later, would have no hand-over.
 func TestHandoverAfterFailedBind(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,13 +46,13 @@
 		defer close(ended)
 		server.Serve(ctx)
 	}()
-	time.Sleep(50 * time.Millisecond) // the first bind fails meanwhile; if not, the test shows less
+	time.Sleep(50 * time.Millisecond) // for the first bind to fail; if it has not run by then, the test proves less
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(20 * time.Second); !canTakeOver(path); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no successor gets the listener")
+			t.Fatal("no successor got the listener within 20 s")
 		}
 	}
 	stop()
--- a/internal/inbound/body.go
+++ b/internal/inbound/body.go
@@ -14,27 +14,27 @@
 	// MaxBody is the limit on the size of a request's body.
 	MaxBody = 32 << 20
 
-	minBodyRate = 64e3 // bytes a second
+	minBodyRate = 64e3 // bytes per second
 
-	// maxBodyReadGap is the longest pause within a body: a client that stops sending is owed an error or a close within
-	// 3 s.
+	// maxBodyReadGap is the longest wait for the next bytes of a body after its first ones. It is below 3 s because a
+	// client that stops sending must get an error response or a closed connection within 3 s.
 	maxBodyReadGap = 2300 * time.Millisecond
 
 	discardBufferSize = 4 << 10
 )
 
-// Reasons why a body could not be read to its end.
+// Errors of a body that could not be read to its end.
 var (
 	ErrBodyTooSlow  = errors.New("the body came too slowly")
 	ErrBodyTooLong  = errors.New("the body is too long")
 	ErrBodyUnwanted = errors.New("the rest of the body is not needed any more")
 )
 
-// pastDeadline is a deadline that ends a read at once.
+// pastDeadline is a read deadline in the past; setting it ends a read in progress.
 var pastDeadline = time.Unix(1, 0)
 
-// Body is the body of a request. It is read as fast as its reader takes it, and fails when the client sends more slowly
-// than 64 kB a second. Its methods may be called at the same time as a Read.
+// Body is the body of a request. A read fails with ErrBodyTooSlow if the client sends more slowly than minBodyRate,
+// 64 kB per second. The other methods may be called during a Read, except for Discard.
 type Body struct {
 	controller       *http.ResponseController
 	body             io.Reader
@@ -42,14 +42,14 @@
 
 	mu        sync.Mutex // held during a read
 	bytesRead int64
-	waitTime  time.Duration // spent waiting for the client, over all reads
-	err       error         // of the last read; io.EOF: the body was read completely
+	waitTime  time.Duration // total time of all reads
+	err       error         // result of the last read; io.EOF: the body was read completely
 	consumed  atomic.Bool
 	stopped   atomic.Bool
 }
 
-// NewBody is the body of a request whose response is written to w. The first bytes are due within firstByteTimeout of
-// waiting for them.
+// NewBody returns the body of r, whose response is written to w. The first bytes are due
+// firstByteTimeout after the start of the first read.
 func NewBody(w http.ResponseWriter, r *http.Request, firstByteTimeout time.Duration) *Body {
 	return &Body{
 		controller:       http.NewResponseController(w),
@@ -58,15 +58,15 @@
 	}
 }
 
-// Buffer reads up to size bytes of a body of the given length, -1 if that is not known, and reports whether they are
-// all of it. What it returns does not count as consumed.
+// Buffer reads up to size bytes and reports whether they are the complete body. The length is that of the body, -1 if
+// it is unknown. The bytes that it returns do not count as consumed.
 func (b *Body) Buffer(size int, length int64) (buffered []byte, complete bool, err error) {
 	buffered, err = io.ReadAll(io.LimitReader(b, int64(size)))
 	if err != nil {
 		return buffered, false, err
 	}
 	if len(buffered) < size || length == int64(size) {
-		_, err = b.Read(make([]byte, 1)) // the end
+		_, err = b.Read(make([]byte, 1)) // expects io.EOF
 	}
 	switch {
 	case errors.Is(err, io.EOF):
@@ -78,7 +78,7 @@
 	return buffered, false, nil
 }
 
-// Read implements io.Reader with the deadlines of a client's body.
+// Read implements io.Reader, with the deadlines that a client has to keep.
 func (b *Body) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,7 +95,7 @@
 	switch {
 	case b.stopped.Load():
 		err = ErrBodyUnwanted
-	case errors.Is(err, io.EOF): // from here on net/http reads only to notice a disconnect
+	case errors.Is(err, io.EOF): // from now on net/http reads only to detect a disconnect, which has no deadline
 		b.setReadDeadline(time.Time{})
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		err = ErrBodyTooSlow
@@ -106,7 +106,7 @@
 	return n, err
 }
 
-// readNext reads once within the time that the client has for its next bytes. The caller holds the lock.
+// readNext reads once, with the deadline for the client's next bytes. The caller holds b.mu, or has stopped the body.
 func (b *Body) readNext(p []byte) (int, error) {
 	began := time.Now()
 	b.setReadDeadline(b.nextDeadline(began))
@@ -116,12 +116,12 @@
 	return n, err
 }
 
-// setReadDeadline sets the deadline of the client's connection. Its error is ignored: it fails only on a closed
-// connection, and so does the read that follows.
+// setReadDeadline sets the read deadline of the client's connection. The error is ignored: setting the deadline fails
+// only on a closed connection, and then the next read fails too.
 func (b *Body) setReadDeadline(deadline time.Time) { _ = b.controller.SetReadDeadline(deadline) }
 
-// nextDeadline is when the next bytes are due from a client that sends at minBodyRate, and at the latest after
-// maxBodyReadGap. Time in which the reader took nothing is not charged to the client.
+// nextDeadline returns the deadline for the next bytes from a client that sends at minBodyRate; after the first bytes
+// it is at most maxBodyReadGap away. Only time spent in reads counts against the client.
 func (b *Body) nextDeadline(now time.Time) time.Time {
 	sendTime := time.Duration(float64(b.bytesRead) / minBodyRate * float64(time.Second))
 	left := b.firstByteTimeout + sendTime - b.waitTime
@@ -131,7 +131,8 @@
 	return now.Add(left)
 }
 
-// Stop ends the reading, a read in progress included, and reports whether the body was read completely.
+// Stop ends a read in progress, makes later reads fail with ErrBodyUnwanted, and reports whether the body was read
+// completely.
 func (b *Body) Stop() (complete bool) {
 	b.stopped.Store(true)
 	if b.mu.TryLock() { // no read is in progress
@@ -144,8 +145,8 @@
 	return errors.Is(b.err, io.EOF)
 }
 
-// Discard reads the remainder of a stopped body while the client keeps to minBodyRate: a close before the client has
-// written its request would reset the connection, and the client might lose its response.
+// Discard reads and drops the remainder of a stopped body as long as the client sends at minBodyRate. Closing the
+// connection before the client has written its whole request would reset it, and the client might lose the response.
 func (b *Body) Discard() {
 	buffer := make([]byte, discardBufferSize)
 	for b.bytesRead < MaxBody {
@@ -155,10 +156,11 @@
 	}
 }
 
-// Consumed reports whether some of the body has been read, other than by Buffer: it cannot be sent again.
+// Consumed reports whether part of the body has been read other than by Buffer, so that the body cannot be sent again.
 func (b *Body) Consumed() bool { return b.consumed.Load() }
 
-// Failure is why the body could not be read to its end; nil if it was, or if no read has failed.
+// Failure returns the error that ended the reading of the body; nil if no read has failed or the body was read
+// completely.
 func (b *Body) Failure() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/inbound/framing.go
+++ b/internal/inbound/framing.go
@@ -9,13 +9,14 @@
 	errHTTPVersion      = errors.New("that version of HTTP is not spoken here")
 	errAmbiguousFraming = errors.New("the body's end is not clear")
 
-	// ErrBodyOnGet is the reason to reject a GET with a body.
+	// ErrBodyOnGet is the reason for the rejection of a GET request that has a body.
 	ErrBodyOnGet = errors.New("a GET has no body")
 )
 
-// CheckFraming fails with a *Rejection unless the client and the node agree where a request ends; otherwise the
-// remainder of its body could pass as a request. net/http accepts a chunked body even beside a Content-Length, and
-// ignores chunking in HTTP/1.0. The head is that of the request as it was read; nil: not known.
+// CheckFraming returns a *Rejection if the end of a request is ambiguous. If the client and the node disagreed on it,
+// the remainder of the body could be taken for another request (request smuggling). net/http accepts a chunked body
+// together with a Content-Length, and ignores chunking in HTTP/1.0. The head is that of the request as it was read;
+// nil: unknown.
 func CheckFraming(r *http.Request, head *Head) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
--- a/internal/inbound/head.go
+++ b/internal/inbound/head.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// MaxHead is the limit on the size of a request's head.
+// MaxHead is the limit on the size of a request's head: the request line and the headers.
 const MaxHead = 16 << 10
 
-// Head records what a connection reads until the head of a request is complete. net/http accepts a chunked body even
-// beside a Content-Length, which it hides; only the bytes show it. The zero value is ready for a first head. It is safe
-// for concurrent use, since the HTTP server also reads in the background.
+// Head records the bytes read from a connection until the head of a request is complete. They are needed because
+// net/http accepts a chunked body together with a Content-Length and then drops that header. The zero value is ready to
+// use. It is safe for concurrent use, since the HTTP server also reads in the background.
 type Head struct {
 	mu        sync.Mutex
 	text      []byte
@@ -23,7 +23,7 @@
 	startedAt time.Time // when the first byte was read
 }
 
-// Add records bytes that were read.
+// Add appends bytes that were read, up to the end of the head.
 func (h *Head) Add(b []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -33,18 +33,18 @@
 	if len(h.text) == 0 {
 		h.startedAt = time.Now()
 	}
-	searched := max(0, len(h.text)-3) // the end of a head may span two reads
+	searched := max(0, len(h.text)-3) // the empty line at the end may span two reads
 	h.text = append(h.text, b...)
 	if end := headEnd(h.text[searched:]); end >= 0 {
 		h.text = h.text[:searched+end]
 		h.complete = true
 	}
-	if len(h.text) > 2*MaxHead { // the HTTP server has rejected it by then
+	if len(h.text) > 2*MaxHead { // the HTTP server has rejected the request by now
 		h.complete = true
 	}
 }
 
-// headEnd is the index after the empty line that ends a head; -1: there is none.
+// headEnd returns the index after the empty line that ends a head, or -1 if there is none.
 func headEnd(text []byte) int {
 	end := -1
 	for _, separator := range [][]byte{[]byte("\n\r\n"), []byte("\n\n")} {
@@ -56,36 +56,36 @@
 	return end
 }
 
-// Partial reports whether a head has started to arrive and is not complete.
+// Partial reports whether some but not all of a head has arrived.
 func (h *Head) Partial() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.text) > 0 && !h.complete
 }
 
-// Started reports whether any of a head has arrived.
+// Started reports whether at least one byte of a head has arrived.
 func (h *Head) Started() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.text) > 0
 }
 
-// Age is the time since the head started to arrive, if it has.
+// Age returns the time since the first byte of the head arrived. It is meaningful only if Started reports true.
 func (h *Head) Age() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Since(h.startedAt)
 }
 
-// Reset prepares for the head of the next request.
+// Reset discards the recorded head, for the next request of the connection.
 func (h *Head) Reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.text, h.complete = nil, false
 }
 
-// isOnlyChunked reports whether a chunked request has no Content-Length. False if that cannot be told, because the head
-// did not arrive by itself, as that of a request that was sent before the response to the one before.
+// isOnlyChunked reports whether r is chunked and its recorded head has no Content-Length. It returns false if the
+// recorded head is not that of r, for example because the client pipelined requests.
 func (h *Head) isOnlyChunked(r *http.Request) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/inbound/head_test.go
+++ b/internal/inbound/head_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// A head is complete after its empty line, in whatever pieces it arrives, and what follows does not belong to it.
+// A head ends with its empty line, however it is split into reads, and does not include the bytes that follow.
 func TestHeadInPieces(t *testing.T) {
 	for _, head := range []string{"GET / HTTP/1.1\r\nHost: s\r\n\r\n", "GET / HTTP/1.1\nHost: s\n\n"} {
 		for size := 1; size <= len(head); size++ {
 			var h Head
 			if h.Started() || h.Partial() {
-				t.Fatal("a head has started before its first byte")
+				t.Fatal("the head counts as started before its first byte")
 			}
 			for rest := head + "body"; rest != ""; {
 				piece := rest[:min(size, len(rest))]
@@ -27,24 +27,24 @@
 				t.Errorf("recorded %q, want %q", h.text, head)
 			}
 			if h.Reset(); h.Started() {
-				t.Error("a head has started right after a reset")
+				t.Error("the head counts as started right after a reset")
 			}
 		}
 	}
 }
 
-// A head without an end is not recorded without limit.
+// A head without an end must not be recorded without limit: a client could exhaust the memory with it.
 func TestEndlessHead(t *testing.T) {
 	var h Head
 	for range 100 {
 		h.Add([]byte(strings.Repeat("x", MaxHead)))
 	}
 	if len(h.text) > 4*MaxHead || h.Partial() {
-		t.Errorf("%d bytes recorded, partial %v", len(h.text), h.Partial())
+		t.Errorf("endless head: %d bytes recorded, partial %v", len(h.text), h.Partial())
 	}
 }
 
-// Requests whose end is ambiguous are rejected with the status that fits.
+// Requests whose end is ambiguous must be rejected, with the right status; they allow request smuggling.
 func TestCheckFraming(t *testing.T) {
 	const requestLine = "POST /api HTTP/1.1\r\n"
 	chunked := func(head string) (*http.Request, *Head) {
@@ -58,13 +58,13 @@
 		change func(*http.Request)
 		status int
 	}{
-		"chunks alone":        {requestLine + "Transfer-Encoding: chunked\r\n\r\n", nil, 0},
-		"chunks and a length": {requestLine + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", nil, 400},
-		"half a head":         {requestLine + "Transfer-Encoding: chunked\r\n", nil, 400},
-		"another's head":      {"GET / HTTP/1.1\r\n\r\n", nil, 400},
-		"a length":            {"", func(r *http.Request) { r.ContentLength = 1 }, 0},
-		"HTTP/1.0":            {"", func(r *http.Request) { r.ProtoMinor = 0 }, 505},
-		"GET with a body":     {"", func(r *http.Request) { r.Method, r.ContentLength = http.MethodGet, 1 }, 400},
+		"chunked":              {requestLine + "Transfer-Encoding: chunked\r\n\r\n", nil, 0},
+		"chunked and length":   {requestLine + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", nil, 400},
+		"incomplete head":      {requestLine + "Transfer-Encoding: chunked\r\n", nil, 400},
+		"other request's head": {"GET / HTTP/1.1\r\n\r\n", nil, 400},
+		"length":               {"", func(r *http.Request) { r.ContentLength = 1 }, 0},
+		"HTTP/1.0":             {"", func(r *http.Request) { r.ProtoMinor = 0 }, 505},
+		"GET with a body":      {"", func(r *http.Request) { r.Method, r.ContentLength = http.MethodGet, 1 }, 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, head := chunked(tc.head)
--- a/internal/inbound/headers.go
+++ b/internal/inbound/headers.go
@@ -12,7 +12,7 @@
 	"keelusher/policy"
 )
 
-// MaxBudget is the longest time that a client may grant for a response.
+// MaxBudget is the longest budget that a client may set for a request.
 const MaxBudget = time.Hour
 
 var (
@@ -22,8 +22,8 @@
 	errBudgetRange  = errors.New("out of range")
 )
 
-// ParseHeaders reads from the headers of a request what the policy needs to know of it, and the budget. The methods are
-// those of the known classes. It fails with a *Rejection.
+// ParseHeaders returns the policy's view of a request and the request's budget, both from its headers. The argument
+// methods holds the HTTP method of each known class, by the name of the class. Errors are of type *Rejection.
 func ParseHeaders(r *http.Request, methods map[string]string) (meta policy.Request, budget time.Duration, err error) {
 	meta.ID = r.Header.Get("X-Call-Id")
 	meta.Class = r.Header.Get("X-Call-Class")
@@ -32,7 +32,7 @@
 	if meta.ID == "" {
 		return meta, 0, Reject(http.StatusBadRequest, errNoRequestID)
 	}
-	// Servers fail requests of unknown classes, and the policy would take that for a fault of theirs.
+	// Servers answer requests of unknown classes with errors, which the policy would count as failures of the servers.
 	method := methods[meta.Class]
 	if method == "" {
 		return meta, 0, Reject(http.StatusBadRequest, errUnknownClass)
@@ -52,14 +52,14 @@
 	return meta, budget, nil
 }
 
-// hashKey is the form of a key that the policy compares.
+// hashKey returns the hash of a key, by which the policy identifies it.
 func hashKey(key string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(key))
 	return sum.Sum64()
 }
 
-// ParseBudget reads a time as a number and its unit: m for milliseconds or u for microseconds.
+// ParseBudget parses a duration given as a number and a unit, m for milliseconds or u for microseconds.
 func ParseBudget(s string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(s, "m")
@@ -81,7 +81,7 @@
 	return time.Duration(value), nil
 }
 
-// connectionHeaders concern a single connection, or are set anew by the node.
+// connectionHeaders are the headers that apply to one connection only, or that the node sets itself.
 var connectionHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -94,7 +94,7 @@
 	"X-Budget",
 }
 
-// ForwardableHeaders are the headers of a request that are sent to a server.
+// ForwardableHeaders returns a copy of h without the headers that must not be forwarded to a server.
 func ForwardableHeaders(h http.Header) http.Header {
 	forwarded := h.Clone()
 	for _, value := range h.Values("Connection") {
--- a/internal/inbound/headers_test.go
+++ b/internal/inbound/headers_test.go
@@ -19,7 +19,7 @@
 		"":         0, "480": 0, "480s": 0, "m": 0, "nanm": 0, "-1m": 0, "0m": 0, "3600001m": 0, "1e300m": 0,
 	} {
 		if got, err := ParseBudget(text); got != want || (err == nil) != (want > 0) {
-			t.Errorf("%q: %v, %v, want %v", text, got, err, want)
+			t.Errorf("ParseBudget(%q) = %v, %v, want %v", text, got, err, want)
 		}
 	}
 }
@@ -33,17 +33,17 @@
 	if err != nil || budget != 30*time.Millisecond || meta != want {
 		t.Errorf("got %+v, %v, %v, want %+v", meta, budget, err, want)
 	}
-	for name, spoil := range map[string]func(*http.Request){
+	for name, makeInvalid := range map[string]func(*http.Request){
 		"X-Call-Id":    func(r *http.Request) { r.Header.Del("X-Call-Id") },
 		"X-Call-Class": func(r *http.Request) { r.Header.Set("X-Call-Class", "other") },
 		"X-Budget":     func(r *http.Request) { r.Header.Set("X-Budget", "30") },
 	} {
-		broken := r.Clone(t.Context())
-		spoil(broken)
+		invalid := r.Clone(t.Context())
+		makeInvalid(invalid)
 		var rejection *Rejection
-		_, _, err := ParseHeaders(broken, methods)
+		_, _, err := ParseHeaders(invalid, methods)
 		if !errors.As(err, &rejection) || rejection.Status != http.StatusBadRequest {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("bad %s: error %v, want a rejection with status 400", name, err)
 		}
 	}
 	post := r.Clone(t.Context())
@@ -51,19 +51,19 @@
 	var rejection *Rejection
 	if _, _, err := ParseHeaders(post, methods); !errors.As(err, &rejection) ||
 		rejection.Status != http.StatusMethodNotAllowed || rejection.Allow != http.MethodGet {
-		t.Errorf("another method: %v", err)
+		t.Errorf("POST for a class of GETs: error %v, want status 405 and Allow: GET", err)
 	}
 }
 
-// Headers of one connection are not forwarded, and the incoming ones are not changed.
+// Hop-by-hop headers must not reach the server, and the headers of the incoming request must not change.
 func TestForwardableHeaders(t *testing.T) {
 	incoming := http.Header{"Connection": {"X-Hop, close"}, "X-Hop": {"1"}, "Te": {"trailers"}, "X-Budget": {"30m"},
 		"X-Kept": {"a", "b"}}
 	got := ForwardableHeaders(incoming)
 	if len(got) != 1 || !slices.Equal(got["X-Kept"], []string{"a", "b"}) {
-		t.Errorf("got %v", got)
+		t.Errorf("forwarded %v, want only X-Kept", got)
 	}
 	if len(incoming) != 5 {
-		t.Errorf("the incoming headers are now %v", incoming)
+		t.Errorf("the incoming headers were changed to %v", incoming)
 	}
 }
--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -1,4 +1,4 @@
-// Package lifecycle has the phases of a node, and detects suspensions of its process.
+// Package lifecycle implements the state machine for the phases of a node, and detects suspensions of its process.
 package lifecycle
 
 import (
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// Phase is the state of a node towards its clients. Its number is sent on the hand-over socket.
+// Phase says whether a node takes requests, and why not. Its numeric value is sent over the hand-over socket and must
+// not change.
 type Phase int
 
 // The phases.
 const (
-	Starting     Phase = iota // waits for the first endpoint list
-	Serving                   // takes requests
-	Drained                   // out of service on an operator's request: clients are sent away
-	ShuttingDown              // final
+	Starting     Phase = iota // waiting for the first endpoint list
+	Serving                   // taking requests
+	Drained                   // taken out of service by an operator: not ready, client connections are closed
+	ShuttingDown              // the process is about to exit; final
 )
 
-// String is the name of a phase in the log.
+// String returns the name of a phase in the log.
 func (p Phase) String() string { return [...]string{"starting", "serving", "drained", "leaving"}[p] }
 
-// Event may move a node from one phase to another.
+// Event is an input of the state machine. It may change the phase.
 type Event int
 
 // The events.
 const (
-	ListReceived Event = iota // an endpoint list has come, or the time to wait for one is over
-	Drain                     // an operator takes the node out of service
-	Resume                    // an operator takes the node back into service
-	Shutdown                  // the process is to end
+	ListReceived Event = iota // an endpoint list was received, or the wait for the first one timed out
+	Drain                     // an operator took the node out of service
+	Resume                    // an operator took the node back into service
+	Shutdown                  // the process has to exit
 )
 
-// transitions are all the transitions there are. A phase rejects the events that it does not list.
+// transitions holds the next phase by phase and event. An event that a phase does not list is rejected.
 var transitions = [...]map[Event]Phase{
 	Starting: {
 		ListReceived: Serving,
@@ -58,7 +59,7 @@
 	},
 }
 
-// Machine is the state machine of a node. It is safe for concurrent use.
+// Machine is the state machine for the phases of a node. It is safe for concurrent use.
 //
 //	phase           list received   drain           resume            shutdown
 //	starting        serving         drained         starting          shutting down
@@ -66,17 +67,18 @@
 //	drained         drained         drained         serving (note)    shutting down
 //	shutting down   -               -               rejected          -
 //
-// Note: a drained node that has never received a list resumes to starting.
+// Note: a drained node without a ListReceived event so far resumes to starting.
 type Machine struct {
 	onTransition func(from, to Phase)
 
 	mu           sync.Mutex
 	phase        Phase
-	drainedSince time.Time // since when clients are sent away, in the phases from drained on
+	drainedSince time.Time // start of the phase Drained, or of ShuttingDown if it did not follow Drained
 	listReceived bool
 }
 
-// New makes a machine in the phase Starting. It calls onTransition, which must not block, for each change, in order.
+// New returns a machine in the phase Starting. It calls onTransition for each change of the phase, in order and with
+// its lock held: onTransition must not block.
 func New(onTransition func(from, to Phase)) *Machine { return &Machine{onTransition: onTransition} }
 
 // Transition handles an event and reports whether the current phase allows it.
@@ -95,7 +97,7 @@
 	if to == from {
 		return true
 	}
-	if from < Drained { // else clients have been sent away since before
+	if from < Drained { // from Drained to ShuttingDown the time is kept
 		m.drainedSince = time.Now()
 	}
 	m.phase = to
@@ -103,21 +105,22 @@
 	return true
 }
 
-// Current is the phase now.
+// Current returns the current phase.
 func (m *Machine) Current() Phase {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.phase
 }
 
-// CanServe reports whether the process could serve, whether or not it is in service.
+// CanServe reports whether the process is able to serve requests, even if an operator has drained it.
 func (m *Machine) CanServe() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listReceived && m.phase != ShuttingDown
 }
 
-// DrainedFor is for how long clients have been sent away; 0 if they are not.
+// DrainedFor returns the time since the node was drained or began to shut down, whichever came first; 0 in other
+// phases.
 func (m *Machine) DrainedFor() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lifecycle/phase_test.go
+++ b/internal/lifecycle/phase_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A node that shuts down does not come back, and one without an endpoint list is not in service.
+// Guards against a node that returns to service after its shutdown began, or that serves before an endpoint list has
+// been received, in particular after an operator drained and resumed it.
 func TestLifecycleTransitions(t *testing.T) {
 	for name, tc := range map[string]struct {
 		events   []Event
@@ -49,7 +50,7 @@
 			ok = m.Transition(event)
 		}
 		if m.Current() != tc.want || ok == tc.rejected {
-			t.Errorf("%s: %v, allowed %v", name, m.Current(), ok)
+			t.Errorf("%s: the machine ended in phase %v, last event allowed: %v", name, m.Current(), ok)
 		}
 	}
 }
--- a/internal/lifecycle/suspension.go
+++ b/internal/lifecycle/suspension.go
@@ -1,4 +1,4 @@
-// Detection of suspensions of the whole process, for the requests that were queued in the system meanwhile.
+// Detection of suspensions of the whole process, which add to the age of the requests that the kernel queued meanwhile.
 
 package lifecycle
 
@@ -12,20 +12,20 @@
 
 const (
 	heartbeatInterval = 50 * time.Millisecond
-	backlogReadTime   = 50 * time.Millisecond // within which all that was queued during a suspension is read
+	backlogReadTime   = 50 * time.Millisecond // after a suspension, to read all requests that were queued during it
 )
 
-// SuspensionDetector detects that the process was stopped, or got no processor, for longer than guard.HeldUpMost. A
-// request that is read just afterwards was in the system's buffers for up to that time, and its client's deadline runs
-// from when it was sent. A nil detector detects nothing.
+// SuspensionDetector detects that the process was stopped, or got no CPU time, for longer than guard.MaxSuspension. A
+// request that is read just after a suspension may have been in the kernel's buffers for as long as it lasted, while
+// its client counts the deadline from the time it sent the request. A nil detector detects nothing.
 type SuspensionDetector struct {
 	start         time.Time
 	lastHeartbeat atomic.Int64 // nanoseconds after start
-	lastPause     atomic.Int64 // length of the last suspension in nanoseconds
-	resumedAt     atomic.Int64 // its end in nanoseconds after start; 0: there was none
+	lastPause     atomic.Int64 // duration of the last suspension in nanoseconds
+	resumedAt     atomic.Int64 // end of the last suspension in nanoseconds after start; 0: there was none
 }
 
-// NewSuspensionDetector makes a detector, which detects nothing before it runs.
+// NewSuspensionDetector returns a detector, whose Run has to be called for it to work.
 func NewSuspensionDetector() *SuspensionDetector { return &SuspensionDetector{start: time.Now()} }
 
 // Run records heartbeats until ctx ends.
@@ -42,7 +42,7 @@
 	}
 }
 
-// heartbeat records that the process runs, now being counted from start.
+// heartbeat records that the process is running at a time after start, and detects a suspension that has just ended.
 func (s *SuspensionDetector) heartbeat(now time.Duration) {
 	pause := now - time.Duration(s.lastHeartbeat.Swap(int64(now)))
 	if pause > guard.MaxSuspension {
@@ -51,8 +51,8 @@
 	}
 }
 
-// TimeQueued is how long a request that has just been read may have been queued because of a suspension; 0 if there was
-// none, or a short one.
+// TimeQueued returns how long a request that has just been read may have been queued because of a suspension; 0 if
+// there was none longer than guard.MaxSuspension.
 func (s *SuspensionDetector) TimeQueued() time.Duration {
 	if s == nil {
 		return 0
@@ -62,7 +62,7 @@
 
 func (s *SuspensionDetector) timeQueuedAt(now time.Duration) time.Duration {
 	if pause := now - time.Duration(s.lastHeartbeat.Load()); pause > guard.MaxSuspension {
-		return pause // resumed just now, before the first heartbeat
+		return pause // the process has resumed, and the first heartbeat after that is still due
 	}
 	resumedAt := time.Duration(s.resumedAt.Load())
 	if resumedAt > 0 && now-resumedAt < backlogReadTime {
--- a/internal/lifecycle/suspension_test.go
+++ b/internal/lifecycle/suspension_test.go
@@ -7,10 +7,12 @@
 	"keelusher/policy/guard"
 )
 
+// A request read after a suspension must count as queued for as long as the suspension lasted, whether it is read
+// before or after the first heartbeat, and only within backlogReadTime.
 func TestSuspensionDetectorTimeQueued(t *testing.T) {
 	s := NewSuspensionDetector()
 	at := time.Second
-	s.lastHeartbeat.Store(int64(at)) // the last heartbeat
+	s.lastHeartbeat.Store(int64(at))
 	for _, x := range []struct {
 		after time.Duration
 		beats bool
@@ -18,7 +20,7 @@
 	}{
 		{guard.MaxSuspension, true, 0},
 		{guard.MaxSuspension, false, 0},
-		{3 * time.Second, false, 3*time.Second + guard.MaxSuspension}, // a request is read ahead of the heartbeat
+		{3 * time.Second, false, 3*time.Second + guard.MaxSuspension}, // before the first heartbeat
 		{0, true, 3*time.Second + guard.MaxSuspension},
 		{backlogReadTime - 1, false, 3*time.Second + guard.MaxSuspension},
 		{1, false, 0},
@@ -29,11 +31,11 @@
 			s.heartbeat(at)
 		}
 		if got := s.timeQueuedAt(at); got != x.want {
-			t.Errorf("at %v: %v, want %v", at, got, x.want)
+			t.Errorf("%v after the start: queued for %v, want %v", at, got, x.want)
 		}
 	}
-	var none *SuspensionDetector
-	if none.TimeQueued() != 0 {
-		t.Error("without a detector there was a suspension")
+	var nilDetector *SuspensionDetector
+	if nilDetector.TimeQueued() != 0 {
+		t.Error("a nil detector reports a suspension")
 	}
 }
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,5 +1,6 @@
-// Package logsink accepts log lines from a program that must never wait for the reader of its log. Once a pipe is
-// full, it blocks its writer, which holds the logger's lock, so every goroutine that logs would stop.
+// Package logsink writes log lines without ever blocking the program that logs them. Without it, a slow reader of the
+// log would stop the program: a write to a full pipe blocks while the logger's lock is held, so that every other
+// goroutine that logs waits too.
 package logsink
 
 import (
@@ -11,21 +12,21 @@
 )
 
 const (
-	queueLines   = 1024                   // further lines are lost while the reader is slow
-	closeTimeout = 200 * time.Millisecond // to write the queue at the end of the program
+	queueLines   = 1024                   // lines that exceed the queue are lost
+	closeTimeout = 200 * time.Millisecond // for writing the queued lines at the end of the program
 )
 
-// Sink is a writer that never blocks. Its goroutine ends with Close, unless the writer below it blocks for good. Each
-// Write has to be one complete line, as the handlers of log/slog write.
+// Sink is an io.Writer that never blocks. Each Write must be one complete line, as the handlers of log/slog write it.
+// The sink's goroutine ends after Close, unless the underlying writer blocks forever.
 type Sink struct {
 	writer  io.Writer
 	queue   chan []byte
-	lost    atomic.Int64 // lines, not reported yet
+	lost    atomic.Int64 // number of lost lines that have not been reported yet
 	closing chan struct{}
-	ended   chan struct{} // closed by run
+	ended   chan struct{} // closed when run returns
 }
 
-// New starts a sink that writes to writer. Lines that writer fails to write are lost.
+// New returns a running sink that writes to writer. Lines for which writer fails are lost.
 func New(writer io.Writer) *Sink {
 	s := &Sink{
 		writer:  writer,
@@ -47,7 +48,7 @@
 	return len(line), nil
 }
 
-// Close writes what is queued, for a short time at most. Later lines may be lost.
+// Close writes the queued lines, within closeTimeout. Lines that are logged later may be lost.
 func (s *Sink) Close() {
 	close(s.closing)
 	select {
@@ -69,7 +70,7 @@
 	}
 }
 
-// drain writes what is queued.
+// drain writes the queued lines.
 func (s *Sink) drain() {
 	for {
 		select {
@@ -81,8 +82,8 @@
 	}
 }
 
-// writeLine writes a line, after a report of the lines that were lost before it. There is nowhere to report an error
-// to.
+// writeLine writes a line, and before it a report of the lines lost since the last report. Write errors are ignored,
+// since there is no other place to report them.
 func (s *Sink) writeLine(line []byte) {
 	if lost := s.lost.Swap(0); lost > 0 {
 		now := time.Now().Format(time.RFC3339Nano)
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// gatedWriter blocks until its gate is closed, and keeps what it gets.
+// gatedWriter blocks until its gate is closed, and records what is written to it.
 type gatedWriter struct {
 	gate    chan struct{}
 	written bytes.Buffer
@@ -22,15 +22,17 @@
 	return w.written.Write(line)
 }
 
-// mustWrite writes a line, which must never fail.
+// mustWrite writes a line and checks that the sink accepted all of it.
 func mustWrite(t *testing.T, s *Sink, line string) {
 	t.Helper()
 	if n, err := s.Write([]byte(line)); n != len(line) || err != nil {
-		t.Errorf("wrote %d bytes of %d: %v", n, len(line), err)
+		t.Errorf("the sink accepted %d of %d bytes, error %v", n, len(line), err)
 	}
 }
 
-func TestBlockedWriterBlocksNobody(t *testing.T) {
+// While the underlying writer blocks, the program has to continue, and the lines that do not fit into the queue have to
+// be reported as lost.
+func TestBlockedWriterDoesNotBlockCallers(t *testing.T) {
 	w := newGatedWriter()
 	s := New(w)
 	for range 2 * queueLines {
@@ -40,10 +42,10 @@
 	s.Close()
 	text := w.written.String()
 	if lines := strings.Count(text, "x\n"); lines < queueLines {
-		t.Errorf("%d lines are written, want at least %d", lines, queueLines)
+		t.Errorf("%d lines were written, want at least %d", lines, queueLines)
 	}
 	if !strings.Contains(text, `msg="log lines lost" n=`) {
-		t.Error("no line says how many are lost")
+		t.Error("the log has no report of the lost lines")
 	}
 }
 
@@ -60,7 +62,8 @@
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
-func TestFailingWriterFailsNobody(t *testing.T) {
+// An error of the underlying writer must not reach the program that logs.
+func TestWriterErrorsAreNotReturned(t *testing.T) {
 	s := New(failingWriter{})
 	mustWrite(t, s, "x\n")
 	s.Close()
--- a/internal/tomlfile/line.go
+++ b/internal/tomlfile/line.go
@@ -12,13 +12,13 @@
 	arrayIndex  = regexp.MustCompile(`\[\d+\]`)
 )
 
-// findLine returns the number of the line that has a key, else of the header of the innermost table that would hold
-// it, else 0. An index in the key counts the headers of an array of tables; a key without indices is found in the
-// first table that has it.
+// findLine returns the number of the line that assigns a key. If there is none, it returns the line of the header of
+// the innermost table that the key belongs to, or 0 if that is missing too. An index in the key selects an element of
+// an array of tables; a key without indices is looked for in all elements, and the first match counts.
 func findLine(text []byte, key string) int {
 	wanted := newKeyPattern(key)
 	tables := tableNames{}
-	table := "" // that the line is in, with indices
+	table := "" // name of the table that contains the line, with indices
 	fallbackLine, fallbackLength := 0, 0
 	for i, line := range strings.Split(string(text), "\n") {
 		if m := tableHeader.FindStringSubmatch(line); m != nil {
@@ -38,10 +38,10 @@
 	return fallbackLine
 }
 
-// tableNames counts the headers of each array of tables.
+// tableNames holds the number of elements seen so far, by array of tables.
 type tableNames map[string]int
 
-// name returns the name of a table, with its index where it is an element of an array.
+// name returns the name of the table under a header, with an index if it is an element of an array of tables.
 func (n tableNames) name(header string, isArrayElement bool) string {
 	if !isArrayElement {
 		return header
@@ -58,7 +58,7 @@
 	return table + "." + key
 }
 
-// keyPattern is a key to be found. Where it has no indices, those of the text do not count.
+// keyPattern is a key to look for. If it has no indices, those of the table names in the text are ignored.
 type keyPattern struct {
 	key           string
 	ignoreIndices bool
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML files strictly: an unknown key is an error, and every error names the file, the line and
-// the key.
+// Package tomlfile decodes TOML files strictly: an unknown key is an error, and errors name the file, the line and the
+// key as far as they are known.
 package tomlfile
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Problem is one thing that is wrong with a file.
+// Problem is an error in a file.
 type Problem struct {
 	File string
-	Line int    // 0: not known
-	Key  string // empty: not known
-	Why  string
+	Line int    // 0: unknown
+	Key  string // empty: unknown
+	Why  string // reason, in words
 }
 
-// Error returns FILE:LINE: KEY: WHY, without what is not known.
+// Error returns FILE:LINE: KEY: WHY, without the parts that are unknown.
 func (p Problem) Error() string {
 	location := p.File
 	if p.Line > 0 {
@@ -31,10 +31,10 @@
 	return location + ": " + p.Why
 }
 
-// Decode reads text into a struct with toml tags. The error joins a Problem for each unknown key, or is the one Problem
-// for which the text cannot be read.
-func Decode(file string, text []byte, into any) error {
-	meta, err := toml.Decode(string(text), into)
+// Decode decodes text into a struct with toml tags. The error is a Problem if the text cannot be decoded, or joins a
+// Problem for each unknown key.
+func Decode(file string, text []byte, target any) error {
+	meta, err := toml.Decode(string(text), target)
 	if err != nil {
 		return decodeProblem(file, err)
 	}
@@ -45,10 +45,10 @@
 	return errors.Join(problems...)
 }
 
-// typeMessage is the library's message on a value of the wrong type.
+// typeMessage matches the TOML library's message about a value of the wrong type.
 var typeMessage = regexp.MustCompile(`^line (\d+) \(last key "(.*?)"\): (.*)$`)
 
-// decodeProblem is the Problem for an error of the library.
+// decodeProblem returns the Problem for an error of the TOML library.
 func decodeProblem(file string, err error) Problem {
 	var parseError toml.ParseError
 	if errors.As(err, &parseError) {
@@ -64,7 +64,7 @@
 	if parts == nil {
 		return Problem{File: file, Why: message}
 	}
-	line, _ := strconv.Atoi(parts[1]) // digits
+	line, _ := strconv.Atoi(parts[1]) // the pattern matches only digits
 	return Problem{
 		File: file,
 		Line: line,
@@ -73,8 +73,8 @@
 	}
 }
 
-// ProblemAt is a Problem with a key such as "world.tier[1].cores", at the line where the text has it or, where it is
-// missing, at its table.
+// ProblemAt returns a Problem with a key such as "world.tier[1].cores". Its line is the one that assigns the key, or if
+// there is none the header of the key's table.
 func ProblemAt(file string, text []byte, key, why string) Problem {
 	return Problem{
 		File: file,
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -15,6 +15,7 @@
 	Tier  []table `toml:"tier"`
 }
 
+// Errors have to name the file, the line and the key, for wrong types, duplicate and unknown keys and syntax errors.
 func TestEveryProblemNamesFileLineAndKey(t *testing.T) {
 	var into document
 	for text, wants := range map[string][]string{
@@ -32,7 +33,7 @@
 		}
 		for _, want := range wants {
 			if !strings.Contains(err.Error(), want) {
-				t.Errorf("%q: %q, want %q in it", text, err, want)
+				t.Errorf("%q: got the error %q, want %q in it", text, err, want)
 			}
 		}
 	}
@@ -63,7 +64,7 @@
 		"missing":             0,
 	} {
 		if got := ProblemAt("f", text, key, "").Line; got != want {
-			t.Errorf("%s is at line %d, want %d", key, got, want)
+			t.Errorf("%s: found at line %d, want %d", key, got, want)
 		}
 	}
 }
