--- a/cmd/balancer/idle_clients_test.go
+++ b/cmd/balancer/idle_clients_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// interruptedDiscovery is a discovery service that is down until it is told otherwise.
+// interruptedDiscovery is a discovery service that aborts every call until up is set.
 type interruptedDiscovery struct {
 	up      atomic.Bool
-	failed  chan struct{} // gets a value for a call while it is down, up to its capacity
+	failed  chan struct{} // gets a value for each aborted call, unless it is full
 	watched chan struct{} // gets a value when a watch begins
 }
 
@@ -39,7 +39,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// awaitNextFailure waits for a call that begins after now.
+// awaitNextFailure waits for a call that is aborted from now on.
 func (d *interruptedDiscovery) awaitNextFailure() {
 	for len(d.failed) > 0 {
 		<-d.failed
@@ -47,7 +47,7 @@
 	<-d.failed
 }
 
-// openDescriptors counts the open descriptors of the process.
+// openDescriptors returns the number of open file descriptors of the process.
 func (p *process) openDescriptors(t *testing.T) int {
 	t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
@@ -57,8 +57,8 @@
 	return len(entries)
 }
 
-// checkNotLeftWaiting checks that a new client is served or disconnected within a time.
-func checkNotLeftWaiting(t *testing.T, address string) {
+// checkServedOrDisconnected checks that a new client is served or disconnected within 3 s.
+func checkServedOrDisconnected(t *testing.T, address string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -70,12 +70,12 @@
 	}
 	_, _ = fmt.Fprint(conn, "GET /ready HTTP/1.1\r\nHost: n\r\n\r\n") // fails if the client is disconnected
 	if _, err := bufio.NewReader(conn).ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("a new client was neither served nor disconnected")
+		t.Error("a new client was neither served nor disconnected within 3 s")
 	}
 }
 
-// Idle clients may fill the descriptors while discovery is down. The node keeps within its limit, the watch opens once
-// discovery is back, and a new client is served or disconnected, never left waiting.
+// While discovery is down, idle clients may use up the node's file descriptors. The node must stay within its limit,
+// must still have a descriptor to open the watch when discovery is back, and must not leave new clients waiting.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const limit = 128
 	const idleClients = 3 * limit
@@ -87,21 +87,21 @@
 	<-discovery.failed
 
 	maxOpen := 0
-	for range idleClients { // they stay as far as the node lets them
+	for range idleClients { // the node may disconnect some of them
 		dialNode(t, address)
 		maxOpen = max(maxOpen, p.openDescriptors(t))
 	}
 	if maxOpen > limit || maxOpen < limit/3 {
-		t.Errorf("%d descriptors are open beside %d idle clients, the limit is %d", maxOpen, idleClients, limit)
+		t.Errorf("up to %d descriptors were open with %d idle clients, the limit is %d", maxOpen, idleClients, limit)
 	}
-	discovery.awaitNextFailure() // it still polls while the clients hold all they may
+	discovery.awaitNextFailure() // the node still polls while clients hold all their descriptors
 	discovery.up.Store(true)
 	select {
 	case <-discovery.watched:
 	case <-time.After(6 * time.Second):
-		t.Error("no watch 6 s after discovery is back")
+		t.Error("the node opened no watch within 6 s after discovery came back")
 	}
 	for range 20 {
-		checkNotLeftWaiting(t, address)
+		checkServedOrDisconnected(t, address)
 	}
 }
--- a/cmd/balancer/log_test.go
+++ b/cmd/balancer/log_test.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// startWithLogPipe starts a node that rejects all requests, and logs that to a pipe of a small capacity. It returns the
-// pipe's end for reading.
+// startWithLogPipe starts a node that rejects all requests and logs that to a pipe of 4 KiB. It returns the reading end
+// of the pipe.
 func startWithLogPipe(t *testing.T) (p *process, address string, log *os.File) {
 	t.Helper()
 	discovery, watched := startDiscovery(t)
@@ -32,11 +32,12 @@
 	p.start(t)
 	write.Close()
 	<-watched
-	awaitCondition(t, "it serves", func() bool { return answersOK("http://" + address + "/ready") })
+	awaitCondition(t, "the node serves", func() bool { return answersOK("http://" + address + "/ready") })
 	return p, address, log
 }
 
-// checkAnswersRequests sends requests that the node rejects, each of which may give a log line.
+// checkAnswersRequests sends requests and checks that each is answered. The node rejects them, and may log each
+// rejection.
 func checkAnswersRequests(t *testing.T, address string, count int) {
 	t.Helper()
 	client := http.Client{Timeout: 5 * time.Second}
@@ -58,14 +59,15 @@
 	}
 }
 
-// A reader of the log that stalls stops no request, and the node reports later how many lines are lost.
-func TestLogThatNobodyReadsStopsNothing(t *testing.T) {
+// If nobody reads the log, so that its pipe fills up, the node must still answer requests, and later report how many
+// log lines were lost.
+func TestUnreadLogDoesNotBlockRequests(t *testing.T) {
 	p, address, log := startWithLogPipe(t)
-	for range 4 { // the node bounds its lines a second
+	for range 4 { // the node limits the log lines per second
 		checkAnswersRequests(t, address, 40)
 		time.Sleep(time.Second)
 	}
-	for range 2000 { // of which each gives a line, without a bound
+	for range 2000 { // each signal gives a log line, without a limit per second
 		p.signal(t, syscall.SIGHUP)
 		time.Sleep(500 * time.Microsecond)
 	}
@@ -76,18 +78,18 @@
 			return
 		}
 	}
-	t.Errorf("the node never reported lost lines: %v", lines.Err())
+	t.Errorf("the log ended without a report of lost lines: %v", lines.Err())
 }
 
-// A reader that closes the log ends nothing.
-func TestLogWithoutAReaderEndsNothing(t *testing.T) {
+// A closed reader of the log must neither end the process, for example by SIGPIPE, nor stop requests.
+func TestClosedLogDoesNotEndNode(t *testing.T) {
 	p, address, log := startWithLogPipe(t)
 	log.Close()
 	checkAnswersRequests(t, address, 5)
-	p.signal(t, syscall.SIGHUP) // gives a line at once
+	p.signal(t, syscall.SIGHUP) // the node logs the reload at once
 	checkAnswersRequests(t, address, 5)
 	p.signal(t, syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
-		t.Fatalf("it ended with %v", err)
+		t.Fatalf("the node ended with %v, want exit 0", err)
 	}
 }
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,6 +1,6 @@
-// Command balancer is one load-balancing node: it accepts requests, lets package policy decide where they go, and
-// answers them. ROUTER_CONFIG names its configuration file, which SIGHUP makes it read again. SIGTERM shuts it down
-// gracefully.
+// Command balancer runs one node of the load balancer: it accepts requests, sends each to the endpoint that package
+// policy chooses, and returns the response. The environment variable ROUTER_CONFIG is the path of its configuration
+// file. SIGHUP reloads the file, SIGTERM shuts the node down gracefully.
 package main
 
 import (
@@ -21,24 +21,24 @@
 
 func main() {
 	if err := run(); err != nil {
-		for line := range strings.Lines(err.Error()) { // a joined error has several
+		for line := range strings.Lines(err.Error()) { // a joined error has a line for each of its errors
 			fmt.Fprintf(os.Stderr, "balancer: %s\n", strings.TrimSuffix(line, "\n"))
 		}
 		os.Exit(1)
 	}
 }
 
-// run serves until SIGTERM or an error.
+// run starts the node and serves until SIGTERM, SIGINT or an error.
 func run() error {
 	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // before anything else: unhandled, it would end the program
+	signal.Notify(reload, syscall.SIGHUP) // first of all, because an unhandled SIGHUP would end the program
 	path := os.Getenv("ROUTER_CONFIG")
 	config, err := node.RetryOnShortage(context.Background(), func() (node.Config, error) { return node.LoadConfig(path) })
 	if err != nil {
 		return err
 	}
 	limitResources(&config)
-	signal.Ignore(syscall.SIGPIPE) // a log whose reader has closed it would end the program
+	signal.Ignore(syscall.SIGPIPE) // else a write to a log whose reader has closed it would end the program
 	sink := logsink.New(os.Stderr)
 	defer sink.Close()
 	logger := slog.New(slog.NewTextHandler(sink, nil))
@@ -49,7 +49,7 @@
 	return serve(n, newReloader(path, logger, n.Reconfigure), reload)
 }
 
-// serve runs the node until SIGTERM or an error, and reloads its configuration at each signal on reload.
+// serve runs the node until SIGTERM, SIGINT or an error, and reloads its configuration for each value on reload.
 func serve(n *node.Node, r *reloader, reload <-chan os.Signal) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -67,12 +67,12 @@
 	}
 }
 
-// limitResources sets the runtime's limits from the configuration.
+// limitResources sets the limits of the Go runtime on memory and processors from the configuration.
 func limitResources(config *node.Config) {
 	if config.MemoryMB > 0 {
 		memoryBytes := int64(config.MemoryMB) << 20
 		config.ProcessesChanged = func(processes int) {
-			// The rest is for the kernel's socket buffers and the stacks.
+			// A quarter is left for the kernel's socket buffers and the stacks.
 			debug.SetMemoryLimit(memoryBytes * 3 / 4 / int64(processes))
 		}
 		config.ProcessesChanged(1)
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Each thing that is wrong with a fleet configuration gets a line of its own, with file, line and key.
+// Each mistake in a fleet configuration has to be reported on a line of its own, with file, line and key.
 func TestInvalidFleetConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	text := "name = \"x\"\n[mesh]\nlisten = \"nowhere\"\nprobe = \"1ms\"\n"
@@ -34,7 +34,7 @@
 			`"settings":{"limits":{"conn-idle-ms":1,"connect-timeout-ms":1}}}`,
 		"bad seed":    nodeConfig{seed: "xyz30d27a5be964"}.json(),
 		"bad listen":  nodeConfig{listen: "nowhere"}.json(),
-		"bad control": nodeConfig{control: "nowhere"}.json(),
+		"bad control": nodeConfig{adminAddress: "nowhere"}.json(),
 		"bad limits":  nodeConfig{sockets: -1}.json(),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -43,16 +43,16 @@
 	}
 }
 
-// An admin address that is in use is reported in one line, before anything is served.
+// If the admin address is in use, the program has to end with one line that says so, before it serves requests.
 func TestAdminAddressInUse(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	p := newProcess(t, nodeConfig{control: listener.Addr().String()}.json())
+	p := newProcess(t, nodeConfig{adminAddress: listener.Addr().String()}.json())
 	lines := checkErrorLines(t, p.runToFailure(t), 1)
 	if !strings.HasPrefix(lines[0], "balancer: control: ") {
-		t.Errorf("wrote %q", lines[0])
+		t.Errorf("wrote %q, want an error about control", lines[0])
 	}
 }
--- a/cmd/balancer/process_test.go
+++ b/cmd/balancer/process_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the program in place of the tests if BALANCER_AS_PROGRAM is set, so that the tests can start it.
 func TestMain(m *testing.M) {
 	if os.Getenv("BALANCER_AS_PROGRAM") != "" {
 		main()
@@ -28,23 +28,23 @@
 	os.Exit(m.Run())
 }
 
-// nodeConfig is the part of a node's configuration that the tests change. A zero field has a default.
+// nodeConfig is the part of a node's configuration that the tests change. Zero fields stand for defaults.
 type nodeConfig struct {
-	listen      string
-	control     string // none by default
-	discovery   string
-	seed        string
-	sockets     int
-	backend     string
-	objectiveMS int
-	deadlineMS  int
+	listen       string
+	adminAddress string // address of the admin endpoint; none by default
+	discovery    string
+	seed         string
+	sockets      int
+	backend      string
+	objectiveMS  int
+	deadlineMS   int
 }
 
 // json returns the text of the configuration file.
 func (c nodeConfig) json() string {
 	control := ""
-	if c.control != "" {
-		control = fmt.Sprintf(`"control":%q,`, c.control)
+	if c.adminAddress != "" {
+		control = fmt.Sprintf(`"control":%q,`, c.adminAddress)
 	}
 	return fmt.Sprintf(`{"name":"n0",%s"listen":%q,"discovery":%q,"seed":%q,
  "limits":{"cores":1,"memory_mb":192,"sockets":%d},
@@ -62,13 +62,13 @@
 	)
 }
 
-// process is a node's process.
+// process is a process that runs the program, a node.
 type process struct {
 	*exec.Cmd
 	configPath string
 }
 
-// newProcess returns a process that has not been started.
+// newProcess returns a process with a configuration file. It has not been started.
 func newProcess(t *testing.T, config string) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -85,7 +85,7 @@
 	}
 }
 
-// start starts the process, which ends with the test at the latest.
+// start starts the process, which is killed at the end of the test.
 func (p *process) start(t *testing.T) {
 	t.Helper()
 	if err := p.Start(); err != nil {
@@ -97,7 +97,7 @@
 	})
 }
 
-// startLogging starts the process, and returns its log.
+// startLogging starts the process and returns its log.
 func (p *process) startLogging(t *testing.T) *processLog {
 	t.Helper()
 	stderr, err := p.StderrPipe()
@@ -115,7 +115,7 @@
 	}
 }
 
-// kill kills the process, and waits until it has ended.
+// kill kills the process and waits until it has ended.
 func (p *process) kill(t *testing.T) {
 	t.Helper()
 	if err := p.Process.Kill(); err != nil {
@@ -127,13 +127,13 @@
 	}
 }
 
-// runToFailure runs a process that has to end with exit code 1, and returns what it wrote.
+// runToFailure runs a process, checks that it ends with exit code 1, and returns its output.
 func (p *process) runToFailure(t *testing.T) string {
 	t.Helper()
 	output, err := p.CombinedOutput()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 {
-		t.Errorf("ended with %v, want exit 1", err)
+		t.Errorf("the process ended with %v, want exit 1", err)
 	}
 	return string(output)
 }
@@ -144,7 +144,7 @@
 	lines  *bufio.Scanner
 }
 
-// await reads up to the first line that matches a pattern, and returns its last submatch.
+// await reads the log up to the first line that matches a pattern, and returns the last submatch.
 func (l *processLog) await(t *testing.T, pattern string) string {
 	t.Helper()
 	expression := regexp.MustCompile(pattern)
@@ -157,29 +157,29 @@
 	return ""
 }
 
-// awaitAddress returns the address at which the node serves.
+// awaitAddress reads the log up to the address on which the node serves.
 func (l *processLog) awaitAddress(t *testing.T) string {
 	t.Helper()
 	return l.await(t, `msg=serving .*listen=(\S+)`)
 }
 
-// readToEnd reads the rest of the log, which ends with the process.
+// readToEnd reads the rest of the log, until the process ends.
 func (l *processLog) readToEnd() {
 	for l.lines.Scan() {
 	}
 }
 
-// awaitCondition waits until a condition holds.
+// awaitCondition waits until a condition holds, for 20 s at most.
 func awaitCondition(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("did not happen within 20 s: %s", what)
 		}
 	}
 }
 
-// answersOK reports whether a GET is answered with 200. It does not reuse a connection.
+// answersOK reports whether a GET on a new connection is answered with status 200.
 func answersOK(url string) bool {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get(url)
@@ -190,7 +190,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// mustGetStatus returns the status of the answer to a GET, which has to be answered.
+// mustGetStatus returns the status of the response to a GET. It fails the test if there is no response.
 func mustGetStatus(t *testing.T, url string) int {
 	t.Helper()
 	response, err := http.Get(url)
@@ -201,8 +201,8 @@
 	return response.StatusCode
 }
 
-// startDiscovery starts a discovery service that keeps its watches open, and returns its address and a channel that
-// gets a value when a watch begins.
+// startDiscovery starts a discovery service that keeps its watches open. It returns its address, and a channel that
+// gets a value for each watch that begins.
 func startDiscovery(t *testing.T) (address string, watched <-chan struct{}) {
 	t.Helper()
 	began := make(chan struct{}, 100)
@@ -220,7 +220,7 @@
 	return server.Listener.Addr().String()
 }
 
-// openWatch answers with an update without endpoints, and keeps the watch open.
+// openWatch responds with an update that lists no endpoints, and keeps the watch open.
 func openWatch(w http.ResponseWriter, r *http.Request, began chan<- struct{}) {
 	if _, err := fmt.Fprintln(w, `{"seq":2,"whole":false,"hosts":[]}`); err != nil {
 		return
@@ -230,7 +230,7 @@
 	<-r.Context().Done()
 }
 
-// startBackend starts a server, and returns its address.
+// startBackend starts a server for the node's requests, and returns its address.
 func startBackend(t *testing.T, handler http.HandlerFunc) (address string) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -238,7 +238,7 @@
 	return server.Listener.Addr().String()
 }
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns an address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -249,7 +249,7 @@
 	return listener.Addr().String()
 }
 
-// dialNode opens a client connection that closes with the test.
+// dialNode opens a client connection, which is closed at the end of the test.
 func dialNode(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -260,7 +260,7 @@
 	return conn
 }
 
-// sendRequest writes a request, and bytes that follow it.
+// sendRequest writes a request without a body, and the bytes that follow it on the connection.
 func sendRequest(t *testing.T, conn net.Conn, id string, budget time.Duration, following string) {
 	t.Helper()
 	const format = "POST /api HTTP/1.1\r\nHost: s\r\nX-Call-Id: %s\r\nX-Call-Class: a\r\nX-Budget: %dm\r\n\r\n%s"
@@ -270,16 +270,17 @@
 	}
 }
 
-// checkServed reads an answer, which has to be 200.
+// checkServed reads a response and checks that its status is 200.
 func checkServed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || response.StatusCode != http.StatusOK {
-		t.Errorf("the request got %v, %v", response, err)
+		t.Errorf("the client got response %v, error %v, want status 200", response, err)
 	}
 }
 
-// checkErrorLines checks that a process wrote so many lines, each with the program's prefix.
+// checkErrorLines checks that the output of a process has so many lines, each with the program's prefix, and returns
+// them.
 func checkErrorLines(t *testing.T, output string, count int) []string {
 	t.Helper()
 	lines := strings.Split(strings.TrimSuffix(output, "\n"), "\n")
@@ -288,7 +289,7 @@
 	}
 	for _, line := range lines {
 		if !strings.HasPrefix(line, "balancer: ") {
-			t.Errorf("wrote %q without the prefix", line)
+			t.Errorf("wrote %q, want the prefix \"balancer: \"", line)
 		}
 	}
 	return lines
--- a/cmd/balancer/reload.go
+++ b/cmd/balancer/reload.go
@@ -9,19 +9,19 @@
 
 const (
 	reloadRetryInterval = 250 * time.Millisecond
-	reloadRetryPeriod   = 20 * time.Second // from the signal on
+	reloadRetryPeriod   = 20 * time.Second // counted from the last signal
 )
 
-// reloader loads the configuration after a signal. It retries a file that cannot be read or is incomplete, because the
-// node would otherwise stay with a discovery service that may no longer answer.
+// reloader loads the configuration after a signal. If the file cannot be read or is incomplete it retries, because the
+// node would otherwise keep using the old discovery service, which may be gone.
 type reloader struct {
 	path  string
 	log   *slog.Logger
 	apply func(node.Config)
 
 	retryUntil  time.Time
-	retry       <-chan time.Time // nil: no retry is due
-	loggedError string           // the last one since the signal
+	retry       <-chan time.Time // receives when a retry is due; nil: none is scheduled
+	loggedError string           // last error logged since the signal
 }
 
 func newReloader(path string, log *slog.Logger, apply func(node.Config)) *reloader {
@@ -32,7 +32,7 @@
 	}
 }
 
-// handleSignal loads the configuration now.
+// handleSignal loads the configuration, and allows retries for reloadRetryPeriod.
 func (r *reloader) handleSignal() {
 	r.retryUntil = time.Now().Add(reloadRetryPeriod)
 	r.loggedError = ""
@@ -47,7 +47,7 @@
 		r.apply(config)
 		return
 	}
-	if err.Error() != r.loggedError { // once for each cause
+	if err.Error() != r.loggedError { // log each cause once
 		r.log.Error("the new configuration is invalid, the previous one stays in use", "err", err)
 		r.loggedError = err.Error()
 	}
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// SIGHUP moves the watch to the discovery that the file now names, an invalid file changes nothing, and only SIGTERM
-// ends the program.
+// After SIGHUP the node has to watch the discovery service that the file names now. A file that has become invalid must
+// not end the program or change its configuration.
 func TestServesThroughSIGHUPUntilSIGTERM(t *testing.T) {
 	discovery, watched := startDiscovery(t)
 	p := newProcess(t, nodeConfig{discovery: discovery}.json())
 	log := p.startLogging(t)
 	address := log.awaitAddress(t)
-	awaitCondition(t, "it is ready", func() bool { return mustGetStatus(t, "http://"+address+"/ready") == http.StatusOK })
+	awaitCondition(t, "the node is ready", func() bool { return mustGetStatus(t, "http://"+address+"/ready") == http.StatusOK })
 	<-watched
 	p.writeConfig(t, "{")
 	p.signal(t, syscall.SIGHUP)
 	log.await(t, "the previous one stays in use")
-	moved, watchedThere := startDiscovery(t)
-	p.writeConfig(t, nodeConfig{discovery: moved}.json())
+	newDiscovery, newWatched := startDiscovery(t)
+	p.writeConfig(t, nodeConfig{discovery: newDiscovery}.json())
 	p.signal(t, syscall.SIGHUP)
-	<-watchedThere
+	<-newWatched
 	p.signal(t, syscall.SIGTERM)
 	log.readToEnd()
 	if err := p.Wait(); err != nil {
-		t.Errorf("ended with %v, want exit 0", err)
+		t.Errorf("the node ended with %v, want exit 0", err)
 	}
 }
 
-// A configuration that cannot be read at the moment of SIGHUP, because it is being written or the system lacks a
-// resource, is read a moment later without a second signal.
+// A configuration that cannot be loaded at the moment of SIGHUP, here because only half of it has been written, has to
+// be loaded later without a second signal. The same retry covers a shortage of system resources.
 func TestConfigurationCompletedAfterSIGHUP(t *testing.T) {
 	discovery, watched := startDiscovery(t)
 	p := newProcess(t, nodeConfig{discovery: discovery}.json())
 	p.start(t)
 	<-watched
-	moved, watchedThere := startDiscovery(t)
-	text := nodeConfig{discovery: moved}.json()
+	newDiscovery, newWatched := startDiscovery(t)
+	text := nodeConfig{discovery: newDiscovery}.json()
 	p.writeConfig(t, text[:len(text)/2])
 	p.signal(t, syscall.SIGHUP)
-	time.Sleep(100 * time.Millisecond) // it finds half of the file meanwhile; if not, the test shows less
+	time.Sleep(100 * time.Millisecond) // for the node to read half of the file; if it has not by then, the test proves less
 	p.writeConfig(t, text)
 	select {
-	case <-watchedThere:
+	case <-newWatched:
 	case <-time.After(4 * time.Second):
-		t.Error("4 s after the signal the node has not moved")
+		t.Error("the node did not watch the new discovery service within 4 s")
 	}
 }
--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Signals during a graceful shutdown change nothing: neither a second SIGTERM nor SIGHUP ends the process before it has
-// answered.
+// Neither a second SIGTERM nor SIGHUP during a graceful shutdown may end the process before it has answered its last
+// request.
 func TestSignalsDuringShutdown(t *testing.T) {
 	discovery, watched := startDiscovery(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
@@ -26,7 +26,7 @@
 	}.json())
 	log := p.startLogging(t)
 	<-watched
-	awaitCondition(t, "it serves", func() bool { return answersOK("http://" + address + "/ready") })
+	awaitCondition(t, "the node serves", func() bool { return answersOK("http://" + address + "/ready") })
 	client := dialNode(t, address)
 	sendRequest(t, client, "1", time.Minute, "")
 	<-arrived
@@ -40,6 +40,6 @@
 	checkServed(t, client)
 	log.readToEnd()
 	if err := p.Wait(); err != nil {
-		t.Errorf("ended with %v, want exit 0", err)
+		t.Errorf("the node ended with %v, want exit 0", err)
 	}
 }
--- a/cmd/balancer/suspension_test.go
+++ b/cmd/balancer/suspension_test.go
@@ -16,7 +16,8 @@
 	return err == nil && strings.Contains(string(stat), ") T ")
 }
 
-// A client that comes and goes while the process is suspended is not served when it resumes; one that stays is.
+// When a suspended process resumes, it finds the requests of clients that have disconnected meanwhile in its buffers.
+// It must not forward them, also if more bytes follow them, but has to serve a client that is still connected.
 func TestClientsOfASuspendedProcess(t *testing.T) {
 	discovery, watched := startDiscovery(t)
 	served := make(chan string, 100)
@@ -25,28 +26,28 @@
 	p := newProcess(t, nodeConfig{listen: address, discovery: discovery, backend: backend}.json())
 	p.start(t)
 	<-watched
-	awaitCondition(t, "it serves", func() bool { return answersOK("http://" + address + "/ready") })
+	awaitCondition(t, "the node serves", func() bool { return answersOK("http://" + address + "/ready") })
 
 	p.signal(t, syscall.SIGSTOP)
-	awaitCondition(t, "it is suspended", p.isSuspended)
+	awaitCondition(t, "the node is suspended", p.isSuspended)
 	const budget = 9 * time.Second
 	longRequest := "POST /api HTTP/1.1\r\nX: " + strings.Repeat("x", 8<<10)
 	for i, following := range []string{"", "P", longRequest} {
-		left := dialNode(t, address)
-		sendRequest(t, left, fmt.Sprint("left-", i), budget, following)
-		left.Close()
+		disconnecting := dialNode(t, address)
+		sendRequest(t, disconnecting, fmt.Sprint("left-", i), budget, following)
+		disconnecting.Close()
 	}
-	stays := dialNode(t, address)
-	sendRequest(t, stays, "stays", budget, "")
+	connected := dialNode(t, address)
+	sendRequest(t, connected, "stays", budget, "")
 	p.signal(t, syscall.SIGCONT)
-	checkServed(t, stays)
+	checkServed(t, connected)
 
 	p.signal(t, syscall.SIGTERM)
-	_ = p.Wait() // whatever it would have forwarded has been forwarded when it ends
+	_ = p.Wait() // by its end the process has forwarded all requests that it is going to forward
 	close(served)
 	for id := range served {
 		if id != "stays" {
-			t.Errorf("%s was forwarded, though its client had disconnected", id)
+			t.Errorf("request %s was forwarded, though its client had disconnected", id)
 		}
 	}
 }
--- a/cmd/balancer/upgrade_test.go
+++ b/cmd/balancer/upgrade_test.go
@@ -7,26 +7,26 @@
 	"testing"
 )
 
-// upgradableNode starts processes of one node, with the same address and $TMPDIR.
+// upgradableNode starts successive processes of one node, which share its address and $TMPDIR.
 type upgradableNode struct {
 	listen, tmp, discovery string
 }
 
-// start starts a process with an admin address of its own, and waits until it can serve.
+// start starts a process with its own admin address, and waits until it is able to serve.
 func (n upgradableNode) start(t *testing.T) *process {
 	t.Helper()
-	control := freeAddress(t)
-	p := newProcess(t, nodeConfig{listen: n.listen, control: control, discovery: n.discovery}.json())
+	adminAddress := freeAddress(t)
+	p := newProcess(t, nodeConfig{listen: n.listen, adminAddress: adminAddress, discovery: n.discovery}.json())
 	p.Env = append(p.Env, "TMPDIR="+n.tmp)
 	p.start(t)
-	awaitCondition(t, "it can serve", func() bool { return answersOK("http://" + control + "/control/ready") })
+	awaitCondition(t, "the new process is able to serve", func() bool { return answersOK("http://" + adminAddress + "/control/ready") })
 	return p
 }
 
-// isReady reports whether the node's readiness check succeeds.
+// isReady reports whether a readiness check of the node succeeds.
 func (n upgradableNode) isReady() bool { return answersOK("http://" + n.listen + "/ready") }
 
-// isWaitingForSuccessor reports whether a process listens for the next one.
+// isWaitingForSuccessor reports whether a process listens on the hand-over socket.
 func (n upgradableNode) isWaitingForSuccessor() bool {
 	conn, err := net.Dial("unix", n.tmp+"/quaywick-"+n.listen+".sock")
 	if err != nil {
@@ -36,7 +36,7 @@
 	return true
 }
 
-// checkReadyUntilEnd checks that the node is ready until one of its processes has ended without an error.
+// checkReadyUntilEnd checks that the node stays ready until a process ends, and that the process ends without an error.
 func (n upgradableNode) checkReadyUntilEnd(t *testing.T, p *process) {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -45,18 +45,19 @@
 		select {
 		case err := <-ended:
 			if err != nil {
-				t.Errorf("the old process ended with %v", err)
+				t.Errorf("the old process ended with %v, want exit 0", err)
 			}
 			return
 		default:
 			if !n.isReady() {
-				t.Fatal("a readiness check failed")
+				t.Fatal("a readiness check failed during the shutdown of the old process")
 			}
 		}
 	}
 }
 
-// Whichever process is killed or told to shut down, and when, the node continues to serve or starts afresh.
+// Upgrades interrupted by a kill: the node has to stay ready when the successor is killed, when the predecessor is shut
+// down or killed, and has to start again although a killed process has left its hand-over socket behind.
 func TestUpgradesAndKills(t *testing.T) {
 	discovery, _ := startDiscovery(t)
 	node := upgradableNode{listen: freeAddress(t), tmp: t.TempDir(), discovery: discovery}
@@ -66,10 +67,10 @@
 	awaitCondition(t, "the old process serves alone", node.isReady)
 	for range 10 {
 		if !node.isReady() {
-			t.Fatal("it does not serve alone")
+			t.Fatal("the old process is not ready after its successor was killed")
 		}
 	}
-	awaitCondition(t, "it waits for the next one", node.isWaitingForSuccessor)
+	awaitCondition(t, "the old process waits for the next successor", node.isWaitingForSuccessor)
 
 	second := node.start(t)
 	first.signal(t, syscall.SIGTERM)
@@ -79,10 +80,10 @@
 	second.kill(t)
 	awaitCondition(t, "the new process serves alone", node.isReady)
 
-	third.kill(t) // none is left but the file
+	third.kill(t) // no process is left, only the file of the hand-over socket
 	if links, err := os.ReadDir(node.tmp); err != nil || len(links) == 0 {
-		t.Errorf("nothing was left behind: %v", err)
+		t.Errorf("the killed process left no hand-over socket: %v", err)
 	}
 	node.start(t)
-	awaitCondition(t, "it starts afresh", node.isReady)
+	awaitCondition(t, "a new process serves after the kill", node.isReady)
 }
