--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,5 +1,5 @@
-// Command balancer-sim makes the decisions of package policy for the simulator: it reads batches of events on standard
-// input, and writes one reply to each on standard output.
+// Command balancer-sim runs package policy for a simulator: it reads batches of events from standard input, and writes
+// a reply to each batch, with the policy's actions, to standard output.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// run serves batches until the input ends. A reply is written complete or not at all.
+// run handles batches until the end of the input. The reply to a batch is written only when it is complete.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simulator.NewDecoder(in)
 	h := newHost(out)
@@ -38,11 +38,11 @@
 	}
 }
 
-// host runs the simulator's instances, each of which has a Balancer.
+// host runs one policy.Balancer for each simulated instance of a node.
 type host struct {
 	encoder   *simulator.Encoder
 	balancers map[int]*policy.Balancer // by instance
-	now       time.Duration            // of the current batch
+	now       time.Duration            // simulated time of the current batch
 }
 
 func newHost(out io.Writer) *host {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// handleEvent ignores events of an instance that was killed or has not started.
+// handleEvent passes an event to the instance's Balancer. Events of an instance that is not running are ignored.
 func (h *host) handleEvent(instance int, event policy.Event) {
 	balancer := h.balancers[instance]
 	if balancer == nil {
--- a/cmd/balancer-sim/main_test.go
+++ b/cmd/balancer-sim/main_test.go
@@ -18,10 +18,11 @@
 	}
 	if got := out.String(); !strings.HasPrefix(got, "yield\ninstance\t0\nforward\tid\ts:1\t") ||
 		!strings.HasSuffix(got, "yield\n") {
-		t.Fatalf("got %q", got)
+		t.Fatalf("replies are %q, want an empty reply and one that forwards the request", got)
 	}
 }
 
+// Invalid input must end the program without a partial reply to the batch that contains it.
 func TestInvalidInputLeavesNoPartialReply(t *testing.T) {
 	for _, bad := range []string{"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n"} {
 		var out bytes.Buffer
@@ -30,13 +31,13 @@
 			t.Errorf("%q: no error", bad)
 		}
 		if out.String() != "yield\n" {
-			t.Errorf("%q: wrote %q", bad, out.String())
+			t.Errorf("%q: replies are %q, want the empty one to the first batch", bad, out.String())
 		}
 	}
 }
 
-// A killed instance loses its state: after its restart an event of an old request is ignored, and with an empty list
-// a new request is queued.
+// A killed instance must lose its state. After its restart the outcome of an earlier request has to be ignored, and a
+// new request has to be queued, since the endpoint list is empty.
 func TestKilledInstanceRestartsWithoutState(t *testing.T) {
 	list := "list\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\nannounce\t2\t0\t1\n"
 	in := "sync\t2\nabout\t0\n" + instanceStart + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
@@ -49,13 +50,13 @@
 	}
 	replies := strings.Split(out.String(), "yield\n")
 	if len(replies) != 5 || !strings.Contains(replies[0], "forward\told") {
-		t.Fatalf("got %q", replies)
+		t.Fatalf("replies are %q, want the first to forward the request", replies)
 	}
 	if strings.Contains(replies[1], "old") || !strings.Contains(replies[1], "remind") ||
 		strings.Contains(replies[1], "forward") {
-		t.Errorf("after the restart: %q", replies[1])
+		t.Errorf("reply after the restart: %q, want only a timer for the new request", replies[1])
 	}
 	if replies[2] != "" || !strings.Contains(replies[3], "turn_away\tnew") {
-		t.Errorf("at the end: %q, %q", replies[2], replies[3])
+		t.Errorf("replies to the timers: %q, %q, want none and a rejection of the new request", replies[2], replies[3])
 	}
 }
--- a/cmd/balancer-testbed/capacity.go
+++ b/cmd/balancer-testbed/capacity.go
@@ -21,37 +21,37 @@
 	"github.com/spf13/cobra"
 )
 
-// capacityCommand measures the testbed itself: what it can drive and check against stubs that answer at once, and
-// what a proxy adds.
+// capacityCommand returns the command that measures the test bed itself: the load that it can generate and check with
+// stubs that respond at once, and the latency that its proxies add.
 func capacityCommand() *cobra.Command {
 	var rate float64
 	var cores int
 	var length time.Duration
-	var linked bool
+	var proxied bool
 	c := &cobra.Command{
 		Use:   "capacity",
-		Short: "Measure the testbed itself against stubs that answer at once",
+		Short: "Measure the test bed itself with stubs that respond at once",
 		Args:  cobra.NoArgs,
 	}
-	c.Flags().Float64Var(&rate, "rate", 5000, "requests a second")
-	c.Flags().IntVar(&cores, "cores", 4, "cores of this process")
-	c.Flags().DurationVar(&length, "length", 10*time.Second, "how long")
-	c.Flags().BoolVar(&linked, "links", false, "through a proxy for each link")
+	c.Flags().Float64Var(&rate, "rate", 5000, "requests per second")
+	c.Flags().IntVar(&cores, "cores", 4, "processor cores for this process")
+	c.Flags().DurationVar(&length, "length", 10*time.Second, "duration of the load")
+	c.Flags().BoolVar(&proxied, "links", false, "send the requests through a proxy for each link")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		runtime.GOMAXPROCS(cores)
 		self, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		return capacity(c.Context(), self, rate, length, cores, linked)
+		return capacity(c.Context(), self, rate, length, cores, proxied)
 	}
 	return c
 }
 
-// capacity drives a load against stubs and prints what the testbed could do.
-func capacity(ctx context.Context, self string, rate float64, length time.Duration, cores int, linked bool) error {
+// capacity sends a load to stubs and prints the rate, the latency and the processor time of the test bed.
+func capacity(ctx context.Context, self string, rate float64, length time.Duration, cores int, proxied bool) error {
 	w := stubWorld(self)
-	if linked {
+	if proxied {
 		w.Links = []string{"clients-*->n*"}
 	}
 	load := testbed.Load{Rate: rate}
@@ -69,7 +69,7 @@
 	tb.Drive(ctx, &load, arrivals, m.add)
 	m.stop()
 	fmt.Printf("links=%t rate=%.0f/s served=%d of %d in %.2f s\n",
-		linked, float64(m.served.Load())/m.took.Seconds(), m.served.Load(), len(arrivals), m.took.Seconds())
+		proxied, float64(m.served.Load())/m.elapsed.Seconds(), m.served.Load(), len(arrivals), m.elapsed.Seconds())
 	m.print(cores)
 	a := tb.Checker().Account()
 	_, broken := tb.Findings()
@@ -78,7 +78,7 @@
 	return ctx.Err()
 }
 
-// stubWorld is a world of stubs with one class of requests.
+// stubWorld returns a test-bed world whose nodes are stubs, with one class of requests.
 func stubWorld(self string) testbed.World {
 	return testbed.World{
 		Binary:     self,
@@ -97,53 +97,53 @@
 	}
 }
 
-const maxMicros = int64(time.Minute / time.Microsecond)
+const maxMicroseconds = int64(time.Minute / time.Microsecond)
 
-// measurement gathers what came of a load.
+// measurement collects the results of a load.
 type measurement struct {
-	latency  *hdrhistogram.Histogram // microseconds
-	lateness *hdrhistogram.Histogram // microseconds
-	served   atomic.Int64
-	ended    chan testbed.ArrivalResult
-	recorded chan struct{} // closed when all results are in the histograms
-	began    time.Time
-	cpu      time.Duration // of this process; until stop: at the start
-	took     time.Duration
+	latency   *hdrhistogram.Histogram // of the served requests, in microseconds
+	lateness  *hdrhistogram.Histogram // of the test bed in sending requests, in microseconds
+	served    atomic.Int64
+	results   chan testbed.ArrivalResult
+	recorded  chan struct{} // closed when all results have been recorded
+	startedAt time.Time
+	cpu       time.Duration // processor time of this process during the load; before stop: at its start
+	elapsed   time.Duration
 }
 
 func (m *measurement) start() {
-	m.latency = hdrhistogram.New(1, maxMicros, 3)
-	m.lateness = hdrhistogram.New(1, maxMicros, 3)
-	m.ended = make(chan testbed.ArrivalResult, 1024)
+	m.latency = hdrhistogram.New(1, maxMicroseconds, 3)
+	m.lateness = hdrhistogram.New(1, maxMicroseconds, 3)
+	m.results = make(chan testbed.ArrivalResult, 1024)
 	m.recorded = make(chan struct{})
 	go m.record()
 	m.cpu = ownCPU()
-	m.began = time.Now()
+	m.startedAt = time.Now()
 }
 
-// record puts results into the histograms until there are no more.
+// record adds the results to the histograms until the channel is closed.
 func (m *measurement) record() {
 	defer close(m.recorded)
-	for s := range m.ended {
+	for s := range m.results {
 		if s.End == testbed.EndServed {
-			_ = m.latency.RecordValue(min(max(1, s.Latency.Microseconds()), maxMicros)) // in range
+			_ = m.latency.RecordValue(min(max(1, s.Latency.Microseconds()), maxMicroseconds)) // fails only out of range
 		}
-		_ = m.lateness.RecordValue(min(max(1, s.Late.Microseconds()), maxMicros)) // in range
+		_ = m.lateness.RecordValue(min(max(1, s.Late.Microseconds()), maxMicroseconds)) // fails only out of range
 	}
 }
 
-// add takes the result of one arrival; it is safe for concurrent use.
+// add adds the result of one arrival. It is safe for concurrent use.
 func (m *measurement) add(s testbed.ArrivalResult) {
 	if s.End == testbed.EndServed {
 		m.served.Add(1)
 	}
-	m.ended <- s
+	m.results <- s
 }
 
 func (m *measurement) stop() {
-	m.took = time.Since(m.began)
+	m.elapsed = time.Since(m.startedAt)
 	m.cpu = ownCPU() - m.cpu
-	close(m.ended)
+	close(m.results)
 	<-m.recorded
 }
 
@@ -152,28 +152,28 @@
 	fmt.Printf("latency from the drawn arrival: p50=%.3f ms p99=%.3f ms; ", millis(m.latency, 50), millis(m.latency, 99))
 	fmt.Printf("lateness of the testbed: p50=%.3f ms p99=%.3f ms p99.9=%.3f ms\n",
 		millis(m.lateness, 50), millis(m.lateness, 99), millis(m.lateness, 99.9))
-	used := m.cpu.Seconds() / m.took.Seconds()
+	used := m.cpu.Seconds() / m.elapsed.Seconds()
 	fmt.Printf("processor time of the testbed: %.2f cores, %.0f%% of %d\n", used, 100*used/float64(cores), cores)
 }
 
 func ownCPU() time.Duration {
 	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // does not fail for this process
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for the calling process
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// stubCommand is a node that answers every request at once by itself.
+// stubCommand returns the command that runs a stub: a node that responds to every request at once without a server.
 func stubCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "stub",
-		Short:  "Serve as a node that answers at once (for capacity)",
+		Short:  "Run a node that responds at once (for capacity)",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE:   func(c *cobra.Command, _ []string) error { return serveStub(c.Context()) },
 	}
 }
 
-// serveStub answers each request with its id until ctx ends.
+// serveStub responds to each request with its id until ctx ends.
 func serveStub(ctx context.Context) error {
 	var cfg struct{ Listen string }
 	text, err := os.ReadFile(filepath.Clean(os.Getenv("ROUTER_CONFIG")))
@@ -188,12 +188,12 @@
 		return err
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body)                  // a body that breaks off ends the connection
-		_, _ = io.WriteString(w, r.Header.Get("X-Call-Id")) // fails where the client has left
+		_, _ = io.Copy(io.Discard, r.Body)                  // fails if the body ends early, and then the connection ends too
+		_, _ = io.WriteString(w, r.Header.Get("X-Call-Id")) // fails if the client has disconnected
 	})}
 	go func() {
 		<-ctx.Done()
-		_ = server.Close() // the process ends next
+		_ = server.Close() // errors do not matter, since the process ends
 	}()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
--- a/cmd/balancer-testbed/main.go
+++ b/cmd/balancer-testbed/main.go
@@ -1,4 +1,5 @@
-// Command balancer-testbed runs experiments with several real nodes on loopback and reports on them.
+// Command balancer-testbed runs experiments with several real nodes on the loopback interface, injects faults, and
+// reports the results.
 package main
 
 import (
@@ -20,11 +21,11 @@
 
 // Exit codes.
 const (
-	exitBroken = 1 // a rule was broken, or something failed
-	exitUsage  = 2 // the call or a file is wrong
+	exitBroken = 1 // a rule was broken, or the run failed
+	exitUsage  = 2 // the command line or a file is invalid
 )
 
-// usageError is a mistake in the invocation.
+// usageError is an error in the command line or in a file that it names.
 type usageError struct{ error }
 
 func main() {
@@ -33,7 +34,7 @@
 	}
 }
 
-// execute runs the command line and returns the exit code.
+// execute runs the command of the command line and returns the exit code.
 func execute() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -53,7 +54,7 @@
 func command() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "balancer-testbed",
-		Short:         "Run experiments with several real nodes and faults between them",
+		Short:         "Run experiments with several real nodes and injected faults",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.ArbitraryArgs,
@@ -90,8 +91,8 @@
 	return root
 }
 
-// load reads an experiment; what is wrong with the file is a mistake in the invocation.
-func load(path string) (*experiment.File, error) {
+// loadExperiment reads an experiment. Errors are of type usageError.
+func loadExperiment(path string) (*experiment.File, error) {
 	f, err := experiment.Load(path)
 	if err != nil {
 		return nil, usageError{err}
@@ -102,12 +103,12 @@
 func runCommand() *cobra.Command {
 	var binary, out string
 	var seeds []uint
-	c := &cobra.Command{Use: "run FILE", Short: "Run an experiment and report on it", Args: cobra.ExactArgs(1)}
-	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program, for variants that name none")
-	c.Flags().StringVar(&out, "out", "", "folder for results and report (default lab-results/NAME)")
-	c.Flags().UintSliceVar(&seeds, "seeds", nil, "seeds in place of the file's")
+	c := &cobra.Command{Use: "run FILE", Short: "Run an experiment and write its report", Args: cobra.ExactArgs(1)}
+	c.Flags().StringVar(&binary, "binary", "bin/balancer", "program of the nodes, for variants that name none")
+	c.Flags().StringVar(&out, "out", "", "directory for results and report (default lab-results/NAME)")
+	c.Flags().UintSliceVar(&seeds, "seeds", nil, "seeds to run instead of those in the file")
 	c.RunE = func(c *cobra.Command, args []string) (err error) {
-		f, err := load(args[0])
+		f, err := loadExperiment(args[0])
 		if err != nil {
 			return err
 		}
@@ -125,7 +126,7 @@
 	return c
 }
 
-// run runs an experiment into a folder, and reports on what there is, interrupted or not.
+// run runs an experiment, writes its results to a directory, and reports on them even if the run was interrupted.
 func run(ctx context.Context, f *experiment.File, binary, out string) error {
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return err
@@ -135,11 +136,11 @@
 		return err
 	}
 	defer results.Close()
-	show, end := progress()
-	rules := map[testbed.Rule]int{}
-	r := &experiment.Runner{File: f, Binary: binary, Out: results, Progress: show}
+	showStatus, eraseStatus := progress()
+	brokenRules := map[testbed.Rule]int{}
+	r := &experiment.Runner{File: f, Binary: binary, Out: results, Progress: showStatus}
 	r.Done = func(k experiment.Key, s *experiment.Summary) {
-		end()
+		eraseStatus()
 		a := s.Account
 		fmt.Printf("%s seed %d: served %.4f, worst window %.3f, p99 %.0f ms; ", k.Variant, k.Seed, s.Served, s.Worst, s.P99)
 		fmt.Printf("taken %d = answered %d + left %d + cut off %d + lost %d; ",
@@ -149,11 +150,11 @@
 			fmt.Println("  ", x)
 		}
 		for rule, n := range s.Broken {
-			rules[rule] += n
+			brokenRules[rule] += n
 		}
 	}
 	failed := r.Run(ctx)
-	end()
+	eraseStatus()
 	if err := results.Sync(); err != nil {
 		return err
 	}
@@ -164,14 +165,15 @@
 	if failed != nil {
 		return failed
 	}
-	if len(rules) > 0 {
-		return fmt.Errorf("rules were broken: %v", rules)
+	if len(brokenRules) > 0 {
+		return fmt.Errorf("rules were broken: %v", brokenRules)
 	}
 	return nil
 }
 
-// progress writes over one line on a terminal, and nothing elsewhere.
-func progress() (show func(string), end func()) {
+// progress returns functions that show and erase a status line on standard error. They do nothing if it is not a
+// terminal.
+func progress() (show func(string), erase func()) {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil, func() {}
@@ -179,51 +181,51 @@
 	w := bufio.NewWriter(os.Stderr)
 	show = func(s string) {
 		_, _ = fmt.Fprintf(w, "\r\x1b[K%.120s", s)
-		_ = w.Flush() // progress that cannot be shown is no failure
+		_ = w.Flush() // errors do not matter for a status line
 	}
 	return show, func() { show("") }
 }
 
 func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check FILE...", Short: "Say what is wrong with experiments", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{Use: "check FILE...", Short: "Check experiment files for errors", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			var all []error
+			var errs []error
 			for _, path := range args {
-				if _, err := load(path); err != nil {
-					all = append(all, err)
+				if _, err := loadExperiment(path); err != nil {
+					errs = append(errs, err)
 				}
 			}
-			return errors.Join(all...)
+			return errors.Join(errs...)
 		}}
 }
 
 func listCommand() *cobra.Command {
 	var dir string
-	c := &cobra.Command{Use: "list", Short: "List the experiments of a folder", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "list", Short: "List the experiments in a directory", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			files, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 			if err != nil {
 				return usageError{err}
 			}
-			var all []error
+			var errs []error
 			for _, path := range files {
-				f, err := load(path)
+				f, err := loadExperiment(path)
 				if err != nil {
-					all = append(all, err)
+					errs = append(errs, err)
 					continue
 				}
 				fmt.Printf("%-34s %4d runs of %-6s %s\n", path, f.Runs(), f.Length, f.About)
 			}
-			return errors.Join(all...)
+			return errors.Join(errs...)
 		}}
-	c.Flags().StringVar(&dir, "dir", "experiments", "the folder")
+	c.Flags().StringVar(&dir, "dir", "experiments", "directory of the experiments")
 	return c
 }
 
 func reportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "report DIR",
-		Short: "Write report.md and plots from a folder's results",
+		Short: "Write report.md and plots from the results in a directory",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(_ *cobra.Command, args []string) error { return experiment.Report(args[0]) },
 	}
@@ -233,12 +235,12 @@
 	var seed uint64
 	c := &cobra.Command{
 		Use:   "day FILE",
-		Short: "Print the drawn day of a seed: arrivals and steps",
+		Short: "Print the arrivals and fault steps that a seed generates",
 		Args:  cobra.ExactArgs(1),
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
+	c.Flags().Uint64Var(&seed, "seed", 1, "random seed")
 	c.RunE = func(_ *cobra.Command, args []string) error {
-		f, err := load(args[0])
+		f, err := loadExperiment(args[0])
 		if err != nil {
 			return err
 		}
--- a/cmd/balancer-testbed/main_test.go
+++ b/cmd/balancer-testbed/main_test.go
@@ -14,7 +14,7 @@
 
 var binary string
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the program in place of the tests if TESTBED_AS_PROGRAM is set, so that the tests can start it.
 func TestMain(m *testing.M) {
 	if os.Getenv("TESTBED_AS_PROGRAM") != "" {
 		main()
@@ -23,7 +23,8 @@
 	os.Exit(testbedtest.Main(m, &binary))
 }
 
-func program(args ...string) *exec.Cmd {
+// newProgram returns a command that runs the newProgram with arguments.
+func newProgram(args ...string) *exec.Cmd {
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), "TESTBED_AS_PROGRAM=1")
 	return c
@@ -37,7 +38,7 @@
 	for _, x := range []struct {
 		args []string
 		code int
-		says string
+		want string
 	}{
 		{[]string{"check", bad}, 2, "bad.toml:2: duration: unknown key"},
 		{[]string{"check"}, 2, "arg"},
@@ -49,18 +50,19 @@
 		{[]string{"check", "../../experiments/first.toml"}, 0, ""},
 		{[]string{"list", "--dir", "../../experiments"}, 0, "first.toml"},
 	} {
-		c := program(x.args...)
+		c := newProgram(x.args...)
 		out, _ := c.CombinedOutput()
-		if got := c.ProcessState.ExitCode(); got != x.code || !strings.Contains(string(out), x.says) {
-			t.Errorf("%v: exit %d, want %d; printed %q, want %q in it", x.args, got, x.code, out, x.says)
+		if got := c.ProcessState.ExitCode(); got != x.code || !strings.Contains(string(out), x.want) {
+			t.Errorf("%v: exit %d, want %d; printed %q, want %q in it", x.args, got, x.code, out, x.want)
 		}
 	}
 }
 
-// SIGINT ends all children, and the results so far have been written.
+// After SIGINT during a run, the program has to end its nodes, remove its temporary directory and keep the results so
+// far.
 func TestInterrupt(t *testing.T) {
 	dir := t.TempDir()
-	c := program("run", "../../experiments/first.toml", "--binary", binary, "--out", dir)
+	c := newProgram("run", "../../experiments/first.toml", "--binary", binary, "--out", dir)
 	c.Env = append(c.Env, "TMPDIR="+dir)
 	out, err := c.StdoutPipe()
 	if err != nil {
@@ -69,9 +71,9 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	watched := make(chan struct{})
-	go func() { // ends with the program: it is interrupted once its nodes serve
-		defer close(watched)
+	interrupted := make(chan struct{})
+	go func() { // interrupts the program once a node serves
+		defer close(interrupted)
 		for {
 			logs, _ := filepath.Glob(filepath.Join(dir, "balancer-testbed-*", "n1", "n1.log"))
 			for _, l := range logs {
@@ -87,13 +89,13 @@
 	for lines := bufio.NewScanner(out); lines.Scan(); {
 		t.Log(lines.Text())
 	}
-	_ = c.Wait() // its exit code is checked below
-	<-watched
+	_ = c.Wait() // the exit code is checked below
+	<-interrupted
 	if code := c.ProcessState.ExitCode(); code != 1 {
 		t.Errorf("exit %d, want 1", code)
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "balancer-testbed-*")); len(left) != 0 {
-		t.Errorf("the scratch folder is left: %v", left)
+		t.Errorf("the temporary directory was not removed: %v", left)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "results.jsonl")); err != nil {
 		t.Error(err)
@@ -101,18 +103,18 @@
 }
 
 func TestCapacityAgainstStubs(t *testing.T) {
-	c := program("capacity", "--rate", "200", "--length", "1s", "--links")
+	c := newProgram("capacity", "--rate", "200", "--length", "1s", "--links")
 	out, err := c.CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "lost 0; broken map[]") ||
 		!strings.Contains(string(out), "processor time of the testbed") {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("capacity ended with %v, printed %s", err, out)
 	}
 }
 
-func TestDayIsTheSameForASeed(t *testing.T) {
+func TestDayDependsOnlyOnTheSeed(t *testing.T) {
 	var days []string
 	for _, seed := range []string{"1", "1", "2"} {
-		out, err := program("day", "../../experiments/first.toml", "--seed", seed).Output()
+		out, err := newProgram("day", "../../experiments/first.toml", "--seed", seed).Output()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,6 +122,6 @@
 	}
 	if days[0] != days[1] || days[0] == days[2] || strings.Count(days[0], "\n") < 5000 ||
 		!strings.Contains(days[0], " cut n2->front-[12]\n") {
-		t.Errorf("days of %d, %d and %d bytes", len(days[0]), len(days[1]), len(days[2]))
+		t.Errorf("the days of the seeds 1, 1 and 2 have %d, %d and %d bytes", len(days[0]), len(days[1]), len(days[2]))
 	}
 }
--- a/cmd/balancer-testbed/mesh.go
+++ b/cmd/balancer-testbed/mesh.go
@@ -15,21 +15,22 @@
 	"github.com/spf13/cobra"
 )
 
-// meshCommand runs the scenarios of membership and prints a table of times, median and worst over all nodes and seeds.
+// meshCommand returns the command that runs the membership scenarios and prints a table with the median and the worst
+// of each metric over all nodes and seeds.
 func meshCommand() *cobra.Command {
 	var binary, only string
 	var nodes, seeds int
 	var probe time.Duration
 	c := &cobra.Command{
 		Use:   "mesh",
-		Short: "Inject faults into a fleet whose only work is membership, and time it",
+		Short: "Inject faults into a fleet without requests, and measure its membership",
 		Args:  cobra.NoArgs,
 	}
-	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program")
-	c.Flags().StringVar(&only, "only", "", "scenarios whose name contains this")
-	c.Flags().IntVar(&nodes, "nodes", 16, "nodes, where the scenario does not say")
-	c.Flags().IntVar(&seeds, "seeds", 5, "runs of each scenario")
-	c.Flags().DurationVar(&probe, "probe", 400*time.Millisecond, "between two probes")
+	c.Flags().StringVar(&binary, "binary", "bin/balancer", "program of the nodes")
+	c.Flags().StringVar(&only, "only", "", "run only scenarios whose name contains this text")
+	c.Flags().IntVar(&nodes, "nodes", 16, "number of nodes, for scenarios that do not set it")
+	c.Flags().IntVar(&seeds, "seeds", 5, "number of runs of each scenario, each with its own seed")
+	c.Flags().DurationVar(&probe, "probe", 400*time.Millisecond, "time between two probes")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		path, err := filepath.Abs(binary)
 		if err != nil {
@@ -52,14 +53,15 @@
 			failed = failed || bad
 		}
 		if failed {
-			return errors.New("a scenario did not run to its end, or two majorities were seen")
+			return errors.New("a scenario did not complete, or two majorities were observed")
 		}
 		return nil
 	}
 	return c
 }
 
-// meshScenario runs one scenario with all seeds; bad reports that it went wrong in some.
+// meshScenario runs one scenario with all seeds and prints its rows. It reports bad if a run failed or had two
+// majorities.
 func meshScenario(
 	ctx context.Context,
 	sc testbed.Scenario,
@@ -87,8 +89,8 @@
 			bad = true
 		}
 	}
-	row := func(figure, median, worst, count string) {
-		fmt.Printf("| %s | %d | %d | %s | %s | %s | %s |\n", sc.Name, nodes, seeds, figure, median, worst, count)
+	row := func(metric, median, worst, count string) {
+		fmt.Printf("| %s | %d | %d | %s | %s | %s | %s |\n", sc.Name, nodes, seeds, metric, median, worst, count)
 	}
 	for _, k := range slices.Sorted(maps.Keys(times)) {
 		x := slices.Sorted(slices.Values(times[k]))
--- a/cmd/balancer-testbed/soak.go
+++ b/cmd/balancer-testbed/soak.go
@@ -13,28 +13,28 @@
 	"github.com/spf13/cobra"
 )
 
-// soakCommand runs seeds of overlapping faults.
+// soakCommand returns the command that runs soaks: random overlapping faults, generated from seeds.
 func soakCommand() *cobra.Command {
 	var binary, out string
-	var from, count uint64
+	var firstSeed, count uint64
 	var seeds []uint
-	var beside int
-	var keep []int
+	var parallel int
+	var keptFaults []int
 	var reduce, untraced bool
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "Run a few dozen nodes through overlapping faults, by seeds",
+		Short: "Run a few dozen nodes with overlapping faults, generated from seeds",
 		Args:  cobra.NoArgs,
 	}
-	c.Flags().StringVar(&binary, "binary", "bin/balancer", "the node program")
-	c.Flags().StringVar(&out, "out", "lab-results/soak", "folder for logs and results")
-	c.Flags().Uint64Var(&from, "seed", 1, "the first seed")
-	c.Flags().Uint64Var(&count, "count", 1, "how many seeds")
-	c.Flags().UintSliceVar(&seeds, "seeds", nil, "these seeds, in place of --seed and --count")
-	c.Flags().IntVar(&beside, "beside", 2, "runs at once")
-	c.Flags().IntSliceVar(&keep, "keep", nil, "numbers of the faults to inject; default all")
-	c.Flags().BoolVar(&untraced, "untraced", false, "run no node under a shim: does a finding need one?")
-	c.Flags().BoolVar(&reduce, "reduce", false, "cut a failing seed down to the faults that it needs")
+	c.Flags().StringVar(&binary, "binary", "bin/balancer", "program of the nodes")
+	c.Flags().StringVar(&out, "out", "lab-results/soak", "directory for logs and results")
+	c.Flags().Uint64Var(&firstSeed, "seed", 1, "first seed; with --reduce the only one")
+	c.Flags().Uint64Var(&count, "count", 1, "number of consecutive seeds")
+	c.Flags().UintSliceVar(&seeds, "seeds", nil, "seeds to run instead of --seed and --count")
+	c.Flags().IntVar(&parallel, "beside", 2, "number of seeds that run at the same time")
+	c.Flags().IntSliceVar(&keptFaults, "keep", nil, "numbers of the faults to inject (default all)")
+	c.Flags().BoolVar(&untraced, "untraced", false, "run all nodes without a shim, to see whether a finding depends on it")
+	c.Flags().BoolVar(&reduce, "reduce", false, "find out which faults of a failing seed are needed for the failure")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		self, err := os.Executable()
 		if err != nil {
@@ -53,44 +53,44 @@
 			return soak.Run(ctx, p, binary, []string{self, "shim"}, out)
 		}
 		if reduce {
-			return reduceSeed(c.Context(), from, run)
+			return reduceSeed(c.Context(), firstSeed, run)
 		}
-		for seed := from; seed < from+count && !c.Flags().Changed("seeds"); seed++ {
+		for seed := firstSeed; seed < firstSeed+count && !c.Flags().Changed("seeds"); seed++ {
 			seeds = append(seeds, uint(seed))
 		}
-		return runSeeds(c.Context(), seeds, beside, keep, run)
+		return runSeeds(c.Context(), seeds, parallel, keptFaults, run)
 	}
 	return c
 }
 
-type runner func(context.Context, *soak.Plan) (*soak.Result, error)
+type runFunc func(context.Context, *soak.Plan) (*soak.Result, error)
 
-func reduceSeed(ctx context.Context, seed uint64, run runner) error {
-	kept, err := soak.Reduce(ctx, seed, func(p *soak.Plan) (*soak.Result, error) { return run(ctx, p) })
+func reduceSeed(ctx context.Context, seed uint64, run runFunc) error {
+	needed, err := soak.Reduce(ctx, seed, func(p *soak.Plan) (*soak.Result, error) { return run(ctx, p) })
 	if err != nil {
 		return err
 	}
-	fmt.Printf("seed %d needs the faults %v\n", seed, kept)
+	fmt.Printf("seed %d needs the faults %v\n", seed, needed)
 	return nil
 }
 
-func runSeeds(ctx context.Context, seeds []uint, beside int, keep []int, run runner) error {
+func runSeeds(ctx context.Context, seeds []uint, parallel int, keptFaults []int, run runFunc) error {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	var failed error
 	broken := map[testbed.Rule]int{}
-	slots := make(chan struct{}, max(1, beside))
+	slots := make(chan struct{}, max(1, parallel))
 	for _, seed := range seeds {
 		p := soak.NewPlan(uint64(seed))
-		if keep != nil {
-			if err := p.Keep(keep); err != nil {
+		if keptFaults != nil {
+			if err := p.Keep(keptFaults); err != nil {
 				return usageError{err}
 			}
 		}
 		slots <- struct{}{}
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			defer func() { <-slots }()
 			r, err := run(ctx, p)
 			mu.Lock()
@@ -105,7 +105,7 @@
 			}
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	if failed != nil {
 		return failed
 	}
@@ -132,11 +132,11 @@
 	}
 }
 
-// shimCommand runs a program under a shim; the testbed starts it.
+// shimCommand returns the command that runs a program under a shim. The test bed starts nodes with it.
 func shimCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:    "shim PROGRAM [ARGS]",
-		Short:  "Run a program whose system calls fail now and then",
+		Short:  "Run a program and let some of its system calls fail",
 		Hidden: true,
 		Args:   cobra.MinimumNArgs(1),
 	}
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -14,7 +14,7 @@
 	p := newProcess(t, nodeConfig{discovery: discovery}.json())
 	log := p.startLogging(t)
 	address := log.awaitAddress(t)
-	awaitCondition(t, "the node is ready", func() bool { return mustGetStatus(t, "http://"+address+"/ready") == http.StatusOK })
+	awaitCondition(t, "it is ready", func() bool { return mustGetStatus(t, "http://"+address+"/ready") == http.StatusOK })
 	<-watched
 	p.writeConfig(t, "{")
 	p.signal(t, syscall.SIGHUP)
@@ -41,7 +41,7 @@
 	text := nodeConfig{discovery: newDiscovery}.json()
 	p.writeConfig(t, text[:len(text)/2])
 	p.signal(t, syscall.SIGHUP)
-	time.Sleep(100 * time.Millisecond) // for the node to read half of the file; if it has not by then, the test proves less
+	time.Sleep(100 * time.Millisecond) // for the node to read half of the file; if it has not yet, the test proves less
 	p.writeConfig(t, text)
 	select {
 	case <-newWatched:
--- a/cmd/balancer/upgrade_test.go
+++ b/cmd/balancer/upgrade_test.go
@@ -19,7 +19,7 @@
 	p := newProcess(t, nodeConfig{listen: n.listen, adminAddress: adminAddress, discovery: n.discovery}.json())
 	p.Env = append(p.Env, "TMPDIR="+n.tmp)
 	p.start(t)
-	awaitCondition(t, "the new process is able to serve", func() bool { return answersOK("http://" + adminAddress + "/control/ready") })
+	awaitCondition(t, "node can serve", func() bool { return answersOK("http://" + adminAddress + "/control/ready") })
 	return p
 }
 
--- a/internal/lifecycle/suspension.go
+++ b/internal/lifecycle/suspension.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// heartbeat records that the process is running at a time after start, and detects a suspension that has just ended.
+// heartbeat records that the process is running now, a time counted from s.start, and detects a suspension that has
+// just ended.
 func (s *SuspensionDetector) heartbeat(now time.Duration) {
 	pause := now - time.Duration(s.lastHeartbeat.Swap(int64(now)))
 	if pause > guard.MaxSuspension {
--- a/internal/tomlfile/line.go
+++ b/internal/tomlfile/line.go
@@ -12,9 +12,10 @@
 	arrayIndex  = regexp.MustCompile(`\[\d+\]`)
 )
 
-// findLine returns the number of the line that assigns a key. If there is none, it returns the line of the header of
-// the innermost table that the key belongs to, or 0 if that is missing too. An index in the key selects an element of
-// an array of tables; a key without indices is looked for in all elements, and the first match counts.
+// findLine returns the number of the line that assigns a key or opens the table of that name. If there is none, it
+// returns the line of the header of the innermost table that the key belongs to, or 0 if that is missing too. An index
+// in the key selects an element of an array of tables; a key without indices is looked for in all elements, and the
+// first match counts.
 func findLine(text []byte, key string) int {
 	wanted := newKeyPattern(key)
 	tables := tableNames{}
--- a/tools/packagemap/main.go
+++ b/tools/packagemap/main.go
@@ -1,6 +1,6 @@
-// Command packagemap draws the packages of the module and what they import from each other, as a Mermaid graph made
-// from the source, and keeps it in a page between two marker lines. It compares, and exits with 1 if the page is out of
-// date; with -write it brings the page up to date:
+// Command packagemap keeps a Mermaid diagram of the module's packages and their imports of each other up to date. The
+// diagram is generated from the source, and stands between two marker lines of a page. Without -write the command exits
+// with 1 if the page is out of date; with -write it updates the page:
 //
 //	cd tools && go run ./packagemap -root .. -page docs/architecture.md
 //	cd tools && go run ./packagemap -root .. -page docs/architecture.md -write
@@ -24,10 +24,10 @@
 	endMarker   = "<!-- packages: end -->"
 )
 
-// errOutOfDate says that the page shows other imports than the source has.
-var errOutOfDate = errors.New("the picture of the packages is out of date")
+// errOutOfDate is the error for a page whose diagram differs from the source.
+var errOutOfDate = errors.New("the package diagram is out of date")
 
-// goPackage is what packagemap reads of an entry of go list.
+// goPackage has the fields that packagemap uses of a package in the output of go list.
 type goPackage struct {
 	ImportPath string
 	Imports    []string
@@ -35,9 +35,9 @@
 }
 
 func main() {
-	root := flag.String("root", "..", "root of the module to draw")
-	page := flag.String("page", "docs/architecture.md", "the page, relative to the root")
-	write := flag.Bool("write", false, "bring the page up to date instead of comparing")
+	root := flag.String("root", "..", "root of the module")
+	page := flag.String("page", "docs/architecture.md", "path of the page, relative to the root")
+	write := flag.Bool("write", false, "update the page instead of comparing")
 	flag.Parse()
 	if err := run(*root, filepath.Join(*root, *page), *write); err != nil {
 		fmt.Fprintf(os.Stderr, "packagemap: %v\n", err)
@@ -46,7 +46,7 @@
 }
 
 func run(root, page string, write bool) error {
-	packages, err := list(root)
+	packages, err := listPackages(root)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		return fmt.Errorf("read the page: %w", err)
 	}
-	updated, err := replace(string(text), graph(packages))
+	updated, err := replaceDiagram(string(text), drawGraph(packages))
 	if err != nil {
 		return fmt.Errorf("%s: %w", page, err)
 	}
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// list reads the packages of the module at root with go list.
-func list(root string) ([]goPackage, error) {
+// listPackages returns the packages of the module at root, as go listPackages reports them.
+func listPackages(root string) ([]goPackage, error) {
 	command := exec.Command("go", "list", "-json=ImportPath,Imports,Module", "./...")
 	command.Dir = root
 	command.Stderr = os.Stderr
@@ -94,15 +94,16 @@
 	}
 }
 
-// graph gives the Mermaid text: a line for each import of one package of the module by another.
-func graph(packages []goPackage) string {
+// drawGraph returns the Mermaid source of the diagram: a line for each import of one package of the module by another,
+// and one for each package that imports none.
+func drawGraph(packages []goPackage) string {
 	var lines []string
 	for _, p := range packages {
 		prefix := p.Module.Path + "/"
 		name := strings.TrimPrefix(p.ImportPath, prefix)
 		imported := false
 		for _, path := range p.Imports {
-			if other, ours := strings.CutPrefix(path, prefix); ours {
+			if other, inModule := strings.CutPrefix(path, prefix); inModule {
 				lines = append(lines, fmt.Sprintf("    %s --> %s", name, other))
 				imported = true
 			}
@@ -115,8 +116,8 @@
 	return "```mermaid\ngraph LR\n" + strings.Join(lines, "\n") + "\n```\n"
 }
 
-// replace puts the picture between the markers of the page.
-func replace(page, picture string) (string, error) {
+// replaceDiagram returns the page with the diagram between its markers.
+func replaceDiagram(page, diagram string) (string, error) {
 	before, rest, found := strings.Cut(page, beginMarker+"\n")
 	if !found {
 		return "", fmt.Errorf("no line %q", beginMarker)
@@ -125,5 +126,5 @@
 	if !found {
 		return "", fmt.Errorf("no line %q", endMarker)
 	}
-	return before + beginMarker + "\n" + picture + endMarker + after, nil
+	return before + beginMarker + "\n" + diagram + endMarker + after, nil
 }
--- a/tools/packagemap/main_test.go
+++ b/tools/packagemap/main_test.go
@@ -10,18 +10,18 @@
 	user := goPackage{ImportPath: "m/cmd/node", Imports: []string{"fmt", "m/policy"}}
 	leaf.Module.Path, user.Module.Path = "m", "m"
 	want := "```mermaid\ngraph LR\n    cmd/node --> policy\n    policy\n```\n"
-	if got := graph([]goPackage{user, leaf}); got != want {
-		t.Errorf("got\n%swant\n%s", got, want)
+	if got := drawGraph([]goPackage{user, leaf}); got != want {
+		t.Errorf("drawGraph returned\n%swant\n%s", got, want)
 	}
 }
 
 func TestReplaceKeepsTheRestOfThePage(t *testing.T) {
 	page := "a\n" + beginMarker + "\nold\n" + endMarker + "\nb\n"
-	got, err := replace(page, "new\n")
+	got, err := replaceDiagram(page, "new\n")
 	if want := strings.Replace(page, "old", "new", 1); err != nil || got != want {
-		t.Errorf("got %q, %v, want %q", got, err, want)
+		t.Errorf("replaceDiagram returned %q, error %v, want %q", got, err, want)
 	}
-	if _, err := replace("no marker", ""); err == nil {
-		t.Error("a page without markers is taken")
+	if _, err := replaceDiagram("no marker", ""); err == nil {
+		t.Error("replaceDiagram accepted a page without markers")
 	}
 }
