--- a/cmd/balancer-testbed/main_test.go
+++ b/cmd/balancer-testbed/main_test.go
@@ -23,7 +23,7 @@
 	os.Exit(testbedtest.Main(m, &binary))
 }
 
-// newProgram returns a command that runs the newProgram with arguments.
+// newProgram returns a command that runs the program with the given arguments.
 func newProgram(args ...string) *exec.Cmd {
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), "TESTBED_AS_PROGRAM=1")
--- a/cmd/balancer/process_test.go
+++ b/cmd/balancer/process_test.go
@@ -62,7 +62,7 @@
 	)
 }
 
-// process is a process that runs the program, a node.
+// process is an operating-system process that runs the program.
 type process struct {
 	*exec.Cmd
 	configPath string
--- a/tools/packagemap/main.go
+++ b/tools/packagemap/main.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// listPackages returns the packages of the module at root, as go listPackages reports them.
+// listPackages returns the packages of the module at root, as go list reports them.
 func listPackages(root string) ([]goPackage, error) {
 	command := exec.Command("go", "list", "-json=ImportPath,Imports,Module", "./...")
 	command.Dir = root
