--- a/internal/inbound/body_test.go
+++ b/internal/inbound/body_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// The time for the next bytes grows with the bytes received, shrinks with the time spent in reads, and is at most
-// maxBodyReadGap.
+// A slow client must be cut off, and a fast one must not. The time for the next bytes grows with the bytes received,
+// shrinks with the time spent in reads, and is at most maxBodyReadGap.
 func TestNextDeadline(t *testing.T) {
 	now := time.Now()
 	for name, tc := range map[string]struct {
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -49,6 +49,7 @@
 	}
 }
 
+// A blocked reader of the log must not keep the program from ending.
 func TestCloseDoesNotWaitForABlockedWriter(t *testing.T) {
 	w := newGatedWriter()
 	s := New(w)
