--- a/internal/admin/endpoint.go
+++ b/internal/admin/endpoint.go
@@ -1,4 +1,4 @@
-// Package admin is the operators' HTTP endpoint of a node: what it shows, and what operators ask for.
+// Package admin is the HTTP admin endpoint of a node, at which operators read its state and control it.
 package admin
 
 import (
@@ -15,38 +15,39 @@
 )
 
 const (
-	// MaxConnections are the descriptors of the endpoint's own.
+	// MaxConnections is the limit on connections to the admin endpoint, whose file descriptors are reserved.
 	MaxConnections = 16
-	// CallTimeout is for a whole call.
+	// CallTimeout is the timeout for reading a call, and for writing its response.
 	CallTimeout = 2 * time.Second
 
 	maxHeaderBytes = 4 << 10
 )
 
-// Node is what the endpoint needs of the node. Where a method also returns a bool, it is false if the node has ended.
+// Node is the node that the endpoint shows and controls. If a method returns a bool besides its result, the bool is
+// false once the node has ended, unless the method's comment says otherwise.
 type Node interface {
-	// CanServe reports whether clients are accepted here and some endpoint is known to be in service.
+	// CanServe reports whether the node accepts clients and knows an endpoint that is in service.
 	CanServe() bool
-	// Transition passes an event to the lifecycle and reports whether its phase allows it.
+	// Transition passes an event to the lifecycle, and reports whether the current phase allows the event.
 	Transition(lifecycle.Event) bool
 	Counters() (metrics.CountersPage, bool)
 	Decisions() metrics.DecisionsPage
-	// Zones are the zones, and the clock time of the node.
+	// Zones returns the zones and the clock time of the node.
 	Zones() (zones []policy.Zone, now time.Duration, ok bool)
-	// EvacuateZone starts or ends the evacuation of a zone and returns an HTTP status.
+	// EvacuateZone starts or ends the evacuation of a zone, and returns an HTTP status.
 	EvacuateZone(name string, evacuate, force bool) (status int, ok bool)
-	// Members is the JSON of the fleet's members; false: there is no membership.
+	// Members returns the JSON form of the fleet's members; the bool is false if there is no membership.
 	Members() ([]byte, bool)
-	// Overrides answers the calls under OverridesPath; nil: there are none.
+	// Overrides returns the handler of the calls under OverridesPath, nil if the node has no overrides.
 	Overrides() http.Handler
 }
 
-// OverridesPath is the path of the overrides; below it are those of single ones.
+// OverridesPath is the path of all overrides. The path of one override is below it.
 const OverridesPath = "/control/overrides"
 
-// NewServer makes the server of a node's endpoint. It serves one call a connection and shares nothing with the clients'
-// side that could make it wait. Its listener is to be limited to MaxConnections and to close the oldest connection when
-// the limit is reached: calls are answered as they come, so that one has sent no complete call.
+// NewServer returns the server of a node's admin endpoint. It serves one call per connection, and shares nothing with
+// client traffic that could delay it. Its listener must be limited to MaxConnections and close the oldest connection
+// when the limit is reached: calls are answered as they arrive, so the oldest connection has not sent a complete call.
 func NewServer(node Node, log *slog.Logger) *http.Server {
 	server := &http.Server{
 		Handler:        &endpoint{node: node},
@@ -59,7 +60,7 @@
 	return server
 }
 
-// Listen opens the listener of the endpoint; nil if address is empty.
+// Listen opens the listener of the admin endpoint. It returns nil if address is empty.
 func Listen(address string) (net.Listener, error) {
 	if address == "" {
 		return nil, nil
@@ -67,7 +68,7 @@
 	return net.Listen("tcp", address)
 }
 
-// endpoint is the handler of the calls.
+// endpoint is the HTTP handler of all calls.
 type endpoint struct{ node Node }
 
 // call is the method that a path allows, and its handler.
@@ -94,11 +95,12 @@
 	}
 }
 
+// isOverridesPath reports whether path is OverridesPath or below it.
 func isOverridesPath(path string) bool {
 	return path == OverridesPath || strings.HasPrefix(path, OverridesPath+"/")
 }
 
-// route finds the call of a path.
+// route returns the call of a path, and false if there is none.
 func (e *endpoint) route(path string) (call, bool) {
 	switch path {
 	case "/control/counters":
@@ -122,14 +124,15 @@
 	return call{}, false
 }
 
-// serveReady answers whether the node can serve, whether or not it is in service.
+// serveReady responds with 200 if the node can serve, whether or not it is in service, else with 503.
 func (e *endpoint) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !e.node.CanServe() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// serveTransition makes a handler that answers whether the lifecycle allows an event.
+// serveTransition returns a handler that passes an event to the lifecycle, and responds with 503 if the current phase
+// does not allow the event.
 func (e *endpoint) serveTransition(event lifecycle.Event) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if !e.node.Transition(event) {
@@ -138,7 +141,7 @@
 	}
 }
 
-// serveCounters answers with the counters as they are now.
+// serveCounters responds with the current counters.
 func (e *endpoint) serveCounters(w http.ResponseWriter, _ *http.Request) {
 	page, ok := e.node.Counters()
 	if !ok {
@@ -148,12 +151,12 @@
 	writeJSON(w, page)
 }
 
-// serveDecisions answers with what was decided since the start, by reason.
+// serveDecisions responds with the decisions since the start of the process, counted by reason.
 func (e *endpoint) serveDecisions(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, e.node.Decisions())
 }
 
-// serveMembers answers with the members as the node sees them; 404 without a membership.
+// serveMembers responds with the members as this node sees them, or with 404 if there is no membership.
 func (e *endpoint) serveMembers(w http.ResponseWriter, _ *http.Request) {
 	page, ok := e.node.Members()
 	if !ok {
@@ -164,6 +167,7 @@
 	_, _ = w.Write(page) // fails only if the operator disconnects
 }
 
+// writeJSON responds with a page in its JSON form.
 func writeJSON(w http.ResponseWriter, page any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(page) // fails only if the operator disconnects
--- a/internal/admin/endpoint_test.go
+++ b/internal/admin/endpoint_test.go
@@ -12,7 +12,8 @@
 	"keelusher/policy"
 )
 
-// fakeNode is a node that has a membership and overrides only if told, and whose loop may have ended.
+// fakeNode is a Node that records what it is asked to do. Its fields set whether it has ended, can serve, and has a
+// membership and overrides.
 type fakeNode struct {
 	ended     bool
 	serves    bool
@@ -49,13 +50,15 @@
 
 func (f *fakeNode) Overrides() http.Handler { return f.overrides }
 
-// respond makes a call without a connection.
+// respond makes a call to the handler, without a connection, and returns the response.
 func respond(node Node, method, path string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	NewServer(node, slog.New(slog.DiscardHandler)).Handler.ServeHTTP(recorder, httptest.NewRequest(method, path, nil))
 	return recorder
 }
 
+// A path allows one method. A node that has ended responds with 503 where its state would be needed, and a node without
+// membership or overrides with 404.
 func TestStatuses(t *testing.T) {
 	for _, tc := range []struct {
 		method, path string
@@ -85,29 +88,30 @@
 		{"GET", "/control/overridesX", fakeNode{overrides: http.RedirectHandler("/", http.StatusFound)}, 404},
 	} {
 		if got := respond(&tc.node, tc.method, tc.path).Code; got != tc.want {
-			t.Errorf("%s %s of %+v: %d, want %d", tc.method, tc.path, tc.node, got, tc.want)
+			t.Errorf("%s %s of node %+v: got status %d, want %d", tc.method, tc.path, tc.node, got, tc.want)
 		}
 	}
 }
 
+// Calls reach the node with the zone, the action and the force parameter that the operator gave.
 func TestCallsReachTheNode(t *testing.T) {
 	node := &fakeNode{}
 	respond(node, "PUT", "/control/out-of-service")
 	respond(node, "PUT", "/control/in-service")
 	if len(node.events) != 2 || node.events[0] != lifecycle.Drain || node.events[1] != lifecycle.Resume {
-		t.Errorf("events %v", node.events)
+		t.Errorf("lifecycle events: got %v, want Drain and Resume", node.events)
 	}
 	respond(node, "PUT", "/control/zones/hall/y/evacuate?force=yes")
 	respond(node, "PUT", "/control/zones/z/restore")
 	want := []evacuation{{"hall/y", true, true}, {"z", false, false}}
 	if len(node.evacuated) != 2 || node.evacuated[0] != want[0] || node.evacuated[1] != want[1] {
-		t.Errorf("evacuations %v, want %v", node.evacuated, want)
+		t.Errorf("evacuations: got %v, want %v", node.evacuated, want)
 	}
 }
 
-// A page without zones has an empty list, not null.
+// The page of a node without zones has an empty list, not null.
 func TestNoZones(t *testing.T) {
 	if got := respond(&fakeNode{}, "GET", "/control/zones").Body.String(); got != `{"zones":[]}`+"\n" {
-		t.Errorf("got %q", got)
+		t.Errorf("page without zones: got %q, want an empty list", got)
 	}
 }
--- a/internal/admin/zones.go
+++ b/internal/admin/zones.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// ZonesPage is the JSON of the zones that operators read.
+// ZonesPage is the JSON form of all zones, for operators.
 type ZonesPage struct {
 	Zones []ZonePage `json:"zones"`
 }
 
-// ZonePage is the JSON of one zone.
+// ZonePage is the JSON form of one zone.
 type ZonePage struct {
 	Name                string        `json:"name"`
 	State               string        `json:"state"`
 	EvacuatedByOperator bool          `json:"ordered"`
-	Share               float64       `json:"share"`   // part of its draws that it gets
-	InState             time.Duration `json:"age_ns"`  // since the last transition
-	Endpoints           int           `json:"servers"` // in service
-	Unresponsive        int           `json:"silent"`  // of these, several attempts in a row without a response
-	InFlight            int           `json:"out"`
+	Share               float64       `json:"share"`   // fraction of the draws of its endpoints that are accepted
+	InState             time.Duration `json:"age_ns"`  // time since the last change of the state
+	Endpoints           int           `json:"servers"` // endpoints in service
+	Unresponsive        int           `json:"silent"`  // those in service whose last several attempts got no response
+	InFlight            int           `json:"out"`     // attempts of this node
 }
 
-// serveZones answers with what the node knows of each zone.
+// serveZones responds with the state of each zone as this node sees it.
 func (e *endpoint) serveZones(w http.ResponseWriter, _ *http.Request) {
 	zones, now, ok := e.node.Zones()
 	if !ok {
@@ -46,7 +46,7 @@
 	writeJSON(w, page)
 }
 
-// The actions on a zone, as the last part of its path.
+// Actions on a zone, given as the last element of the path.
 const (
 	actionEvacuate = "evacuate"
 	actionRestore  = "restore"
@@ -63,7 +63,7 @@
 	return name, action, action == actionEvacuate || action == actionRestore
 }
 
-// serveEvacuation makes a handler that starts or ends the evacuation of a zone.
+// serveEvacuation returns a handler that starts or ends the evacuation of a zone.
 func (e *endpoint) serveEvacuation(zone, action string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		force := r.URL.Query().Get("force") == "yes"
--- a/internal/metrics/decisions.go
+++ b/internal/metrics/decisions.go
@@ -1,4 +1,4 @@
-// The decision log: what was decided against a request, an attempt or a connection, counted and logged by reason.
+// Counters and log lines, by reason, of the decisions against a request, an attempt or a connection.
 
 package metrics
 
@@ -13,17 +13,17 @@
 )
 
 const (
-	decisionLinesPerSecond  = 2 // a sample: the counters are complete
+	decisionLinesPerSecond  = 2 // the log holds a sample; the counters are complete
 	violationLinesPerSecond = 10
 	logLineBurst            = 20
 )
 
-// verdictCounters count by verdict of the guard.
+// verdictCounters holds a counter for each verdict of the guard.
 type verdictCounters [guard.NumberOfVerdicts]atomic.Int64
 
 func (c *verdictCounters) add(verdict guard.Verdict) { c[verdict].Add(1) }
 
-// nonZero returns the counters above zero, by the verdicts' names.
+// nonZero returns the counters above zero, by the name of the verdict.
 func (c *verdictCounters) nonZero() map[string]int64 {
 	counts := map[string]int64{}
 	for verdict := range c {
@@ -34,14 +34,14 @@
 	return counts
 }
 
-// CloseCause is why the node closed a client connection that had no request in progress.
+// CloseCause is the reason for which the node closed a client connection that had no request in progress.
 type CloseCause int
 
-// The causes.
+// Causes of closing a connection.
 const (
 	CloseIdle     CloseCause = iota // no request within the idle timeout
 	CloseSlowHead                   // the head of a request was not complete in time
-	CloseEvicted                    // the connection limit is reached, and this one has been without a request for longest
+	CloseEvicted                    // the connection limit was reached; this one had been without a request for longest
 	CloseShutdown                   // the node is draining or shutting down
 	numberOfCloseCauses
 )
@@ -53,31 +53,31 @@
 	CloseShutdown: "leaving",
 }
 
-// Attempt names an attempt in the log.
+// Attempt identifies an attempt in the log.
 type Attempt struct {
 	RequestID string
 	Number    int
 	Endpoint  string
 }
 
-// Decisions is the one place where Decisions are counted and logged. The counters run from the start of the process.
-// It is safe for concurrent use.
+// Decisions counts and logs all decisions of a node. The counters run from the start of the process. It is safe for
+// concurrent use.
 type Decisions struct {
 	log            *slog.Logger
 	decisionLimit  *rate.Limiter
-	violationLimit *rate.Limiter // of its own, so that no other lines displace a violation
-
-	attemptsNotSent   verdictCounters
-	requestsRejected  verdictCounters // or failed by the policy
-	readinessRefused  verdictCounters // negative answers to /ready
-	violations        verdictCounters // each one is a fault of this node
-	closedConnections [numberOfCloseCauses]atomic.Int64
-	failedAccepts     atomic.Int64
-	unexpected        atomic.Int64 // responses that no request asked for
-	suppressedLines   atomic.Int64 // log lines over the limits
+	violationLimit *rate.Limiter // separate, so that other lines do not suppress violations
+
+	attemptsNotSent     verdictCounters
+	requestsRejected    verdictCounters // rejected or failed by the policy
+	readinessRefused    verdictCounters // negative answers to /ready
+	violations          verdictCounters // each is a fault of this node
+	closedConnections   [numberOfCloseCauses]atomic.Int64
+	failedAccepts       atomic.Int64
+	unexpectedResponses atomic.Int64 // responses without a request
+	suppressedLines     atomic.Int64 // log lines beyond the rate limits
 }
 
-// NewDecisions makes counters at zero, which log to log.
+// NewDecisions returns Decisions with all counters at zero, which logs to log.
 func NewDecisions(log *slog.Logger) *Decisions {
 	return &Decisions{
 		log:            log,
@@ -86,7 +86,7 @@
 	}
 }
 
-// logLimited logs a line unless the limit is reached.
+// logLimited logs a line, or counts it as suppressed if the rate limit is reached.
 func (d *Decisions) logLimited(limit *rate.Limiter, level slog.Level, message string, args ...any) {
 	if !limit.Allow() {
 		d.suppressedLines.Add(1)
@@ -95,21 +95,22 @@
 	d.log.Log(context.Background(), level, message, args...)
 }
 
-// AttemptNotSent counts an attempt that the guard prevented.
+// AttemptNotSent counts and logs an attempt that the guard prevented.
 func (d *Decisions) AttemptNotSent(attempt Attempt, why guard.Verdict) {
 	d.attemptsNotSent.add(why)
 	d.logLimited(d.decisionLimit, slog.LevelInfo, "attempt not sent",
 		"id", attempt.RequestID, "attempt", attempt.Number, "server", attempt.Endpoint, "reason", why.String())
 }
 
-// RequestRejected counts a request that the policy rejected or failed.
+// RequestRejected counts and logs a request that the policy rejected or failed.
 func (d *Decisions) RequestRejected(id string, status, attempts int, why guard.Verdict) {
 	d.requestsRejected.add(why)
 	d.logLimited(d.decisionLimit, slog.LevelInfo, "request turned away",
 		"id", id, "status", status, "attempts", attempts, "reason", why.String())
 }
 
-// AttemptWritten checks an attempt again after its last byte was written.
+// AttemptWritten checks an attempt again after its last byte was written. It counts and logs a violation if the attempt
+// broke a guarantee.
 func (d *Decisions) AttemptWritten(attempt Attempt, sent guard.Sent) {
 	if verdict := sent.Violation(); verdict != guard.Allowed {
 		d.Violation(verdict, "id", attempt.RequestID, "attempt", attempt.Number, "server", attempt.Endpoint,
@@ -117,58 +118,59 @@
 	}
 }
 
-// Violation counts a guarantee that the node did not keep.
+// Violation counts and logs a violation of a guarantee by this node.
 func (d *Decisions) Violation(verdict guard.Verdict, args ...any) {
 	d.violations.add(verdict)
 	args = append([]any{"reason", verdict.String()}, args...)
 	d.logLimited(d.violationLimit, slog.LevelWarn, "violation", args...)
 }
 
-// ReadinessRefused counts a negative answer to the front.
+// ReadinessRefused counts a negative answer to /ready.
 func (d *Decisions) ReadinessRefused(why guard.Verdict) { d.readinessRefused.add(why) }
 
-// Violations are the violations so far, by name.
+// Violations returns the number of violations so far, by the name of the verdict.
 func (d *Decisions) Violations() map[string]int64 { return d.violations.nonZero() }
 
-// AcceptFailed counts an accept that failed, of a client's or an operator's connection.
+// AcceptFailed counts and logs a failure to accept a connection of a client or an operator.
 func (d *Decisions) AcceptFailed(err error) {
 	d.failedAccepts.Add(1)
 	d.logLimited(d.decisionLimit, slog.LevelWarn, "accept failed", "err", err)
 }
 
-// UnexpectedResponse counts bytes of an endpoint that no request asked for. One that responds twice may have crossed
-// the next request on its connection before: that client got another's response.
+// UnexpectedResponse counts and logs bytes that an endpoint sent without a request. An endpoint that responds twice may
+// earlier have sent its second response after the next request was written to that connection: the client of that
+// request then got the response of another.
 func (d *Decisions) UnexpectedResponse(endpoint string) {
-	d.unexpected.Add(1)
+	d.unexpectedResponses.Add(1)
 	d.logLimited(d.decisionLimit, slog.LevelWarn, "unexpected response", "server", endpoint)
 }
 
-// ConnectionClosed counts a client connection that the node closed.
+// ConnectionClosed counts a client connection that the node closed while no request was in progress on it.
 func (d *Decisions) ConnectionClosed(cause CloseCause) { d.closedConnections[cause].Add(1) }
 
-// DecisionsPage is the JSON of the decisions that operators read.
+// DecisionsPage is the JSON form of the decisions, for operators.
 type DecisionsPage struct {
-	AttemptsNotSent   map[string]int64 `json:"attempts_not_sent"`
-	RequestsRejected  map[string]int64 `json:"requests_turned_away"`
-	ReadinessRefused  map[string]int64 `json:"not_ready"`
-	Violations        map[string]int64 `json:"violations"`
-	ClosedConnections map[string]int64 `json:"connections_closed"`
-	FailedAccepts     int64            `json:"failed_accepts"`
-	Unexpected        int64            `json:"unexpected_responses"`
-	SuppressedLines   int64            `json:"log_lines_left_out"`
+	AttemptsNotSent     map[string]int64 `json:"attempts_not_sent"`
+	RequestsRejected    map[string]int64 `json:"requests_turned_away"`
+	ReadinessRefused    map[string]int64 `json:"not_ready"`
+	Violations          map[string]int64 `json:"violations"`
+	ClosedConnections   map[string]int64 `json:"connections_closed"`
+	FailedAccepts       int64            `json:"failed_accepts"`
+	UnexpectedResponses int64            `json:"unexpected_responses"`
+	SuppressedLines     int64            `json:"log_lines_left_out"`
 }
 
-// Page is the decisions so far.
+// Page returns the decisions so far.
 func (d *Decisions) Page() DecisionsPage {
 	page := DecisionsPage{
-		AttemptsNotSent:   d.attemptsNotSent.nonZero(),
-		RequestsRejected:  d.requestsRejected.nonZero(),
-		ReadinessRefused:  d.readinessRefused.nonZero(),
-		Violations:        d.violations.nonZero(),
-		ClosedConnections: map[string]int64{},
-		FailedAccepts:     d.failedAccepts.Load(),
-		Unexpected:        d.unexpected.Load(),
-		SuppressedLines:   d.suppressedLines.Load(),
+		AttemptsNotSent:     d.attemptsNotSent.nonZero(),
+		RequestsRejected:    d.requestsRejected.nonZero(),
+		ReadinessRefused:    d.readinessRefused.nonZero(),
+		Violations:          d.violations.nonZero(),
+		ClosedConnections:   map[string]int64{},
+		FailedAccepts:       d.failedAccepts.Load(),
+		UnexpectedResponses: d.unexpectedResponses.Load(),
+		SuppressedLines:     d.suppressedLines.Load(),
 	}
 	for cause, name := range closeCauseNames {
 		if n := d.closedConnections[cause].Load(); n > 0 {
--- a/internal/metrics/decisions_test.go
+++ b/internal/metrics/decisions_test.go
@@ -11,7 +11,7 @@
 	"keelusher/policy/guard"
 )
 
-// Decisions are counted by reason, and violations are logged however many other lines there are.
+// Decisions are counted by reason. A violation is logged even if other decisions have used up their rate limit.
 func TestDecisionsAreCountedAndLogged(t *testing.T) {
 	var log bytes.Buffer
 	d := NewDecisions(slog.New(slog.NewTextHandler(&log, nil)))
@@ -20,12 +20,12 @@
 		d.AcceptFailed(errors.New("none"))
 	}
 	d.Violation(guard.RequestRead, "id", "crossed")
-	f := d.Page()
-	if f.RequestsRejected["no_room"] != 3*logLineBurst || f.FailedAccepts != 3*logLineBurst ||
-		f.Violations["request_read"] != 1 || f.SuppressedLines == 0 {
-		t.Errorf("counted %+v", f)
+	page := d.Page()
+	if page.RequestsRejected["no_room"] != 3*logLineBurst || page.FailedAccepts != 3*logLineBurst ||
+		page.Violations["request_read"] != 1 || page.SuppressedLines == 0 {
+		t.Errorf("decisions: got %+v, want all counted by reason, and suppressed lines", page)
 	}
 	if !strings.Contains(log.String(), `msg=violation reason=request_read id=crossed`) {
-		t.Error("the violation is missing in the log")
+		t.Error("the log lacks the violation")
 	}
 }
--- a/internal/metrics/recorder.go
+++ b/internal/metrics/recorder.go
@@ -1,4 +1,4 @@
-// Package metrics counts what a node did and decided, for the log and for operators.
+// Package metrics counts the events and decisions of a node, for the log and for operators.
 package metrics
 
 import (
@@ -12,20 +12,21 @@
 	"keelusher/policy"
 )
 
-// ReportInterval bounds the volume of the log: at most one counts line per interval.
+// ReportInterval is the interval at which the node logs counts lines: at most one per interval, to bound the log
+// volume.
 const ReportInterval = 5 * time.Second
 
-// Counters count what a node did since it started. They never decrease, so that a counts line of the log is the
-// difference of two snapshots.
+// Counters holds the counters of a node since its start. They never decrease, so that the difference of two snapshots
+// gives a counts line of the log.
 type Counters struct {
 	// Client connections.
 	AcceptedConnections int
 	EvictedConnections  int // closed while idle because the connection limit was reached
-	IncompleteHeads     int // closed after part of a request's head
+	IncompleteHeads     int // connections closed after an incomplete head of a request
 
 	// Requests.
-	InvalidRequests        int // rejected before the policy saw them
-	RequestsAfterClose     int // read off a connection that was being evicted; their clients send them again
+	InvalidRequests        int // rejected before they reached the policy
+	RequestsAfterClose     int // read from a connection that was being evicted; the clients send them again
 	Requests               int
 	ClientDisconnects      int // requests whose client disconnected before the response
 	Succeeded              CountByName
@@ -34,16 +35,16 @@
 	AnsweredWithoutAttempt int // rejected or failed without an attempt
 
 	// Attempts and server connections.
-	StaleConnections int // found closed, or with unexpected bytes, when next needed
-	AttemptsWritten  int // written completely to a server
-	AttemptResults   [policy.NotSent + 1]int
-	AttemptTime      time.Duration // sum over all attempts that ended
+	StaleConnections int                     // found closed, or with unexpected bytes, when needed for the next attempt
+	AttemptsWritten  int                     // written completely to a server
+	AttemptResults   [policy.NotSent + 1]int // by result, attempts that ended
+	AttemptTime      time.Duration           // sum over all attempts that ended
 }
 
 // CountByName counts by the name of a class or a server.
 type CountByName map[string]int
 
-// Sum is over all names.
+// Sum returns the sum over all names.
 func (c CountByName) Sum() (n int) {
 	for _, count := range c {
 		n += count
@@ -51,25 +52,25 @@
 	return n
 }
 
-// InFlight is the number of requests without a response whose client is still there.
+// InFlight returns the number of requests without a response whose client is still connected.
 func (c *Counters) InFlight() int {
 	return c.Requests - c.ClientDisconnects - c.Succeeded.Sum() - c.Rejected.Sum() - c.Failed.Sum()
 }
 
-// Recorder is the one source of the counts line of the log and of the admin endpoint's counters. It is safe for
-// concurrent use, except that only one goroutine may call logReport.
+// Recorder holds the counters behind the counts line of the log and the counters of the admin endpoint. It is safe for
+// concurrent use, except that only one goroutine may call LogReport.
 type Recorder struct {
 	mu                sync.Mutex
 	current           Counters
-	lastReported      Counters    // as of the last report
-	lastAttemptError  string      // of the last attempt without a response
-	lastInvalidReason string      // of the last invalid request
+	lastReported      Counters    // counters at the last report
+	lastAttemptError  string      // error of the last attempt without a response
+	lastInvalidReason string      // reason of the last invalid request
 	failedAttempts    CountByName // by server, since the last report
 }
 
-// NewRecorder makes a recorder with the counters of all classes at zero.
+// NewRecorder returns a Recorder with the counters of all classes at zero.
 func NewRecorder(classes []policy.Class) *Recorder {
-	m := &Recorder{
+	r := &Recorder{
 		failedAttempts: CountByName{},
 		current: Counters{
 			Succeeded: CountByName{},
@@ -78,14 +79,14 @@
 		},
 	}
 	for _, class := range classes {
-		m.current.Succeeded[class.Name] = 0
-		m.current.Rejected[class.Name] = 0
-		m.current.Failed[class.Name] = 0
+		r.current.Succeeded[class.Name] = 0
+		r.current.Rejected[class.Name] = 0
+		r.current.Failed[class.Name] = 0
 	}
-	return m
+	return r
 }
 
-// attemptResultNames are the keys of the group "ended" of the counts line.
+// attemptResultNames holds the keys of attempt results in the group "ended" of the counts line.
 var attemptResultNames = [...]string{
 	policy.Success:        "ok",
 	policy.ServerError:    "error",
@@ -97,14 +98,14 @@
 	policy.NotSent:        "void",
 }
 
-// Update changes the counters under the lock.
+// Update calls change with the counters while it holds the lock.
 func (r *Recorder) Update(change func(*Counters)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.current)
 }
 
-// Snapshot copies the counters; later updates do not change the copy.
+// Snapshot returns a copy of the counters that later updates do not change.
 func (r *Recorder) Snapshot() Counters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,7 +116,7 @@
 	return c
 }
 
-// CountInvalidRequest counts a request that was rejected before the policy saw it.
+// CountInvalidRequest counts a request that was rejected before it reached the policy.
 func (r *Recorder) CountInvalidRequest(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,7 +124,7 @@
 	r.lastInvalidReason = reason
 }
 
-// CountResponse counts a final response.
+// CountResponse counts the final response to a request by class and status, and those of requests without any attempt.
 func (r *Recorder) CountResponse(class string, status, attempts int) {
 	r.Update(func(c *Counters) {
 		switch status {
@@ -154,16 +155,16 @@
 	}
 }
 
-// LogReport logs one line about the time since the last report, if anything happened.
-func (r *Recorder) LogReport(log *slog.Logger, attemptsOut int) {
+// LogReport logs one line with the counts since the last report, unless there was no activity.
+func (r *Recorder) LogReport(log *slog.Logger, attemptsInFlight int) {
 	report := r.nextReport()
 	if report.empty() {
 		return
 	}
-	log.Info("counts", report.logFields(attemptsOut)...)
+	log.Info("counts", report.logFields(attemptsInFlight)...)
 }
 
-// metricsReport is what happened between two reports.
+// metricsReport holds the counters and errors of one reporting interval.
 type metricsReport struct {
 	now            Counters
 	before         Counters
@@ -184,9 +185,10 @@
 	return report
 }
 
-// since is how much one counter has increased.
+// since returns the increase of a counter since the last report.
 func (r *metricsReport) since(count func(*Counters) int) int { return count(&r.now) - count(&r.before) }
 
+// attemptsEnded returns the number of attempts that ended since the last report.
 func (r *metricsReport) attemptsEnded() (n int) {
 	for result := range r.now.AttemptResults {
 		n += r.now.AttemptResults[result] - r.before.AttemptResults[result]
@@ -194,6 +196,7 @@
 	return n
 }
 
+// empty reports whether there was no activity since the last report.
 func (r *metricsReport) empty() bool {
 	activity := r.since(func(c *Counters) int {
 		return c.AcceptedConnections + c.InvalidRequests + c.Requests + c.ClientDisconnects +
@@ -202,8 +205,8 @@
 	return activity+r.attemptsEnded() == 0
 }
 
-// logFields are the keys and values of the counts line. The operators' pages name the keys.
-func (r *metricsReport) logFields(attemptsOut int) []any {
+// logFields returns the keys and values of the counts line. The keys are documented for operators and must not change.
+func (r *metricsReport) logFields(attemptsInFlight int) []any {
 	return []any{
 		"taken", r.since(func(c *Counters) int { return c.Requests }),
 		"served", r.since(func(c *Counters) int { return c.Succeeded.Sum() }),
@@ -212,7 +215,7 @@
 		"left", r.since(func(c *Counters) int { return c.ClientDisconnects }),
 		"unsent", r.since(func(c *Counters) int { return c.AnsweredWithoutAttempt }),
 		"open", r.now.InFlight(),
-		"out", attemptsOut,
+		"out", attemptsInFlight,
 		"written", r.since(func(c *Counters) int { return c.AttemptsWritten }),
 		slog.Group("ended", r.attemptFields()...),
 		"accepted", r.since(func(c *Counters) int { return c.AcceptedConnections }),
@@ -225,7 +228,7 @@
 	}
 }
 
-// attemptFields are the group "ended" of the counts line.
+// attemptFields returns the group "ended" of the counts line.
 func (r *metricsReport) attemptFields() []any {
 	var fields []any
 	for result := range r.now.AttemptResults {
@@ -237,7 +240,8 @@
 		mean := (r.now.AttemptTime - r.before.AttemptTime) / time.Duration(ended)
 		fields = append(fields, slog.Duration("mean", mean))
 	}
-	// One server that stands out is faulty; many alike point at the tier behind them.
+	// If one server has most of the failures, that server is faulty; similar numbers at many servers point to a fault
+	// of the tier behind them.
 	if servers := slices.Sorted(maps.Keys(r.failedAttempts)); len(servers) > 0 {
 		worst := slices.MaxFunc(servers, func(a, b string) int { return r.failedAttempts[a] - r.failedAttempts[b] })
 		fields = append(fields,
@@ -251,7 +255,7 @@
 	return fields
 }
 
-// CountersPage is the JSON of the counters that operators read.
+// CountersPage is the JSON form of the counters, for operators.
 type CountersPage struct {
 	Succeeded        CountByName `json:"success"`
 	Rejected         CountByName `json:"busy"`
@@ -262,7 +266,7 @@
 	EndpointsAvoided int         `json:"hosts_down"` // draining, unhealthy or overloaded
 }
 
-// Page is the counters now, with the numbers of endpoints that are listed, and that are avoided now.
+// Page returns the current counters, with the number of endpoints that are listed and of those that are now avoided.
 func (r *Recorder) Page(listed, avoided int) CountersPage {
 	c := r.Snapshot()
 	return CountersPage{
--- a/internal/metrics/recorder_test.go
+++ b/internal/metrics/recorder_test.go
@@ -10,33 +10,33 @@
 	"keelusher/policy"
 )
 
-// A report is one line with the counts since the last one, and none if nothing happened.
+// A report is one log line with the counts since the last report, or no line if there was no activity.
 func TestCountsLineOnlyAfterActivity(t *testing.T) {
 	var out strings.Builder
 	log := slog.New(slog.NewTextHandler(&out, nil))
-	s := NewRecorder([]policy.Class{{Name: "a"}, {Name: "b"}})
-	s.LogReport(log, 0)
+	r := NewRecorder([]policy.Class{{Name: "a"}, {Name: "b"}})
+	r.LogReport(log, 0)
 	if out.Len() > 0 {
-		t.Errorf("nothing happened, yet it said %q", out.String())
+		t.Errorf("report without activity: got log %q, want none", out.String())
 	}
-	happen := func() {
-		s.Update(func(c *Counters) { c.Requests += 4 })
-		s.CountResponse("a", 200, 1)
-		s.CountResponse("a", 503, 0)
-		s.CountResponse("b", 502, 2)
-		s.CountAttemptResult("s-1", policy.Success, time.Second, nil)
-		s.CountAttemptResult("s-1", policy.TimedOut, 2*time.Second, errors.New("late"))
-		s.CountInvalidRequest("odd")
+	recordActivity := func() {
+		r.Update(func(c *Counters) { c.Requests += 4 })
+		r.CountResponse("a", 200, 1)
+		r.CountResponse("a", 503, 0)
+		r.CountResponse("b", 502, 2)
+		r.CountAttemptResult("s-1", policy.Success, time.Second, nil)
+		r.CountAttemptResult("s-1", policy.TimedOut, 2*time.Second, errors.New("late"))
+		r.CountInvalidRequest("odd")
 	}
-	happen()
-	s.LogReport(log, 5)
-	s.LogReport(log, 5)
-	happen()
-	s.LogReport(log, 5)
+	recordActivity()
+	r.LogReport(log, 5)
+	r.LogReport(log, 5)
+	recordActivity()
+	r.LogReport(log, 5)
 	for _, want := range []string{"taken=4 served=1 refused=1 failed=1 left=0 unsent=1 open=1 out=5",
 		"taken=4 served=1 refused=1 failed=1 left=0 unsent=1 open=2 out=5"} {
 		if strings.Count(out.String(), want) != 1 {
-			t.Errorf("want %q once in %q", want, out.String())
+			t.Errorf("want %q once in log %q", want, out.String())
 		}
 	}
 	for _, want := range []string{
@@ -44,10 +44,10 @@
 		"turned_down=1 reason=odd",
 	} {
 		if strings.Count(out.String(), want) != 2 {
-			t.Errorf("want %q twice in %q", want, out.String())
+			t.Errorf("want %q twice in log %q", want, out.String())
 		}
 	}
 	if n := strings.Count(out.String(), "\n"); n != 2 {
-		t.Errorf("%d lines, want 2", n)
+		t.Errorf("log has %d lines, want 2", n)
 	}
 }
--- a/internal/overrides/entries.go
+++ b/internal/overrides/entries.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// ClockSkewMargin is the part of the time since the last contact by which an override expires early, because clocks run
-// at different rates: two that differ by 1% do no harm.
+// ClockSkewMargin is the fraction by which a process shortens the remaining time of an override that it received.
+// Clocks run at different rates; with the margin, an override expires no later than at its issuer if the rates of the
+// two clocks differ by at most 1%.
 const ClockSkewMargin = 0.01
 
-// storedEntry is an entry with its expiry by the clock of this process.
+// storedEntry is an entry with its expiry on the clock of this process.
 type storedEntry struct {
 	Entry
-	expiresAt   time.Duration
-	requestedAt time.Duration // when this process requested the state that contained it
-	issuedHere  bool          // by this very process, whose clock needs no margin
+	expiresAt   time.Duration // without the margin for clock skew
+	requestedAt time.Duration // when this process requested the state that contained the entry, or issued the entry
+	issuedHere  bool          // issued by this process, so its expiry needs no margin
 }
 
 // newIssuedEntry returns an entry that this process issues.
@@ -32,8 +33,8 @@
 	}
 }
 
-// newReceivedEntry returns an entry of a state that this process requested. What remains counts from the request, which
-// precedes the response, so the entry never expires later here than at its issuer.
+// newReceivedEntry returns an entry of a state that this process requested. The remaining time counts from the request,
+// which precedes the response, so the entry never expires later here than at its issuer.
 func newReceivedEntry(requestedAt time.Duration, entry Entry) *storedEntry {
 	remaining := min(max(0, entry.Remaining), MaxDuration)
 	return &storedEntry{
@@ -43,7 +44,7 @@
 	}
 }
 
-// safeExpiry is the expiry by the clock of this process, less the margin for clock skew.
+// safeExpiry returns the expiry on the clock of this process, reduced by the margin for clock skew.
 func (e *storedEntry) safeExpiry() time.Duration {
 	if e.issuedHere {
 		return e.expiresAt
@@ -51,20 +52,21 @@
 	return e.requestedAt + time.Duration(float64(e.expiresAt-e.requestedAt)/(1+ClockSkewMargin))
 }
 
-// remaining is the time until the entry expires, at least 0.
+// remaining returns the time until the entry expires, at least 0.
 func (e *storedEntry) remaining(now time.Duration) time.Duration { return max(0, e.safeExpiry()-now) }
 
-// inForce reports whether the override applies at a moment. Users have to ask at each decision.
+// inForce reports whether the override applies at a time. Callers must check it at each decision, because expired
+// entries are removed only by Tick.
 func (e *storedEntry) inForce(now time.Duration) bool { return e.remaining(now) > 0 }
 
-// export returns the entry as it is sent.
+// export returns the entry as it is sent to other members.
 func (e *storedEntry) export(now time.Duration) Entry {
 	entry := e.Entry
 	entry.Remaining = e.remaining(now)
 	return entry
 }
 
-// entrySet holds entries by id.
+// entrySet holds entries by override id.
 type entrySet map[string]*storedEntry
 
 // removeExpired removes the entries that are no longer in force.
@@ -90,20 +92,20 @@
 type replicatedState struct {
 	entries     entrySet
 	version     Version
-	requestedAt time.Duration // when the adopted state was requested
+	requestedAt time.Duration // when this process requested the state that it adopted
 }
 
-// known reports whether the process has ever had a leader's state.
+// known reports whether the process has ever adopted the state of a leader or led itself.
 func (s *replicatedState) known() bool { return s.version.Term > 0 }
 
-// nextVersion counts a change, and returns its version.
+// nextVersion advances the version for a change, and returns it.
 func (s *replicatedState) nextVersion() Version {
 	s.version.Sequence++
 	return s.version
 }
 
-// adopt replaces the state by that of a message. An entry that is missing there was never acknowledged by a majority,
-// was revoked or has expired.
+// adopt replaces the state with that of a message. An entry that the message lacks was never acknowledged by a
+// majority, was revoked or has expired.
 func (s *replicatedState) adopt(m Message) {
 	s.version = m.Version
 	s.requestedAt = m.RequestedAt
--- a/internal/overrides/message_test.go
+++ b/internal/overrides/message_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The bytes of messages are fixed: nodes of different builds form one fleet.
+// The encoding of messages must not change, because nodes of different builds form one fleet.
 func TestWireFormat(t *testing.T) {
 	version := Version{Term: 3, Leader: "b", Sequence: 2}
 	override := Override{Kind: "evacuate", Scope: "z", Value: "v", Reason: "r", Author: "o"}
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := json.Marshal(test.message)
 			if err != nil || string(got) != test.want {
-				t.Errorf("got %s, %v\nwant %s", got, err, test.want)
+				t.Errorf("message: got %s, error %v\nwant %s", got, err, test.want)
 			}
 		})
 	}
--- a/internal/overrides/model_test.go
+++ b/internal/overrides/model_test.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// fleetModel runs registers in virtual time under random faults: clocks that run 0.5% fast or slow and start
-// anywhere, messages that are delayed, lost and duplicated, partitions, suspensions, restarts without state, and
-// leaders that change. It keeps the membership's promise: there is at most one leader at a time, and a majority is
-// reachable when its leadership begins.
+// fleetModel runs registers in virtual time under random faults: clocks that run up to 0.5% fast or slow and start at
+// random readings, messages that are delayed, lost and duplicated, partitions, suspensions, restarts without state,
+// and changes of the leader. It upholds what the membership guarantees: there is at most one leader at a time, and a
+// majority is reachable when a leadership begins.
 type fleetModel struct {
 	random      *rand.Rand
 	now         time.Duration // true time
 	names       []string
 	registers   map[string]*Register
-	clockOffset map[string]time.Duration
-	clockRate   map[string]float64
+	clockOffset map[string]time.Duration // reading of the process's clock at time 0
+	clockRate   map[string]float64       // against true time
 	resumesAt   map[string]time.Duration // end of the suspension
-	isolated    map[string]bool          // cut off from all
-	leader      string
+	isolated    map[string]bool          // partitioned from all others
+	leader      string                   // empty: there is none
 	inFlight    []delivery
 	incarnation uint64 // the last one used
 
-	trueExpiry   map[string]map[Version]time.Duration // by id and version
-	acknowledged map[string]map[Version]bool          // by id: versions that a majority has had under their leader
-	newest       map[string]map[string]Version        // by process and id: the newest acknowledged version it has had
+	trueExpiry   map[string]map[Version]time.Duration // by id and version: expiry in true time
+	acknowledged map[string]map[Version]bool          // by id: versions that a majority has had
+	newest       map[string]map[string]Version        // by process and id: newest acknowledged version it has had
 
-	issued    int
-	checks    int    // of overrides in force
-	violation string // the first one
+	issued    int    // overrides issued
+	checks    int    // overrides in force whose expiry was checked
+	violation string // the first violation, empty if there is none
 }
 
-// delivery is a message that arrives at a time.
+// delivery is a message and the true time at which it arrives.
 type delivery struct {
 	at      time.Duration
 	message OutboundMessage
@@ -61,7 +61,7 @@
 	return m
 }
 
-// start begins a new process, without state.
+// start replaces the process of a name with a new process that has no state.
 func (m *fleetModel) start(name string) {
 	m.incarnation++
 	m.clockOffset[name] = m.randomDuration(time.Hour)
@@ -73,7 +73,7 @@
 	return time.Duration(m.random.Int64N(int64(limit)))
 }
 
-// clock is what a process reads.
+// clock returns the current reading of a process's clock.
 func (m *fleetModel) clock(name string) time.Duration {
 	return m.clockOffset[name] + time.Duration(float64(m.now)*m.clockRate[name])
 }
@@ -93,7 +93,7 @@
 	}
 }
 
-// updateMembership tells a process who leads, as far as it can know.
+// updateMembership gives a process the members and the leader. A process that is isolated learns of no leader.
 func (m *fleetModel) updateMembership(name string) {
 	leader := m.leader
 	if m.isolated[name] && name != m.leader {
@@ -110,7 +110,7 @@
 	}
 }
 
-// changeLeader ends the leadership, and elects a process if a majority is reachable.
+// changeLeader ends the current leadership, and makes a random reachable process the leader if a majority is reachable.
 func (m *fleetModel) changeLeader() {
 	m.leader = ""
 	m.updateAllMemberships()
@@ -151,7 +151,7 @@
 	m.send(out)
 }
 
-// injectFault makes one process fail in a random way, or changes an override.
+// injectFault injects a random fault or changes an override at the leader, each with a low probability.
 func (m *fleetModel) injectFault() {
 	name := m.names[m.random.IntN(len(m.names))]
 	switch x := m.random.Float64(); {
@@ -171,7 +171,7 @@
 	}
 }
 
-// step advances the time, with or without faults.
+// step advances the time by modelStep, with or without faults.
 func (m *fleetModel) step(faults bool) {
 	m.now += modelStep
 	if faults {
@@ -191,7 +191,8 @@
 	}
 }
 
-// deliver hands over the messages that are due.
+// deliver delivers the messages that are due. Messages from or to an isolated process are lost, and so are those to a
+// suspended one.
 func (m *fleetModel) deliver() {
 	isDue := func(d delivery) bool { return d.at <= m.now }
 	due := slices.DeleteFunc(slices.Clone(m.inFlight), func(d delivery) bool { return !isDue(d) })
@@ -204,7 +205,7 @@
 	}
 }
 
-// recordAcknowledged records which versions a majority has under the leader.
+// recordAcknowledged records the versions that a majority has in a state of the leader's term.
 func (m *fleetModel) recordAcknowledged() {
 	if m.leader == "" || m.registers[m.leader].role != roleLeading {
 		return
@@ -221,7 +222,7 @@
 	}
 }
 
-// holders counts the processes that have a version of an override, and a state of a term.
+// holders returns the number of processes that have a version of an override in a state of a term.
 func (m *fleetModel) holders(id string, version Version, term uint64) int {
 	count := 0
 	for _, register := range m.registers {
@@ -233,18 +234,18 @@
 	return count
 }
 
-// checkInvariants checks that a process applies nothing past the true expiry of its version, and that no override
-// returns after a newer version that a majority has acknowledged.
+// checkInvariants checks that a process applies no override after the true expiry of its version, and that no override
+// returns to a process after that process has had a newer version that a majority acknowledged.
 func (m *fleetModel) checkInvariants(name string) {
 	for _, entry := range m.registers[name].InForce(m.clock(name)) {
 		m.checks++
 		if expiry := m.trueExpiry[entry.ID][entry.Version]; m.now > expiry+modelStep {
-			m.violate("at %v %s applies %s %v, which expired at %v", m.now, name, entry.ID, entry.Version, expiry)
+			m.recordViolation("at %v %s applies %s %v, which expired at %v", m.now, name, entry.ID, entry.Version, expiry)
 		}
 	}
 	for id, entry := range m.registers[name].state.entries {
 		if newest := m.newest[name][id]; entry.Version.Compare(newest) < 0 {
-			m.violate("at %v %s holds %s %v again, after %v", m.now, name, id, entry.Version, newest)
+			m.recordViolation("at %v %s holds %s %v again, after acknowledged %v", m.now, name, id, entry.Version, newest)
 		}
 		if m.acknowledged[id][entry.Version] {
 			m.newest[name][id] = entry.Version
@@ -252,14 +253,15 @@
 	}
 }
 
-// violate records the first violation.
-func (m *fleetModel) violate(format string, args ...any) {
+// recordViolation records a violation if it is the first one.
+func (m *fleetModel) recordViolation(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// run returns the first violation, and how long after the last fault all processes had the same state.
+// run injects faults for a minute, then none until all processes have the same state. It returns the first violation,
+// and the time from the last fault to the agreement.
 func (m *fleetModel) run() (violation string, agreedAfter time.Duration) {
 	const convergenceLimit = 30 * time.Second
 	for m.now < time.Minute && m.violation == "" {
@@ -275,7 +277,7 @@
 			break
 		}
 		if agreedAfter > convergenceLimit {
-			m.violate("not agreed %v after the last fault", convergenceLimit)
+			m.recordViolation("processes still have different states %v after the last fault", convergenceLimit)
 		}
 	}
 	return m.violation, agreedAfter
--- a/internal/overrides/operations.go
+++ b/internal/overrides/operations.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Put issues an override, or renews or replaces the one of its id if replaces names the version. It is idempotent by id
-// and content while the override is in force. With ErrIDInUse it returns the entry that is in force.
+// Put issues an override, or renews or replaces the one that is in force under the id if replaces is its version. While
+// an override is in force, a repeated Put of the same id and content changes nothing and returns the existing entry.
+// With ErrIDInUse, Put returns the entry that is in force.
 func (r *Register) Put(
 	now time.Duration, id string, o Override, duration time.Duration, replaces *Version,
 ) (Entry, []OutboundMessage, error) {
@@ -29,7 +30,7 @@
 	return entry.export(now), r.changeNotices(now), nil
 }
 
-// Revoke ends an override at once. A member that has the returned version no longer applies it.
+// Revoke removes an override that is in force. A member that has the returned version no longer applies it.
 func (r *Register) Revoke(now time.Duration, id string) (Version, []OutboundMessage, error) {
 	if err := r.requireLeadership(); err != nil {
 		return Version{}, nil, err
@@ -42,6 +43,7 @@
 	return version, r.changeNotices(now), nil
 }
 
+// requireLeadership returns nil if this process leads, else the error for a change that it cannot accept.
 func (r *Register) requireLeadership() error {
 	switch r.role {
 	case roleFollower:
@@ -53,7 +55,8 @@
 	}
 }
 
-// PutLocal issues an override for this process alone, with or without a quorum. It is never sent to other members.
+// PutLocal issues an override that applies to this process only, with or without a quorum. It is never sent to other
+// members.
 func (r *Register) PutLocal(now time.Duration, id string, o Override, duration time.Duration) error {
 	if err := validate(id, o, duration, MaxLocalDuration); err != nil {
 		return err
@@ -65,21 +68,22 @@
 	return nil
 }
 
-// InForce returns the overrides in force, sorted by id; those of this process alone come last.
+// InForce returns the overrides in force, sorted by id, followed by those local to this process, also sorted.
 func (r *Register) InForce(now time.Duration) []Entry {
 	return append(r.state.entries.inForce(now), r.local.inForce(now)...)
 }
 
-// UnacknowledgedMembers returns the members that have not acknowledged a version, as far as its leader knows. They may
-// still apply an older state.
+// UnacknowledgedMembers returns the other members that have not acknowledged a version to this process, the leader.
+// They may still apply an older state.
 func (r *Register) UnacknowledgedMembers(version Version) []string {
 	return r.acknowledged.missing(r.members, r.self, version)
 }
 
-// Version is that of the state that this process has.
+// Version returns the version of the state that this process has.
 func (r *Register) Version() Version { return r.state.version }
 
-// StateAge is the time since this process requested the state that it has; 0 at the leader, -1 if it never got one.
+// StateAge returns the time since this process requested the state that it has. It is 0 if the membership names this
+// process as the leader, and -1 if this process has never had a state.
 func (r *Register) StateAge(now time.Duration) time.Duration {
 	switch {
 	case r.role != roleFollower:
--- a/internal/overrides/overrides.go
+++ b/internal/overrides/overrides.go
@@ -1,19 +1,20 @@
 // Package overrides is the replicated register of a fleet's temporary traffic overrides. It is a pure state machine: it
 // does no I/O, reads no clock and draws no random numbers. Every override expires, and each process enforces the expiry
-// by its own clock, whether it reaches other members or not.
+// on its own clock, whether or not it can reach other members.
 //
-// The leader, which has a quorum, gives each change a Version. Members replace their state by the leader's complete
-// state, so a process that missed changes needs one response. A new leader prepares its term first: a majority promises
-// the term to that process alone (the first phase of Paxos; the election in Ongaro and Ousterhout, In Search of an
-// Understandable Consensus Algorithm, 2014), and the leader continues from the newest state among them. Hence a change
-// that a majority acknowledged is not lost, an old copy does not return, and removed overrides need no tombstones.
+// The leader, which has a quorum, gives each change a Version. Members replace their state with the leader's complete
+// state, so a single response brings a process that missed changes up to date. A new leader prepares its term first: a
+// majority promises the term to that process only (the first phase of Paxos; the election in Ongaro and Ousterhout, In
+// Search of an Understandable Consensus Algorithm, 2014), and the leader continues from the newest state of that
+// majority. Hence a change that a majority acknowledged is not lost, an old copy does not return, and removed overrides
+// need no tombstones.
 //
 // With a quorum, overrides are issued, renewed and revoked. Without one, existing overrides stay in force until they
 // expire, and only overrides local to this process are accepted.
 //
-// Rejected: a replicated log, because a process that was suspended for an hour needs the state and not its history; and
-// a merge by the highest version of each id, because a model found that an unacknowledged copy returned with a member
-// that had been cut off, after the override that replaced it had expired and was forgotten.
+// Two alternatives were rejected. One is a replicated log: a process that was suspended for an hour needs the state,
+// not its history. The other is a merge by the highest version of each id: a model showed that a member that had been
+// partitioned brought back an unacknowledged copy after the override that replaced it had expired and was removed.
 package overrides
 
 import (
@@ -25,21 +26,22 @@
 
 // Limits of the register.
 const (
-	MaxEntries       = 256
+	MaxEntries       = 256 // of the replicated register, and again of the overrides local to one process
 	MaxDuration      = 24 * time.Hour
-	MaxLocalDuration = 5 * time.Minute // of an override for this process alone
+	MaxLocalDuration = 5 * time.Minute // of an override local to one process
 	maxIDBytes       = 64
-	maxFieldBytes    = 1024 // of all fields of an override together
+	maxFieldBytes    = 1024 // of all fields of an override in total
 )
 
-// Version orders all changes of a fleet's register. The zero value is older than any change.
+// Version identifies a change of a fleet's register; versions order all changes. The zero value is older than any
+// change.
 type Version struct {
-	Term     uint64 `json:"t"` // above every term that a majority knew when the leader was elected
-	Leader   string `json:"l"`
+	Term     uint64 `json:"t"` // higher than every term that a majority knew when the leader was elected
+	Leader   string `json:"l"` // member that made the change
 	Sequence uint64 `json:"n"` // number of the change within the term
 }
 
-// Compare is negative if v is older than other, and positive if it is newer.
+// Compare returns a negative number if v is older than other, 0 if they are equal, and a positive number if v is newer.
 func (v Version) Compare(other Version) int {
 	return cmp.Or(
 		cmp.Compare(v.Term, other.Term),
@@ -48,7 +50,7 @@
 	)
 }
 
-// Override is what an operator requests.
+// Override is a temporary change to the routing of traffic, requested by an operator.
 type Override struct {
 	Kind   string `json:"kind"`
 	Scope  string `json:"scope"`
@@ -57,7 +59,7 @@
 	Author string `json:"author"`
 }
 
-// Entry is a versioned override as it is sent. Remaining counts from the moment at which the receiver requested it.
+// Entry is a versioned override as it is sent. The receiver counts Remaining from the time of its request.
 type Entry struct {
 	ID        string        `json:"id"`
 	Version   Version       `json:"m"`
@@ -65,7 +67,8 @@
 	Remaining time.Duration `json:"left"`
 }
 
-// Reasons for which a change is rejected. An override that is invalid in itself is rejected with an *InvalidError.
+// Errors for a change that is rejected. An override that is invalid in itself is rejected with an *InvalidError.
+// Operators see the texts.
 var (
 	ErrNoQuorum       = errors.New("this side of the fleet has no majority; only an override marked here is taken")
 	ErrLeaderNotReady = errors.New("the leader is still asking what the fleet holds")
@@ -74,17 +77,18 @@
 	ErrNotFound       = errors.New("no override lives under this id")
 )
 
-// InvalidError says what is wrong with an override that can never be accepted.
+// InvalidError is the error for an override that can never be accepted, and says why.
 type InvalidError struct{ Reason string }
 
 // Error returns the reason.
 func (e *InvalidError) Error() string { return e.Reason }
 
+// invalidf returns an *InvalidError with a formatted reason.
 func invalidf(format string, args ...any) error {
 	return &InvalidError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// validate checks the id of an override, its fields and its duration.
+// validate returns an *InvalidError if the id, the fields or the duration of an override are invalid.
 func validate(id string, o Override, duration, maxDuration time.Duration) error {
 	switch {
 	case id == "" || len(id) > maxIDBytes:
--- a/internal/overrides/register.go
+++ b/internal/overrides/register.go
@@ -6,31 +6,34 @@
 )
 
 const (
-	refreshInterval = time.Second            // between a member's requests to its leader
+	refreshInterval = time.Second            // between a member's requests to the leader
 	retryInterval   = 200 * time.Millisecond // while a response, or a majority of promises, is missing
-	maxTermAdvance  = 1 << 20                // by one message, so that invalid ones cannot exhaust the terms
+
+	// maxTermAdvance is the most by which one message may raise the term, so that invalid messages cannot exhaust the
+	// terms.
+	maxTermAdvance = 1 << 20
 )
 
-// Register is the part of one process in the replicated register. It belongs to one goroutine. Times are readings of
-// the process's monotonic clock and never decrease.
+// Register is one process's copy of the fleet's register. It is not safe for concurrent use. Times are readings of the
+// process's monotonic clock and never decrease.
 type Register struct {
 	self        string
 	incarnation uint64
 
 	state replicatedState
-	local entrySet // for this process alone, never sent
+	local entrySet // overrides that apply to this process only, never sent
 
-	members       []string
-	leader        string // that has a quorum; empty: none is known
+	members       []string // of the fleet, including this process
+	leader        string   // the leader that has a quorum, empty if none is known
 	role          role
 	promised      termPromise
 	promises      promiseSet       // while preparing
 	acknowledged  acknowledgements // while leading
-	nextRequestAt time.Duration
+	nextRequestAt time.Duration    // earliest time of the next requests
 }
 
-// New returns an empty register. No other process of the fleet, and no earlier one of the same name, has had the
-// incarnation.
+// New returns an empty register. The incarnation must be unique: no other process of the fleet, and no earlier process
+// of the same name, may have used it.
 func New(self string, incarnation uint64) *Register {
 	return &Register{
 		self:         self,
@@ -41,7 +44,8 @@
 	}
 }
 
-// UpdateMembership sets the leader that has a quorum, empty if none is known, and the members of the fleet.
+// UpdateMembership sets the leader that has a quorum (empty if none is known) and the members of the fleet, and returns
+// the requests that are due.
 func (r *Register) UpdateMembership(now time.Duration, leader string, members []string) []OutboundMessage {
 	r.members = members
 	if leader != r.leader {
@@ -59,7 +63,7 @@
 	return r.Tick(now)
 }
 
-// prepare begins to collect the promises of a term for this process.
+// prepare starts to collect the members' promises of a term to this process.
 func (r *Register) prepare(term uint64) {
 	r.role = rolePreparing
 	r.promised = termPromise{term: term, incarnation: r.incarnation}
@@ -68,7 +72,7 @@
 	r.leadIfPromised()
 }
 
-// leadIfPromised begins to lead once the promises suffice.
+// leadIfPromised makes this process lead once enough members have promised the term.
 func (r *Register) leadIfPromised() {
 	if !r.promises.complete(r.members) {
 		return
@@ -98,7 +102,7 @@
 	}
 }
 
-// Handle processes a message from another member, and returns the messages that follow from it.
+// Handle processes a message from another member, and returns the messages to send as a result.
 func (r *Register) Handle(now time.Duration, m Message) []OutboundMessage {
 	if !r.isPlausible(m) {
 		return nil
@@ -118,23 +122,27 @@
 	return nil
 }
 
+// isPlausible reports whether a message comes from another member, holds no more entries than allowed and does not
+// raise the term by more than maxTermAdvance.
 func (r *Register) isPlausible(m Message) bool {
 	return len(m.Entries) <= MaxEntries &&
 		m.From != r.self &&
 		max(m.Term, m.Version.Term) <= r.promised.term+maxTermAdvance
 }
 
-// answersThisProcess reports whether a message responds to a request of this very process.
+// answersThisProcess reports whether a message responds to a request of this process, not of an earlier process of the
+// same name.
 func (r *Register) answersThisProcess(now time.Duration, m Message) bool {
 	return m.Requester == r.incarnation && m.RequestedAt <= now
 }
 
-// handleStateRequest records the member's acknowledgement, and responds with the state.
+// handleStateRequest records the member's acknowledgement, and responds with the state. If the member's state is newer
+// than the leader's, it prepares a higher term instead.
 func (r *Register) handleStateRequest(now time.Duration, m Message) []OutboundMessage {
 	if r.role != roleLeading {
 		return nil
 	}
-	if m.Version.Compare(r.state.version) > 0 { // left from before most of the fleet restarted
+	if m.Version.Compare(r.state.version) > 0 { // a state from before most of the fleet restarted
 		r.prepare(max(m.Version.Term, r.promised.term) + 1)
 		return nil
 	}
@@ -142,7 +150,7 @@
 	return r.response(now, KindStateResponse, m)
 }
 
-// handleStateResponse adopts the leader's state unless a newer one, or one requested later, is here.
+// handleStateResponse adopts the leader's state unless this process has a newer state or one that it requested later.
 func (r *Register) handleStateResponse(now time.Duration, m Message) {
 	if !r.answersThisProcess(now, m) || m.From != r.leader || r.role != roleFollower {
 		return
@@ -154,7 +162,7 @@
 	r.nextRequestAt = now + refreshInterval
 }
 
-// handleChangeNotice requests the leader's state at once if this process does not have it.
+// handleChangeNotice returns an immediate request for the leader's state if this process has another version.
 func (r *Register) handleChangeNotice(now time.Duration, m Message) []OutboundMessage {
 	if m.From != r.leader || r.role != roleFollower || m.Version == r.state.version {
 		return nil
@@ -163,7 +171,8 @@
 	return r.Tick(now)
 }
 
-// handlePrepare promises a term above all that this process has promised, and responds with what is promised and known.
+// handlePrepare promises the requested term if it is higher than every term that this process has promised, and
+// responds with the promise in effect and the state.
 func (r *Register) handlePrepare(now time.Duration, m Message) []OutboundMessage {
 	if m.From != r.leader || r.role != roleFollower {
 		return nil
@@ -174,7 +183,8 @@
 	return r.response(now, KindPromise, m)
 }
 
-// handlePromise counts a promise, and takes a higher term where this one is promised to another process.
+// handlePromise counts a promise of the current term and adopts the member's state if it is newer. If the member has
+// promised a higher term, or this term to another process, it prepares a higher term.
 func (r *Register) handlePromise(now time.Duration, m Message) []OutboundMessage {
 	if !r.answersThisProcess(now, m) || r.role != rolePreparing || !slices.Contains(r.members, m.From) {
 		return nil
@@ -184,7 +194,7 @@
 	case m.Term > r.promised.term || promisedElsewhere:
 		r.prepare(m.Term + 1)
 		return nil
-	case m.Term < r.promised.term: // responds to an earlier request
+	case m.Term < r.promised.term: // a response to an earlier request
 		return nil
 	}
 	if m.Version.Compare(r.state.version) > 0 {
--- a/internal/overrides/term.go
+++ b/internal/overrides/term.go
@@ -1,6 +1,6 @@
 package overrides
 
-// role is the part of a process in the replication.
+// role is the role of a process in the replication. Its transitions:
 //
 //	roleFollower  -> rolePreparing   the membership names this process as the leader
 //	rolePreparing -> roleLeading     enough members have promised its term
@@ -14,14 +14,14 @@
 	roleLeading
 )
 
-// termPromise is the highest term that this process has promised, and to which incarnation of a leader: a leader that
-// has restarted does not inherit the promises of its earlier incarnation.
+// termPromise holds the highest term that this process has promised, and the incarnation of the leader to which it is
+// promised: a leader that has restarted does not inherit the promises to its earlier incarnation.
 type termPromise struct {
 	term        uint64
 	incarnation uint64
 }
 
-// promiseSet holds the members that have promised a term to this process, and whether each of them knew a state.
+// promiseSet maps each member that has promised the term to this process to whether that member had a state.
 type promiseSet map[string]bool
 
 func (p promiseSet) has(member string) bool {
@@ -29,8 +29,8 @@
 	return ok
 }
 
-// complete reports whether the promises suffice to lead. A member that has restarted may have forgotten what it
-// promised and held, so it counts only where all members have answered.
+// complete reports whether the promises suffice to lead. A member without a state may have restarted and lost its
+// promises and its entries, so it counts only if all members have promised.
 func (p promiseSet) complete(members []string) bool {
 	knew := 0
 	answered := 0
@@ -46,7 +46,7 @@
 	return 2*knew > len(members) || answered == len(members)
 }
 
-// acknowledgements holds the version that each member had when it last requested the leader's state.
+// acknowledgements maps each member to the version that it had when it last requested the leader's state.
 type acknowledgements map[string]Version
 
 // missing returns the members, except self, that have not acknowledged a version.
--- a/internal/simulator/decoder.go
+++ b/internal/simulator/decoder.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	readBufferBytes = 1 << 20
-	endpointLists   = 16 // that the input may define
-	maxQuotedBytes  = 40 // of input in an error
-	noInstance      = -1 // before the batch has named one
+	readBufferBytes  = 1 << 20
+	maxEndpointLists = 16 // endpoint lists that the input may define
+	maxQuotedBytes   = 40 // of the input, in an error
+	noInstance       = -1 // the instance before a batch has selected one
 )
 
-// Decoder reads messages one at a time.
+// Decoder decodes the simulator's messages one at a time.
 type Decoder struct {
 	reader   *bufio.Reader
 	line     int // number of the last line that was read
 	inBatch  bool
-	instance int // that the current lines belong to
-	lists    [endpointLists][]policy.Endpoint
+	instance int                                 // to which the following lines belong
+	lists    [maxEndpointLists][]policy.Endpoint // by the number that the input gave them
 }
 
 // NewDecoder returns a Decoder that reads from reader.
@@ -35,8 +35,8 @@
 	}
 }
 
-// Next returns the next message. It returns io.EOF when the input ends between two batches, and an error that names the
-// line for invalid input.
+// Next returns the next message. It returns io.EOF when the input ends between two batches, and an error with the line
+// number for invalid input.
 func (d *Decoder) Next() (Message, error) {
 	for {
 		line, err := d.readLine()
@@ -56,7 +56,7 @@
 	}
 }
 
-// inputError is the error of Next for an error of readLine.
+// inputError returns the error that Next reports for an error of readLine.
 func (d *Decoder) inputError(err error) error {
 	switch {
 	case errors.Is(err, io.EOF) && !d.inBatch:
@@ -68,7 +68,8 @@
 	}
 }
 
-// readLine returns the next line without its end. A last line without an end is incomplete: io.ErrUnexpectedEOF.
+// readLine returns the next line without its line ending. A last line without a line ending is incomplete, and gives
+// io.ErrUnexpectedEOF.
 func (d *Decoder) readLine() (string, error) {
 	line, err := d.reader.ReadString('\n')
 	if errors.Is(err, io.EOF) {
@@ -81,7 +82,7 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// decode decodes one line; complete is false for lines that only change the decoder's state.
+// decode decodes one line. It returns complete as false for a line that only changes the decoder's state.
 func (d *Decoder) decode(line string) (m Message, complete bool, err error) {
 	word, rest, _ := strings.Cut(line, "\t")
 	if err := d.checkPosition(word); err != nil {
@@ -117,7 +118,7 @@
 	return m, true, v.err
 }
 
-// checkPosition checks that a line may stand where it does.
+// checkPosition returns an error if a line that begins with word is not allowed at this point of the input.
 func (d *Decoder) checkPosition(word string) error {
 	switch word {
 	case wordBatchStart:
@@ -138,6 +139,7 @@
 	}
 }
 
+// requireBatch returns an error outside a batch.
 func (d *Decoder) requireBatch(word string) error {
 	if !d.inBatch {
 		return fmt.Errorf("%s outside a batch", quote(word))
@@ -145,7 +147,7 @@
 	return nil
 }
 
-// selectInstance sets the instance that the following lines belong to.
+// selectInstance sets the instance to which the following lines belong.
 func (d *Decoder) selectInstance(v *values) error {
 	instance := v.integer(instanceNumber)
 	if v.err == nil && instance < 0 {
@@ -155,11 +157,12 @@
 	return v.err
 }
 
-// decodeInstanceStart decodes a line whose last value, the settings, may contain tabs.
+// decodeInstanceStart returns the seed and the settings of a new instance. The settings are the last value of the line
+// and may contain tabs.
 func decodeInstanceStart(word, rest string) (uint64, policy.Settings, error) {
 	seedText, settingsText, ok := strings.Cut(rest, "\t")
 	if !ok {
-		return 0, policy.Settings{}, fmt.Errorf("%s lacks its settings", word)
+		return 0, policy.Settings{}, fmt.Errorf("%s has no settings", word)
 	}
 	v := newValues(word, seedText)
 	seed := v.unsigned(instanceStartSeed)
@@ -170,7 +173,7 @@
 	return seed, settings, err
 }
 
-// quote quotes a part of the input for an error.
+// quote returns a part of the input, shortened and quoted for an error.
 func quote(text string) string {
 	if len(text) > maxQuotedBytes {
 		text = text[:maxQuotedBytes] + "..."
--- a/internal/simulator/decoder_test.go
+++ b/internal/simulator/decoder_test.go
@@ -14,7 +14,7 @@
 const sampleBatch = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
 	"job_in\tid\t8652.25\t-\tget\t3\t-\t12.0\noutcome\tid\ts:1\t18.5\t1\t0\tsuccess\tbusy_reqs:3,odd:1\neob\n"
 
-// decodeAll returns the messages of a text up to its end or the first error.
+// decodeAll returns the messages of a text up to its end, or up to the first error.
 func decodeAll(t *testing.T, text string) ([]Message, error) {
 	t.Helper()
 	d := NewDecoder(strings.NewReader(text))
@@ -31,7 +31,7 @@
 	}
 }
 
-// decodeSingleRequest decodes a batch in which line is the only request.
+// decodeSingleRequest decodes a batch that consists of one request line.
 func decodeSingleRequest(t *testing.T, line string) policy.Request {
 	t.Helper()
 	messages, err := decodeAll(t, "sync\t1\nabout\t0\n"+line+"\neob\n")
@@ -40,7 +40,7 @@
 	}
 	request, ok := messages[1].Event.(policy.Request)
 	if !ok {
-		t.Fatalf("%q: got %+v", line, messages[1])
+		t.Fatalf("line %q: got message %+v, want a request", line, messages[1])
 	}
 	return request
 }
@@ -80,11 +80,11 @@
 		{Kind: BatchEnd, Instance: 3},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Fatalf("got %+v\nwant %+v", got, want)
+		t.Fatalf("messages: got %+v\nwant %+v", got, want)
 	}
 }
 
-// The words of the simulator and the terms of package policy for values with names or numbers.
+// Every word and number of an enumeration of the protocol decodes to its value in package policy.
 func TestDecodeEnumerations(t *testing.T) {
 	for word, want := range map[string]policy.AttemptResult{
 		"success":     policy.Success,
@@ -98,7 +98,7 @@
 	} {
 		v := newValues("outcome", word)
 		if got := v.attemptResult(0); got != want || v.err != nil {
-			t.Errorf("%s: got %v, %v, want %v", word, got, v.err, want)
+			t.Errorf("attempt result %s: got %v, error %v, want %v", word, got, v.err, want)
 		}
 	}
 	for number, want := range map[string]policy.EndpointState{
@@ -108,15 +108,16 @@
 	} {
 		v := newValues("item", number)
 		if got := v.endpointState(0); got != want || v.err != nil {
-			t.Errorf("%s: got %v, %v, want %v", number, got, v.err, want)
+			t.Errorf("endpoint state %s: got %v, error %v, want %v", number, got, v.err, want)
 		}
 	}
 }
 
-func TestInvalidInputIsNamed(t *testing.T) {
+// The error for invalid input names the line or the problem.
+func TestDecodeInvalidInput(t *testing.T) {
 	for text, want := range map[string]string{
 		"eob\n":                                "line 1: \"eob\" outside a batch",
-		"sync\tx\n":                            "line 1: sync: value 1 is no time",
+		"sync\tx\n":                            "line 1: sync: value 1 is not a time",
 		"sync\t1\nhuh\t1\n":                    "line 2: \"huh\" before any about",
 		"sync\t1\nabout\t1\nhuh\t1\n":          "line 3: unknown message \"huh\"",
 		"sync\t1\nabout\t1\njob_in\ta\n":       "line 3: job_in: value 2",
@@ -126,12 +127,13 @@
 		"sync\t1\nabout\t1\nhello\t5\t{bad\n":  "settings",
 		"sync\t1\nabout\t1\nannounce\t9\t0\t0": "input ends inside a batch",
 
-		// A number that does not fit reads as the nearest that does, which is no list either.
-		"sync\t1\nabout\t1\nannounce\t0\t99999999999999999999\n": "announce: value 2 is no whole number",
-		"sync\t1\nabout\t1\nannounce\tx\t-1\n":                   "announce: value 1 is no whole number",
+		// A value that is not an integer, or out of range, decodes to 0 or to the nearest integer, which may be invalid
+		// for another reason: the error reports the first problem.
+		"sync\t1\nabout\t1\nannounce\t0\t99999999999999999999\n": "announce: value 2 is not an integer",
+		"sync\t1\nabout\t1\nannounce\tx\t-1\n":                   "announce: value 1 is not an integer",
 	} {
 		if _, err := decodeAll(t, text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got %v, want %q", text, err, want)
+			t.Errorf("input %q: got error %v, want one that contains %q", text, err, want)
 		}
 	}
 }
@@ -139,17 +141,19 @@
 func TestDecodeTenant(t *testing.T) {
 	request := decodeSingleRequest(t, "job_in\tid\t9\t-\tc\t0\ta\t-")
 	if request.Tenant != "a" {
-		t.Errorf("got %+v", request)
+		t.Errorf("request with tenant \"a\": got %+v", request)
 	}
 }
 
+// Key 0 is a key, not an absent one.
 func TestDecodeKeyZero(t *testing.T) {
 	request := decodeSingleRequest(t, "job_in\tid\t9\t0\ta\t0\t-\t-")
 	if !request.HasKey || request.Key != 0 {
-		t.Errorf("key 0 was lost: %+v", request)
+		t.Errorf("request with key 0: got %+v, want HasKey and key 0", request)
 	}
 }
 
+// No input makes the decoder panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(sampleBatch)
 	f.Add("sync\t1\nabout\t0\ncrash_now\neob\n")
--- a/internal/simulator/encoder.go
+++ b/internal/simulator/encoder.go
@@ -10,11 +10,11 @@
 
 const initialReplyBytes = 1 << 16
 
-// Encoder writes replies, each of them complete or not at all.
+// Encoder collects the lines of a reply, and writes a reply only once it is complete.
 type Encoder struct {
 	writer   io.Writer
 	reply    []byte // the reply to the current batch
-	instance int    // that the last line belongs to
+	instance int    // to which the last line belongs
 }
 
 // NewEncoder returns an Encoder that writes to writer.
@@ -26,7 +26,7 @@
 	}
 }
 
-// Action adds one action of an instance to the reply.
+// Action appends an action of an instance to the reply.
 func (e *Encoder) Action(instance int, action policy.Action) {
 	if instance != e.instance {
 		e.addLine(wordReplyInstance, strconv.Itoa(instance))
@@ -46,7 +46,7 @@
 	}
 }
 
-// Flush ends the reply and writes it.
+// Flush completes the reply and writes it.
 func (e *Encoder) Flush() error {
 	e.addLine(wordReplyEnd)
 	_, err := e.writer.Write(e.reply)
@@ -55,6 +55,7 @@
 	return err
 }
 
+// addLine appends a line to the reply.
 func (e *Encoder) addLine(word string, values ...string) {
 	e.reply = append(e.reply, word...)
 	for _, value := range values {
@@ -64,6 +65,7 @@
 	e.reply = append(e.reply, '\n')
 }
 
+// milliseconds formats a duration as a decimal number of milliseconds.
 func milliseconds(duration time.Duration) string {
 	return strconv.FormatFloat(float64(duration)/float64(time.Millisecond), 'f', -1, 64)
 }
--- a/internal/simulator/encoder_test.go
+++ b/internal/simulator/encoder_test.go
@@ -14,7 +14,7 @@
 	e.Action(3, policy.SendAttempt{ID: "a", Endpoint: "s", Timeout: 80500 * time.Microsecond})
 	e.Action(5, policy.Reject{ID: "b"})
 	if out.Len() > 0 {
-		t.Errorf("%q is written before the reply is complete", out.String())
+		t.Errorf("Encoder wrote %q before Flush, want nothing", out.String())
 	}
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
@@ -28,6 +28,6 @@
 	want := "instance\t3\nforward\ta\ts\t80.5\ninstance\t5\nturn_away\tb\t0\nyield\n" +
 		"instance\t5\nreport_failure\tc\nremind\t2000\tr:c\nsubscribe\t1\nyield\n"
 	if out.String() != want {
-		t.Fatalf("got %q, want %q", out.String(), want)
+		t.Fatalf("replies: got %q, want %q", out.String(), want)
 	}
 }
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -7,7 +7,7 @@
 	"keelusher/policy"
 )
 
-// decodeEvent decodes a line that carries an event. Errors are kept in v.
+// decodeEvent decodes a line that carries an event. An error is stored in v.
 func (d *Decoder) decodeEvent(v *values) policy.Event {
 	switch v.word {
 	case wordEndpointUpdate:
@@ -55,6 +55,7 @@
 	}
 }
 
+// decodeEndpointUpdate decodes an endpoint update, and resolves the list to which it refers by number.
 func (d *Decoder) decodeEndpointUpdate(v *values) policy.Event {
 	mode := v.integer(endpointUpdateMode)
 	switch mode {
@@ -62,12 +63,12 @@
 	case modeFailed:
 		return policy.DiscoveryFailed{}
 	default:
-		v.fail(endpointUpdateMode, "is no mode")
+		v.fail(endpointUpdateMode, "is not an update mode")
 		return nil
 	}
 	list := v.integer(endpointUpdateList)
 	if list < 0 || list >= len(d.lists) {
-		v.fail(endpointUpdateList, "is no list number")
+		v.fail(endpointUpdateList, "is not a list number")
 		return nil
 	}
 	return policy.EndpointUpdate{
@@ -77,24 +78,24 @@
 	}
 }
 
-// readEndpointList reads the lines of a list, to which a later endpoint update refers by its number.
+// readEndpointList reads the lines of an endpoint list. A later endpoint update refers to the list by its number.
 func (d *Decoder) readEndpointList(v *values) error {
 	number, length := v.integer(endpointListNumber), v.integer(endpointListLength)
 	if v.err != nil {
 		return v.err
 	}
 	if number < 0 || number >= len(d.lists) || length < 0 {
-		return fmt.Errorf("list number or length out of range")
+		return fmt.Errorf("endpoint list number or length out of range")
 	}
 	var endpoints []policy.Endpoint
 	for i := range length {
 		line, err := d.readLine()
 		if err != nil {
-			return fmt.Errorf("list ends after %d of %d items", i, length)
+			return fmt.Errorf("endpoint list ends after %d of %d items", i, length)
 		}
 		word, rest, _ := strings.Cut(line, "\t")
 		if word != wordEndpoint {
-			return fmt.Errorf("want item %d of %d, got %s", i+1, length, quote(word))
+			return fmt.Errorf("endpoint list: want item %d of %d, got %s", i+1, length, quote(word))
 		}
 		endpoint, err := decodeEndpoint(newValues(word, rest))
 		if err != nil {
--- a/internal/simulator/protocol.go
+++ b/internal/simulator/protocol.go
@@ -1,9 +1,8 @@
-// Package simulator reads batches of events in the simulator's text protocol, and writes the replies. It makes no
-// decisions.
+// Package simulator decodes batches of events in the simulator's text protocol, and encodes the replies. It makes no
+// routing decisions.
 //
-// A line is a word followed by values, separated by tabs. The protocol's words are mapped to the terms of package
-// policy here and nowhere else: the words of lines and values in protocol.go, those of the settings as JSON tags in
-// settings.go.
+// A line is a word followed by values, separated by tabs. Only this package maps the protocol's words to the terms of
+// package policy: protocol.go those of lines and values, and settings.go those of the settings, as JSON tags.
 package simulator
 
 import (
@@ -16,10 +15,10 @@
 const (
 	wordBatchStart         = "sync"
 	wordBatchEnd           = "eob"
-	wordInstance           = "about" // the following lines belong to this instance
+	wordInstance           = "about" // selects the instance to which the following lines belong
 	wordInstanceStart      = "hello"
 	wordInstanceKilled     = "crash_now"
-	wordEndpointList       = "list" // of which wordEndpointUpdate names the number
+	wordEndpointList       = "list" // defines a numbered list; wordEndpointUpdate refers to the number
 	wordEndpoint           = "item"
 	wordEndpointUpdate     = "announce"
 	wordRequest            = "job_in"
@@ -42,10 +41,10 @@
 	wordReplyEnd       = "yield"
 )
 
-// absentValue stands for a value that is not set.
+// absentValue marks a value that is not set.
 const absentValue = "-"
 
-// Positions of the values in lines.
+// Positions of the values in a line, counted from 0 after the word.
 const (
 	batchStartTime = 0
 
@@ -91,10 +90,10 @@
 
 // Modes of an endpoint update.
 const (
-	modeChanges        = 0
-	modeSnapshot       = 1
-	modeCachedSnapshot = 2
-	modeFailed         = 3
+	modeChanges        = 0 // the list holds only changed endpoints
+	modeSnapshot       = 1 // the list is complete
+	modeCachedSnapshot = 2 // the list is complete but may be out of date
+	modeFailed         = 3 // discovery failed; there is no list
 )
 
 const (
@@ -102,7 +101,7 @@
 	answeredFlag = "1"
 )
 
-// Names of the values in a load report; others are ignored.
+// Names of the values in a load report. Other names are ignored.
 const (
 	loadBusy    = "busy_reqs"
 	loadService = "svc_ms"
@@ -125,7 +124,7 @@
 	"void":        policy.NotSent,
 }
 
-// MessageKind tells what a Message carries.
+// MessageKind says what a Message carries.
 type MessageKind int
 
 // Kinds of messages.
@@ -134,11 +133,11 @@
 	InstanceStart                     // a new instance; Seed and Settings are set
 	PolicyEvent                       // Event is set
 	InstanceKilled                    // the instance loses its state
-	Ignored                           // known, but of no use to the policy
-	BatchEnd                          // a reply is due
+	Ignored                           // valid, but without effect on the policy
+	BatchEnd                          // the batch is complete, and a reply is due
 )
 
-// Message is a line of a batch, or an endpoint update with the list that it names.
+// Message is a decoded line of a batch. For an endpoint update, it includes the list to which the line refers.
 type Message struct {
 	Kind     MessageKind
 	Instance int
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -7,8 +7,9 @@
 	"keelusher/policy"
 )
 
-// settingsObject is the settings as the simulator and a node's configuration write them. The tags hold the protocol's
-// words, and the names the terms of package policy. Numbers whose key ends in -ms are milliseconds.
+// settingsObject is the JSON form of the settings, used by the simulator and by a node's configuration. The tags are
+// the protocol's words, and the field names the terms of package policy. Values whose key ends in -ms are in
+// milliseconds.
 type settingsObject struct {
 	Replicas        int              `json:"balancers"`
 	ReplicaIndex    int              `json:"me"`
@@ -69,24 +70,24 @@
 	KeySettleTime            float64 `json:"order-settle-ms"`
 }
 
-// discoveryPolled is the DiscoveryMode in which the endpoint list has to be polled.
+// discoveryPolled is the DiscoveryMode in which the policy must poll for the endpoint list.
 const discoveryPolled = "on_request"
 
-// deduplicationScopes maps the scopes; one that is missing here is the narrowest, ScopeCell.
+// deduplicationScopes maps the protocol's words to scopes. An unknown word means ScopeCell, the narrowest scope.
 var deduplicationScopes = map[string]policy.DeduplicationScope{
 	"all":  policy.ScopeAll,
 	"zone": policy.ScopeZone,
 	"cell": policy.ScopeCell,
 }
 
-// idempotencies maps the effects; one that is missing here is NotIdempotent.
+// idempotencies maps the protocol's words for the effect of a class. An unknown word means NotIdempotent.
 var idempotencies = map[string]policy.Idempotency{
 	"read_like":       policy.Idempotent,
 	"idempotency_key": policy.IdempotentWithKey,
 }
 
-// ParseSettings reads the settings object. Unknown keys are ignored, and unknown values of an enumeration mean the most
-// careful one.
+// ParseSettings parses settings in their JSON form. Unknown keys are ignored. An unknown idempotency or deduplication
+// scope means the most conservative one.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var object settingsObject
 	if err := json.Unmarshal(text, &object); err != nil {
@@ -95,6 +96,7 @@
 	return object.settings(), nil
 }
 
+// settings converts the settings to the types of package policy.
 func (o *settingsObject) settings() policy.Settings {
 	s := policy.Settings{
 		OverQuotaWeight:          o.OverQuotaWeight,
@@ -127,6 +129,7 @@
 	return s
 }
 
+// class converts the settings of a class.
 func (o *classObject) class() policy.Class {
 	return policy.Class{
 		Name:                o.Name,
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -12,12 +12,12 @@
 	t.Helper()
 	settings, err := ParseSettings([]byte(text))
 	if err != nil {
-		t.Fatalf("%s: %v", text, err)
+		t.Fatalf("parse settings %s: %v", text, err)
 	}
 	return settings
 }
 
-// Every key that the policy uses, with a value of its own.
+// Every key that the policy uses is read into its field; no value here is the zero value.
 func TestParseSettings(t *testing.T) {
 	got := mustParseSettings(t, `{"balancers":4,"me":2,"zone":"z","tier":1,"tiers":["a","b","c"],
 		"lanes":[{"name":"a","effect":"idempotency_key","key-scope":"zone","window-ms":3500,"target-ms":100,
@@ -64,14 +64,14 @@
 		SlowStartOverloadFactor:  4,
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v\nwant %+v", got, want)
+		t.Errorf("settings: got %+v\nwant %+v", got, want)
 	}
 }
 
 func TestParseMarkedRetries(t *testing.T) {
 	for text, want := range map[string]bool{`{"callers":{"marks-retry":true}}`: true, `{}`: false} {
 		if s := mustParseSettings(t, text); s.ClientsMarkRetries != want {
-			t.Errorf("%s: ClientsMarkRetries %v", text, s.ClientsMarkRetries)
+			t.Errorf("settings %s: got ClientsMarkRetries %v, want the opposite", text, s.ClientsMarkRetries)
 		}
 	}
 }
@@ -79,14 +79,14 @@
 func TestParseTenants(t *testing.T) {
 	s := mustParseSettings(t, `{"tenants":[{"name":"a","quota-per-s":22,"share":0.4}],"over-share-worth":0.05}`)
 	if len(s.Tenants) != 1 || s.Tenants[0] != (policy.Tenant{Name: "a", Quota: 22}) || s.OverQuotaWeight != 0.05 {
-		t.Errorf("got %+v", s)
+		t.Errorf("got %+v, want tenant \"a\" with quota 22, and OverQuotaWeight 0.05", s)
 	}
 }
 
 func TestUnknownEffectIsNotIdempotent(t *testing.T) {
 	s := mustParseSettings(t, `{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`)
 	if s.Classes[0].Idempotency != policy.NotIdempotent || s.Classes[1].Idempotency != policy.Idempotent {
-		t.Fatalf("got %+v", s)
+		t.Fatalf("got %+v, want NotIdempotent for class \"a\" and Idempotent for class \"b\"", s)
 	}
 }
 
@@ -94,20 +94,20 @@
 	s := mustParseSettings(t, `{"lanes":[{"name":"a","by-arrival":true,"bound-to":["k"],"confined-to":["z"]},`+
 		`{"name":"b"}],"rules":{"order-settle-ms":40}}`)
 	if s.KeySettleTime != 40*time.Millisecond {
-		t.Fatalf("got %+v", s)
+		t.Fatalf("got %+v, want KeySettleTime 40ms", s)
 	}
 	restricted, open := s.Classes[0], s.Classes[1]
 	if !restricted.SerializedByKey || len(restricted.AllowedMachineTypes) != 1 || len(restricted.AllowedZones) != 1 {
-		t.Errorf("restrictions lost: %+v", restricted)
+		t.Errorf("class with restrictions: got %+v, want all three", restricted)
 	}
 	if open.SerializedByKey || open.AllowedMachineTypes != nil || open.AllowedZones != nil {
-		t.Errorf("an absent list must restrict nothing: %+v", open)
+		t.Errorf("class without restrictions: got %+v, want none", open)
 	}
 }
 
 func TestRetryAfterThatIsNotAllowed(t *testing.T) {
 	s := mustParseSettings(t, `{"limits":{"max-retry-after-ms":2000}}`)
 	if s.MaxRetryAfter != 0 {
-		t.Errorf("MaxRetryAfter %v, want 0", s.MaxRetryAfter)
+		t.Errorf("MaxRetryAfter: got %v, want 0", s.MaxRetryAfter)
 	}
 }
--- a/internal/simulator/values.go
+++ b/internal/simulator/values.go
@@ -10,10 +10,11 @@
 	"keelusher/policy"
 )
 
-// maxNumber bounds times in milliseconds and reported loads, so that they fit a time.Duration.
+// maxNumber is the largest absolute value of a time in milliseconds and of a reported load, so that it fits into a
+// time.Duration.
 const maxNumber = 1e12
 
-// values reads the values of one line by position, and keeps the first error.
+// values parses the values of one line by position, and keeps the first error.
 type values struct {
 	word  string
 	parts []string
@@ -27,6 +28,7 @@
 	}
 }
 
+// fail records that a value is invalid, unless there is an earlier error.
 func (v *values) fail(position int, problem string) {
 	if v.err == nil {
 		v.err = fmt.Errorf("%s: value %d %s", v.word, position+1, problem)
@@ -41,6 +43,7 @@
 	return v.parts[position]
 }
 
+// text returns a value that must be present.
 func (v *values) text(position int) string {
 	text := v.optionalText(position)
 	if text == "" {
@@ -52,11 +55,12 @@
 func (v *values) integer(position int) int {
 	number, err := strconv.Atoi(v.text(position))
 	if err != nil {
-		v.fail(position, "is no whole number")
+		v.fail(position, "is not an integer")
 	}
 	return number
 }
 
+// optionalInteger returns an integer, or 0 if it is absent.
 func (v *values) optionalInteger(position int) int {
 	if v.optionalText(position) == "" {
 		return 0
@@ -64,7 +68,7 @@
 	return v.integer(position)
 }
 
-// unsigned returns a value of 64 bits, which may be written as a signed number.
+// unsigned returns a 64-bit integer, which the input may write as a signed number.
 func (v *values) unsigned(position int) uint64 {
 	text := v.text(position)
 	if number, err := strconv.ParseUint(text, 10, 64); err == nil {
@@ -72,11 +76,12 @@
 	}
 	number, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		v.fail(position, "is no whole number")
+		v.fail(position, "is not an integer")
 	}
 	return uint64(number)
 }
 
+// optionalUnsigned returns a 64-bit integer, or 0 if it is absent.
 func (v *values) optionalUnsigned(position int) uint64 {
 	if v.optionalText(position) == "" {
 		return 0
@@ -84,15 +89,17 @@
 	return v.unsigned(position)
 }
 
+// milliseconds returns the duration that a number of milliseconds gives.
 func (v *values) milliseconds(position int) time.Duration {
 	number, ok := parseNumber(v.text(position))
 	if !ok {
-		v.fail(position, "is no time in milliseconds")
+		v.fail(position, "is not a time in milliseconds")
 		return 0
 	}
 	return fromMilliseconds(number)
 }
 
+// optionalMilliseconds returns a duration, or 0 if it is absent.
 func (v *values) optionalMilliseconds(position int) time.Duration {
 	if v.optionalText(position) == "" {
 		return 0
@@ -103,7 +110,7 @@
 func (v *values) endpointState(position int) policy.EndpointState {
 	state, ok := endpointStates[v.integer(position)]
 	if !ok {
-		v.fail(position, "is no state")
+		v.fail(position, "is not an endpoint state")
 	}
 	return state
 }
@@ -111,12 +118,13 @@
 func (v *values) attemptResult(position int) policy.AttemptResult {
 	result, ok := attemptResults[v.text(position)]
 	if !ok {
-		v.fail(position, "is no ending")
+		v.fail(position, "is not an attempt result")
 	}
 	return result
 }
 
-// load reads a load report of name:value pairs, nil if it is absent.
+// load parses a load report, which consists of name:value pairs separated by commas. It returns nil if the report is
+// absent; a load that the report lacks is -1.
 func (v *values) load(position int) *policy.Load {
 	report := v.optionalText(position)
 	if report == "" {
@@ -127,7 +135,7 @@
 		name, text, _ := strings.Cut(pair, ":")
 		number, ok := parseNumber(text)
 		if !ok {
-			v.fail(position, "is no load report")
+			v.fail(position, "is not a load report")
 			return nil
 		}
 		switch name {
@@ -140,13 +148,14 @@
 	return load
 }
 
-// parseNumber returns a number within the bounds.
+// parseNumber parses a number; ok is false if it is not a number or if its absolute value exceeds maxNumber.
 func parseNumber(text string) (number float64, ok bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	ok = err == nil && !math.IsNaN(number) && math.Abs(number) <= maxNumber
 	return number, ok
 }
 
+// fromMilliseconds converts milliseconds to a duration, rounded to a nanosecond.
 func fromMilliseconds(number float64) time.Duration {
 	return time.Duration(math.Round(number * float64(time.Millisecond)))
 }
