--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -18,8 +18,8 @@
 	"keelusher/policy/guard"
 )
 
-// ask makes one call to the admin endpoint on a connection of its own.
-func (r *running) ask(t *testing.T, method, path string) (int, string) {
+// callAdmin makes one call to the admin endpoint on a connection of its own.
+func (r *running) callAdmin(t *testing.T, method, path string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.adminAddress+path, nil)
 	if err != nil {
@@ -66,7 +66,7 @@
 		{"GET", "/control/out-of-service", 405},
 		{"DELETE", "/control/in-service", 405},
 	} {
-		if status, _ := n.ask(t, call.method, call.path); status != call.want {
+		if status, _ := n.callAdmin(t, call.method, call.path); status != call.want {
 			t.Errorf("%s %s: %d, want %d", call.method, call.path, status, call.want)
 		}
 	}
@@ -116,7 +116,7 @@
 		_, _ = io.WriteString(dialAdmin(t, n), "GET /control"[:i%2*12]) // it may be evicted already
 	}
 	begin := time.Now()
-	if status, _ := n.ask(t, "GET", "/control/ready"); status != http.StatusOK {
+	if status, _ := n.callAdmin(t, "GET", "/control/ready"); status != http.StatusOK {
 		t.Errorf("answered %d", status)
 	}
 	if took := time.Since(begin); took > admin.CallTimeout/2 { // so the call did not wait for a silent peer's timeout
@@ -171,14 +171,14 @@
 	}()
 	eventually(t, "it is out", func() bool { return b.requests() == 1 })
 	for range 2 { // a repeated call changes nothing
-		if status, _ := n.ask(t, "PUT", "/control/out-of-service"); status != http.StatusOK {
+		if status, _ := n.callAdmin(t, "PUT", "/control/out-of-service"); status != http.StatusOK {
 			t.Fatalf("not drained: %d", status)
 		}
 		if status := n.ready(t); status != http.StatusServiceUnavailable {
 			t.Errorf("/ready says %d", status)
 		}
 	}
-	if status, _ := n.ask(t, "GET", "/control/ready"); status != http.StatusOK {
+	if status, _ := n.callAdmin(t, "GET", "/control/ready"); status != http.StatusOK {
 		t.Errorf("this process can serve, yet the admin endpoint says %d", status)
 	}
 	setReadTimeout(t, idle, 20*time.Second)
@@ -190,7 +190,7 @@
 		t.Errorf("what was open was answered %+v, want 200 and a close", resp)
 	}
 	for range 2 {
-		if status, _ := n.ask(t, "PUT", "/control/in-service"); status != http.StatusOK {
+		if status, _ := n.callAdmin(t, "PUT", "/control/in-service"); status != http.StatusOK {
 			t.Fatalf("not taken back: %d", status)
 		}
 		if status := n.ready(t); status != http.StatusOK {
@@ -239,7 +239,7 @@
 	n := startWith(t, good)
 	read := func() (f metrics.CountersPage) {
 		t.Helper()
-		status, text := n.ask(t, "GET", "/control/counters")
+		status, text := n.callAdmin(t, "GET", "/control/counters")
 		if err := json.Unmarshal([]byte(text), &f); status != http.StatusOK || err != nil {
 			t.Fatalf("%d %q: %v", status, text, err)
 		}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -16,32 +16,32 @@
 	"keelusher/policy"
 )
 
-// Config is what the platform configures a node with at its start.
+// Config is the configuration of a node, which the platform provides at its start.
 type Config struct {
 	Name             string
 	Listen           string
-	Control          string // the address of the admin endpoint; "": there is none
+	Control          string // address of the admin endpoint; "": there is none
 	Discovery        string
 	Seed             uint64
 	Cores            float64
 	MemoryMB         int
-	Sockets          int          // descriptors; 0: no limit is set
-	KnownEndpoints   endpointList // as this node last had them
+	Sockets          int          // limit on file descriptors; 0: none is set
+	KnownEndpoints   endpointList // the endpoint list that this node last had
 	Settings         policy.Settings
-	Fleet            *fleet.Config       // nil: the node knows of no others
-	ProcessesChanged func(processes int) // called when so many processes share the limits; may be nil
+	Fleet            *fleet.Config       // nil: there is none, and the node knows no other nodes
+	ProcessesChanged func(processes int) // called when the number of processes that share the limits changes; may be nil
 
-	fleetPath             string        // as the configuration file names it
-	handoverSocket        string        // where successors of this process connect; "": there is none
-	connectTimeout        time.Duration // for a connection to a server
-	connectionIdleTimeout time.Duration // a server closes a connection that is idle for this long
-	removalGrace          time.Duration // so long after the update a draining or removed endpoint may get new requests
+	fleetPath             string        // path of the fleet configuration; "": none is named
+	handoverSocket        string        // Unix socket where a successor of this process connects; "": there is none
+	connectTimeout        time.Duration // for establishing a connection to a server
+	connectionIdleTimeout time.Duration // after this time servers close an idle connection
+	removalGrace          time.Duration // how long after the update a draining or removed endpoint may get requests
 }
 
-// defaultRemovalGrace is the platform's, for settings that name none.
+// defaultRemovalGrace is the platform's removal grace. It applies where the settings name none.
 const defaultRemovalGrace = 3 * time.Second
 
-// LoadConfig reads the configuration file. The error says in one line what is wrong with it.
+// LoadConfig reads and checks the configuration file. The text of the error is one line.
 func LoadConfig(path string) (Config, error) {
 	if path == "" {
 		return Config{}, errors.New("configuration: no file is named (ROUTER_CONFIG is empty)")
@@ -64,7 +64,7 @@
 	return c, nil
 }
 
-// configFile is the JSON of the configuration file.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -153,7 +153,7 @@
 
 var errLimits = errors.New("limits: out of range")
 
-// connectionSettings are the settings of connections, which the policy has no use for.
+// connectionSettings are those settings that concern connections. The policy does not use them.
 type connectionSettings struct {
 	Limits struct {
 		ConnectTimeout float64 `json:"connect-timeout-ms"`
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -1,9 +1,9 @@
-// Package node is the real node around the policy: it takes clients' requests over HTTP, carries out the policy's
-// actions on sockets and notifies it of what happened.
+// Package node runs the policy on real sockets: it accepts clients' requests over HTTP, carries out the actions that
+// the policy returns, and notifies the policy of the results.
 //
-// The event loop (event_loop.go) owns the Balancer and decides every final response. Around it run the HTTP server of
-// the clients, the attempts with their connections to servers, the watch of the endpoint list, the admin endpoint and
-// the membership of the fleet; each of them sends messages to the loop.
+// The event loop (event_loop.go) owns the Balancer and decides every final response. The HTTP server for clients, the
+// attempts with their connections to servers, the watch of the endpoint list, the admin endpoint and the fleet
+// membership run in goroutines of their own and send messages to the loop.
 package node
 
 import (
@@ -20,53 +20,53 @@
 )
 
 const (
-	// updatePollInterval is between two looks at whether overdue endpoint updates have been read.
+	// updatePollInterval is the interval between checks whether overdue endpoint updates have been read.
 	updatePollInterval = resumeQuietPeriod / 10
-	// noTimer is how long the loop waits for messages while the policy has set no timer.
-	noTimer = time.Hour
+	// waitWithoutTimer is how long the loop waits for messages while the policy has set no timer.
+	waitWithoutTimer = time.Hour
 )
 
-// attemptSender carries attempts to servers. No method may block.
+// attemptSender sends attempts to servers. No method may block.
 type attemptSender interface {
 	start(*attempt)
 	retire(*endpoint)
 }
 
 // eventLoop passes events to the Balancer from one goroutine, and carries out the actions that it returns. Other
-// goroutines reach it through its channels alone.
+// goroutines communicate with it only through its channels.
 type eventLoop struct {
 	clock          clock
 	log            *slog.Logger
 	balancer       *policy.Balancer
 	sender         attemptSender
 	watchEndpoints func()            // requests a watch of the endpoint list; must not block
-	staleness      *stalenessMonitor // of the endpoint list; nil: there is none
+	staleness      *stalenessMonitor // of the endpoint list; nil: staleness is not monitored
 	metrics        *metrics.Recorder
 	decisions      *metrics.Decisions
 
-	// Messages to the loop, which alone receives them. Senders may have to wait, the loop never does.
+	// Messages to the loop, which is their only receiver. Senders may block; the loop never blocks on a sender.
 	endpointUpdates  chan watchEvent           // from discovery
 	requests         chan *clientRequest       // from the handlers of clients' requests
-	disconnects      chan *clientRequest       // from the same, if the client disconnects before the response
+	disconnects      chan *clientRequest       // from the same handlers, if the client disconnects before the response
 	attemptResults   chan attemptOutcome       // from attempts that ended
-	requestsSent     chan requestWritten       // from attempts that stream a body, once it is written
+	requestsSent     chan requestWritten       // from attempts that stream a request body, once it is written
 	responsesStarted chan responseStarted      // from attempts that stream a response
-	replicaCounts    chan policy.ReplicaCounts // from the membership; holds the newest alone
-	overrideUpdates  chan zoneExpiries         // from the host of overrides; holds the newest alone
+	replicaCounts    chan policy.ReplicaCounts // from the membership; holds only the newest
+	overrideUpdates  chan zoneExpiries         // from overridesHost; holds only the newest
 	tasks            chan func()               // run in the loop's goroutine; must not block
 	stop             chan struct{}             // closed to end the loop
 
 	// State that only the loop's goroutine uses.
-	openRequests        map[string]*clientRequest // by ID: not answered, or with an attempt in flight
-	endpoints           map[string]*endpoint      // by ID: those in service
-	timers              timerHeap
-	attemptsOut         int                         // attempts in flight
-	zoneTransitions     int                         // as of the last log line about zones
-	loggedZones         map[string]policy.ZoneState // as last seen by logZones
-	zoneLogLimit        *rate.Limiter
-	suppressedZoneLines int
-	operatorEvacuations map[string]bool // by zone: set at this node's admin endpoint
-	overrideExpiries    zoneExpiries    // zones that overrides evacuate
+	openRequests          map[string]*clientRequest // by ID; not answered yet, or with an attempt in flight
+	endpoints             map[string]*endpoint      // by ID; those in service
+	timers                timerHeap
+	attemptsOut           int                         // attempts in flight
+	loggedZoneTransitions int                         // the policy's count when logZones last ran
+	loggedZones           map[string]policy.ZoneState // by zone, as logZones last saw them
+	zoneLogLimit          *rate.Limiter
+	suppressedZoneLines   int
+	operatorEvacuations   map[string]bool // by zone; set at this node's admin endpoint
+	overrideExpiries      zoneExpiries    // of the zones that overrides evacuate
 
 	hasReadyEndpoint atomic.Bool // read by other goroutines
 }
@@ -98,7 +98,7 @@
 
 // run handles messages until stop is closed.
 func (l *eventLoop) run() {
-	timer := time.NewTimer(noTimer)
+	timer := time.NewTimer(waitWithoutTimer)
 	defer timer.Stop()
 	report := time.NewTicker(metrics.ReportInterval)
 	defer report.Stop()
@@ -137,8 +137,8 @@
 	}
 }
 
-// handlePendingUpdate handles an endpoint update that is waiting, if there is one. Updates come before requests: the
-// grace of a draining server is running.
+// handlePendingUpdate handles one endpoint update if one is waiting, and reports whether it did. Updates take
+// precedence over requests because a draining server accepts new requests only for its grace period, which has begun.
 func (l *eventLoop) handlePendingUpdate() bool {
 	select {
 	case event := <-l.endpointUpdates:
@@ -149,7 +149,8 @@
 	}
 }
 
-// awaitOverdueUpdates handles endpoint updates before anything else after a suspension: some may be overdue.
+// awaitOverdueUpdates handles endpoint updates, and nothing else, while overdue ones may still be unread after a
+// suspension of the process, for maxSendHold at most.
 func (l *eventLoop) awaitOverdueUpdates() {
 	for l.staleness.holdSends() {
 		select {
@@ -162,7 +163,7 @@
 	}
 }
 
-// fireTimers notifies the policy of the timers that are due.
+// fireTimers notifies the policy of each timer that is due.
 func (l *eventLoop) fireTimers() {
 	for len(l.timers) > 0 && l.timers[0].At <= l.clock.now() {
 		l.awaitOverdueUpdates()
@@ -173,12 +174,13 @@
 
 func (l *eventLoop) untilNextTimer() time.Duration {
 	if len(l.timers) == 0 {
-		return noTimer
+		return waitWithoutTimer
 	}
 	return l.timers[0].At - l.clock.now()
 }
 
-// runTask runs f in the loop's goroutine and waits for it. It returns false if the loop has ended.
+// runTask runs f in the loop's goroutine and waits until f returns. It returns false, without running f, if the loop
+// has ended.
 func (l *eventLoop) runTask(f func()) bool {
 	done := make(chan struct{})
 	task := func() {
@@ -201,12 +203,12 @@
 	l.apply(now, event)
 }
 
-// apply is handle without a look at overrides that have expired.
+// apply is handle without the check for overrides that have expired.
 func (l *eventLoop) apply(now time.Duration, event policy.Event) {
 	for _, action := range l.balancer.Handle(now, event) {
 		l.carryOut(now, action)
 	}
-	if l.balancer.ZoneTransitions() != l.zoneTransitions {
+	if l.balancer.ZoneTransitions() != l.loggedZoneTransitions {
 		l.logZones()
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -1,4 +1,4 @@
-// The node as a member of its fleet.
+// Membership of the node in its fleet.
 
 package node
 
@@ -14,10 +14,11 @@
 	"keelusher/policy"
 )
 
-// revisionLength is how many characters of the revision members compare.
+// revisionLength is the number of characters of the revision that members compare.
 const revisionLength = 12
 
-// loadFleet reads the fleet configuration at a path; "": there is none.
+// loadFleet reads the fleet configuration at a path. It does nothing if the path is empty. The region defaults to the
+// node's zone.
 func (c *Config) loadFleet(path string) error {
 	if path == "" {
 		return nil
@@ -35,7 +36,7 @@
 
 func (c *Config) hasMembership() bool { return c.Fleet != nil && c.Fleet.Mesh != nil }
 
-// joinMembership joins the fleet.
+// joinMembership starts the membership of this process in the fleet.
 func (n *Node) joinMembership() (*membership.Mesh, error) {
 	config, settings := n.cfg.Fleet, n.cfg.Settings
 	return membership.Start(membership.Config{
@@ -56,15 +57,16 @@
 	})
 }
 
-// deliverOverrides passes a user message of another member to the host of overrides.
+// deliverOverrides passes a user message from another member to the overrides host, if there is one.
 func (n *Node) deliverOverrides(from string, body []byte) {
 	if host := n.overrides.Load(); host != nil {
 		host.deliver(from, body)
 	}
 }
 
-// updateReplicaCounts notifies the policy how many replicas send to this tier, by zone. Only a majority knows; the
-// others leave it at the settings' number, which is safe: counting too few replicas would let each send too much.
+// updateReplicaCounts notifies the policy how many replicas send to this tier, by zone. Only the majority side of a
+// partition knows that number. Any other side sends empty counts, with which the policy uses the number from the
+// settings: counting too few replicas would let each of them send too much.
 func (n *Node) updateReplicaCounts(view membership.View) {
 	counts := policy.ReplicaCounts{}
 	if view.Side >= membership.Majority {
@@ -82,7 +84,7 @@
 		default:
 		}
 		select {
-		case <-n.loop.replicaCounts: // outdated
+		case <-n.loop.replicaCounts: // discard the outdated counts
 		default:
 		}
 	}
@@ -97,7 +99,7 @@
 	return member.Tier == n.cfg.Settings.Tier && alive && !member.Suppressed
 }
 
-// version is the revision that the program was built from, as far as it is known.
+// version returns the first characters of the revision that the program was built from, empty if it is unknown.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -112,7 +114,7 @@
 }
 
 // runMembership keeps this node a member of the fleet until ctx ends. While a successor serves, the successor is the
-// member; if it exits before this process, this process joins again.
+// member instead of this process. If the successor exits first, this process joins again.
 func (n *Node) runMembership(ctx context.Context, joined *membership.Mesh) {
 	for {
 		n.membership.Store(joined)
@@ -125,7 +127,7 @@
 			}
 			return
 		}
-		joined.Close() // the successor waits for the address
+		joined.Close() // releases the address, which the successor waits for
 		if !n.awaitSuccessorExit(ctx) {
 			return
 		}
@@ -137,8 +139,8 @@
 	}
 }
 
-// runMember runs the host of overrides, if there is one, and announces when the node serves. It returns once ctx ends
-// or a successor serves, and reports whether one does. Each process of the membership has a register of its own,
+// runMember announces when the node serves, and runs the overrides host if overrides are configured. It returns once
+// ctx ends or a successor serves, and reports whether one serves. Each membership has a register of its own,
 // which is empty at first.
 func (n *Node) runMember(ctx context.Context, joined *membership.Mesh) (successorServes bool) {
 	if n.cfg.Fleet.Overrides == nil {
@@ -154,7 +156,8 @@
 	return successorServes
 }
 
-// announceUntilSuccession announces when the node serves, and returns once ctx ends or a successor serves.
+// announceUntilSuccession announces to the fleet when the node serves. It returns once ctx ends or a successor serves,
+// and reports whether one serves.
 func (n *Node) announceUntilSuccession(ctx context.Context, joined *membership.Mesh) (successorServes bool) {
 	for announced := false; ; {
 		if !announced && n.lifecycle.Current() == lifecycle.Serving {
@@ -173,7 +176,7 @@
 	}
 }
 
-// awaitSuccessorExit returns true once no successor serves, and false if ctx ends before that.
+// awaitSuccessorExit waits until no successor serves. It returns false if ctx ends before that.
 func (n *Node) awaitSuccessorExit(ctx context.Context) bool {
 	for n.handover.SuccessorServes() {
 		select {
@@ -185,7 +188,7 @@
 	return true
 }
 
-// fleetPage is the JSON of the fleet that operators read.
+// fleetPage is the JSON form of the fleet's state that operators read.
 type fleetPage struct {
 	Fleet         string                    `json:"fleet"`
 	Self          string                    `json:"self"`
@@ -200,7 +203,7 @@
 	Counters      membership.Counters       `json:"figures"`
 }
 
-// membersPage is the fleet as this node sees it, in JSON; false: there is no membership.
+// membersPage returns the fleet as this node sees it, in JSON, and false if there is no membership.
 func (n *Node) membersPage() ([]byte, bool) {
 	joined := n.membership.Load()
 	if joined == nil {
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -24,8 +24,8 @@
 	return ln.Addr().String()
 }
 
-// process runs a node as the program does: it finds or opens its listeners by itself.
-func process(t *testing.T, cfg Config) *running {
+// startProcess runs a node as the program does: it finds or opens its listeners by itself.
+func startProcess(t *testing.T, cfg Config) *running {
 	t.Helper()
 	cfg.Control = freeAddr(t)
 	n, err := New(cfg, quiet())
@@ -60,8 +60,8 @@
 	return r
 }
 
-// deployment is the configuration of both processes of one node.
-func deployment(t *testing.T, b *backend) Config {
+// upgradeConfig is the configuration of both processes of one node.
+func upgradeConfig(t *testing.T, b *backend) Config {
 	t.Helper()
 	cfg := testConfig(t, "pushed", inService("s", b.addr()))
 	cfg.Discovery = silentDiscovery(t)
@@ -107,8 +107,8 @@
 // While a new process takes over and the old one shuts down, no client's connection is refused, reset or left unread,
 // and the front gets no negative answer.
 func TestUpgradeUnderLoad(t *testing.T) {
-	cfg := deployment(t, newBackend(t, ok))
-	old := process(t, cfg)
+	cfg := upgradeConfig(t, newBackend(t, ok))
+	old := startProcess(t, cfg)
 	done := make(chan struct{})
 	var load sync.WaitGroup
 	defer load.Wait()
@@ -126,7 +126,7 @@
 		return c.Succeeded.Sum()
 	}
 	eventually(t, "the old one serves", func() bool { return served(old) > 20 })
-	young := process(t, cfg)
+	young := startProcess(t, cfg)
 	eventually(t, "the old one knows", old.handover.SuccessorServes)
 	half := cfg.clientConnectionLimit(cfg.Sockets / 2)
 	if old.inbound.limit != half || young.inbound.limit != half {
@@ -140,7 +140,7 @@
 		defer young.inbound.mu.Unlock()
 		return young.inbound.limit == cfg.clientConnectionLimit(cfg.Sockets)
 	})
-	third := process(t, cfg) // and so on
+	third := startProcess(t, cfg) // and so on
 	young.stopAndWait(t)
 	if served(third) == 0 {
 		eventually(t, "the third serves", func() bool { return served(third) > 0 })
@@ -150,8 +150,8 @@
 
 // A successor that exits changes nothing for the process that serves, and the next one may come.
 func TestSuccessorFails(t *testing.T) {
-	cfg := deployment(t, newBackend(t, ok))
-	old := process(t, cfg)
+	cfg := upgradeConfig(t, newBackend(t, ok))
+	old := startProcess(t, cfg)
 	var before *handover.Predecessor
 	eventually(t, "the file is there", func() bool {
 		var err error
@@ -166,7 +166,7 @@
 	if status, _, _ := do(t, newRequest(t, old.url, "unsafe", "1", "x")); status != http.StatusOK {
 		t.Errorf("answered %d", status)
 	}
-	young := process(t, cfg)
+	young := startProcess(t, cfg)
 	eventually(t, "the next one took over", old.handover.SuccessorServes)
 	old.stopAndWait(t)
 	http.DefaultClient.CloseIdleConnections() // that of the old one has just been closed
@@ -185,7 +185,7 @@
 		"silent": func(*net.UnixListener) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := deployment(t, newBackend(t, ok))
+			cfg := upgradeConfig(t, newBackend(t, ok))
 			ln, err := net.Listen("unix", cfg.handoverSocket)
 			if err != nil {
 				t.Fatal(err)
@@ -193,7 +193,7 @@
 			defer ln.Close()
 			leave(ln.(*net.UnixListener))
 			begin := time.Now()
-			n := process(t, cfg)
+			n := startProcess(t, cfg)
 			if took := time.Since(begin); took > 6*time.Second {
 				t.Errorf("started after %v", took)
 			}
@@ -206,9 +206,9 @@
 
 // Without a hand-over socket a node serves all the same.
 func TestNoHandoverSocket(t *testing.T) {
-	cfg := deployment(t, newBackend(t, ok))
+	cfg := upgradeConfig(t, newBackend(t, ok))
 	cfg.handoverSocket = filepath.Join(t.TempDir(), "nowhere", "x.sock")
-	n := process(t, cfg)
+	n := startProcess(t, cfg)
 	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
 		t.Errorf("answered %d", status)
 	}
@@ -216,18 +216,18 @@
 
 // A node that is out of service stays so through an upgrade.
 func TestUpgradeOfDrainedNode(t *testing.T) {
-	cfg := deployment(t, newBackend(t, ok))
-	old := process(t, cfg)
-	if status, _ := old.ask(t, "PUT", "/control/out-of-service"); status != http.StatusOK {
+	cfg := upgradeConfig(t, newBackend(t, ok))
+	old := startProcess(t, cfg)
+	if status, _ := old.callAdmin(t, "PUT", "/control/out-of-service"); status != http.StatusOK {
 		t.Fatalf("not drained: %d", status)
 	}
-	young := process(t, cfg)
+	young := startProcess(t, cfg)
 	eventually(t, "the new one took over", old.handover.SuccessorServes)
 	old.stopAndWait(t)
 	if status := young.ready(t); status != http.StatusServiceUnavailable {
 		t.Errorf("/ready says %d", status)
 	}
-	if status, _ := young.ask(t, "PUT", "/control/in-service"); status != http.StatusOK {
+	if status, _ := young.callAdmin(t, "PUT", "/control/in-service"); status != http.StatusOK {
 		t.Errorf("not taken back: %d", status)
 	}
 	eventually(t, "it is in service", func() bool { return young.ready(t) == http.StatusOK })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,10 +17,11 @@
 	"keelusher/policy"
 )
 
-// firstListTimeout is how long a node waits for discovery before the known list must do.
+// firstListTimeout is how long a starting node waits for a list from discovery before it serves with the endpoint list
+// from its configuration.
 const firstListTimeout = time.Second
 
-// Node is one balancer on real sockets.
+// Node is one process of the load balancer.
 type Node struct {
 	cfg       Config
 	log       *slog.Logger
@@ -32,19 +33,19 @@
 	inbound   *limitedListener // client connections; nil until serve
 	handover  *handover.Server // nil until serve
 
-	// Each of these holds a token after the phase has changed; each has one receiver.
+	// Each of these channels holds a token after the phase has changed, and has one receiver.
 	phaseChanges           chan struct{} // for closeIdleWhileDrained
 	membershipPhaseChanges chan struct{} // for runMembership
 
-	membership atomic.Pointer[membership.Mesh] // nil: the fleet configuration asks for none
-	overrides  atomic.Pointer[overridesHost]   // nil: the fleet configuration asks for none
-	accepting  atomic.Bool                     // clients are accepted here, and the predecessor knows
+	membership atomic.Pointer[membership.Mesh] // nil: the fleet configuration turns it off
+	overrides  atomic.Pointer[overridesHost]   // nil: the fleet configuration turns them off
+	accepting  atomic.Bool                     // this process accepts clients, and the predecessor, if any, knows that
 
 	sharingMutex   sync.Mutex
-	otherProcesses int // that share the limits
+	otherProcesses int // processes that share the limits, besides this one
 }
 
-// New wires a node. It opens no sockets yet.
+// New returns a node with its parts connected. It opens no sockets.
 func New(cfg Config, logger *slog.Logger) (*Node, error) {
 	balancer, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -72,13 +73,13 @@
 	return n, nil
 }
 
-// phaseChanged logs a transition and notifies those who wait for one.
+// phaseChanged logs a transition and notifies the goroutines that wait for one.
 func (n *Node) phaseChanged(from, to lifecycle.Phase) {
 	n.log.Info("phase", "from", from.String(), "to", to.String())
 	for _, changes := range []chan struct{}{n.phaseChanges, n.membershipPhaseChanges} {
 		select {
 		case changes <- struct{}{}:
-		default: // a token is there already
+		default: // the channel already holds a token
 		}
 	}
 }
@@ -94,8 +95,8 @@
 	}
 }
 
-// Run serves until ctx ends, then shuts down gracefully: it accepts what still comes until the front has noticed,
-// answers what it has and returns nil.
+// Run serves until ctx ends, then shuts down gracefully: it accepts connections until the front-end load balancer has
+// stopped sending them, answers the open requests and returns nil.
 func (n *Node) Run(ctx context.Context) error {
 	adminListener, err := RetryOnShortage(ctx, func() (net.Listener, error) { return admin.Listen(n.cfg.Control) })
 	if err != nil {
@@ -109,14 +110,14 @@
 		n.membership.Store(joined)
 		defer joined.Close()
 	}
-	before, err := RetryOnShortage(ctx, func() (*handover.Predecessor, error) {
+	predecessor, err := RetryOnShortage(ctx, func() (*handover.Predecessor, error) {
 		return handover.Connect(n.cfg.handoverSocket)
 	})
 	if err != nil {
 		n.log.Warn("nothing was handed over", "err", err)
 	}
-	if before != nil {
-		return n.serve(ctx, before.Listener, adminListener, before)
+	if predecessor != nil {
+		return n.serve(ctx, predecessor.Listener, adminListener, predecessor)
 	}
 	listener, err := RetryOnShortage(ctx, func() (net.Listener, error) { return handover.Listen(n.cfg.Listen) })
 	if err != nil {
@@ -125,7 +126,7 @@
 	return n.serve(ctx, listener, adminListener, nil)
 }
 
-// Reconfigure takes over what may change while a node runs: the address of discovery.
+// Reconfigure applies the one setting that may change while a node runs: the address of discovery.
 func (n *Node) Reconfigure(cfg Config) {
 	n.log.Info("reconfigured", "discovery", cfg.Discovery)
 	n.discovery.moveTo(cfg.Discovery)
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -9,48 +9,50 @@
 	"keelusher/policy"
 )
 
-// operatorView is the node as the admin endpoint needs it.
+// operatorView is the interface of the node to the admin endpoint.
 type operatorView struct{ node *Node }
 
-// CanServe reports whether this process can serve, whether or not it is in service.
+// CanServe reports whether this process is able to serve clients, also if an operator has taken it out of service.
 func (v operatorView) CanServe() bool {
 	n := v.node
 	return n.lifecycle.CanServe() && n.accepting.Load() && n.loop.hasReadyEndpoint.Load()
 }
 
-// Transition passes an event to the lifecycle.
+// Transition passes an event to the lifecycle and reports whether the current phase allows it.
 func (v operatorView) Transition(event lifecycle.Event) bool {
 	return v.node.lifecycle.Transition(event)
 }
 
-// Counters are the counters as they are now.
+// Counters returns the current counters, and false if the event loop has ended.
 func (v operatorView) Counters() (page metrics.CountersPage, ok bool) {
 	loop := v.node.loop
 	ok = loop.runTask(func() { page = loop.metrics.Page(loop.balancer.EndpointCounts(loop.clock.now())) })
 	return page, ok
 }
 
-// Decisions are the decisions since the start.
+// Decisions returns the decisions that were counted since the start of the process.
 func (v operatorView) Decisions() metrics.DecisionsPage { return v.node.loop.decisions.Page() }
 
-// Zones are the zones as this node knows them.
+// Zones returns the zones as this node knows them and the time of the node's clock; ok is false if the event loop has
+// ended.
 func (v operatorView) Zones() (zones []policy.Zone, now time.Duration, ok bool) {
 	loop := v.node.loop
 	ok = loop.runTask(func() { zones, now = loop.balancer.Zones(), loop.clock.now() })
 	return zones, now, ok
 }
 
-// EvacuateZone starts or ends the evacuation of a zone.
+// EvacuateZone starts or ends the evacuation of a zone. It returns the HTTP status, and false if the event loop has
+// ended.
 func (v operatorView) EvacuateZone(name string, evacuate, force bool) (status int, ok bool) {
 	loop := v.node.loop
 	ok = loop.runTask(func() { status = loop.evacuateByOperator(name, evacuate, force) })
 	return status, ok
 }
 
-// Members is the fleet as this node sees it.
+// Members returns the fleet as this node sees it, in JSON, and false if there is no membership.
 func (v operatorView) Members() ([]byte, bool) { return v.node.membersPage() }
 
-// Overrides is the host of overrides, if there is one.
+// Overrides returns the handler of the overrides' paths, nil if overrides are turned off.
 func (v operatorView) Overrides() http.Handler {
 	if host := v.node.overrides.Load(); host != nil {
 		return host
--- a/internal/node/overrides_endpoint.go
+++ b/internal/node/overrides_endpoint.go
@@ -1,4 +1,4 @@
-// The admin endpoint of overrides.
+// The admin endpoint's paths for overrides.
 
 package node
 
@@ -14,11 +14,11 @@
 )
 
 const (
-	leaderReplyTimeout = 800 * time.Millisecond // the admin endpoint answers within a second
+	leaderReplyTimeout = 800 * time.Millisecond // lets the admin endpoint answer within a second
 	maxOverrideBody    = 4 << 10                // bytes
 )
 
-// leaderTimeoutBody is the answer where the leader's does not come in time.
+// leaderTimeoutBody is the body of the answer if the leader's answer does not arrive in time.
 const leaderTimeoutBody = `{"error":"the leader does not answer; ask again, the id makes it safe"}`
 
 // ServeHTTP answers /control/overrides and /control/overrides/ID.
@@ -39,10 +39,10 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(answer.Status)
-	_, _ = w.Write(append(answer.Body, '\n')) // fails only if the operator disconnects
+	_, _ = w.Write(append(answer.Body, '\n')) // fails only if the operator's client disconnects
 }
 
-// newTask makes the task of the host that a call asks for; nil: the method is not allowed there.
+// newTask returns the task that the host has to run for a request, nil if the path does not allow the method.
 func (o *overridesHost) newTask(r *http.Request, id string, answers chan<- overrideAnswer) func(now time.Duration) {
 	isCall := r.Method == http.MethodPut || r.Method == http.MethodDelete
 	switch {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// readOverrideCall reads what an operator asks, and whether it is for this process alone.
+// readOverrideCall reads an operator's request, and whether it concerns this process alone (local) or the fleet.
 func readOverrideCall(r *http.Request, id string) (call overrideCall, local bool, err error) {
 	call = overrideCall{ID: id, Revoke: r.Method == http.MethodDelete}
 	if call.Revoke {
--- a/internal/node/overrides_host.go
+++ b/internal/node/overrides_host.go
@@ -15,19 +15,19 @@
 
 const (
 	overridesTick        = 100 * time.Millisecond
-	overridesQueueLength = 256        // messages of other hosts
-	maxPendingCalls      = 256        // to the leader; older ones have timed out
-	kindEvacuate         = "evacuate" // the only kind; its scope names a zone that gets nothing
+	overridesQueueLength = 256        // messages from other members
+	maxPendingCalls      = 256        // calls that wait for the leader; older ones have timed out
+	kindEvacuate         = "evacuate" // the only kind of override; its scope names the zone to evacuate
 )
 
-// overridesHost is the host of the register of overrides: it brings messages to it and from it, asks the leader on
-// behalf of the admin endpoint, and keeps the event loop notified of the overrides in force. It exists only if the
-// fleet configuration asks for overrides.
+// overridesHost runs this process's register of overrides: it passes messages between the register and other members,
+// forwards operators' calls to the leader, and notifies the event loop of the overrides in force. It exists only if the
+// fleet configuration turns overrides on.
 type overridesHost struct {
 	loop       *eventLoop
 	self       string
 	membership *atomic.Pointer[membership.Mesh]
-	messages   chan envelope                // from other hosts; run receives them
+	messages   chan envelope                // from other members; run receives them
 	tasks      chan func(now time.Duration) // run in the host's goroutine
 	ended      chan struct{}                // closed by run as it returns
 
@@ -35,10 +35,11 @@
 	register     *overrides.Register
 	view         membership.View
 	lastCall     uint64
-	pendingCalls map[uint64]chan<- overrideAnswer // calls to the leader, by number
+	pendingCalls map[uint64]chan<- overrideAnswer // where the leader's answers go, by number of the call
 }
 
-// envelope is a message between hosts. It holds one of: a message of the registers, a call to the leader, its reply.
+// envelope is a message between the hosts of two members. It holds exactly one of: a message between registers, a call
+// to the leader, the leader's reply.
 type envelope struct {
 	from     string
 	Register *overrides.Message `json:"r,omitempty"`
@@ -46,7 +47,7 @@
 	Reply    *overrideReply     `json:"a,omitempty"`
 }
 
-// overrideCall is what an operator asks at an admin endpoint.
+// overrideCall is an operator's request to put or revoke an override.
 type overrideCall struct {
 	Number   uint64             `json:"n"`
 	ID       string             `json:"id"`
@@ -56,19 +57,19 @@
 	Replaces *overrides.Version `json:"replaces,omitempty"`
 }
 
-// overrideReply is the leader's answer to a call.
+// overrideReply carries the leader's answer to the member that forwarded the call of that number.
 type overrideReply struct {
 	Number uint64 `json:"n"`
 	overrideAnswer
 }
 
-// overrideAnswer is an answer of the admin endpoint.
+// overrideAnswer is an HTTP answer of the admin endpoint.
 type overrideAnswer struct {
 	Status int             `json:"s"`
 	Body   json.RawMessage `json:"b"`
 }
 
-// The bodies of answers. Their fields are in the order of their keys.
+// The bodies of answers, with their fields in the alphabetical order of their JSON keys.
 type (
 	overrideRevoked struct {
 		ID      string            `json:"id"`
@@ -103,8 +104,8 @@
 	}
 }
 
-// deliver takes a message from the membership. A malformed one is dropped; so is one for which the queue has no space,
-// which is asked for again.
+// deliver queues a message that the membership has received. It drops a malformed message, and any message while the
+// queue is full: what is lost that way is requested again.
 func (o *overridesHost) deliver(from string, body []byte) {
 	message := envelope{from: from}
 	if json.Unmarshal(body, &message) != nil {
@@ -116,7 +117,7 @@
 	}
 }
 
-// run handles messages and tasks until ctx ends. Without it the overrides in force still expire in the event loop.
+// run handles messages and tasks until ctx ends. Overrides in force expire in the event loop even if run does not.
 func (o *overridesHost) run(ctx context.Context) {
 	defer close(o.ended)
 	ticker := time.NewTicker(overridesTick)
@@ -139,7 +140,7 @@
 	}
 }
 
-// runTask runs f in the host's goroutine. It returns false if the host has ended.
+// runTask lets the host's goroutine run f, without waiting for the end of f. It returns false if the host has ended.
 func (o *overridesHost) runTask(f func(now time.Duration)) bool {
 	select {
 	case o.tasks <- f:
@@ -149,8 +150,8 @@
 	}
 }
 
-// updateMembership takes over the view of the membership before each message: after a suspension of the process it has
-// no leader.
+// updateMembership passes the membership's current view to the register. It is called before each message is handled,
+// because after a suspension of the process the view has no leader any more.
 func (o *overridesHost) updateMembership(now time.Duration) {
 	if joined := o.membership.Load(); joined != nil {
 		o.view = joined.View()
@@ -171,7 +172,7 @@
 	}
 }
 
-// mustMarshal marshals a value that cannot fail to.
+// mustMarshal marshals a value whose type cannot cause an error.
 func mustMarshal(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -192,23 +193,24 @@
 	}
 }
 
-// handleCall answers another host that takes this one for the leader.
+// handleCall answers a call from a member that regards this process as the leader.
 func (o *overridesHost) handleCall(now time.Duration, from string, call overrideCall) {
 	answer := o.decideAsLeader(now, call)
 	o.send(from, envelope{Reply: &overrideReply{Number: call.Number, overrideAnswer: answer}})
 }
 
-// handleReply passes the leader's answer to the operator who waits for it.
+// handleReply passes the leader's answer on to the operator's request that waits for it.
 func (o *overridesHost) handleReply(from string, reply overrideReply) {
 	pending := o.pendingCalls[reply.Number]
 	if pending == nil || from != o.view.Leader {
 		return
 	}
 	delete(o.pendingCalls, reply.Number)
-	pending <- reply.overrideAnswer // has space for the one answer
+	pending <- reply.overrideAnswer // does not block: the channel has space for the one answer
 }
 
-// decideAsLeader answers a call as the leader.
+// decideAsLeader applies a call to the register and returns the answer. The register rejects it if this process does
+// not lead.
 func (o *overridesHost) decideAsLeader(now time.Duration, call overrideCall) overrideAnswer {
 	if call.Revoke {
 		version, messages, err := o.register.Revoke(now, call.ID)
@@ -223,7 +225,7 @@
 	return newOverrideAnswer(err, entry)
 }
 
-// newOverrideAnswer makes an answer of a body, or of the error in its place.
+// newOverrideAnswer returns an answer with the body, or with the error if there is one.
 func newOverrideAnswer(err error, body any) overrideAnswer {
 	if err != nil {
 		return overrideAnswer{Status: overrideErrorStatus(err), Body: mustMarshal(overrideFailed{Error: err.Error()})}
@@ -243,7 +245,7 @@
 	return http.StatusBadRequest
 }
 
-// publish gives the event loop the overrides in force, in place of what it has not received yet.
+// publish sends the overrides in force to the event loop. They replace those that the loop has not received yet.
 func (o *overridesHost) publish(now time.Duration) {
 	expiries := zoneExpiries{}
 	for _, entry := range o.register.InForce(now) {
@@ -253,14 +255,14 @@
 		}
 	}
 	select {
-	case <-o.loop.overrideUpdates: // outdated
+	case <-o.loop.overrideUpdates: // discard the outdated ones
 	default:
 	}
-	o.loop.overrideUpdates <- expiries // has space: only this goroutine sends
+	o.loop.overrideUpdates <- expiries // does not block: only this goroutine sends
 }
 
-// startCall decides here, as the leader or for this process alone, or asks the leader. The answer goes to answers,
-// which must have space for it.
+// startCall decides a call itself if it is for this process alone or if this process leads, and forwards it to the
+// leader otherwise. The answer goes to answers, which must have space for it.
 func (o *overridesHost) startCall(now time.Duration, call overrideCall, local bool, answers chan<- overrideAnswer) {
 	switch {
 	case local:
@@ -279,7 +281,7 @@
 	}
 }
 
-// page is the state of the register that operators read.
+// page returns the state of the register that operators read.
 func (o *overridesHost) page(now time.Duration) overridesPage {
 	version := o.register.Version()
 	return overridesPage{
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -1,4 +1,4 @@
-// A node from its listeners to its shutdown: what serve starts, in which order, and how it ends.
+// Startup and shutdown of a node on its listeners: what serve starts and stops, and in which order.
 
 package node
 
@@ -20,32 +20,33 @@
 	"keelusher/internal/metrics"
 )
 
-// readinessPollInterval is between two looks at whether a successor can serve.
+// readinessPollInterval is the interval between checks whether this process, as a successor, can serve.
 const readinessPollInterval = 5 * time.Millisecond
 
-// serveEnded is the end of the clients' server.
+// serveEnded holds the error with which the HTTP server for clients has ended.
 type serveEnded struct{ err error }
 
-// session is one run of a node on its listeners.
+// session is the state of one call of serve.
 type session struct {
 	node        *Node
 	tasks       sync.WaitGroup // goroutines that serve waits for
 	clients     *http.Server
 	admin       *http.Server          // nil: there is no admin endpoint
-	predecessor *handover.Predecessor // nil: there is none
-	serveEnded  chan serveEnded       // holds one, once the clients' server has ended
+	predecessor *handover.Predecessor // nil: no process served this address before
+	serveEnded  chan serveEnded       // receives one value when the HTTP server for clients has ended
 
-	// Closed once, by the goroutines that takeOver starts.
-	acceptClients     chan struct{} // clients are to be accepted here
-	predecessorKnows  chan struct{} // the predecessor has acknowledged that
+	// Each is closed once, by a goroutine that takeOver starts.
+	acceptClients     chan struct{} // this process may accept clients; closed by serve if there is no predecessor
+	predecessorKnows  chan struct{} // the predecessor has acknowledged that this process accepts clients
 	predecessorExited chan struct{}
 }
 
-// serve runs on its listeners until ctx ends; adminListener and before may be nil.
-func (n *Node) serve(ctx context.Context, listener, adminListener net.Listener, before *handover.Predecessor) error {
+// serve runs the node on its listeners until ctx ends. Without an admin endpoint adminListener is nil, and without a
+// predecessor previous is nil.
+func (n *Node) serve(ctx context.Context, listener, adminListener net.Listener, previous *handover.Predecessor) error {
 	s := &session{
 		node:              n,
-		predecessor:       before,
+		predecessor:       previous,
 		serveEnded:        make(chan serveEnded, 1),
 		acceptClients:     make(chan struct{}),
 		predecessorKnows:  make(chan struct{}),
@@ -59,10 +60,10 @@
 	n.inbound = newLimitedListener(listener, n.cfg.clientConnectionLimit(n.cfg.Sockets), n.loop.metrics, n.loop.decisions)
 	n.handover = n.newHandoverServer(listener.(syscall.Conn))
 	s.clients = n.newClientServer(suspension)
-	if before == nil {
+	if previous == nil {
 		close(s.acceptClients)
 	} else {
-		defer before.Close()
+		defer previous.Close()
 		s.takeOver(ctx)
 	}
 	s.startAccepting()
@@ -98,7 +99,7 @@
 	return err
 }
 
-// run runs f in a goroutine that serve waits for.
+// run starts f in a goroutine that serve waits for before it returns.
 func (s *session) run(f func()) {
 	s.tasks.Add(1)
 	go func() {
@@ -107,8 +108,8 @@
 	}()
 }
 
-// startLoop starts the event loop with the known list, and what watches the endpoint list and the process. The loop
-// ends when its channel stop is closed, the others with ctx.
+// startLoop starts the event loop with the endpoint list from the configuration, the watch of the endpoint list and the
+// suspension detector. The loop ends when its channel stop is closed, the other two when ctx ends.
 func (s *session) startLoop(ctx context.Context) *lifecycle.SuspensionDetector {
 	n := s.node
 	s.run(n.loop.run)
@@ -119,7 +120,7 @@
 	return suspension
 }
 
-// newClientServer is the HTTP server of the clients.
+// newClientServer returns the HTTP server for clients. It takes n.inbound, which must be set.
 func (n *Node) newClientServer(suspension *lifecycle.SuspensionDetector) *http.Server {
 	return &http.Server{
 		Handler: &clientHandler{
@@ -156,14 +157,15 @@
 	})
 }
 
-// takeOver follows the predecessor until it exits, and lets clients be accepted once this process can serve.
+// takeOver follows the predecessor in the background until that exits, and closes acceptClients once this process can
+// serve. A drained predecessor makes this process start drained.
 func (s *session) takeOver(ctx context.Context) {
 	n := s.node
 	n.changeProcesses(+1)
 	if s.predecessor.Phase == lifecycle.Drained {
 		n.lifecycle.Transition(lifecycle.Drain)
 	}
-	go func() { // ends with the connection, which serve closes
+	go func() { // ends with the connection to the predecessor, which serve closes
 		s.predecessor.AwaitEnd(sync.OnceFunc(func() { close(s.predecessorKnows) }))
 		close(s.predecessorExited)
 		n.changeProcesses(-1)
@@ -174,7 +176,8 @@
 	})
 }
 
-// awaitReadiness returns when this process can serve, or has to because the predecessor has exited.
+// awaitReadiness returns once this process can serve, or once the predecessor has exited so that it has to serve, or
+// when ctx ends.
 func (n *Node) awaitReadiness(ctx context.Context, predecessorExited <-chan struct{}) {
 	ticker := time.NewTicker(readinessPollInterval)
 	defer ticker.Stop()
@@ -189,7 +192,8 @@
 	}
 }
 
-// startAccepting accepts clients once they are to be accepted here. Its goroutine ends when the listener is closed.
+// startAccepting starts a goroutine that accepts clients once acceptClients is closed. It ends when the listener is
+// closed.
 func (s *session) startAccepting() {
 	go func() {
 		<-s.acceptClients
@@ -197,7 +201,8 @@
 	}()
 }
 
-// handOver announces to the predecessor that clients are accepted here, then waits for successors until ctx ends.
+// handOver waits until this process accepts clients and announces that to the predecessor, if there is one. It then
+// serves successors until ctx ends.
 func (s *session) handOver(ctx context.Context) {
 	n := s.node
 	<-s.acceptClients
@@ -215,7 +220,7 @@
 	n.handover.Serve(ctx)
 }
 
-// startAdmin serves operators until the server is closed.
+// startAdmin starts the admin endpoint, which runs until its server is closed.
 func (s *session) startAdmin(listener net.Listener) {
 	n := s.node
 	s.admin = admin.NewServer(operatorView{n}, n.log)
@@ -227,8 +232,8 @@
 	})
 }
 
-// closeServers closes the clients' connections, then the admin endpoint, which answers during the shutdown. That
-// closing a listener or a connection fails changes nothing, for the process ends.
+// closeServers closes the clients' connections, then the admin endpoint, which answers during the shutdown.
+// Errors are ignored because the process is about to end.
 func (s *session) closeServers() {
 	s.node.inbound.aborting.Store(true)
 	_ = s.clients.Close()
--- a/internal/node/settings_digest.go
+++ b/internal/node/settings_digest.go
@@ -9,23 +9,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Members compare digests of their settings, and a fleet may have members of different builds. So the text that a
-// digest is computed from is a wire form: its words and their order are fixed, whatever the policy calls its
-// settings.
+// The formats of the text that the digest is computed from. Members compare digests of their settings, and a fleet may
+// have members of different builds. The words of the text and their order are therefore part of the wire format: they
+// must not change, even where the policy has renamed a setting since.
 const (
-	digestForm = "{Classes:[%s] Tenants:[%s] OverWorth:%v Balancers:0 Self:0 Zone: Tiers:%d Tier:0 WholeWeight:%v" +
+	digestFormat = "{Classes:[%s] Tenants:[%s] OverWorth:%v Balancers:0 Self:0 Zone: Tiers:%d Tier:0 WholeWeight:%v" +
 		" ClassWeight:%v MarksRepeats:%t MaxAttempts:%d AskDiscovery:%t AskWithin:%v Tick:%v MaxRetryAfter:%v" +
 		" OrderSettle:%v ColdFrom:%v WarmAfter:%v FallMultiple:%v}"
-	classDigestForm = "{Name:%s Effect:%d Scope:%d Window:%v Aim:%v Deadline:%v LateShare:%v Worth:%v Stream:%t" +
+	classDigestFormat = "{Name:%s Effect:%d Scope:%d Window:%v Aim:%v Deadline:%v LateShare:%v Worth:%v Stream:%t" +
 		" InOrder:%t OnlyZones:%v OnlyKinds:%v}"
-	tenantDigestForm = "{Name:%s Quota:%v}"
+	tenantDigestFormat = "{Name:%s Quota:%v}"
 )
 
-// settingsDigest is a hash of the settings that all nodes of a fleet have in common; those of one node are left out.
+// settingsDigest returns a hash of the settings that all nodes of a fleet have in common. Settings of a single node,
+// such as its zone, are left out.
 func settingsDigest(s policy.Settings) string {
 	var classes, tenants []string
 	for _, c := range s.Classes {
-		classes = append(classes, fmt.Sprintf(classDigestForm,
+		classes = append(classes, fmt.Sprintf(classDigestFormat,
 			c.Name,
 			c.Idempotency,
 			c.DeduplicationScope,
@@ -41,9 +42,9 @@
 		))
 	}
 	for _, t := range s.Tenants {
-		tenants = append(tenants, fmt.Sprintf(tenantDigestForm, t.Name, t.Quota))
+		tenants = append(tenants, fmt.Sprintf(tenantDigestFormat, t.Name, t.Quota))
 	}
-	text := fmt.Sprintf(digestForm,
+	text := fmt.Sprintf(digestFormat,
 		strings.Join(classes, " "),
 		strings.Join(tenants, " "),
 		s.OverQuotaWeight,
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// frontNoticeDelay is how long the front still sends connections after SIGTERM.
+	// frontNoticeDelay is how long the front-end load balancer still sends connections after SIGTERM.
 	frontNoticeDelay = 450 * time.Millisecond
-	// closingAnswersTime is for how long after that every response closes its connection.
-	closingAnswersTime = 150 * time.Millisecond
-	// idleCloseInterval is between two looks at idle connections of clients that are sent away.
+	// closingResponsesTime follows frontNoticeDelay. In this time every response closes its connection, and idle
+	// connections stay open.
+	closingResponsesTime = 150 * time.Millisecond
+	// idleCloseInterval is the interval between checks for idle connections while the node is drained or shutting down.
 	idleCloseInterval = 20 * time.Millisecond
-	// shutdownPollInterval is between two looks at the connections that are still open.
+	// shutdownPollInterval is the interval between checks for connections that are still open.
 	shutdownPollInterval = idleCloseInterval / 4
-	// finalAnswersMargin is before the kill that follows SIGTERM; by then all responses are on their way.
-	finalAnswersMargin = 100 * time.Millisecond
-	// killGrace is between SIGTERM and the kill, on top of the longest deadline of a class.
+	// finalResponsesMargin is how long before the kill that follows SIGTERM all open requests get their responses.
+	finalResponsesMargin = 100 * time.Millisecond
+	// killGrace is what the time between SIGTERM and the kill has on top of the longest deadline of a class.
 	killGrace = 700 * time.Millisecond
-	// shutdownSlack is on top of the longest deadline, for the last responses to be written.
+	// shutdownSlack is the time, on top of the longest deadline, for the last responses to be written.
 	shutdownSlack = 20 * time.Millisecond
-	// maxDeadlineBeforeKill bounds that deadline.
+	// maxDeadlineBeforeKill limits the longest deadline where the time of the kill is computed from it.
 	maxDeadlineBeforeKill = 3 * time.Second
 )
 
-// closeSocket closes what is no longer needed; a failure would change nothing.
+// closeSocket closes a socket that is no longer needed, and ignores the error because nothing depends on it.
 func closeSocket(socket io.Closer) { socket.Close() }
 
-// ready reports whether clients may come: the node serves and knows an endpoint in service. To clients two processes
-// are one node: while this one shuts down, its successor has them.
+// ready reports whether the front-end load balancer may send clients: the node serves and knows an endpoint in service.
+// A process and its successor are one node to clients, so a process that shuts down is ready while its successor
+// serves.
 func (n *Node) ready() bool {
 	phase := n.lifecycle.Current()
 	verdict := guard.AcceptClients{
@@ -49,7 +51,8 @@
 	return verdict == guard.Allowed
 }
 
-// closing reports whether every response closes its connection.
+// closing reports whether every response has to close its connection: from frontNoticeDelay after the node was drained
+// or began to shut down, and at once if it shuts down while a successor serves.
 func (n *Node) closing() bool {
 	if n.lifecycle.DrainedFor() >= frontNoticeDelay {
 		return true
@@ -57,8 +60,9 @@
 	return n.lifecycle.Current() == lifecycle.ShuttingDown && n.handover.SuccessorServes()
 }
 
-// closeIdleWhileDrained closes client connections without a request while clients are sent away, until ctx ends. An
-// old connection has had the time to get its last response; a young one may have a request on its way.
+// closeIdleWhileDrained closes idle client connections while the node is drained or shutting down, until ctx ends. It
+// closes only those that have been idle for closingResponsesTime: on others a request may be on its way, whose response
+// then closes the connection.
 func (n *Node) closeIdleWhileDrained(ctx context.Context) {
 	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
@@ -71,8 +75,8 @@
 		select {
 		case <-n.phaseChanges:
 		case <-ticker.C:
-			if n.lifecycle.DrainedFor() >= frontNoticeDelay+closingAnswersTime {
-				n.inbound.closeIdle(closingAnswersTime)
+			if n.lifecycle.DrainedFor() >= frontNoticeDelay+closingResponsesTime {
+				n.inbound.closeIdle(closingResponsesTime)
 			}
 		case <-ctx.Done():
 			return
@@ -80,27 +84,27 @@
 	}
 }
 
-// shutDown stops serving without losing a request. A listener closed at once would reset the connections that the
-// front still sends, and idle connections closed at once could have a request on its way. http.Server.Shutdown does
-// not do: it closes a connection without a response if its request is read after the call.
+// shutDown stops serving without losing a request. If it closed the listener at once, connections that the front-end
+// load balancer still sends would be reset; if it closed idle connections at once, requests on their way would be lost.
+// http.Server.Shutdown is unsuitable: it closes a connection without a response if its request is read after the call.
 func (n *Node) shutDown(ended <-chan serveEnded) {
 	n.lifecycle.Transition(lifecycle.Shutdown)
 	began, longest := time.Now(), longestDeadline(n.cfg.Settings)
-	finalAnswers := began.Add(min(longest, maxDeadlineBeforeKill) + killGrace - finalAnswersMargin)
-	end := began.Add(frontNoticeDelay + closingAnswersTime + longest + shutdownSlack)
+	finalResponsesAt := began.Add(min(longest, maxDeadlineBeforeKill) + killGrace - finalResponsesMargin)
+	waitUntil := began.Add(frontNoticeDelay + closingResponsesTime + longest + shutdownSlack)
 	if n.handover.SuccessorServes() {
-		closeSocket(n.inbound) // the successor has the queue of connections
+		closeSocket(n.inbound) // the successor accepts the connections in the shared queue
 	}
-	time.Sleep(frontNoticeDelay + closingAnswersTime)
+	time.Sleep(frontNoticeDelay + closingResponsesTime)
 	closeSocket(n.inbound)
 	<-ended
 	for open := n.inbound.openConnections(); open > 0; open = n.inbound.openConnections() {
 		now := time.Now()
-		if now.After(end) {
-			n.log.Warn("connections left open", "n", open) // all of their requests have been answered
+		if now.After(waitUntil) {
+			n.log.Warn("connections left open", "n", open) // every request on them has been answered
 			return
 		}
-		if now.After(finalAnswers) { // also requests that are complete only now; streamed responses may still end
+		if now.After(finalResponsesAt) { // also fails requests that were completed since; streamed responses may still end
 			n.loop.runTask(n.loop.failOpenRequests)
 		}
 		time.Sleep(shutdownPollInterval)
--- a/internal/node/zone_evacuation.go
+++ b/internal/node/zone_evacuation.go
@@ -1,4 +1,4 @@
-// Zones that operators evacuate, at this node's admin endpoint or by an override, and the log of zones.
+// Evacuation of zones by operators, at this node's admin endpoint or by an override, and log lines about zones.
 
 package node
 
@@ -11,14 +11,15 @@
 	"keelusher/policy"
 )
 
+// zoneLinesPerSecond limits the log lines about zones.
 const zoneLinesPerSecond = 5
 
-// zoneExpiries are the zones that overrides evacuate, with the clock times at which that ends.
+// zoneExpiries holds, by zone, the clock time at which its evacuation by overrides ends.
 type zoneExpiries map[string]time.Duration
 
-// logZones logs the zones whose state has changed.
+// logZones logs each zone whose state has changed since the last call, within the limit on log lines.
 func (l *eventLoop) logZones() {
-	l.zoneTransitions = l.balancer.ZoneTransitions()
+	l.loggedZoneTransitions = l.balancer.ZoneTransitions()
 	for _, zone := range l.balancer.Zones() {
 		was := l.loggedZones[zone.Name]
 		if was == zone.State {
@@ -71,7 +72,7 @@
 	l.apply(now, policy.ZoneEvacuation{Zone: zone, Evacuate: evacuate})
 }
 
-// handleOverrides takes over the zones that overrides evacuate now.
+// handleOverrides replaces the zones that overrides evacuate, and applies the difference.
 func (l *eventLoop) handleOverrides(expiries zoneExpiries) {
 	before, now := l.overrideExpiries, l.clock.now()
 	l.overrideExpiries = expiries
@@ -89,8 +90,8 @@
 	}
 }
 
-// expireOverrides ends the overrides that have expired, before anything else is decided: a process that was suspended
-// past an expiry resumes without the override.
+// expireOverrides ends the overrides that have expired. It runs before each event is handled, so that a process that
+// was suspended past the expiry of an override makes no decision with it.
 func (l *eventLoop) expireOverrides(now time.Duration) {
 	for _, zone := range slices.Sorted(maps.Keys(l.overrideExpiries)) {
 		if now >= l.overrideExpiries[zone] {
--- a/internal/node/zone_evacuation_test.go
+++ b/internal/node/zone_evacuation_test.go
@@ -21,7 +21,7 @@
 	n := start(t, cfg)
 	put := func(path string, want int) {
 		t.Helper()
-		if status, _ := n.ask(t, "PUT", "/control/zones/"+path); status != want {
+		if status, _ := n.callAdmin(t, "PUT", "/control/zones/"+path); status != want {
 			t.Errorf("PUT %s: %d, want %d", path, status, want)
 		}
 	}
@@ -49,7 +49,7 @@
 	if got := send(200); got != 0 {
 		t.Errorf("%d of 60 went to the evacuated zone", got)
 	}
-	status, body := n.ask(t, "GET", "/control/zones")
+	status, body := n.callAdmin(t, "GET", "/control/zones")
 	var page admin.ZonesPage
 	if err := json.Unmarshal([]byte(body), &page); err != nil || status != 200 || len(page.Zones) != 2 {
 		t.Fatalf("%d %s: %v", status, body, err)
@@ -61,7 +61,7 @@
 	if own.State != "serving" || own.Share != 1 || own.Endpoints != 1 {
 		t.Errorf("the page says %s", body)
 	}
-	if status, _ := n.ask(t, "GET", "/control/zones/z/restore"); status != 405 {
+	if status, _ := n.callAdmin(t, "GET", "/control/zones/z/restore"); status != 405 {
 		t.Errorf("GET of an action: %d", status)
 	}
 }
