--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -65,7 +65,7 @@
 }
 
 // updateReplicaCounts notifies the policy how many replicas send to this tier, by zone. Only the majority side of a
-// partition knows that number. Any other side sends empty counts, with which the policy uses the number from the
+// partition knows that number. On any other side the counts are empty, and the policy uses the number from the
 // settings: counting too few replicas would let each of them send too much.
 func (n *Node) updateReplicaCounts(view membership.View) {
 	counts := policy.ReplicaCounts{}
--- a/internal/node/overrides_host.go
+++ b/internal/node/overrides_host.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// run handles messages and tasks until ctx ends. Overrides in force expire in the event loop even if run does not.
+// run handles messages and tasks until ctx ends. Overrides in force expire in the event loop, also while run is
+// suspended or has ended.
 func (o *overridesHost) run(ctx context.Context) {
 	defer close(o.ended)
 	ticker := time.NewTicker(overridesTick)
