--- a/internal/testbed/shim/faults.go
+++ b/internal/testbed/shim/faults.go
@@ -4,24 +4,25 @@
 
 import "syscall"
 
-// socketKind is how a program came to a descriptor.
+// socketKind tells how the traced program obtained a descriptor. It decides which faults its calls may have.
 type socketKind int
 
 const (
 	noSocket  socketKind = iota
-	made                 // by socket: it listens, or is connected to a server
-	accepted             // from a client, which must get an answer: its calls are only interrupted
-	listening            // made, and listens
+	created                 // returned by socket(2), such as a connection to a server
+	accepted             // from a client, which must get an answer: read and write on it never fail
+	listening            // returned by socket(2), with listen(2) called on it
 )
 
-// fault is a call that can fail, on which sockets, and how it can: errors that the call's manual page has, and that
-// leave the call without any effect.
+// fault describes a system call that can be made to fail. The errors are documented in the call's manual page and mean
+// that the call had no effect.
 type fault struct {
 	name    string
-	sockets []socketKind // of the descriptor in the first argument; nil: any
+	sockets []socketKind // kinds of the descriptor in the first argument for which it can fail; nil: any
 	errors  []syscall.Errno
 }
 
+// faults holds the calls that can fail, by system call number.
 var faults = map[uint64]fault{
 	syscall.SYS_ACCEPT4: {"accept4", []socketKind{listening}, []syscall.Errno{
 		syscall.ENOBUFS,
@@ -47,13 +48,13 @@
 		syscall.ENETUNREACH,
 		syscall.ETIMEDOUT,
 	}},
-	syscall.SYS_READ: {"read", []socketKind{made}, []syscall.Errno{
+	syscall.SYS_READ: {"read", []socketKind{created}, []syscall.Errno{
 		syscall.ECONNRESET,
 		syscall.ETIMEDOUT,
 		syscall.ENOMEM,
 		syscall.EHOSTUNREACH,
 	}},
-	syscall.SYS_WRITE: {"write", []socketKind{made}, []syscall.Errno{
+	syscall.SYS_WRITE: {"write", []socketKind{created}, []syscall.Errno{
 		syscall.EPIPE,
 		syscall.ECONNRESET,
 		syscall.ENOBUFS,
@@ -67,9 +68,10 @@
 	syscall.SYS_OPENAT:     {"openat", nil, []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EIO, syscall.EINTR}},
 }
 
-const epollAdd = 1 // EPOLL_CTL_ADD; a program does not expect removals to fail
+const epollAdd = 1 // EPOLL_CTL_ADD; only additions fail, as programs do not expect removals to fail
 
-// canFail reports whether a call may be failed.
+// canFail reports whether a system call with this number, kind of descriptor in the first argument and second argument
+// may be made to fail, and returns its fault.
 func canFail(number uint64, kind socketKind, second uint64) (fault, bool) {
 	f, ok := faults[number]
 	if !ok || number == syscall.SYS_EPOLL_CTL && second != epollAdd {
--- a/internal/testbed/shim/load.go
+++ b/internal/testbed/shim/load.go
@@ -11,22 +11,23 @@
 	"time"
 )
 
-// loadInterval is how long an interval of Load is, at least.
+// loadInterval is the minimum length of the interval that a Load covers.
 const loadInterval = time.Second
 
-// schedulerStatistics is where Linux tells how long the reading thread has run and has waited for a processor, in
-// nanoseconds.
+// schedulerStatistics is the file in which Linux reports for how long the reading thread has run and has waited for a
+// processor, both in nanoseconds.
 const schedulerStatistics = "/proc/thread-self/schedstat"
 
-// Load is for how long the tracer waited for a processor in an interval. The program stands still at its calls
-// meanwhile.
+// Load reports for how long the tracer waited for a processor within an interval. While the tracer waits, each thread
+// of the program that makes a system call is stopped.
 type Load struct {
 	From   time.Time     `json:"from"`
 	Until  time.Time     `json:"until"`
 	Waited time.Duration `json:"waited"`
 }
 
-// ReadLoads reads what the tracers of a program have written to a file, in order; without a file there were none.
+// ReadLoads reads the loads that the tracers of a program have written to a file, in the order of writing. If the file
+// does not exist, it returns none.
 func ReadLoads(path string) (loads []Load, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -38,33 +39,33 @@
 	defer f.Close()
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		var load Load
-		if json.Unmarshal(lines.Bytes(), &load) == nil { // the last line of a tracer that was killed may be half a line
+		if json.Unmarshal(lines.Bytes(), &load) == nil { // a killed tracer may leave a partial last line
 			loads = append(loads, load)
 		}
 	}
 	return loads, nil
 }
 
-// loadMeter writes the loads of the thread that uses it.
+// loadMeter writes the loads of the thread that calls it.
 type loadMeter struct {
 	to     *json.Encoder
 	since  time.Time
-	waited time.Duration // until then
+	waited time.Duration // total wait of the thread at since
 }
 
-// record writes a line once an interval is over.
+// record writes a line if an interval has passed since the last one.
 func (m *loadMeter) record(now time.Time) {
 	if now.Sub(m.since) < loadInterval {
 		return
 	}
 	waited := waitedForProcessor()
-	_ = m.to.Encode(Load{From: m.since, Until: now, Waited: waited - m.waited}) // for want of space: no line
+	_ = m.to.Encode(Load{From: m.since, Until: now, Waited: waited - m.waited}) // lost if the disk is full
 	m.since = now
 	m.waited = waited
 }
 
-// waitedForProcessor is for how long the calling thread has waited for a processor since its start; 0 where the system
-// does not tell.
+// waitedForProcessor returns for how long the calling thread has waited for a processor since its start, or 0 if the
+// system does not report it.
 func waitedForProcessor() time.Duration {
 	text, err := os.ReadFile(schedulerStatistics)
 	if err != nil {
--- a/internal/testbed/shim/other.go
+++ b/internal/testbed/shim/other.go
@@ -4,7 +4,7 @@
 
 import "errors"
 
-// Run is for Linux on amd64 alone.
+// Run returns an error: system calls can be traced on Linux on amd64 only.
 func Run(Spec, string, []string) (int, error) {
-	return 0, errors.New("system calls can be failed on linux/amd64 only")
+	return 0, errors.New("the shim runs on linux/amd64 only")
 }
--- a/internal/testbed/shim/shim_test.go
+++ b/internal/testbed/shim/shim_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// TestMain lets the test binary be the shim, and the program that it runs.
+// TestMain makes the test binary act as the shim or as the traced program if the environment says so.
 func TestMain(m *testing.M) {
 	switch os.Getenv("SHIM_TEST_AS") {
 	case "shim":
@@ -31,9 +31,9 @@
 		}
 		os.Exit(code)
 	case "dials":
-		dials()
+		dialSelf()
 	case "clock":
-		clock()
+		printClocks()
 	case "waits":
 		time.Sleep(3 * loadInterval)
 		os.Exit(0)
@@ -43,8 +43,8 @@
 	os.Exit(m.Run())
 }
 
-// dials opens and closes connections to itself, and prints how many failed.
-func dials() {
+// dialSelf opens and closes connections to its own listener, and prints how many could not be opened.
+func dialSelf() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		fmt.Println(err)
@@ -70,8 +70,8 @@
 	os.Exit(0)
 }
 
-// clock prints how far the wall clock went, and the monotonic one.
-func clock() {
+// printClocks prints how far the wall clock and the monotonic clock advanced during a sleep.
+func printClocks() {
 	start := time.Now()
 	time.Sleep(400 * time.Millisecond)
 	end := time.Now()
@@ -84,6 +84,7 @@
 	os.Exit(0)
 }
 
+// run runs one of the programs of TestMain under the shim, and returns its output.
 func run(t *testing.T, program string, spec Spec) (string, error) {
 	t.Helper()
 	text, err := json.Marshal(spec)
@@ -100,7 +101,7 @@
 	log := t.TempDir() + "/faults"
 	out, err := run(t, "dials", Spec{Seed: 1, Until: time.Minute, Chance: 0.2, Log: log})
 	if err != nil || !strings.HasPrefix(out, "failed ") || strings.HasPrefix(out, "failed 0") {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("error %v, output %q, want some failed dials", err, out)
 	}
 	logged, err := os.ReadFile(log)
 	if err != nil {
@@ -108,27 +109,27 @@
 	}
 	for _, call := range []string{"socket", "connect", "accept4", "epoll_ctl"} {
 		if !strings.Contains(string(logged), " "+call+" ") {
-			t.Errorf("no %s failed", call)
+			t.Errorf("the log has no failed %s", call)
 		}
 	}
 	if out, err := run(t, "dials", Spec{Seed: 1, Until: time.Minute}); err != nil || out != "failed 0\n" {
-		t.Errorf("without a chance: %v: %s", err, out)
+		t.Errorf("with a chance of 0: error %v, output %q, want no failed dials", err, out)
 	}
 }
 
-func TestClockJumpsAndTheMonotonicOneDoesNot(t *testing.T) {
+func TestWallClockJumpsAndMonotonicClockDoesNot(t *testing.T) {
 	for step, want := range map[time.Duration]string{
 		time.Hour:  "wall 1h0m0s monotonic 0s\n",
 		-time.Hour: "wall -1h0m0s monotonic 0s\n",
 	} {
 		if out, err := run(t, "clock", Spec{ClockAt: 200 * time.Millisecond, ClockStep: step}); err != nil || out != want {
-			t.Errorf("%v: %v: %s", step, err, out)
+			t.Errorf("clock step %v: error %v, output %q", step, err, out)
 		}
 	}
 }
 
-// The tracer writes how long it waited for a processor, an interval after another.
-func TestLoadOfTheTracerIsWritten(t *testing.T) {
+// Guards against intervals of the tracer's load that are missing, too short, overlapping or with a negative wait.
+func TestTracerWritesItsLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "tracer.log")
 	began := time.Now()
 	if _, err := run(t, "waits", Spec{LoadLog: path}); err != nil {
@@ -136,12 +137,12 @@
 	}
 	loads, err := ReadLoads(path)
 	if err != nil || len(loads) == 0 {
-		t.Fatalf("%d loads, %v", len(loads), err)
+		t.Fatalf("read %d loads, error %v, want at least 1 load", len(loads), err)
 	}
 	last := began
 	for _, load := range loads {
 		if load.From.Before(last) || load.Until.Sub(load.From) < loadInterval || load.Waited < 0 {
-			t.Errorf("after %v: %+v", last, load)
+			t.Errorf("after %v: got %+v, want a later interval of full length with a wait of 0 or more", last, load)
 		}
 		last = load.Until
 	}
@@ -151,6 +152,6 @@
 	_, err := run(t, "exits", Spec{})
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 7 {
-		t.Errorf("ended with %v, want exit 7", err)
+		t.Errorf("ended with %v, want exit code 7", err)
 	}
 }
--- a/internal/testbed/soak/extensions.go
+++ b/internal/testbed/soak/extensions.go
@@ -7,21 +7,23 @@
 	"keelusher/internal/testbed"
 )
 
-// What a plan adds to the clusters. It has a random source of its own: the clusters of a seed stay as they were.
+// Parameters of what a plan adds to the clusters. The additions are drawn from a random source of their own, so that
+// they do not change which clusters a seed gives.
 const (
-	persistentClients = 3 // of each node that is sent SIGTERM
+	persistentClients = 3 // for each node that is sent SIGTERM
 	maxSignalGap      = 50 * time.Millisecond
 	restartAfter      = time.Second
 
 	floodSize     = 300
-	floodSockets  = 256 // descriptors of a node: fewer than the flood wants
+	floodSockets  = 256 // socket limit of a node, lower than the number of flooding connections
 	floodDuration = 6 * time.Second
 
 	overrideLasts = 4 * time.Second
 )
 
-// signalSeries are the series of signals: the same one twice, one within another, and others after SIGTERM. In none is
-// a process stopped for longer than 0.15 s, which the platform allows at any time.
+// signalSeries holds the series of signals that a process can be sent: the same signal twice, a signal while the
+// process is stopped, and further signals after SIGTERM. No series stops a process for longer than 0.15 s, a pause that
+// the platform may impose at any time.
 var signalSeries = [][]testbed.Signal{
 	{testbed.SignalReload, testbed.SignalReload},
 	{testbed.SignalTerminate, testbed.SignalTerminate},
@@ -34,15 +36,15 @@
 	{testbed.SignalReload, testbed.SignalStop, testbed.SignalContinue, testbed.SignalReload, testbed.SignalTerminate},
 }
 
-// Override evacuates a zone for a while.
+// Override is an operator's override that evacuates a zone for a limited time.
 type Override struct {
 	At   time.Duration // since the load began
 	For  time.Duration
 	Zone string
 }
 
-// extend draws a series of signals for each run, and for some a connection flood, short deadlines, or membership with
-// overrides.
+// extend adds a series of signals to the plan and, each with a probability of its own, a connection flood, halved
+// deadlines, and membership with an override.
 func (p *Plan) extend(r *rand.Rand) {
 	for i := range p.Faults {
 		if p.Faults[i].Kind == testbed.FaultTerminate {
@@ -69,7 +71,7 @@
 			For:    floodDuration,
 		})
 	}
-	if r.IntN(3) == 0 { // a node may be killed sooner then
+	if r.IntN(3) == 0 { // shorter deadlines also allow a node to be killed sooner
 		for i := range p.World.Classes {
 			p.World.Classes[i].Deadline /= 2
 			p.World.Classes[i].LatencyObjective /= 2
@@ -82,7 +84,7 @@
 	}
 }
 
-// drawClusterTime draws a time within one of the clusters.
+// drawClusterTime draws a time at which the faults of one of the clusters may begin.
 func drawClusterTime(r *rand.Rand) time.Duration {
 	at := []time.Duration{firstCluster, secondCluster}[r.IntN(2)]
 	return at + time.Duration(r.Int64N(int64(clusterDuration)))
--- a/internal/testbed/soak/fleet.go
+++ b/internal/testbed/soak/fleet.go
@@ -9,15 +9,16 @@
 	"keelusher/internal/testbed"
 )
 
-// Times of membership and overrides.
+// Time limits for membership and overrides.
 const (
-	membersSettle    = 20 * time.Second // after the last fault, until all nodes see each other alive
+	membersSettle    = 20 * time.Second // at the end of a run, until all running nodes see each other alive
 	membersPoll      = 200 * time.Millisecond
-	issueTimeout     = 2 * time.Second // of an override: under some faults no majority can be had
+	issueTimeout     = 2 * time.Second // for one override; under some faults there is no majority to accept it
 	overrideEndSlack = 300 * time.Millisecond
 )
 
-// runOverrides issues the plan's overrides through some node, and looks for those that outlive their end.
+// runOverrides issues the plan's overrides, each at the first node that accepts it, and reports those that are still
+// in force after their end.
 func (r *Result) runOverrides(ctx context.Context, tb *testbed.Testbed, p *Plan) {
 	began := time.Now()
 	for i, o := range p.Overrides {
@@ -38,7 +39,8 @@
 	}
 }
 
-// issueOverride issues an override at one node after another until one accepts it; issued is before that call.
+// issueOverride tries the nodes one after another until one accepts the override, for up to issueTimeout. It returns
+// the time just before the call that was accepted.
 func issueOverride(ctx context.Context, tb *testbed.Testbed, id string, o Override) (issued time.Time, ok bool) {
 	body := fmt.Sprintf(`{"kind":"evacuate","scope":%q,"reason":"soak","author":"soak","for":%q}`, o.Zone, o.For)
 	for end := time.Now().Add(issueTimeout); time.Now().Before(end) && ctx.Err() == nil; {
@@ -53,17 +55,18 @@
 	return issued, false
 }
 
-// reportOutlived reports the nodes at which an override is in force, though it has ended.
+// reportOutlived reports the nodes at which an override is still in force. It must be called after the override's end.
 func reportOutlived(ctx context.Context, tb *testbed.Testbed, id string) {
 	for _, n := range tb.Nodes() {
 		inForce, err := n.OverridesInForce(ctx)
 		if left, is := inForce[id]; err == nil && is {
-			tb.Checker().Report(testbed.OverrideOutlived, n.Name(), fmt.Sprintf("%s is in force, %v left", id, left))
+			tb.Checker().Report(testbed.OverrideOutlived, n.Name(), fmt.Sprintf("%s outlived its end, %v left", id, left))
 		}
 	}
 }
 
-// checkMembers waits until all running nodes see each other alive, and reports what they still see after a time.
+// checkMembers waits until all running nodes see each other alive, and after membersSettle reports the nodes that do
+// not.
 func checkMembers(ctx context.Context, tb *testbed.Testbed) {
 	var wrong map[string]string
 	for end := time.Now().Add(membersSettle); time.Now().Before(end); {
@@ -76,7 +79,8 @@
 	}
 }
 
-// wrongViews are the first member, by node, that a running node does not see alive though it runs.
+// wrongViews returns, for each running node that does not see all other running nodes alive, the first member that it
+// sees in another state, or the error of its admin endpoint.
 func wrongViews(ctx context.Context, tb *testbed.Testbed) map[string]string {
 	wrong := map[string]string{}
 	for _, n := range tb.Nodes() {
@@ -98,7 +102,7 @@
 	return wrong
 }
 
-// sleepUntil waits for a time; false: ctx has ended.
+// sleepUntil waits until a time and reports whether it was reached before ctx ended.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-time.After(time.Until(at)):
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -1,5 +1,5 @@
-// Package soak runs many real nodes through faults that overlap, drawn from a seed, and judges the run by what
-// clients, servers and discovery saw and by what the nodes counted themselves.
+// Package soak runs many real nodes under overlapping faults that are drawn from a seed. It judges a run by what
+// clients, servers and discovery observed and by the nodes' own counters.
 package soak
 
 import (
@@ -11,32 +11,32 @@
 	"keelusher/internal/testbed/shim"
 )
 
-// Times of a run, from the beginning of the load.
+// Times of a run, counted from the start of the load.
 const (
 	firstCluster    = 3 * time.Second
 	secondCluster   = 10 * time.Second
-	clusterDuration = 1500 * time.Millisecond // the faults of a cluster begin within it
-	length          = 18 * time.Second
-	quietAfter      = 5 * time.Second // for pending requests, before the counters are compared
+	clusterDuration = 1500 * time.Millisecond // all faults of a cluster begin within this time of its start
+	loadDuration          = 18 * time.Second
+	quietAfter      = 5 * time.Second // wait for pending requests before the counters are compared
 )
 
-// Shims: system calls of some nodes fail, and the wall clock of some jumps.
+// Settings of the shims, which make system calls of some nodes fail and the wall clock of some nodes jump.
 const (
 	shimChance   = 0.02
 	shimFor      = 12 * time.Second
 	clockStepMax = time.Hour
 )
 
-// Plan is a run as drawn from its seed.
+// Plan describes a run; all of it is drawn from a seed.
 type Plan struct {
 	Seed      uint64
 	World     testbed.World
 	Load      testbed.Load
-	Faults    []testbed.Fault // their indexes number them for Keep
-	Overrides []Override      // only where the nodes have membership
+	Faults    []testbed.Fault // Keep identifies faults by their indexes here
+	Overrides []Override      // empty unless the nodes have membership
 }
 
-// NewPlan draws the run of a seed.
+// NewPlan draws the plan of a seed.
 func NewPlan(seed uint64) *Plan {
 	r := rand.New(rand.NewPCG(seed, 11))
 	p := &Plan{Seed: seed, World: world(seed, r), Load: testbed.Load{Rate: 70, Retries: 1, Impatient: 0.2}}
@@ -47,12 +47,12 @@
 	return p
 }
 
-// Keep leaves only the named faults in, by their numbers; shims stay.
+// Keep removes all faults but those with the given indexes. Shims stay.
 func (p *Plan) Keep(numbers []int) error {
 	var kept []testbed.Fault
 	for _, n := range numbers {
 		if n < 0 || n >= len(p.Faults) {
-			return fmt.Errorf("fault %d: there are %d", n, len(p.Faults))
+			return fmt.Errorf("fault %d does not exist: the plan has %d faults", n, len(p.Faults))
 		}
 		kept = append(kept, p.Faults[n])
 	}
@@ -111,7 +111,7 @@
 	w.Shims = map[string]shim.Spec{}
 	for _, node := range []string{"n1", "n2", "n@front-1"} {
 		spec := shim.Spec{Seed: r.Uint64() >> 1, From: firstCluster, Until: firstCluster + shimFor, Chance: shimChance}
-		if node == "n2" { // half of the clocks are off from the start
+		if node == "n2" { // for half of the seeds the clock is wrong from the start
 			spec.ClockStep = time.Duration(r.Int64N(int64(2*clockStepMax))) - clockStepMax
 			spec.ClockAt = time.Duration(r.IntN(2)) * firstCluster
 		}
@@ -120,13 +120,13 @@
 	return w
 }
 
-// cluster draws two or three faults that overlap.
+// cluster draws two or three faults that begin within clusterDuration after at.
 func cluster(r *rand.Rand, at time.Duration) (faults []testbed.Fault) {
 	kinds := r.Perm(len(catalogue))
 	discovery := false
 	for _, k := range kinds {
 		c := catalogue[k]
-		if c.discovery && discovery { // discovery has one fault at a time
+		if c.discovery && discovery { // discovery can have only one fault at a time
 			continue
 		}
 		discovery = discovery || c.discovery
@@ -140,7 +140,7 @@
 	return faults
 }
 
-// faultTemplate draws one kind of fault.
+// faultTemplate draws the parameters of one kind of fault.
 type faultTemplate struct {
 	discovery bool
 	draw      func(*rand.Rand) testbed.Fault
--- a/internal/testbed/soak/plan_test.go
+++ b/internal/testbed/soak/plan_test.go
@@ -8,12 +8,13 @@
 	"keelusher/internal/testbed"
 )
 
-// A seed gives the same run each time, each of its faults passes its check, and both clusters overlap.
-func TestPlanOfASeed(t *testing.T) {
+// Guards against plans that a seed does not reproduce, faults that do not fit the world, and clusters with too few
+// faults to overlap.
+func TestSeedGivesOneValidPlan(t *testing.T) {
 	for seed := range uint64(200) {
 		p, again := NewPlan(seed), NewPlan(seed)
 		if !reflect.DeepEqual(p, again) {
-			t.Fatalf("seed %d gave two plans", seed)
+			t.Fatalf("seed %d gave two different plans", seed)
 		}
 		if err := p.World.Fill(); err != nil {
 			t.Fatal(err)
@@ -28,11 +29,11 @@
 			}
 		}
 		if late := len(p.Faults) - early; early < 2 || late < 2 {
-			t.Errorf("seed %d: %d and %d faults, want two or three in each cluster", seed, early, late)
+			t.Errorf("seed %d: clusters have %d and %d faults, want at least 2 each", seed, early, late)
 		}
 	}
 	if a, b := NewPlan(1), NewPlan(2); reflect.DeepEqual(a.Faults, b.Faults) {
-		t.Error("two seeds gave the same faults")
+		t.Error("seeds 1 and 2 gave the same faults")
 	}
 }
 
@@ -40,15 +41,16 @@
 	p := NewPlan(3)
 	second := p.Faults[1]
 	if err := p.Keep([]int{1}); err != nil || len(p.Faults) != 1 || !reflect.DeepEqual(p.Faults[0], second) {
-		t.Errorf("kept %v, %v", p.Faults, err)
+		t.Errorf("Keep left %v (error %v), want only the second fault", p.Faults, err)
 	}
 	if err := p.Keep([]int{7}); err == nil {
-		t.Error("a fault that there is not was kept")
+		t.Error("Keep accepted the index of a fault that does not exist")
 	}
 }
 
-// Each seed sends a series of signals, and the seeds have each of the other additions in their share. No series stops a
-// process for longer than the platform may.
+// Each seed has one series of signals, a third of the seeds have a connection flood, a third short deadlines, and half
+// membership with overrides, within a quarter of the expected count. No series stops a process for longer than the
+// platform may.
 func TestPlansHaveSignalsFloodsAndMembership(t *testing.T) {
 	const seeds, maxStop = 600, 150 * time.Millisecond
 	floods, memberships, short := 0, 0, 0
@@ -60,14 +62,14 @@
 			case testbed.FaultSignals:
 				series++
 				if stopped := stopTime(f); stopped > maxStop {
-					t.Errorf("seed %d: %v stop a process for %v", seed, f.Signals, stopped)
+					t.Errorf("seed %d: signals %v stop a process for %v, which is too long", seed, f.Signals, stopped)
 				}
 			case testbed.FaultConnectionFlood:
 				floods++
 			}
 		}
 		if series != 1 {
-			t.Errorf("seed %d has %d series of signals", seed, series)
+			t.Errorf("seed %d has %d series of signals, want 1", seed, series)
 		}
 		if p.World.Fleet != nil {
 			memberships++
@@ -76,18 +78,18 @@
 			short++
 		}
 		if (p.World.Fleet != nil) != (len(p.Overrides) > 0) {
-			t.Errorf("seed %d: membership %v, %d overrides", seed, p.World.Fleet != nil, len(p.Overrides))
+			t.Errorf("seed %d: membership %v, %d overrides, want both or neither", seed, p.World.Fleet != nil, len(p.Overrides))
 		}
 	}
 	scaled := map[string]int{"a connection flood": 3 * floods, "short deadlines": 3 * short, "membership": 2 * memberships}
 	for what, count := range scaled {
 		if count < seeds*3/4 || count > seeds*5/4 {
-			t.Errorf("%s: not in the share of the seeds that is meant", what)
+			t.Errorf("%s: the share of the seeds that have it is off by more than a quarter", what)
 		}
 	}
 }
 
-// stopTime is for how long a series stops a process.
+// stopTime returns for how long a series of signals stops a process.
 func stopTime(f testbed.Fault) (total time.Duration) {
 	stopped := false
 	for _, signal := range f.Signals {
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -15,31 +15,32 @@
 	"keelusher/internal/testbed"
 )
 
-// runTimeout bounds a run, whose own times add up to less than half of it.
+// runTimeout bounds a run. The planned phases of a run add up to less than half of it.
 const runTimeout = 3 * time.Minute
 
-var errRunTimeout = errors.New("the run took too long")
+var errRunTimeout = errors.New("the run exceeded its time limit")
 
-// Result is what came of a run.
+// Result is the outcome of a run.
 type Result struct {
 	Seed       uint64               `json:"seed"`
 	Faults     []string             `json:"faults"`
 	Events     []string             `json:"story"`
-	Ends       map[string]int       `json:"ends"` // of requests, by how they ended
+	Ends       map[string]int       `json:"ends"` // number of requests, by how they ended
 	Account    testbed.Account      `json:"account"`
 	Broken     map[testbed.Rule]int `json:"broken"`
 	Found      []testbed.Finding    `json:"found"`
-	Violations map[string]int64     `json:"violations"` // as the nodes counted them
+	Violations map[string]int64     `json:"violations"` // counted by the nodes themselves
 	NotSent    map[string]int64     `json:"attempts_not_sent"`
 	Rejected   map[string]int64     `json:"requests_turned_away"`
-	Lateness   time.Duration        `json:"lateness"` // of the testbed itself, at worst
+	Lateness   time.Duration        `json:"lateness"` // greatest lateness of the test bed itself
 
-	Membership       bool `json:"membership"` // the nodes had it
+	Membership       bool `json:"membership"` // whether the nodes had membership
 	OverridesIssued  int  `json:"overrides_issued"`
-	OverridesRefused int  `json:"overrides_refused"` // for want of a majority
+	OverridesRefused int  `json:"overrides_refused"` // accepted by no node in time, for lack of a majority
 }
 
-// Run runs a plan with a node program. Logs of the nodes and the result stay in dir.
+// Run carries out a plan with a node binary. It leaves the nodes' logs and the result in a folder of the seed under
+// dir.
 func Run(ctx context.Context, p *Plan, binary string, shim []string, dir string) (*Result, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, runTimeout, errRunTimeout)
 	defer cancel()
@@ -74,13 +75,13 @@
 	for _, f := range p.Faults {
 		r.Faults = append(r.Faults, describe(f))
 	}
-	r.drive(ctx, tb, p, steps, testbed.Draw(&w, &p.Load, length, p.Seed))
+	r.drive(ctx, tb, p, steps, testbed.Draw(&w, &p.Load, loadDuration, p.Seed))
 	if !sleepUntil(ctx, time.Now().Add(quietAfter)) {
 		return nil, fmt.Errorf("seed %d: %w", p.Seed, context.Cause(ctx))
 	}
 	for _, n := range tb.Nodes() {
-		if n.Running() { // the nodes of removed servers are not
-			r.compare(ctx, tb, n)
+		if n.Running() { // the node of a removed server does not run
+			r.compareCounters(ctx, tb, n)
 		}
 	}
 	if r.Membership = p.World.Fleet != nil; r.Membership {
@@ -92,7 +93,7 @@
 	return r, r.write(w.Dir)
 }
 
-// describe names a fault in results.
+// describe returns the text of a fault for the result.
 func describe(f testbed.Fault) string {
 	text := fmt.Sprintf("%s %s%s->%s at %v for %v", f.Kind, f.Target, f.From, f.To, f.At.Round(time.Millisecond), f.For)
 	if len(f.Signals) > 0 {
@@ -101,7 +102,7 @@
 	return text
 }
 
-// drive runs load, faults and overrides side by side.
+// drive runs the load, the faults and the overrides concurrently.
 func (r *Result) drive(
 	ctx context.Context,
 	tb *testbed.Testbed,
@@ -134,9 +135,9 @@
 
 var adminClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-const maxRequests = 5 // of one path
+const maxRequests = 5 // attempts to read one path
 
-// getJSON reads what a node's admin endpoint shows; it tries again, as a shim may break some connections.
+// getJSON decodes the response of a node's admin endpoint. It retries, as a shim may break some connections.
 func getJSON(ctx context.Context, n *testbed.Node, path string, into any) (err error) {
 	for range maxRequests {
 		if err = getJSONOnce(ctx, n, path, into); err == nil {
@@ -159,9 +160,10 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// compare holds a node's own counters against what the testbed saw of it. A violation that a node counts for itself
-// is one, unless the testbed has held the process up: it may have been between its write and its second look.
-func (r *Result) compare(ctx context.Context, tb *testbed.Testbed, n *testbed.Node) {
+// compareCounters checks a node's own counters against what the test bed observed of the node. A violation that the
+// node itself counted is a finding, unless the test bed has paused the process: the pause may have come between the
+// node's write and its check after the write.
+func (r *Result) compareCounters(ctx context.Context, tb *testbed.Testbed, n *testbed.Node) {
 	var counters struct {
 		Written  int64 `json:"backend_calls"`
 		Inflight int64 `json:"inflight"`
@@ -172,16 +174,16 @@
 		Violations map[string]int64 `json:"violations"`
 	}
 	if err := getJSON(ctx, n, "/control/counters", &counters); err != nil {
-		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
+		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("admin endpoint does not answer: %v", err))
 		return
 	}
 	if err := getJSON(ctx, n, "/control/decisions", &decisions); err != nil {
-		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("its operators' endpoint does not answer: %v", err))
+		tb.Checker().Report(testbed.CountersDiffer, n.Name(), fmt.Sprintf("admin endpoint does not answer: %v", err))
 		return
 	}
-	add(r.NotSent, decisions.NotSent)
-	add(r.Rejected, decisions.Rejected)
-	add(r.Violations, decisions.Violations)
+	addCounts(r.NotSent, decisions.NotSent)
+	addCounts(r.Rejected, decisions.Rejected)
+	addCounts(r.Violations, decisions.Violations)
 	if len(decisions.Violations) > 0 && !n.Paused() {
 		tb.Checker().Report(testbed.SelfReportedViolation, n.Name(), fmt.Sprint(decisions.Violations))
 	}
@@ -189,25 +191,25 @@
 		tb.Checker().Report(
 			testbed.CountersDiffer,
 			n.Name(),
-			fmt.Sprintf("%d requests in flight after all have ended", counters.Inflight),
+			fmt.Sprintf("counts %d requests in flight after all requests have ended", counters.Inflight),
 		)
 	}
 	if arrived := tb.AttemptsOf(n.Name()); n.Starts() == 1 && arrived > counters.Written {
 		tb.Checker().Report(
 			testbed.CountersDiffer,
 			n.Name(),
-			fmt.Sprintf("%d attempts came to servers, it counts %d", arrived, counters.Written),
+			fmt.Sprintf("servers received %d attempts from it, it counted %d", arrived, counters.Written),
 		)
 	}
 }
 
-func add(to, from map[string]int64) {
+func addCounts(to, from map[string]int64) {
 	for k, n := range from {
 		to[k] += n
 	}
 }
 
-// write keeps the result beside the nodes' logs.
+// write writes the result to a file beside the nodes' logs.
 func (r *Result) write(dir string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -216,8 +218,8 @@
 	return os.WriteFile(filepath.Join(dir, "result.json"), append(text, '\n'), 0o600)
 }
 
-// Reduce leaves out one fault after another as long as the run still breaks one of the same rules, and returns the
-// numbers of the faults that are left.
+// Reduce runs a seed's plan again and again, each time with one fault less, and leaves a fault out for good if the run
+// without it still breaks a rule that the first run broke. It returns the indexes of the faults that remain.
 func Reduce(ctx context.Context, seed uint64, run func(*Plan) (*Result, error)) ([]int, error) {
 	first, err := run(NewPlan(seed))
 	if err != nil || len(first.Broken) == 0 {
@@ -246,7 +248,7 @@
 	return kept, ctx.Err()
 }
 
-// breaksSameRule reports whether a run broke one of the rules that another one broke.
+// breaksSameRule reports whether the runs have at least one broken rule in common.
 func breaksSameRule(first, other *Result) bool {
 	for rule := range first.Broken {
 		if other.Broken[rule] > 0 {
--- a/internal/testbed/testbedtest/testbedtest.go
+++ b/internal/testbed/testbedtest/testbedtest.go
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-// Main builds the node program, sets *binary to its path, runs the tests and returns their exit code. It is to be
-// called by TestMain.
+// Main builds the node program, sets *binary to its path, runs the tests and returns their exit code. It must be called
+// by TestMain.
 func Main(m *testing.M, binary *string) int {
 	dir, err := os.MkdirTemp("", "balancer-build-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what cannot be removed stays in the temporary folder
+	defer func() { _ = os.RemoveAll(dir) }() // files that cannot be removed stay in the temporary folder
 	*binary = filepath.Join(dir, "balancer")
 	if out, err := exec.Command("go", "build", "-o", *binary, "keelusher/cmd/balancer").CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "build of the node: %v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "build the node program: %v\n%s", err, out)
 		return 1
 	}
 	return m.Run()
