--- a/internal/testbed/intervals.go
+++ b/internal/testbed/intervals.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// intervals records when the testbed itself disturbed each part of the world, so that the checker does not hold that
-// against a node. Parts are named as in faults; a link is FROM->TO.
+// intervals records when the test bed itself disturbed each part of the world, so that the checker does not blame a
+// node for the effects. Parts are named as in faults; a link is FROM->TO.
 type intervals struct {
 	mu     sync.Mutex
 	byPart map[string][]interval
 }
 
-type interval struct{ from, to time.Duration } // to 0: still open
+type interval struct{ from, to time.Duration } // to is 0 while the interval is open
 
-// begin opens an interval of a part; an open one stays open.
+// begin opens an interval of a part. If one is open already, it does nothing.
 func (s *intervals) begin(part string, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,6 +26,7 @@
 	}
 }
 
+// end closes the open interval of a part, if there is one.
 func (s *intervals) end(part string, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,16 +35,16 @@
 	}
 }
 
-// touch records that a part was disturbed for a moment.
+// touch records that a part was disturbed at one moment.
 func (s *intervals) touch(part string, at time.Duration) {
-	if s.overlap(part, at, at) { // a longer fault goes on
+	if s.overlap(part, at, at) { // the moment is within a recorded interval
 		return
 	}
 	s.begin(part, at)
 	s.end(part, at+1)
 }
 
-// overlap reports whether a part was disturbed at any time from from to to.
+// overlap reports whether a part was disturbed at any time between from and to.
 func (s *intervals) overlap(part string, from, to time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/leader_killed_scenario.go
+++ b/internal/testbed/leader_killed_scenario.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// overrideThroughLeaderKill issues an override, kills the leader while it is in force, and holds that the override
-// stays in force at all others until it is revoked through a member that has not led before.
+// overrideThroughLeaderKill issues an override and kills the leader while the override is in force. The override must
+// still be in force at all other nodes under the next leader, until it is revoked through the last of them.
 func (s *scenarioRun) overrideThroughLeaderKill(ctx context.Context) error {
 	const id = "survives"
 	leader, others := s.nodes[0], s.nodes[1:]
@@ -22,7 +22,7 @@
 		return err
 	}
 	leader.Kill()
-	if err := s.waitForNewLeader(ctx, others, view.Under); err != nil {
+	if err := s.waitForNewLeader(ctx, others, view.LeaderProcess); err != nil {
 		return err
 	}
 	if err := s.waitForOverride(ctx, others, id, true, "", issued); err != nil {
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -14,11 +14,12 @@
 	"github.com/BurntSushi/toml"
 )
 
-// meshListen is where a node's mesh listens, for UDP and TCP.
+// meshListen returns the address at which a node's mesh listens, for UDP and TCP.
 func (n *Node) meshListen() string { return net.JoinHostPort(n.address, "5002") }
 
-// writeFleet writes a node's fleet configuration and returns its path; empty: there is none. The world's tables are as
-// they are; to [mesh] the testbed adds addresses: the node's own, the seeds', and its own links to peers.
+// writeFleet writes a node's fleet configuration and returns its path, or "" if the world has none. The world's tables
+// are written unchanged, except that [mesh] gets addresses: the node's own, the seeds', and those of the test bed's
+// links to peers.
 func (tb *Testbed) writeFleet(n *Node) (string, error) {
 	if len(tb.world.Fleet) == 0 {
 		return "", nil
@@ -54,7 +55,8 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// meshLink is the address of the link from one node's mesh to another's, for both protocols.
+// meshLink returns the address of the link from one node's mesh to another's, for UDP and TCP. It creates the UDP link
+// if there is none yet.
 func (tb *Testbed) meshLink(n, o *Node) (string, error) {
 	addr := tb.linkAddr(n.name, o.name, o.meshListen())
 	key := n.name + "->" + o.name
@@ -73,7 +75,7 @@
 	return addr, nil
 }
 
-// Sides of a partition, as nodes name them.
+// Partition sides, as nodes report them.
 const (
 	SideComplete = "whole"
 	SideMajority = "majority"
@@ -81,7 +83,7 @@
 	SideIsolated = "alone"
 )
 
-// States of members, as nodes name and log them.
+// States of members, as nodes report and log them.
 const (
 	StateAlive     = "alive"
 	stateSuspected = "suspect"
@@ -90,16 +92,16 @@
 	stateConflict  = "conflict"
 )
 
-// FleetView is what a node's admin endpoint shows of the fleet.
+// FleetView is what a node's admin endpoint reports of the fleet.
 type FleetView struct {
-	Self    string `json:"self"`
-	Side    string `json:"side"`
-	Under   string `json:"under"` // the process that has proved the side
-	Digest  string `json:"digest"`
-	Roster  int    `json:"roster"`
-	Settled bool   `json:"settled"`
-	Epoch   struct{ Number uint64 }
-	Members []struct {
+	Self          string `json:"self"`
+	Side          string `json:"side"`
+	LeaderProcess string `json:"under"` // the leader's process, which has proved the side
+	Digest        string `json:"digest"`
+	MemberCount   int    `json:"roster"`
+	Settled       bool   `json:"settled"`
+	Epoch         struct{ Number uint64 }
+	Members       []struct {
 		Name  string `json:"name"`
 		State string `json:"state"`
 	} `json:"members"`
@@ -110,7 +112,7 @@
 	} `json:"figures"`
 }
 
-// State is a member's state in a view; empty: unknown.
+// State returns a member's state in the view, or "" if the view does not have the member.
 func (v *FleetView) State(name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -122,7 +124,7 @@
 
 var adminClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Fleet asks a node's admin endpoint what it knows of the fleet.
+// Fleet reads the node's view of the fleet from its admin endpoint.
 func (n *Node) Fleet(ctx context.Context) (*FleetView, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/control/members", nil)
 	if err != nil {
@@ -140,8 +142,8 @@
 	return v, json.NewDecoder(resp.Body).Decode(v)
 }
 
-// Agree reports whether all of some nodes are on a partition side, have the same digest and no pending change of the
-// member list.
+// Agree reports whether all of the nodes are on a partition side, have the same digest and have no pending change of
+// the member list.
 func Agree(ctx context.Context, nodes []*Node, side string) bool {
 	digest := ""
 	for _, n := range nodes {
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// meshed is a world of front nodes that know of each other, with a link between any two.
+// meshWorld returns a world whose front nodes form a mesh, with a link between any two.
 func meshWorld(nodes int) World {
 	w := small(nodes, 1)
 	w.Fleet = Tables{"mesh": map[string]any{"probe": "200ms"}}
@@ -16,7 +16,8 @@
 	return w
 }
 
-func sides(nodes []*Node) (all []string) {
+// describeSides describes each node's partition side, epoch and digest, or its error, for the log of a failed test.
+func describeSides(nodes []*Node) (all []string) {
 	for _, n := range nodes {
 		v, err := n.Fleet(context.Background())
 		if err != nil {
@@ -28,11 +29,12 @@
 	return all
 }
 
-func untilAgreed(t *testing.T, nodes []*Node, side string) {
+// waitUntilAgreed waits until the nodes agree on a partition side, and logs their views if the test fails.
+func waitUntilAgreed(t *testing.T, nodes []*Node, side string) {
 	t.Helper()
 	defer func() {
 		if t.Failed() {
-			t.Log(sides(nodes))
+			t.Log(describeSides(nodes))
 		}
 	}()
 	Until(
@@ -42,7 +44,8 @@
 	)
 }
 
-func untilSeen(t *testing.T, nodes []*Node, name, state string) {
+// waitUntilSeen waits until each of the nodes sees a member in a state.
+func waitUntilSeen(t *testing.T, nodes []*Node, name, state string) {
 	t.Helper()
 	for _, n := range nodes {
 		Until(t, n.name+" sees "+name+" as "+state, func() bool {
@@ -52,13 +55,14 @@
 	}
 }
 
-// Real processes detect a killed one, readmit a stopped one after they declared it dead, handle a planned leave, and
-// recognize a restarted one as the same member; clients are served all the time.
+// Guards membership of real processes: a killed node is detected and after its restart recognized as the same member, a
+// stopped one is readmitted after the others declared it dead, and one that leaves as planned is not declared dead.
+// Clients are served all the time.
 func TestMeshOfProcesses(t *testing.T) {
 	t.Parallel()
 	tb := Start(t, meshWorld(5))
 	nodes := tb.Nodes()
-	untilAgreed(t, nodes, "whole")
+	waitUntilAgreed(t, nodes, "whole")
 	load, arrivals := draw(t, &tb.world, Load{Rate: 50, Retries: 1}, 12*time.Second)
 	driven := make(chan struct{})
 	var got tally
@@ -67,52 +71,53 @@
 		tb.Drive(context.Background(), &load, arrivals, got.add)
 	}()
 	nodes[4].Kill()
-	untilSeen(t, nodes[:4], "n5", "gone")
-	untilAgreed(t, nodes[:4], "majority")
+	waitUntilSeen(t, nodes[:4], "n5", "gone")
+	waitUntilAgreed(t, nodes[:4], "majority")
 	if err := nodes[4].restart(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	untilAgreed(t, nodes, "whole")
+	waitUntilAgreed(t, nodes, "whole")
 	check(t, nodes[2].Stop())
-	untilSeen(t, append(nodes[:2:2], nodes[3:]...), "n3", "gone")
+	waitUntilSeen(t, append(nodes[:2:2], nodes[3:]...), "n3", "gone")
 	check(t, nodes[2].Continue())
-	untilAgreed(t, nodes, "whole")
+	waitUntilAgreed(t, nodes, "whole")
 	nodes[3].Terminate()
-	untilSeen(t, append(nodes[:3:3], nodes[4]), "n4", "left")
-	untilAgreed(t, append(nodes[:3:3], nodes[4]), "whole")
+	waitUntilSeen(t, append(nodes[:3:3], nodes[4]), "n4", "left")
+	waitUntilAgreed(t, append(nodes[:3:3], nodes[4]), "whole")
 	<-driven
 	checkNoFindings(t, tb)
 }
 
-// A split leaves one majority; the others know that they have none, and all find each other when it ends.
-func TestMeshSplitAndHealed(t *testing.T) {
+// Guards against a partition without exactly one majority, and against nodes that do not find each other after it.
+func TestMeshPartitionAndRecovery(t *testing.T) {
 	t.Parallel()
 	tb := Start(t, meshWorld(5))
 	nodes := tb.Nodes()
-	untilAgreed(t, nodes, "whole")
+	waitUntilAgreed(t, nodes, "whole")
 	for _, from := range []string{"n1", "n2"} {
 		for _, to := range []string{"n3", "n4", "n5"} {
 			tb.SetLink(from, to, LinkCondition{Cut: true})
 			tb.SetLink(to, from, LinkCondition{Cut: true})
 		}
 	}
-	untilAgreed(t, nodes[2:], "majority")
-	untilAgreed(t, nodes[:2], "minority")
+	waitUntilAgreed(t, nodes[2:], "majority")
+	waitUntilAgreed(t, nodes[:2], "minority")
 	tb.SetLink("n*", "n*", LinkCondition{})
-	untilAgreed(t, nodes, "whole")
+	waitUntilAgreed(t, nodes, "whole")
 }
 
-// A node that one other cannot hear from stays a member for all: its messages get there through the others.
-func TestMeshOneWayCutKeepsTheFleet(t *testing.T) {
+// Guards against the removal of a member from which one other node receives nothing: its messages must reach that node
+// through the others.
+func TestMeshOneWayCutRemovesNoMember(t *testing.T) {
 	t.Parallel()
 	w := meshWorld(4)
-	w.Fleet = Tables{"mesh": map[string]any{"probe": "500ms"}} // a busy machine must not pass for a loss
+	w.Fleet = Tables{"mesh": map[string]any{"probe": "500ms"}} // long, so that a busy machine does not cause failed probes
 	tb := Start(t, w)
 	nodes := tb.Nodes()
-	untilAgreed(t, nodes, "whole")
+	waitUntilAgreed(t, nodes, "whole")
 	tb.SetLink("n4", "n3", LinkCondition{Cut: true})
 	from := tb.Now()
-	Until(t, "some time has passed", func() bool {
+	Until(t, "5 s have passed", func() bool {
 		for _, n := range nodes {
 			v, err := n.Fleet(context.Background())
 			if err != nil {
@@ -120,7 +125,7 @@
 			}
 			for _, m := range v.Members {
 				if m.State == "gone" {
-					t.Fatalf("%s takes %s for gone", n.name, m.Name)
+					t.Fatalf("node %s declared member %s dead, want all members alive", n.name, m.Name)
 				}
 			}
 		}
@@ -128,31 +133,32 @@
 	})
 }
 
-// Without a fleet configuration the admin endpoint knows of no members.
+// Guards against an admin endpoint that reports members though the node has no fleet configuration.
 func TestNoMeshWithoutAFleetConfiguration(t *testing.T) {
 	w := meshWorld(1)
 	w.Fleet = nil
 	tb := Start(t, w)
 	if v, err := tb.Nodes()[0].Fleet(context.Background()); err == nil {
-		t.Errorf("the admin endpoint says %+v", v)
+		t.Errorf("the admin endpoint reported %+v, want an error", v)
 	}
 }
 
-// A leader that receives nothing is replaced; its suspicions, which all receive, remove no member, in its own view
-// either.
-func TestDeafLeaderIsReplaced(t *testing.T) {
+// Guards against the removal of members, in any node's view, by a leader that receives nothing: all nodes receive its
+// suspicions until it is replaced.
+func TestLeaderThatReceivesNothingIsReplaced(t *testing.T) {
 	t.Parallel()
-	checkNobodyIsRemoved(t, "deaf leader")
+	checkNoMemberIsRemoved(t, "deaf leader")
 }
 
-// Guards against a leader that, deaf for a while, takes those for dead that it hears a little later than the first.
-func TestDeafLeaderReturnsSlowly(t *testing.T) {
+// Guards against a leader that receives nothing for a while and then, as its links return one by one, declares those
+// members dead whose messages reach it a little later than the first one's.
+func TestLeaderWhoseLinksReturnSlowlyRemovesNoMember(t *testing.T) {
 	t.Parallel()
-	checkNobodyIsRemoved(t, "deaf leader, links back one by one")
+	checkNoMemberIsRemoved(t, "deaf leader, links back one by one")
 }
 
-// checkNobodyIsRemoved plays a scenario under which no member is removed.
-func checkNobodyIsRemoved(t *testing.T, scenario string) {
+// checkNoMemberIsRemoved runs a scenario and fails if a member was wrongly removed or two majorities were seen.
+func checkNoMemberIsRemoved(t *testing.T, scenario string) {
 	t.Helper()
 	for _, sc := range Scenarios {
 		if sc.Name != scenario {
@@ -160,14 +166,14 @@
 		}
 		got, err := RunScenario(context.Background(), sc, binary, sc.Nodes, 1, 400*time.Millisecond)
 		if err != nil || got.Failure != "" || got.Counts["wrongly gone"] > 0 || got.Counts["two majorities"] > 0 {
-			t.Errorf("%v %s: %v", err, got.Failure, got.Counts)
+			t.Errorf("error %v, failure %q, counts %v, want no removal, one majority", err, got.Failure, got.Counts)
 		}
 		return
 	}
 	t.Fatalf("there is no scenario %q", scenario)
 }
 
-// Beside a program that has one of its addresses a testbed takes another block.
+// Guards against a test bed that uses a block of addresses of which another program has one.
 func TestTestbedTakesAnotherBlock(t *testing.T) {
 	first := Start(t, healthyStub())
 	n := first.Node("n1")
@@ -177,13 +183,13 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	first.blockLock.Close() // the next testbed may take the same block, beside the other program
+	first.blockLock.Close() // unlocks the block, so that the next test bed tries it first
 	tb, err := openFrom(context.Background(), healthyStub(), first.block-firstBlock)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer tb.Close()
 	if tb.block == first.block {
-		t.Error("the block is the taken one")
+		t.Error("the test bed uses the block that has an address in use")
 	}
 }
--- a/internal/testbed/notification_times.go
+++ b/internal/testbed/notification_times.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// watchState is how a node follows discovery, which determines when it counts as notified of a change.
+// watchState is the state of a node's watches and polls of discovery. It determines when the node counts as notified of
+// a change.
 type watchState struct {
-	watches  int           // open
-	silent   time.Duration // since when its watch is silent; 0: it is not
-	lastPoll time.Duration // when it last polled, or its watch ended
+	watches  int           // number of open watches
+	silent   time.Duration // since when its watch has been silent; 0: it is not silent
+	lastPoll time.Duration // when it last polled, or its last watch ended
 }
 
-// notificationTime returns when a node counts as notified, by the rules of the platform, of what changes now, if
-// nothing is written to it before; d.mu is held.
+// notificationTime returns when a node counts, by the rules of the platform, as notified of a change that happens now,
+// if nothing is written to it before. The caller holds d.mu.
 func (d *discovery) notificationTime(n *Node) time.Duration {
 	now, state := d.testbed.now(), d.watchStates[n]
 	switch {
-	case state == nil: // it has never polled
+	case state == nil: // the node has never polled
 		return now + maxPollInterval
 	case state.silent > 0:
 		return max(now, state.silent+silentWatchDelay)
@@ -23,10 +24,10 @@
 	case d.testbed.world.Discovery.Asked || d.fault.Down || d.fault.Fail:
 		return max(now, state.lastPoll+maxPollInterval)
 	}
-	return now // discovery has the change, and the node has no watch
+	return now // the node has no watch, and a poll would return the change
 }
 
-// updateWatch changes the watch state of a node, and returns it.
+// updateWatch calls f on the watch state of a node, and returns the state.
 func (d *discovery) updateWatch(n *Node, f func(*watchState)) *watchState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -37,7 +38,8 @@
 	return d.watchStates[n]
 }
 
-// recordNotified reports to the checker what was written to a node.
+// recordNotified reports to the checker an update that was written to a node. A snapshot also notifies the node of the
+// removal of the servers that it does not list.
 func (d *discovery) recordNotified(n *Node, update endpointUpdate) {
 	listed := map[string]bool{}
 	for _, h := range update.Hosts {
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// A drain that a node could not learn of binds it all the same once the node counts as notified: for a node that was
-// stopped, when it was written; for a watch that fell silent, 6 s after that.
-func TestDrainsBindNodesThatMissedThem(t *testing.T) {
-	const drain = 1500 * time.Millisecond // after the load began
+// Guards against nodes that keep sending to a draining server after a drain that they could not read in time. They must
+// stop once they count as notified: a stopped node when the drain was written to it, a node whose watch fell silent 6 s
+// after that.
+func TestNodesThatMissedADrainStopSending(t *testing.T) {
+	const drain = 1500 * time.Millisecond // since the load began
 	for name, c := range map[string]struct {
 		fault  FaultKind
-		from   time.Duration // of the fault
-		length time.Duration // of it
+		from   time.Duration // when the fault begins
+		length time.Duration // of the fault
 		load   time.Duration
 	}{
 		"stopped": {"stop", time.Second, 4500 * time.Millisecond, 6 * time.Second},
@@ -22,7 +23,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := small(2, 3)
-			for i := range w.Classes { // clients that still wait when a stopped node goes on
+			for i := range w.Classes { // clients must still be waiting when the stopped node continues
 				w.Classes[i].LatencyObjective, w.Classes[i].Deadline = 2500*time.Millisecond, 8*time.Second
 			}
 			w.Zones, w.Discovery.Late, w.Discovery.Asked = []string{"a"}, 50*time.Millisecond, true
@@ -48,13 +49,13 @@
 			<-scheduleDone
 			checkNoFindings(t, tb)
 			if got.served() < len(arrivals)/3 {
-				t.Errorf("served %d of %d", got.served(), len(arrivals))
+				t.Errorf("served %d of %d requests, want at least a third", got.served(), len(arrivals))
 			}
 			tb.checker.mu.Lock()
 			defer tb.checker.mu.Unlock()
 			at, notified := tb.checker.drainNotifiedAt[nodeAndServer{"n1", "front-2"}]
 			if !notified || at > tb.now()-drainWithin-slack {
-				t.Errorf("notified %v, at %v: the drain was not held to within the day", notified, at)
+				t.Errorf("n1 notified %v, at %v: the run ended too early to check the drain", notified, at)
 			}
 		})
 	}
--- a/internal/testbed/one_sided_scenarios.go
+++ b/internal/testbed/one_sided_scenarios.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// linkReturnInterval is longer than a node takes to act on what it has received.
+// linkReturnInterval is the time between the return of one link and the next. It is longer than a node takes to act on
+// what it has received.
 const linkReturnInterval = 150 * time.Millisecond
 
-// bursts loses everything for 300 ms in each 1.5 s, and a tenth in between, for 30 s.
-func (s *scenarioRun) bursts(ctx context.Context) error {
+// burstsOfLoss drops all packets for 300 ms of each 1.5 s and a tenth of them in the rest, for 30 s.
+func (s *scenarioRun) burstsOfLoss(ctx context.Context) error {
 	at := s.testbed.now()
 	for s.testbed.now()-at < 30*time.Second {
 		s.testbed.SetLink("n*", "n*", LinkCondition{Loss: 1})
@@ -26,7 +27,7 @@
 }
 
 // waitUntilHealed ends the conditions of some links, records how long it takes until all nodes agree, and counts the
-// members that were wrongly removed since.
+// wrong removals after since, only those of the given names if there are any.
 func (s *scenarioRun) waitUntilHealed(
 	ctx context.Context,
 	from, to string,
@@ -38,17 +39,18 @@
 	return errors.Join(err, s.countWronglyRemoved(since, names...))
 }
 
-// waitForNewLeader records how long it takes until some nodes have a majority under another leader than before.
+// waitForNewLeader records how long it takes until the nodes have a majority under a leader process other than before.
 func (s *scenarioRun) waitForNewLeader(ctx context.Context, by []*Node, before string) error {
-	took, err := s.waitUntil(ctx, "another leader has the majority", func() bool {
+	took, err := s.waitUntil(ctx, "the majority has another leader", func() bool {
 		v, err := by[0].Fleet(ctx)
-		return err == nil && v.Under != before && v.Side == SideMajority && Agree(ctx, by, SideMajority)
+		return err == nil && v.LeaderProcess != before && v.Side == SideMajority && Agree(ctx, by, SideMajority)
 	})
 	s.record("leader replaced", took)
 	return err
 }
 
-// leaderLinkFailure makes the leader fail to receive, or to send, for 15 s. No other member may be removed by any node.
+// leaderLinkFailure cuts all links to the leader if receiveFails is true, else all links from it, for 15 s. No node may
+// remove any other member than the leader.
 func (s *scenarioRun) leaderLinkFailure(ctx context.Context, receiveFails bool) error {
 	at, rest := s.testbed.now(), s.nodes[1:]
 	v, err := s.nodes[0].Fleet(ctx)
@@ -60,7 +62,7 @@
 		from, to = to, from
 	}
 	s.testbed.SetLink(from, to, LinkCondition{Cut: true})
-	if err := s.waitForNewLeader(ctx, rest, v.Under); err != nil {
+	if err := s.waitForNewLeader(ctx, rest, v.LeaderProcess); err != nil {
 		return err
 	}
 	if !sleep(ctx, 15*time.Second-(s.testbed.now()-at)) {
@@ -69,8 +71,8 @@
 	return s.waitUntilHealed(ctx, from, to, at, names(rest)...)
 }
 
-// leaderReturnsSlowly makes the leader fail to receive for 10 s, and then lets it receive from one member after
-// another, more than a tick of theirs apart. No other member may be removed by any node.
+// leaderReturnsSlowly cuts all links to the leader for 10 s and then restores them one by one, further apart than a
+// tick of the members. No node may remove any other member than the leader.
 func (s *scenarioRun) leaderReturnsSlowly(ctx context.Context) error {
 	at, leader, rest := s.testbed.now(), s.nodes[0].name, s.nodes[1:]
 	s.testbed.SetLink("n*", leader, LinkCondition{Cut: true})
@@ -84,7 +86,8 @@
 	return s.waitUntilHealed(ctx, "n*", leader, at, names(rest)...)
 }
 
-// memberReceiveFailure lets the last node receive nothing for 15 s; its suspicions reach the others.
+// memberReceiveFailure cuts all links to the last node for 15 s; its suspicions still reach the others. No node may
+// remove any other member.
 func (s *scenarioRun) memberReceiveFailure(ctx context.Context) error {
 	at, last := s.testbed.now(), s.nodes[len(s.nodes)-1]
 	s.testbed.SetLink("n*", last.name, LinkCondition{Cut: true})
@@ -92,8 +95,9 @@
 	return s.waitUntilHealed(ctx, "n*", last.name, at, names(s.nodes[:len(s.nodes)-1])...)
 }
 
-// ring lets each node receive only from the next for 15 s.
-func (s *scenarioRun) ring(ctx context.Context) error {
+// ringOfOneWayCuts cuts all links but those from each node to the one before it, for 15 s: each node receives only from
+// the next one.
+func (s *scenarioRun) ringOfOneWayCuts(ctx context.Context) error {
 	for i, a := range s.nodes {
 		for j, b := range s.nodes {
 			if i != j && j != (i+len(s.nodes)-1)%len(s.nodes) {
@@ -107,7 +111,7 @@
 	return err
 }
 
-// halfStopped stops the upper half of the nodes for 4 s. No member of the lower half may be removed.
+// halfStopped stops the second half of the nodes for 4 s. No member of the first half may be removed.
 func (s *scenarioRun) halfStopped(ctx context.Context) error {
 	at, half := s.testbed.now(), len(s.nodes)/2
 	for _, n := range s.nodes[half:] {
@@ -124,7 +128,8 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at, names(s.nodes[:half])...)
 }
 
-// leaderStopped stops the leader while its vote is live.
+// leaderStopped stops the leader for a while, beginning while its vote is live. For up to 1 s no member may be removed,
+// for longer only the leader.
 func (s *scenarioRun) leaderStopped(ctx context.Context, d time.Duration) error {
 	at, leader := s.testbed.now(), s.nodes[0]
 	if err := leader.Stop(); err != nil {
@@ -140,7 +145,8 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
-// slowOneByOne limits one process after another to a tenth of a processor for 3 s.
+// slowOneByOne limits one process after another to a tenth of a processor for 3 s: it runs for 10 ms in each 100 ms. No
+// member may be removed.
 func (s *scenarioRun) slowOneByOne(ctx context.Context) error {
 	at := s.testbed.now()
 	for _, n := range s.nodes {
@@ -160,8 +166,8 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at)
 }
 
-// splitWithBridge leaves only n4 in reach of both n1 to n3 and n5 to n8, for 20 s. There is never more than one
-// majority, and n4 is never removed.
+// splitWithBridge cuts the links between n1 to n3 and n5 to n8 for 20 s, so that only n4 reaches all others. There must
+// never be more than one majority, and n4 must never be removed.
 func (s *scenarioRun) splitWithBridge(ctx context.Context) error {
 	at := s.testbed.now()
 	for _, a := range s.nodes[:3] {
@@ -174,7 +180,8 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at, "n4")
 }
 
-// killWhileSuspecting cuts n7 off from n8 for a moment, and kills it when it has begun to suspect.
+// killWhileSuspecting drops 80% of what n7 sends, and kills n7 once it has logged that it suspects a member. No other
+// member may be removed.
 func (s *scenarioRun) killWhileSuspecting(ctx context.Context) error {
 	at, n7, n8 := s.testbed.now(), s.nodes[6], s.nodes[7]
 	s.testbed.SetLink(n7.name, "n*", LinkCondition{Loss: 0.8})
--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// SendOverride calls /control/overrides/ID at the node's admin endpoint; body may be empty. It returns the answer's
-// status.
+// SendOverride sends a request for /control/overrides/ID, with a body that may be empty, to the node's admin endpoint.
+// It returns the status of the response.
 func (n *Node) SendOverride(ctx context.Context, method, id, body string) (int, error) {
 	url := "http://" + n.Control() + "/control/overrides/" + id
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
@@ -26,7 +26,8 @@
 	return resp.StatusCode, nil
 }
 
-// OverridesInForce asks the node's admin endpoint which overrides act there, and how long they have left.
+// OverridesInForce reads from the node's admin endpoint which overrides are in force there, and returns the time that
+// each has left, by ID.
 func (n *Node) OverridesInForce(ctx context.Context) (map[string]time.Duration, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/control/overrides", nil)
 	if err != nil {
@@ -44,7 +45,7 @@
 		} `json:"in_force"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&v); err != nil || resp.StatusCode != http.StatusOK {
-		return nil, errors.Join(err, fmt.Errorf("%s answered %s", n.name, resp.Status))
+		return nil, errors.Join(err, fmt.Errorf("overrides of node %s: response %s", n.name, resp.Status))
 	}
 	all := map[string]time.Duration{}
 	for _, f := range v.OverridesInForce {
@@ -53,12 +54,13 @@
 	return all, nil
 }
 
-// evacuationOverride is the body of an override that evacuates a zone for a while.
+// evacuationOverride returns the body of an override that evacuates a zone for a limited time.
 func evacuationOverride(zone string, lasts time.Duration) string {
 	return fmt.Sprintf(`{"kind":"evacuate","scope":%q,"reason":"lab","author":"lab","for":%q}`, zone, lasts)
 }
 
-// issueOverride issues an override until some admin endpoint accepts it, and returns when the call that did was made.
+// issueOverride sends an override to a node until its admin endpoint accepts it, and returns when the accepted request
+// was sent.
 func (s *scenarioRun) issueOverride(ctx context.Context, by *Node, id, body string) (at time.Duration, err error) {
 	_, err = s.waitUntil(ctx, id+" is accepted", func() bool {
 		at = s.testbed.now()
@@ -68,7 +70,7 @@
 	return at, err
 }
 
-// revokeOverride ends an override through a node, and returns when the last call that did was made.
+// revokeOverride revokes an override through a node, with retries, and returns when the last request was sent.
 func (s *scenarioRun) revokeOverride(ctx context.Context, by *Node, id string) (at time.Duration, err error) {
 	_, err = s.waitUntil(ctx, "the revocation is accepted", func() bool {
 		at = s.testbed.now()
@@ -78,8 +80,8 @@
 	return at, err
 }
 
-// waitForOverride waits until an override is in force, or is not, on some nodes, and records under a metric, where one
-// is named, how long that took from a time on.
+// waitForOverride waits until an override is in force on all of the nodes, or on none if want is false. If a metric is
+// named, it records for each node how long that took since from.
 func (s *scenarioRun) waitForOverride(
 	ctx context.Context,
 	on []*Node,
@@ -103,7 +105,8 @@
 	return nil
 }
 
-// issueAndWait issues an override and waits until it is in force on some nodes.
+// issueAndWait issues an override and waits until it is in force on all of the nodes. It returns when the override was
+// issued.
 func (s *scenarioRun) issueAndWait(
 	ctx context.Context,
 	by *Node,
@@ -118,14 +121,16 @@
 	return issued, s.waitForOverride(ctx, on, id, true, metric, issued)
 }
 
+// Names of metrics and counts of the scenarios with overrides.
 const (
 	issuedMetric  = "issued: in force"
 	revokedMetric = "revoked: out of force"
 	actsPastEnd   = "acts past its end"
 )
 
-// overrides issues overrides at any admin endpoint under a condition of all links, revokes some, and lets the others
-// end. One node is isolated, and one stopped, while all of that happens.
+// overrides issues overrides through different admin endpoints under a condition of all links. It revokes two and lets
+// one end while one node is isolated and one is stopped. Both of them must afterwards get an override that was issued
+// meanwhile, and no node may apply an override after its end.
 func (s *scenarioRun) overrides(ctx context.Context, c LinkCondition) error {
 	const lasts = 6 * time.Second
 	last := len(s.nodes) - 1
@@ -187,14 +192,15 @@
 	return s.waitForOverride(ctx, s.nodes, id, false, revokedMetric, revoked)
 }
 
-// watchOverrideEnd polls some nodes until an override must have ended on all, and records how early it did on each.
+// watchOverrideEnd polls the nodes until an override must have ended on all of them. It records how early the override
+// ended on each node, and counts the responses in which it was still in force after its end.
 func (s *scenarioRun) watchOverrideEnd(
 	ctx context.Context,
 	nodes []*Node,
 	id string,
 	issued, lasts time.Duration,
 ) error {
-	const pollTolerance = 200 * time.Millisecond // the call itself, and what a busy machine adds to it
+	const pollTolerance = 200 * time.Millisecond // for the request itself and the delay of a busy machine
 	ended := map[*Node]bool{}
 	for s.testbed.now()-issued < lasts+time.Second {
 		for _, n := range nodes {
--- a/internal/testbed/overrides_test.go
+++ b/internal/testbed/overrides_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Eight processes: overrides given at any admin endpoint are in force everywhere and end everywhere, also at one that
-// is cut off and one that is stopped, and both come to what they missed.
+// Guards overrides among eight processes: one issued at any admin endpoint must come into force and end on every node.
+// An isolated node and a stopped one must end it too, and must afterwards get the override that they missed.
 func TestOverridesEndOnEveryNode(t *testing.T) {
 	t.Parallel()
 	for _, sc := range Scenarios {
@@ -16,7 +16,7 @@
 		}
 		got, err := RunScenario(context.Background(), sc, binary, sc.Nodes, 1, 400*time.Millisecond)
 		if err != nil || got.Failure != "" || len(got.Times["ended early by"]) < sc.Nodes-1 {
-			t.Errorf("%v %s: %v, %v", err, got.Failure, got.Counts, got.Times)
+			t.Errorf("error %v, failure %q, counts %v, times %v", err, got.Failure, got.Counts, got.Times)
 		}
 	}
 }
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -10,14 +10,16 @@
 	"time"
 )
 
-func (s *scenarioRun) terminateOne(ctx context.Context) error {
+// terminateLast ends the last node with SIGTERM, and records when the others log that it has left.
+func (s *scenarioRun) terminateLast(ctx context.Context) error {
 	n := s.nodes[len(s.nodes)-1]
 	at := s.testbed.now()
 	n.Terminate()
 	return s.waitForState(ctx, s.nodes[:len(s.nodes)-1], n.name, stateLeft, leftMetric, at)
 }
 
-// leaderLeaves records for how long some of the others are without a majority after a planned end of the leader.
+// leaderLeaves ends the leader with SIGTERM, and records for how long in the next 5 s any of the others had no
+// majority.
 func (s *scenarioRun) leaderLeaves(ctx context.Context) error {
 	leader, rest := s.nodes[0], s.nodes[1:]
 	ended := make(chan struct{})
@@ -48,7 +50,8 @@
 	return err
 }
 
-// split cuts the nodes into groups for 20 s.
+// split cuts all links between groups of the nodes for 20 s, and counts the partition sides that the nodes report at
+// the end. If rolling is true, it restarts three nodes meanwhile.
 func (s *scenarioRun) split(ctx context.Context, rolling bool, sizes ...int) error {
 	var groups [][]*Node
 	rest := s.nodes
@@ -92,8 +95,8 @@
 	return err
 }
 
-// restartOne kills a node and starts it again at once: within the time in which it is suspected.
-func (s *scenarioRun) restartOne(ctx context.Context) error {
+// restartLast kills a node and starts it again at once, before its suspicion can time out.
+func (s *scenarioRun) restartLast(ctx context.Context) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	n.Kill()
 	if err := n.restart(ctx); err != nil {
@@ -103,6 +106,7 @@
 	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
+// restartAll kills all nodes at once and starts them again.
 func (s *scenarioRun) restartAll(ctx context.Context) error {
 	for _, n := range s.nodes {
 		n.Kill()
@@ -121,8 +125,9 @@
 	return err
 }
 
-// seedsDead kills all, starts those that are no seeds, and only later the seeds.
-func (s *scenarioRun) seedsDead(ctx context.Context) error {
+// startWithoutSeeds kills all nodes and starts those that are not seeds. Once the first of these reports that it is
+// isolated, it starts the seeds.
+func (s *scenarioRun) startWithoutSeeds(ctx context.Context) error {
 	seeds := min(s.testbed.world.Seeds, len(s.nodes))
 	for _, n := range s.nodes {
 		n.Kill()
@@ -144,8 +149,9 @@
 	return err
 }
 
-// flood sends one node junk as fast as one sender can, for 10 s, and records how long it takes to answer meanwhile.
-func (s *scenarioRun) flood(ctx context.Context) error {
+// floodMesh sends invalid packets to one node's mesh as fast as one sender can, for 10 s, and records the node's
+// response times meanwhile. No member may be removed.
+func (s *scenarioRun) floodMesh(ctx context.Context) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	to, err := net.Dial("udp4", n.meshListen())
 	if err != nil {
@@ -157,7 +163,7 @@
 	go func() {
 		junk, sent := make([]byte, 200), 0
 		for ; time.Now().Before(until) && ctx.Err() == nil; sent++ {
-			_, _ = to.Write(junk) // one that is not sent does no harm
+			_, _ = to.Write(junk) // packets that fail to send do not matter
 		}
 		ended <- sent
 	}()
@@ -173,7 +179,7 @@
 	return errors.Join(ctx.Err(), s.countWronglyRemoved(at))
 }
 
-// halfProcessorTime lets one node run for half of every tenth of a second.
+// halfProcessorTime lets one node run for only half of each tenth of a second, for 30 s. No member may be removed.
 func (s *scenarioRun) halfProcessorTime(ctx context.Context) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	for s.testbed.now()-at < 30*time.Second {
@@ -192,8 +198,9 @@
 	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
-// duplicateName starts a second process with the last node's name, at an address of its own, and ends it once the older
-// one has left the mesh.
+// duplicateName starts a second process with the last node's name, at an address of its own. Both must report the
+// conflict, and then the older process must leave the mesh but still serve clients. Once the newer one is killed, the
+// older one must be a member again.
 func (s *scenarioRun) duplicateName(ctx context.Context) error {
 	older := s.nodes[len(s.nodes)-1]
 	twin, err := s.testbed.newNode("twin", older.zone, older.tier, older.index)
@@ -223,23 +230,23 @@
 		b, _ := state(twin)
 		return a == stateConflict && b == stateConflict
 	})
-	note("then the older is out", "the older is alone and says so", func() bool {
+	note("then the older is out", "the older process is isolated and reports the conflict", func() bool {
 		is, side := state(older)
 		return is == stateConflict && side == SideIsolated
 	})
 	with := append(slices.Clone(s.nodes[:len(s.nodes)-1]), twin)
 	note(
 		"then the others agree with the newer",
-		"all agree with the newer",
+		"the other nodes agree with the newer process",
 		func() bool { return Agree(ctx, with, SideComplete) },
 	)
 	if err == nil && !older.Ready(ctx) {
-		err = errors.New("the older does not take clients any more")
+		err = errors.New("the older process is not ready for clients")
 	}
 	twin.Kill()
 	note(
 		"the older is back after the newer's end",
-		"the older is back",
+		"all nodes agree with the older process again",
 		func() bool { return Agree(ctx, s.nodes, SideComplete) },
 	)
 	return err
--- a/internal/testbed/scenario_run.go
+++ b/internal/testbed/scenario_run.go
@@ -21,16 +21,16 @@
 	seed    uint64
 }
 
-// ScenarioResult is what one run of a scenario showed.
+// ScenarioResult is the result of one run of a scenario.
 type ScenarioResult struct {
 	Scenario string
 	Seed     uint64
 	Times    map[string][]time.Duration
 	Counts   map[string]int
-	Failure  string // why it could not be run to its end; empty: it was
+	Failure  string // why the run did not complete; empty: it did
 }
 
-// RunScenario runs a scenario once, with nodes that have links between any two.
+// RunScenario runs a scenario once, with a link between any two nodes unless the scenario is bare.
 func RunScenario(
 	ctx context.Context,
 	sc Scenario,
@@ -80,7 +80,7 @@
 	return out, nil
 }
 
-// scenarioWorld is a world of nodes with links between any two.
+// scenarioWorld returns a world of nodes with membership and a link between any two.
 func scenarioWorld(binary string, nodes int, seed uint64, probe time.Duration) World {
 	return World{
 		Binary: binary,
@@ -104,14 +104,14 @@
 
 const scenarioTimeout = time.Minute
 
-// Names of metrics in the results of scenarios.
+// Names of metrics that several scenarios record.
 const (
 	deadMetric          = "gone"
 	leftMetric          = "left"
 	completeAgainMetric = "whole again"
 )
 
-// waitForAgreement waits until some nodes are on a partition side with one digest, and returns how long that took.
+// waitForAgreement waits until the nodes agree on a partition side and one digest, and returns how long that took.
 func (s *scenarioRun) waitForAgreement(ctx context.Context, nodes []*Node, side string) (time.Duration, error) {
 	what := fmt.Sprintf("%d nodes agree on %s", len(nodes), side)
 	return s.waitUntil(ctx, what, func() bool { return Agree(ctx, nodes, side) })
@@ -129,7 +129,7 @@
 	s.times[metric] = append(s.times[metric], d)
 }
 
-// waitUntil waits for a condition, and returns how long that took.
+// waitUntil polls a condition until it holds, and returns how long that took. It fails after scenarioTimeout.
 func (s *scenarioRun) waitUntil(ctx context.Context, what string, is func() bool) (time.Duration, error) {
 	from := s.testbed.now()
 	for !is() {
@@ -137,14 +137,14 @@
 			return 0, ctx.Err()
 		}
 		if s.testbed.now()-from > scenarioTimeout {
-			return 0, fmt.Errorf("not within %v: %s", scenarioTimeout, what)
+			return 0, fmt.Errorf("condition did not hold within %v: %s", scenarioTimeout, what)
 		}
 	}
 	return s.testbed.now() - from, nil
 }
 
-// watchLeaders asks all admin endpoints repeatedly which process proves their majority. Two answers in one round
-// count as two majorities when the next round, right after it, has the same two.
+// watchLeaders asks all admin endpoints repeatedly which process proves their majority. Different processes in one
+// round count as two majorities only if the round right after it returns the same ones.
 func (s *scenarioRun) watchLeaders(ctx context.Context) {
 	var before []string
 	for sleep(ctx, 50*time.Millisecond) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// leaders asks all nodes at once which process proves their majority, and returns the different answers, sorted.
+// leaders asks all nodes concurrently which process proves their majority, and returns the distinct processes, sorted.
 func (s *scenarioRun) leaders(ctx context.Context) []string {
 	under := make([]string, len(s.nodes))
 	var all sync.WaitGroup
@@ -173,7 +173,7 @@
 		go func() {
 			defer all.Done()
 			if v, err := n.Fleet(ctx); err == nil && (v.Side == SideMajority || v.Side == SideComplete) {
-				under[i] = v.Under
+				under[i] = v.LeaderProcess
 			}
 		}()
 	}
@@ -185,13 +185,13 @@
 	return seen
 }
 
-// memberChange is a line of a node's log about a member.
+// memberChange is a change of a member's state that a node has logged.
 type memberChange struct {
 	at          time.Duration // on the testbed's clock
 	name, state string
 }
 
-// changes reads what a node has logged about members.
+// changes reads the changes of members' states from a node's log.
 func (s *scenarioRun) changes(n *Node) (all []memberChange, err error) {
 	f, err := os.Open(n.Log())
 	if err != nil {
@@ -217,7 +217,8 @@
 	return all, nil
 }
 
-// waitForState waits until some nodes have logged a member's state after a time, and records how long that took.
+// waitForState waits until each of the nodes has logged a state of a member at or after a time, and records for each
+// how long after that time.
 func (s *scenarioRun) waitForState(
 	ctx context.Context,
 	by []*Node,
@@ -237,14 +238,15 @@
 				}
 			}
 			if !found && (!sleep(ctx, 20*time.Millisecond) || s.testbed.now()-after > scenarioTimeout) {
-				return errors.Join(ctx.Err(), fmt.Errorf("%s did not see %s as %s within %v", n.name, name, state, scenarioTimeout))
+				return errors.Join(ctx.Err(), fmt.Errorf("%s did not log %s as %s within %v", n.name, name, state, scenarioTimeout))
 			}
 		}
 	}
 	return nil
 }
 
-// countWronglyRemoved counts how often nodes took members for gone since a time, of the given names or of all.
+// countWronglyRemoved counts how often nodes have declared members dead since a time, only those of the given names if
+// there are any.
 func (s *scenarioRun) countWronglyRemoved(after time.Duration, names ...string) error {
 	for _, n := range s.nodes {
 		all, err := s.changes(n)
@@ -260,6 +262,7 @@
 	return nil
 }
 
+// names returns the names of the nodes.
 func names(nodes []*Node) (all []string) {
 	for _, n := range nodes {
 		all = append(all, n.name)
@@ -267,7 +270,8 @@
 	return all
 }
 
-func (s *scenarioRun) kill(ctx context.Context, k int) error {
+// killLast kills the last k nodes, and records how long the others take to declare them dead and then to agree.
+func (s *scenarioRun) killLast(ctx context.Context, k int) error {
 	sleep(ctx, time.Duration(s.seed%7)*100*time.Millisecond) // a different phase of the probe interval for each seed
 	at := s.testbed.now()
 	rest, dead := s.nodes[:len(s.nodes)-k], s.nodes[len(s.nodes)-k:]
@@ -288,7 +292,8 @@
 	return errors.Join(err, s.countWronglyRemoved(at, names(rest)...))
 }
 
-func (s *scenarioRun) stopOne(ctx context.Context, d time.Duration) error {
+// stopLast stops the last node for a while. For up to 1 s no member may be declared dead, for longer only that node.
+func (s *scenarioRun) stopLast(ctx context.Context, d time.Duration) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	if err := n.Stop(); err != nil {
 		return err
@@ -298,14 +303,14 @@
 		return err
 	}
 	err := s.recordAgreement(ctx, completeAgainMetric)
-	if d > time.Second { // it is rightly taken for gone, but no other member may be
+	if d > time.Second { // the node is rightly declared dead, but no other member may be
 		return errors.Join(err, s.countWronglyRemoved(at, names(s.nodes[:len(s.nodes)-1])...))
 	}
-	sleep(ctx, 3*time.Second) // a suspicion times out by then
+	sleep(ctx, 3*time.Second) // long enough for a suspicion to time out
 	return errors.Join(err, s.countWronglyRemoved(at))
 }
 
-// holdCondition sets a link condition for a while; no member may be taken for gone under it.
+// holdCondition sets a condition of some links for a while. No member may be declared dead meanwhile.
 func (s *scenarioRun) holdCondition(ctx context.Context, from, to string, c LinkCondition, d time.Duration) error {
 	at := s.testbed.now()
 	s.testbed.SetLink(from, to, c)
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Scenario is one way to inject faults into a fleet whose only work is membership.
+// Scenario is a sequence of faults in a fleet whose nodes run membership and get no load.
 type Scenario struct {
 	Name  string
-	Nodes int // 0: as many as asked for
+	Nodes int // number of nodes; 0: as many as RunScenario is given
 	run   func(*scenarioRun, context.Context) error
-	Bare  bool // without links: two processes of one name have no link of that name in common
+	Bare  bool // without links, as a link belongs to a node's name and cannot be shared by two processes of one name
 }
 
-// Scenarios are all there are.
+// Scenarios lists all scenarios.
 var Scenarios = []Scenario{
-	{Name: "kill one", run: func(s *scenarioRun, ctx context.Context) error { return s.kill(ctx, 1) }},
-	{Name: "kill one of 8", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error { return s.kill(ctx, 1) }},
-	{Name: "kill 7 of 10", Nodes: 10, run: func(s *scenarioRun, ctx context.Context) error { return s.kill(ctx, 7) }},
-	{Name: "leave", run: (*scenarioRun).terminateOne},
+	{Name: "kill one", run: func(s *scenarioRun, ctx context.Context) error { return s.killLast(ctx, 1) }},
+	{Name: "kill one of 8", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error { return s.killLast(ctx, 1) }},
+	{Name: "kill 7 of 10", Nodes: 10, run: func(s *scenarioRun, ctx context.Context) error { return s.killLast(ctx, 7) }},
+	{Name: "leave", run: (*scenarioRun).terminateLast},
 	{Name: "leader leaves", run: (*scenarioRun).leaderLeaves},
-	{Name: "stop 1 s", run: func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, time.Second) }},
-	{Name: "stop 4 s", run: func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, 4*time.Second) }},
+	{Name: "stop 1 s", run: func(s *scenarioRun, ctx context.Context) error { return s.stopLast(ctx, time.Second) }},
+	{Name: "stop 4 s", run: func(s *scenarioRun, ctx context.Context) error { return s.stopLast(ctx, 4*time.Second) }},
 	{
 		Name:  "stop 15 s",
 		Nodes: 8,
-		run:   func(s *scenarioRun, ctx context.Context) error { return s.stopOne(ctx, 15*time.Second) },
+		run:   func(s *scenarioRun, ctx context.Context) error { return s.stopLast(ctx, 15*time.Second) },
 	},
 	{Name: "one-way cut", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n8", "n3", LinkCondition{Cut: true}, 20*time.Second)
@@ -39,7 +39,7 @@
 	{Name: "20% loss, long", run: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n*", "n*", LinkCondition{Loss: 0.2, Jitter: 50 * time.Millisecond}, 10*time.Minute)
 	}},
-	{Name: "loss in bursts", Nodes: 8, run: (*scenarioRun).bursts},
+	{Name: "loss in bursts", Nodes: 8, run: (*scenarioRun).burstsOfLoss},
 	{Name: "link of 800 ms", Nodes: 8, run: func(s *scenarioRun, ctx context.Context) error {
 		return s.holdCondition(ctx, "n7", "n8", LinkCondition{Delay: 800 * time.Millisecond}, 20*time.Second)
 	}},
@@ -55,7 +55,7 @@
 	},
 	{Name: "deaf leader, links back one by one", Nodes: 8, run: (*scenarioRun).leaderReturnsSlowly},
 	{Name: "deaf member", Nodes: 8, run: (*scenarioRun).memberReceiveFailure},
-	{Name: "ring of one-way cuts", Nodes: 8, run: (*scenarioRun).ring},
+	{Name: "ring of one-way cuts", Nodes: 8, run: (*scenarioRun).ringOfOneWayCuts},
 	{Name: "half stopped 4 s", Nodes: 8, run: (*scenarioRun).halfStopped},
 	{
 		Name:  "leader stopped 1 s",
@@ -98,9 +98,9 @@
 		Nodes: 8,
 		run:   func(s *scenarioRun, ctx context.Context) error { return s.split(ctx, true, 3, 5) },
 	},
-	{Name: "restart at once", run: (*scenarioRun).restartOne},
+	{Name: "restart at once", run: (*scenarioRun).restartLast},
 	{Name: "all restart at once", run: (*scenarioRun).restartAll},
-	{Name: "seeds dead at start", Nodes: 8, run: (*scenarioRun).seedsDead},
+	{Name: "seeds dead at start", Nodes: 8, run: (*scenarioRun).startWithoutSeeds},
 	{
 		Name:  "overrides",
 		Nodes: 8,
@@ -110,7 +110,7 @@
 		return s.overrides(ctx, LinkCondition{Loss: 0.2, Jitter: 50 * time.Millisecond})
 	}},
 	{Name: "leader killed under an override", Nodes: 8, run: (*scenarioRun).overrideThroughLeaderKill},
-	{Name: "flood", Nodes: 8, run: (*scenarioRun).flood},
+	{Name: "flood", Nodes: 8, run: (*scenarioRun).floodMesh},
 	{Name: "half a processor", Nodes: 8, run: (*scenarioRun).halfProcessorTime},
 	{Name: "two of one name", Nodes: 8, run: (*scenarioRun).duplicateName, Bare: true},
 }
--- a/internal/testbed/shim/faults.go
+++ b/internal/testbed/shim/faults.go
@@ -9,7 +9,7 @@
 
 const (
 	noSocket  socketKind = iota
-	created                 // returned by socket(2), such as a connection to a server
+	created              // returned by socket(2), such as a connection to a server
 	accepted             // from a client, which must get an answer: read and write on it never fail
 	listening            // returned by socket(2), with listen(2) called on it
 )
--- a/internal/testbed/shim/trace.go
+++ b/internal/testbed/shim/trace.go
@@ -21,7 +21,7 @@
 	waitNoThread  = 0x20000000 // __WNOTHREAD: wait only for children of this thread
 	exitKill      = 0x00100000 // PTRACE_O_EXITKILL: the program dies with its tracer
 	syscallTrap   = syscall.SIGTRAP | 0x80
-	invalidCall        = ^uint64(0) // no valid system call number: the kernel makes no call
+	invalidCall   = ^uint64(0) // no valid system call number: the kernel makes no call
 	vdsoEntry     = 33         // AT_SYSINFO_EHDR
 	ignoreEntry   = 1          // AT_IGNORE
 	realtimeClock = 0
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -16,7 +16,7 @@
 	firstCluster    = 3 * time.Second
 	secondCluster   = 10 * time.Second
 	clusterDuration = 1500 * time.Millisecond // all faults of a cluster begin within this time of its start
-	loadDuration          = 18 * time.Second
+	loadDuration    = 18 * time.Second
 	quietAfter      = 5 * time.Second // wait for pending requests before the counters are compared
 )
 
