--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { os.Exit(testbedtest.Main(m, &binary)) }
 
-const tiny = `name = "tiny"
+const minimalExperiment = `name = "tiny"
 length = "2s"
 window = "500ms"
 seeds = [3, 4]
@@ -79,21 +79,21 @@
 		{`factor = 3.0`, `facto = 3.0`}:              "x.toml:30: fault.facto: unknown key",
 		{`rate = 40.0`, "rate = 40.0\nretries = 11"}: "x.toml:24: load.retries: ",
 	} {
-		_, err := Load(write(t, strings.Replace(tiny, change[0], change[1], 1)))
+		_, err := Load(write(t, strings.Replace(minimalExperiment, change[0], change[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", change[1], err, want)
+			t.Errorf("file with %q: error %v, want one with %q", change[1], err, want)
 		}
 	}
-	f, err := Load(write(t, tiny))
+	f, err := Load(write(t, minimalExperiment))
 	if err != nil || f.Runs() != 4 {
-		t.Errorf("the file itself: %d runs, %v", f.Runs(), err)
+		t.Errorf("unchanged file: %d runs, error %v, want 4 runs", f.Runs(), err)
 	}
 }
 
-// Each seed is run by all variants with the same arrivals, each run has all its windows, and the report names what
-// was found.
+// Guards against variants that get different arrivals for the same seed, windows missing from the results, and a report
+// without the results.
 func TestRunPairsVariantsAndReports(t *testing.T) {
-	f, err := Load(write(t, tiny))
+	f, err := Load(write(t, minimalExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 	if err := (&Runner{File: f, Binary: binary, Out: &out}).Run(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	out.WriteString(`{"kind":"wind`) // as a crash leaves it
+	out.WriteString(`{"kind":"wind`) // a partial last line, as a crash leaves it
 	if err := os.WriteFile(filepath.Join(dir, ResultsFile), out.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -112,12 +112,13 @@
 	}
 	checkSummaries(t, r.Summaries)
 	if len(r.Windows) != 4*4 {
-		t.Errorf("%d windows, want 4 for each of 4 runs", len(r.Windows))
+		t.Errorf("read %d windows, want 4 for each of 4 runs", len(r.Windows))
 	}
 	checkReport(t, dir)
 }
 
-// checkSummaries checks the accounts of all runs, and that variants have the same arrivals for a seed.
+// checkSummaries checks the account of each run, and that variants have the same number of arrivals for a seed and a
+// different number for another.
 func checkSummaries(t *testing.T, summaries []Summary) {
 	t.Helper()
 	arrived := map[uint64]map[string]int{3: {}, 4: {}}
@@ -130,11 +131,11 @@
 	}
 	a, b := arrived[3], arrived[4]
 	if a["off"] == 0 || a["off"] != a["on"] || b["off"] != b["on"] || a["on"] == b["on"] {
-		t.Errorf("arrivals by seed and variant: %v", arrived)
+		t.Errorf("arrivals by seed and variant: %v, want equal numbers for a seed only", arrived)
 	}
 }
 
-// checkReport writes the report of a folder and checks what it names, and its plots.
+// checkReport writes the report of a folder of results, and checks that it has the expected texts and plots.
 func checkReport(t *testing.T, dir string) {
 	t.Helper()
 	if err := Report(dir); err != nil {
@@ -157,14 +158,14 @@
 	}
 	for _, plot := range []string{"ends-off.svg", "ends-on.svg", "latency-off.svg", "latency-on.svg"} {
 		if svg, err := os.ReadFile(filepath.Join(dir, plot)); err != nil || !bytes.Contains(svg, []byte("<svg")) {
-			t.Errorf("%s: %v", plot, err)
+			t.Errorf("plot %s: error %v, want an SVG file", plot, err)
 		}
 	}
 }
 
-// An interrupted run is written with what it has.
+// Guards against the loss of a run's results when it is interrupted.
 func TestInterruptedRunWritesWhatItHas(t *testing.T) {
-	f, err := Load(write(t, strings.Replace(tiny, `length = "2s"`, `length = "60s"`, 1)))
+	f, err := Load(write(t, strings.Replace(minimalExperiment, `length = "2s"`, `length = "60s"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +177,7 @@
 		}
 	}}
 	if err := r.Run(ctx); err == nil || ctx.Err() == nil {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("Run returned %v, want an error after the interruption", err)
 	}
 	lines := bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n"))
 	var s Summary
@@ -191,26 +192,27 @@
 func TestReportWithoutResults(t *testing.T) {
 	dir := t.TempDir()
 	if err := Report(dir); err == nil || !strings.Contains(err.Error(), "holds no results") {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("report of an empty folder: error %v, want one about missing results", err)
 	}
 	for text, want := range map[string]string{"": "no run has ended", "{\n{}\n": ResultsFile + ":1"} {
 		if err := os.WriteFile(filepath.Join(dir, ResultsFile), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := Report(dir); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("results %q: error %v, want one with %q", text, err, want)
 		}
 	}
 }
 
-// The bootstrap interval covers a known mean about as often as it says, and the sign test has its textbook values.
+// Guards against a bootstrap interval that covers a known mean much less or more often than 95% of the time, and
+// against a sign test that does not return its textbook values.
 func TestCompare(t *testing.T) {
 	d := compare([]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6})
-	if d.Mean != 1 || d.Low != 1 || d.High != 1 || math.Abs(d.Sign-0.0625) > 1e-9 {
-		t.Errorf("always 1 more: %+v", d)
+	if d.Mean != 1 || d.Low != 1 || d.High != 1 || math.Abs(d.SignTestP-0.0625) > 1e-9 {
+		t.Errorf("all differences are 1: got %+v", d)
 	}
-	if d := compare([]float64{1, 2}, []float64{1, 2}); d.Mean != 0 || d.Sign != 1 {
-		t.Errorf("no difference: %+v", d)
+	if d := compare([]float64{1, 2}, []float64{1, 2}); d.Mean != 0 || d.SignTestP != 1 {
+		t.Errorf("no differences: got %+v, want mean 0 and p 1", d)
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	covered := 0
@@ -225,15 +227,15 @@
 		}
 	}
 	if covered < 85 || covered > 99 {
-		t.Errorf("covered the mean in %d of %d", covered, trials)
+		t.Errorf("the interval covered the mean in %d of %d trials, want 85 to 99", covered, trials)
 	}
 }
 
 func TestMedianWorst(t *testing.T) {
-	if m, w := medianWorst([]float64{4, 1, 3, 2}, true); m != 2.5 || w != 1 {
+	if m, w := medianAndWorst([]float64{4, 1, 3, 2}, true); m != 2.5 || w != 1 {
 		t.Errorf("median %v, worst %v", m, w)
 	}
-	if m, w := medianWorst([]float64{4, 1, 3}, false); m != 3 || w != 4 {
+	if m, w := medianAndWorst([]float64{4, 1, 3}, false); m != 3 || w != 4 {
 		t.Errorf("median %v, worst %v", m, w)
 	}
 }
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -1,5 +1,5 @@
-// Package experiment runs experiments in the testbed: one file describes the world, the load, the schedule of faults,
-// the variants to compare and the seeds. Variants are paired by seed: each seed's arrivals are the same for all.
+// Package experiment runs experiments in the test bed. One file describes the world, the load, the schedule of faults,
+// the variants to compare and the seeds. Variants are paired by seed: all of them get the same arrivals for a seed.
 package experiment
 
 import (
@@ -12,7 +12,7 @@
 	"keelusher/internal/tomlfile"
 )
 
-// File is an experiment.
+// File is the description of an experiment, as read from its file.
 type File struct {
 	Name     string          `toml:"name"`
 	About    string          `toml:"about"`
@@ -26,14 +26,14 @@
 	Variants []Variant       `toml:"variant"` // default: one, named "base"
 }
 
-// Variant is a way to run the nodes. The first one is what the others are compared with.
+// Variant is a way to run the nodes. The others are compared with the first one.
 type Variant struct {
 	Name   string   `toml:"name"`
-	Binary string   `toml:"binary"` // default: the one given to the tool
+	Binary string   `toml:"binary"` // default: the binary that the command was given
 	Args   []string `toml:"args"`
 	Env    []string `toml:"env"` // NAME=value
 
-	Fleet testbed.Tables `toml:"fleet"` // in place of the world's; {} turns all of it off
+	Fleet testbed.Tables `toml:"fleet"` // replaces the world's fleet configuration; {} means none
 }
 
 const (
@@ -41,7 +41,7 @@
 	maxRuns   = 1000
 )
 
-// Load reads and checks an experiment. The error joins one tomlfile.Problem for each thing found wrong.
+// Load reads and checks the file of an experiment. The error joins a tomlfile.Problem for each problem found.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return f, errors.Join(all...)
 }
 
-// check sets the defaults of the file's own keys and returns what is wrong with them.
+// check sets the defaults of the file's top-level keys, and returns an error for each invalid one.
 func (f *File) check() (all []error) {
 	bad := func(key, format string, args ...any) {
 		all = append(all, &testbed.KeyError{Key: key, Why: fmt.Sprintf(format, args...)})
@@ -90,7 +90,7 @@
 		f.Window = time.Second
 	}
 	if f.Window < 100*time.Millisecond || f.Window > max(f.Length, time.Second) {
-		bad("window", "must be from 100 ms to the length")
+		bad("window", "must be at least 100 ms and at most the greater of the length and 1 s")
 	}
 	if len(f.Seeds) == 0 {
 		f.Seeds = []uint64{1}
@@ -102,17 +102,17 @@
 		f.Variants = []Variant{{Name: "base"}}
 	}
 	if n := len(f.Seeds) * f.Repeat * len(f.Variants); f.Repeat < 0 || n > maxRuns {
-		bad("repeat", "%d runs, at most %d", n, maxRuns)
+		bad("repeat", "the experiment has %d runs, at most %d are allowed", n, maxRuns)
 	}
 	seen := map[string]bool{}
 	for i, v := range f.Variants {
 		if v.Name == "" || seen[v.Name] {
-			bad(fmt.Sprintf("variant[%d].name", i), "%q is empty or taken", v.Name)
+			bad(fmt.Sprintf("variant[%d].name", i), "%q is empty or the name of an earlier variant", v.Name)
 		}
 		seen[v.Name] = true
 	}
 	return all
 }
 
-// Runs is how many runs the experiment has.
+// Runs returns the number of runs of the experiment.
 func (f *File) Runs() int { return len(f.Seeds) * f.Repeat * len(f.Variants) }
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -19,10 +19,10 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// ResultsFile is the name of the results within a folder of them.
+// ResultsFile is the name of the results file within an experiment's folder of results.
 const ResultsFile = "results.jsonl"
 
-// Results are the lines of one results file.
+// Results holds the lines of one results file by their kind.
 type Results struct {
 	Windows   []Window
 	Summaries []Summary
@@ -30,8 +30,8 @@
 
 const maxLineSize = 4 << 20
 
-// Read reads a results file. A last line that was cut off is passed over; any other unreadable line is an error that
-// names it.
+// Read reads a results file. It ignores an invalid last line, as a crash leaves it; the error for any other invalid
+// line has the line's number.
 func Read(path string) (*Results, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -71,14 +71,15 @@
 	return r, nil
 }
 
-// metric is one row of the report.
+// metric is a row of the report's tables, computed from the summary of a run.
 type metric struct {
-	name   string
-	format string
-	low    bool // the lowest is the worst
-	value  func(*Summary) float64
+	name          string
+	format        string
+	lowestIsWorst bool // else the highest value is the worst
+	value         func(*Summary) float64
 }
 
+// share returns the share of a run's arrivals that ended in a given way.
 func share(s *Summary, end string) float64 {
 	if s.Arrived == 0 {
 		return 0
@@ -115,7 +116,7 @@
 	{"descriptors, most of a node", "%.0f", false, func(s *Summary) float64 { return float64(s.MaxFiles) }},
 }
 
-// variants returns the summaries by variant, in order of appearance.
+// variants returns the names of the variants in order of appearance, and their summaries by name.
 func (r *Results) variants() (names []string, by map[string][]*Summary) {
 	by = map[string][]*Summary{}
 	for i := range r.Summaries {
@@ -154,7 +155,7 @@
 	return os.WriteFile(filepath.Join(dir, "report.md"), []byte(b.String()), 0o644)
 }
 
-// sortVariants sorts the variants by name, with the one that the others are compared with in front.
+// sortVariants sorts the variants by name, and then swaps the baseline to the front: the others are compared with it.
 func sortVariants(names []string) {
 	sort.Strings(names)
 	for i, n := range names {
@@ -180,11 +181,11 @@
 	head := []string{
 		"variant", "seed", "arrived", "taken", "answered", "left", "cut off", "lost", "void windows", "rules",
 	}
-	table(b, head, func(row func(...any)) {
+	writeTable(b, head, func(row func(...any)) {
 		for _, n := range names {
 			for _, s := range by[n] {
 				a := s.Account
-				row(n, s.Seed, s.Arrived, a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, s.VoidWindows, broken(s))
+				row(n, s.Seed, s.Arrived, a.Taken, a.Answered, a.Left, a.CutOff, a.Lost, s.VoidWindows, brokenRules(s))
 			}
 		}
 	})
@@ -192,11 +193,11 @@
 
 func writeMetrics(b *strings.Builder, names []string, by map[string][]*Summary) {
 	b.WriteString("\n## Metrics, median and worst over runs\n\n")
-	table(b, append([]string{"metric"}, names...), func(row func(...any)) {
+	writeTable(b, append([]string{"metric"}, names...), func(row func(...any)) {
 		for _, m := range metrics {
 			cells := []any{m.name}
 			for _, n := range names {
-				median, worst := medianWorst(values(by[n], m), m.low)
+				median, worst := medianAndWorst(values(by[n], m), m.lowestIsWorst)
 				cells = append(cells, fmt.Sprintf(m.format+" / "+m.format, median, worst))
 			}
 			row(cells...)
@@ -208,18 +209,19 @@
 	fmt.Fprintf(b, "\n## Difference to `%s`, paired by seed\n\n", names[0])
 	b.WriteString("Mean of the differences with its 95% bootstrap interval, and the sign test's p.\n\n")
 	head := []string{"metric", "variant", "pairs", "difference", "from", "to", "p"}
-	table(b, head, func(row func(...any)) {
+	writeTable(b, head, func(row func(...any)) {
 		for _, m := range metrics {
 			for _, n := range names[1:] {
 				d := compare(paired(by[names[0]], by[n], m))
 				format := func(v float64) string { return fmt.Sprintf(m.format, v) }
-				row(m.name, n, d.Pairs, format(d.Mean), format(d.Low), format(d.High), fmt.Sprintf("%.3f", d.Sign))
+				row(m.name, n, d.Pairs, format(d.Mean), format(d.Low), format(d.High), fmt.Sprintf("%.3f", d.SignTestP))
 			}
 		}
 	})
 }
 
-// writeTimeline writes the plots of a variant, and the schedule of its first run.
+// writeTimeline saves the plots of a variant to files, and writes references to them and the steps of the variant's
+// first run into the report.
 func (r *Results) writeTimeline(b *strings.Builder, dir, variant string, first *Summary) error {
 	fmt.Fprintf(b, "\n## `%s` over time\n\n", variant)
 	b.WriteString("Means over the runs; grey lines are the steps of the first run's schedule.\n\n")
@@ -230,7 +232,7 @@
 		}
 	}
 	fmt.Fprintf(b, "![ends over time](ends-%s.svg)\n\n![latency over time](latency-%s.svg)\n\n", variant, variant)
-	table(b, []string{"at", "step"}, func(row func(...any)) {
+	writeTable(b, []string{"at", "step"}, func(row func(...any)) {
 		for _, step := range first.Steps {
 			row(fmt.Sprintf("%.2f s", step.At), step.What)
 		}
@@ -238,7 +240,8 @@
 	return nil
 }
 
-func broken(s *Summary) string {
+// brokenRules returns the rules that a run broke, with counts, or "kept".
+func brokenRules(s *Summary) string {
 	if len(s.Broken) == 0 {
 		return "kept"
 	}
@@ -250,7 +253,8 @@
 	return strings.Join(all, ", ")
 }
 
-func table(b *strings.Builder, head []string, rows func(row func(...any))) {
+// writeTable writes a Markdown table; rows calls row for each row.
+func writeTable(b *strings.Builder, head []string, rows func(row func(...any))) {
 	fmt.Fprintf(b, "| %s |\n|%s\n", strings.Join(head, " | "), strings.Repeat(" --- |", len(head)))
 	rows(func(cells ...any) {
 		for _, c := range cells {
@@ -267,7 +271,7 @@
 	return x
 }
 
-// paired returns a metric of the runs that both variants have, by seed and repeat.
+// paired returns the values of a metric in two variants' runs with the same seed and repeat; x[i] and y[i] are a pair.
 func paired(a, b []*Summary, f metric) (x, y []float64) {
 	type runKey struct {
 		seed   uint64
@@ -293,7 +297,8 @@
 	color.RGBA{0x7a, 0x7a, 0x7a, 255},
 }
 
-// line adds a metric of a variant's windows, as a mean over its runs, to a plot.
+// line adds a line to a plot: a value of a variant's windows over time, as the mean over its runs. Void windows and
+// those for which of returns false are left out.
 func (r *Results) line(p *plot.Plot, variant, name string, n int, of func(Window) (v float64, ok bool)) error {
 	sums, counts := map[float64]float64{}, map[float64]int{}
 	for _, w := range r.Windows {
--- a/internal/testbed/experiment/runner.go
+++ b/internal/testbed/experiment/runner.go
@@ -18,7 +18,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Key says which run a line of the results belongs to.
+// Key identifies the run that a line of the results belongs to.
 type Key struct {
 	Experiment string `json:"experiment"`
 	Variant    string `json:"variant"`
@@ -27,29 +27,29 @@
 	Binary     string `json:"binary"` // first 12 digits of its SHA-256
 }
 
-// Window is what happened to the arrivals that were drawn in one window, and what the nodes took meanwhile.
+// Window holds the outcome of the arrivals that were drawn in one window, and the resources that the nodes used in it.
 type Window struct {
 	Kind string `json:"kind"` // "window"
 	Key
-	From           float64        `json:"from"` // seconds since the load began
+	From           float64        `json:"from"` // seconds since the start of the load
 	To             float64        `json:"to"`
-	Void           bool           `json:"void,omitempty"` // the testbed was too late: proves nothing
+	Void           bool           `json:"void,omitempty"` // the test bed was too late: the window proves nothing
 	Lateness       float64        `json:"lateness_ms"`
 	Arrived        int            `json:"arrived"`
 	Ends           map[string]int `json:"ends"`
-	PriorityWeight float64        `json:"worth"`  // asked for
-	Earned         float64        `json:"earned"` // of it, served within the aim
-	P50            float64        `json:"p50_ms"` // of what was served, from the drawn arrival
+	PriorityWeight float64        `json:"worth"`  // total weight of the requests
+	ServedWeight   float64        `json:"earned"` // weight of the requests served within the latency objective
+	P50            float64        `json:"p50_ms"` // latency of served requests, from the drawn time of arrival
 	P99            float64        `json:"p99_ms"`
 	Attempts       int64          `json:"attempts"` // that reached servers, at all tiers
-	CrossZone      int64          `json:"crossed"`  // of them, between zones
+	CrossZone      int64          `json:"crossed"`  // attempts that went to another zone
 	CPU            float64        `json:"cpu"`      // cores, all nodes together
 	MaxCPU         float64        `json:"most_cpu"` // cores, the busiest node
 	MaxRSS         float64        `json:"most_rss_mb"`
 	MaxFiles       int            `json:"most_files"`
 }
 
-// Summary is one run as a whole.
+// Summary holds the results of a whole run.
 type Summary struct {
 	Kind string `json:"kind"` // "summary"
 	Key
@@ -58,25 +58,25 @@
 	VoidWindows int                  `json:"void_windows"`
 	Arrived     int                  `json:"arrived"`
 	Ends        map[string]int       `json:"ends"`
-	Served      float64              `json:"served"` // share of the weight requested, outside void windows
-	Worst       float64              `json:"worst"`  // the same in the worst window
+	Served      float64              `json:"served"` // share of the weight that was served in time, outside void windows
+	Worst       float64              `json:"worst"`  // the same share in the worst window
 	P50         float64              `json:"p50_ms"`
 	P90         float64              `json:"p90_ms"`
 	P99         float64              `json:"p99_ms"`
 	P999        float64              `json:"p999_ms"`
 	Attempts    int64                `json:"attempts"`
 	CrossZone   int64                `json:"crossed"`
-	Imbalance   float64              `json:"uneven"` // answers of the busiest server over the mean, first tier
+	Imbalance   float64              `json:"uneven"` // answers of the busiest server of the first tier over the mean
 	CPU         float64              `json:"cpu"`
 	MaxRSS      float64              `json:"most_rss_mb"`
 	MaxFiles    int                  `json:"most_files"`
 	Account     testbed.Account      `json:"account"`
 	Broken      map[testbed.Rule]int `json:"broken"`
 	Steps       []ExecutedStep       `json:"marks"`
-	Found       []testbed.Finding    `json:"found,omitempty"` // the first ones
+	Found       []testbed.Finding    `json:"found,omitempty"` // the first maxFindings
 }
 
-// ExecutedStep is a step of the schedule as it was carried out.
+// ExecutedStep is a step of the fault schedule with the time at which it was carried out.
 type ExecutedStep struct {
 	At   float64 `json:"at"`
 	What string  `json:"what"`
@@ -92,20 +92,21 @@
 type Runner struct {
 	File     *File
 	Binary   string
-	Out      io.Writer           // gets the results as JSON lines
-	Progress func(string)        // is told how far it is, often
-	Done     func(Key, *Summary) // is called for each run that ended
+	Out      io.Writer           // receives the results as JSON lines
+	Progress func(string)        // is called often with a text about the progress of the run
+	Done     func(Key, *Summary) // is called with the summary of each run that ended
 
 	mu sync.Mutex
 }
 
-// Run runs all variants and seeds. An interrupted run is written with what it has; the error is then ctx's.
+// Run runs all variants with all seeds. If ctx ends, it writes the results of the interrupted run so far and returns
+// an error that wraps ctx's.
 func (r *Runner) Run(ctx context.Context) error {
 	runs := 0
 	for _, seed := range r.File.Seeds {
 		for repeat := range r.File.Repeat {
 			for i := range r.File.Variants {
-				v := r.File.Variants[(i+repeat+runs)%len(r.File.Variants)] // no variant is always the first
+				v := r.File.Variants[(i+repeat+runs)%len(r.File.Variants)] // so that no variant always runs first
 				s, err := r.runOnce(ctx, v, seed, repeat)
 				if s != nil && r.Done != nil {
 					r.Done(s.Key, s)
@@ -131,7 +132,8 @@
 	return err
 }
 
-func digest(path string) (string, error) {
+// fileDigest returns the first 12 digits of a file's SHA-256.
+func fileDigest(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return "", err
@@ -144,7 +146,7 @@
 	return hex.EncodeToString(h.Sum(nil))[:12], nil
 }
 
-// runRecord gathers a run's windows.
+// runRecord collects the results of a run.
 type runRecord struct {
 	key     Key
 	began   time.Duration // on the testbed's clock
@@ -171,7 +173,7 @@
 	return b
 }
 
-// add records what became of an arrival in the window of its drawn time.
+// add records the outcome of an arrival in the window of its drawn time.
 func (b *runRecord) add(f *File, s testbed.ArrivalResult) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -183,7 +185,7 @@
 	w.Lateness = max(w.Lateness, float64(s.Late)/1e6)
 	b.ended++
 	if s.End == testbed.EndServed {
-		w.Earned += s.PriorityWeight
+		w.ServedWeight += s.PriorityWeight
 	}
 	if s.End == testbed.EndServed || s.End == testbed.EndLate {
 		us := min(max(s.Latency.Microseconds(), 1), maxLatencyMillis*1000)
@@ -203,14 +205,14 @@
 	}
 }
 
-// runOnce runs one variant with one seed and writes its results.
+// runOnce runs one variant with one seed once, and writes the results.
 func (r *Runner) runOnce(ctx context.Context, v Variant, seed uint64, repeat int) (*Summary, error) {
 	f := r.File
 	w, err := r.worldOf(v, seed)
 	if err != nil {
 		return nil, err
 	}
-	hash, err := digest(w.Binary)
+	hash, err := fileDigest(w.Binary)
 	if err != nil {
 		return nil, err
 	}
@@ -243,7 +245,7 @@
 	return s, ctx.Err()
 }
 
-// worldOf returns the world of one variant with one seed.
+// worldOf returns the world of a variant with a seed.
 func (r *Runner) worldOf(v Variant, seed uint64) (testbed.World, error) {
 	w := r.File.World
 	w.Seed, w.Args, w.Env = seed, v.Args, v.Env
@@ -255,11 +257,11 @@
 		binary = v.Binary
 	}
 	var err error
-	w.Binary, err = filepath.Abs(binary) // nodes run in folders of their own
+	w.Binary, err = filepath.Abs(binary) // absolute, as nodes run in folders of their own
 	return w, err
 }
 
-// drive runs load, faults and sampling side by side, and returns how long the load took.
+// drive runs the load, the faults and the sampling concurrently, and returns how long the load took.
 func (r *Runner) drive(
 	ctx context.Context,
 	tb *testbed.Testbed,
@@ -291,7 +293,7 @@
 	}
 }
 
-// sample reads at each window's end what the nodes took of the machine in it.
+// sample records at the end of each window which resources the nodes used in it.
 func (r *Runner) sample(ctx context.Context, tb *testbed.Testbed, b *runRecord) {
 	variant := b.key.Variant
 	tick := time.NewTicker(r.File.Window)
@@ -332,7 +334,7 @@
 	<-ctx.Done()
 }
 
-// summary closes the windows and sums them up.
+// summary completes the windows, and returns the summary of the run.
 func (b *runRecord) summary(tb *testbed.Testbed) *Summary {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -364,9 +366,9 @@
 			continue
 		}
 		weight += w.PriorityWeight
-		earned += w.Earned
+		earned += w.ServedWeight
 		if w.PriorityWeight > 0 {
-			s.Worst = min(s.Worst, w.Earned/w.PriorityWeight)
+			s.Worst = min(s.Worst, w.ServedWeight/w.PriorityWeight)
 		}
 	}
 	if weight > 0 {
@@ -382,6 +384,7 @@
 	return s
 }
 
+// quantile returns a percentile, in milliseconds, of a histogram of microseconds.
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
--- a/internal/testbed/experiment/statistics.go
+++ b/internal/testbed/experiment/statistics.go
@@ -9,19 +9,20 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Difference compares a metric of one variant with that of the first, paired by seed and repeat.
+// Difference compares a metric of one variant with the same metric of the first, paired by seed and repeat.
 type Difference struct {
 	Pairs     int
 	Mean      float64
-	Low, High float64 // 95% bootstrap interval of the mean, by percentiles
-	Sign      float64 // two-sided p of the sign test; ties are left out
+	Low, High float64 // 95% bootstrap interval of the mean, percentile method
+	SignTestP float64 // two-sided p-value of the sign test, without ties
 }
 
 const resamples = 10_000
 
-// compare pairs a[i] with b[i]. The resampling is seeded, so the same values give the same interval.
+// compare returns the difference from a to b, with a[i] and b[i] as pairs. The resampling is seeded, so the same values
+// give the same interval.
 func compare(a, b []float64) Difference {
-	d := Difference{Pairs: len(a), Sign: 1}
+	d := Difference{Pairs: len(a), SignTestP: 1}
 	if len(a) == 0 {
 		return d
 	}
@@ -49,13 +50,14 @@
 	sort.Float64s(means)
 	d.Low, d.High = stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
 	if n := up + down; n > 0 {
-		d.Sign = math.Min(1, 2*distuv.Binomial{N: float64(n), P: 0.5}.CDF(float64(min(up, down))))
+		d.SignTestP = math.Min(1, 2*distuv.Binomial{N: float64(n), P: 0.5}.CDF(float64(min(up, down))))
 	}
 	return d
 }
 
-// medianWorst returns the median and the worst of some values, the worst being the lowest where low is true.
-func medianWorst(x []float64, low bool) (median, worst float64) {
+// medianAndWorst returns the median and the worst of some values. The worst is the lowest if low is true, else the
+// highest.
+func medianAndWorst(x []float64, low bool) (median, worst float64) {
 	if len(x) == 0 {
 		return 0, 0
 	}
