--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -155,7 +155,8 @@
 	return os.WriteFile(filepath.Join(dir, "report.md"), []byte(b.String()), 0o644)
 }
 
-// sortVariants sorts the variants by name, and then swaps the baseline to the front: the others are compared with it.
+// sortVariants sorts the variants by name, and then moves the baseline, with which the others are compared, to the
+// front by swapping it with the first.
 func sortVariants(names []string) {
 	sort.Strings(names)
 	for i, n := range names {
--- a/internal/testbed/leader_killed_scenario.go
+++ b/internal/testbed/leader_killed_scenario.go
@@ -6,7 +6,8 @@
 )
 
 // overrideThroughLeaderKill issues an override and kills the leader while the override is in force. The override must
-// still be in force at all other nodes under the next leader, until it is revoked through the last of them.
+// still be in force at all other nodes under the next leader, until it is revoked through the last of them, which
+// has not led before.
 func (s *scenarioRun) overrideThroughLeaderKill(ctx context.Context) error {
 	const id = "survives"
 	leader, others := s.nodes[0], s.nodes[1:]
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -150,12 +150,12 @@
 	return from + time.Duration(r.Int64N(int64(to-from)))
 }
 
-// anyServers draws a pattern of one tier's servers.
+// anyServers draws a tier, and returns the pattern of its servers.
 func anyServers(r *rand.Rand) string { return []string{"front-*", "schedule-*", "rooms-*"}[r.IntN(3)] }
 
 const frontNodes = "n[0-9]*"
 
-// catalogue lists the kinds of fault. Their meaning is at testbed.Fault.
+// catalogue holds the templates of all faults that a plan can draw. testbed.Fault documents the kinds.
 var catalogue = []faultTemplate{
 	{draw: func(*rand.Rand) testbed.Fault {
 		return testbed.Fault{Kind: testbed.FaultTerminate, Target: frontNodes, Pick: 2, For: time.Second}
