--- a/internal/handover/server.go
+++ b/internal/handover/server.go
@@ -46,8 +46,8 @@
 	Listener syscall.Conn
 	Phase    func() lifecycle.Phase
 
-	// ChangeProcesses is called with +1 or -1 when the number of processes that share the node's limits changes.
-	ChangeProcesses func(change int)
+	// OnProcessCountChange is called with +1 or -1 when the number of processes that share the node's limits changes.
+	OnProcessCountChange func(change int)
 }
 
 // Server hands the listener over to successors.
@@ -160,11 +160,11 @@
 		return
 	}
 	s.config.Log.Info("a successor has the listener")
-	s.config.ChangeProcesses(+1)
+	s.config.OnProcessCountChange(+1)
 	s.followSuccessor(conn)
 	if ctx.Err() == nil { // the successor exited before this process
 		s.setSuccessorServes(false)
-		s.config.ChangeProcesses(-1)
+		s.config.OnProcessCountChange(-1)
 		s.config.Log.Warn("the successor has exited")
 	}
 }
--- a/internal/handover/server_test.go
+++ b/internal/handover/server_test.go
@@ -34,11 +34,11 @@
 	defer ln.Close()
 	path := filepath.Join(dir, "s")
 	server := NewServer(Config{
-		Path:            path,
-		Log:             slog.New(slog.DiscardHandler),
-		Listener:        ln.(syscall.Conn),
-		Phase:           func() lifecycle.Phase { return lifecycle.Serving },
-		ChangeProcesses: func(int) {},
+		Path:                 path,
+		Log:                  slog.New(slog.DiscardHandler),
+		Listener:             ln.(syscall.Conn),
+		Phase:                func() lifecycle.Phase { return lifecycle.Serving },
+		OnProcessCountChange: func(int) {},
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/internal/membership/flap.go
+++ b/internal/membership/flap.go
@@ -28,8 +28,8 @@
 	return flapDamping{penalties: map[string]*flapPenalty{}}
 }
 
-// weight returns the penalty as decayed until now. Within a half-life the decay is linear.
-func (p *flapPenalty) weight(now time.Duration) float64 {
+// decayedPoints returns the penalty as decayed until now. Within a half-life the decay is linear.
+func (p *flapPenalty) decayedPoints(now time.Duration) float64 {
 	halfLives := float64(now-p.updatedAt) / float64(flapHalfLife)
 	weight := p.points
 	for ; halfLives >= 1; halfLives-- {
@@ -46,7 +46,7 @@
 		p = &flapPenalty{}
 		f.penalties[name] = p
 	}
-	p.points = min(p.weight(now)+1, flapMaxPenalty)
+	p.points = min(p.decayedPoints(now)+1, flapMaxPenalty)
 	p.updatedAt = now
 	excess := p.points - flapThreshold
 	if excess < 0 {
@@ -70,7 +70,7 @@
 // prune deletes penalties that have decayed and whose suppression is over.
 func (f *flapDamping) prune(now time.Duration) {
 	for name, p := range f.penalties {
-		if now > p.suppressedUntil && p.weight(now) < flapForgottenWeight {
+		if now > p.suppressedUntil && p.decayedPoints(now) < flapForgottenWeight {
 			delete(f.penalties, name)
 		}
 	}
--- a/internal/membership/flap_test.go
+++ b/internal/membership/flap_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("suppressions after each return are %s, want %s", got, want)
 	}
 	p := flaps.penalties["x"]
-	if weight := p.weight(p.updatedAt + 2*flapHalfLife); weight < 1.9 || weight > 2.1 {
-		t.Errorf("after two half-lives the weight of a penalty of 8 is %.2f, want 1.9 to 2.1", weight)
+	if weight := p.decayedPoints(p.updatedAt + 2*flapHalfLife); weight < 1.9 || weight > 2.1 {
+		t.Errorf("after two half-lives a penalty of 8 has decayed to %.2f points, want 1.9 to 2.1", weight)
 	}
 }
--- a/internal/node/accept_faults_test.go
+++ b/internal/node/accept_faults_test.go
@@ -77,9 +77,9 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			clients, operators := newFaultyListener(t, errno, errno), newFaultyListener(t, errno, errno)
-			cfg := testConfig(t, "pushed", inService("s-0", newBackend(t, ok).addr()))
+			cfg := testConfig(t, "pushed", inService("s-0", newBackend(t, respondOK).addr()))
 			cfg.Discovery = silentDiscovery(t)
-			n, err := New(cfg, quiet())
+			n, err := New(cfg, discardLogger())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -104,12 +104,12 @@
 // Accept returns when its listener is unusable, and when the listener is closed during the backoff after an error.
 func TestAcceptReturnsOnFatalErrorOrClose(t *testing.T) {
 	faulty := newFaultyListener(t, syscall.EBADF)
-	broken := newLimitedListener(faulty, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
+	broken := newLimitedListener(faulty, 1, metrics.NewRecorder(nil), metrics.NewDecisions(discardLogger()))
 	if _, err := broken.Accept(); !errors.Is(err, syscall.EBADF) {
 		t.Errorf("accept on a bad descriptor: %v, want EBADF", err)
 	}
 	failing := newFaultyListener(t, slices.Repeat([]syscall.Errno{syscall.ENOMEM}, 10_000)...)
-	closed := newLimitedListener(failing, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
+	closed := newLimitedListener(failing, 1, metrics.NewRecorder(nil), metrics.NewDecisions(discardLogger()))
 	ended := make(chan error, 1)
 	go func() {
 		_, err := closed.Accept()
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -19,7 +19,7 @@
 )
 
 // callAdmin sends one request to the admin endpoint, and returns the status and the body of the response.
-func (r *running) callAdmin(t *testing.T, method, path string) (int, string) {
+func (r *runningNode) callAdmin(t *testing.T, method, path string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.adminAddress+path, nil)
 	if err != nil {
@@ -30,7 +30,7 @@
 }
 
 // ready polls /ready on a new connection, as the front-end load balancer does, and returns the status.
-func (r *running) ready(t *testing.T) int {
+func (r *runningNode) ready(t *testing.T) int {
 	t.Helper()
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Get(r.url + "/ready")
 	if err != nil {
@@ -41,7 +41,7 @@
 }
 
 // dialAdmin opens a connection to the admin endpoint. It is closed when the test ends.
-func dialAdmin(t *testing.T, n *running) net.Conn {
+func dialAdmin(t *testing.T, n *runningNode) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", n.adminAddress)
 	if err != nil {
@@ -53,7 +53,7 @@
 
 // The admin endpoint answers unknown paths with 404, wrong methods with 405 and malformed requests with 400 or 431.
 func TestAdminRequests(t *testing.T) {
-	n := startWith(t, newBackend(t, ok))
+	n := startWith(t, newBackend(t, respondOK))
 	for _, call := range []struct {
 		method, path string
 		want         int
@@ -133,7 +133,7 @@
 
 // A connection with an incomplete request is closed. Otherwise it would count against the connection limit for ever.
 func TestAdminClosesIncompleteRequest(t *testing.T) {
-	n := startWith(t, newBackend(t, ok))
+	n := startWith(t, newBackend(t, respondOK))
 	c := dialAdmin(t, n)
 	if _, err := io.WriteString(c, "GET /control/ready HTTP/1.1\r\nHost"); err != nil {
 		t.Fatal(err)
@@ -212,7 +212,7 @@
 	defer taken.Close()
 	cfg := testConfig(t, "pushed")
 	cfg.Control = taken.Addr().String()
-	n, err := New(cfg, quiet())
+	n, err := New(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,7 +284,7 @@
 
 // The admin endpoint returns the counts of decisions.
 func TestDecisionsAtAdminEndpoint(t *testing.T) {
-	n := startWith(t, newBackend(t, ok))
+	n := startWith(t, newBackend(t, respondOK))
 	n.loop.decisions.Violation(guard.TimeoutTooLong)
 	resp, err := http.Get("http://" + n.adminAddress + "/control/decisions")
 	if err != nil {
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -225,15 +225,15 @@
 func (p *pool) checkSend(att *attempt) guard.Verdict {
 	for {
 		verdict := guard.Send{
-			Now:             p.clock.now(),
-			Deadline:        att.deadline,
-			RetryBefore:     att.retryBefore,
-			RequestAnswered: att.request.finished.Load(),
-			EndpointRemoved: att.endpoint.unavailable.Load(),
-			ListOutdated:    p.staleness.holdSends(),
-			Client:          att.request.connection.clientState(),
+			Now:               p.clock.now(),
+			Deadline:          att.deadline,
+			RetryBefore:       att.retryBefore,
+			RequestAnswered:   att.request.finished.Load(),
+			EndpointRemoved:   att.endpoint.unavailable.Load(),
+			EndpointListStale: p.staleness.holdSends(),
+			Client:            att.request.connection.clientState(),
 		}.Verdict()
-		if verdict != guard.ListOutdated {
+		if verdict != guard.EndpointListStale {
 			return verdict
 		}
 		time.Sleep(resumeQuietPeriod / 10)
@@ -320,12 +320,12 @@
 	if json.Unmarshal([]byte(text), &report) != nil {
 		return nil
 	}
-	load := &policy.Load{Busy: -1, Service: -1}
+	load := &policy.Load{BusyRequests: -1, ServiceTime: -1}
 	if report.Busy != nil {
-		load.Busy = *report.Busy
+		load.BusyRequests = *report.Busy
 	}
 	if report.Service != nil {
-		load.Service = millis(*report.Service)
+		load.ServiceTime = millis(*report.Service)
 	}
 	return load
 }
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -143,14 +143,14 @@
 }
 
 // sendHead opens a connection and sends the head of a request with length as its last header.
-func sendHead(t *testing.T, n *running, length string) net.Conn {
+func sendHead(t *testing.T, n *runningNode, length string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	write(t, c, text("unsafe", c.LocalAddr().String(), "", length))
+	write(t, c, requestText("unsafe", c.LocalAddr().String(), "", length))
 	setReadTimeout(t, c, 20*time.Second)
 	return c
 }
@@ -169,7 +169,7 @@
 // 64 kB/s.
 func TestSlowClientIsServed(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	for _, size := range []int{60e3, 192e3} { // buffered, streamed
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -201,7 +201,7 @@
 // an error or a close, and no server gets a complete request.
 func TestStalledBodyIsRejected(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	for _, length := range []string{"Content-Length: 1000000", "Transfer-Encoding: chunked"} {
 		t.Run(length, func(t *testing.T) {
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	refusing.Close()
-	good := newBackend(t, ok)
+	good := newBackend(t, respondOK)
 	cfg := testConfig(t, "pushed", inService("s-0", refusing.Addr().String()), inService("s-1", good.addr()))
 	cfg.Discovery = silentDiscovery(t)
 	n := start(t, cfg)
@@ -334,7 +334,7 @@
 // response at once, and may send the whole body.
 func TestRejectedClientMayFinishItsBody(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	n := startWith(t, b)
 	b.ln.Close()
 	c := sendHead(t, n, fmt.Sprintf("Content-Length: %d", maxBufferedBody+256000))
--- a/internal/node/client_conn_state_test.go
+++ b/internal/node/client_conn_state_test.go
@@ -12,7 +12,7 @@
 // newListedConn returns a connection in the given state, with one connection before and one behind it in each list.
 func newListedConn(t *testing.T, state clientConnState) *clientConn {
 	t.Helper()
-	l := newLimitedListener(nil, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
+	l := newLimitedListener(nil, 1, metrics.NewRecorder(nil), metrics.NewDecisions(discardLogger()))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	newPipeConn(t, l)
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -33,43 +33,43 @@
 	disconnect func(*testing.T, *gatedClient)
 }{
 	"a close": {
-		request:    text("unsafe", "left", "x"),
+		request:    requestText("unsafe", "left", "x"),
 		disconnect: func(_ *testing.T, c *gatedClient) { c.disconnect() },
 	},
 	"a reset": {
-		request:    text("unsafe", "left", "x"),
+		request:    requestText("unsafe", "left", "x"),
 		disconnect: func(_ *testing.T, c *gatedClient) { reset(c.TCPConn) },
 	},
 	"an end of sending": {
-		request:    text("unsafe", "left", "x"),
+		request:    requestText("unsafe", "left", "x"),
 		disconnect: func(_ *testing.T, c *gatedClient) { _ = c.CloseWrite() },
 	},
 	"a close behind more bytes": {
-		request: text("unsafe", "left", "x"),
+		request: requestText("unsafe", "left", "x"),
 		disconnect: func(t *testing.T, c *gatedClient) {
 			c.send(t, "P")
 			c.disconnect()
 		},
 	},
 	"a close behind a request": {
-		request: text("unsafe", "left", "x"),
+		request: requestText("unsafe", "left", "x"),
 		disconnect: func(t *testing.T, c *gatedClient) {
-			c.send(t, text("unsafe", "next", ""))
+			c.send(t, requestText("unsafe", "next", ""))
 			c.disconnect()
 		},
 	},
 	"a close behind a long body": {
-		request:    text("unsafe", "left", strings.Repeat("x", 3*maxBufferedBody/2)),
+		request:    requestText("unsafe", "left", strings.Repeat("x", 3*maxBufferedBody/2)),
 		disconnect: func(_ *testing.T, c *gatedClient) { c.disconnect() },
 	},
 	"a close behind a chunked body": {
-		request:    text("unsafe", "left", "", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n",
+		request:    requestText("unsafe", "left", "", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n",
 		disconnect: func(_ *testing.T, c *gatedClient) { c.disconnect() },
 	},
 }
 
-// stalled returns a backend that does not answer before the test calls release.
-func stalled(t *testing.T, answer func(net.Conn, *http.Request) bool) (b *backend, release func()) {
+// stalledBackend returns a backend that does not answer before the test calls release.
+func stalledBackend(t *testing.T, answer func(net.Conn, *http.Request) bool) (b *backend, release func()) {
 	t.Helper()
 	open := make(chan struct{})
 	b = newBackend(t, func(_ int, c net.Conn, r *http.Request) bool {
@@ -101,7 +101,7 @@
 }
 
 // idle reports whether the node has no request, neither queued nor in flight.
-func (n *running) idle() bool {
+func (n *runningNode) idle() bool {
 	var calls int
 	n.loop.runTask(func() { calls = len(n.loop.openRequests) })
 	return calls == 0
@@ -112,8 +112,8 @@
 	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b, release := stalled(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
-			n, ln := gatedNode(t, b)
+			b, release := stalledBackend(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
+			n, ln := startGatedNode(t, b)
 			filling := ln.fill(t, b)
 			c := ln.dial(t)
 			c.send(t, kind.request)
@@ -122,7 +122,7 @@
 			eventually(t, "the client has disconnected", c.node.disconnected)
 			release()
 			for _, c := range filling {
-				if status := c.answered(); status != http.StatusOK {
+				if status := c.readStatus(); status != http.StatusOK {
 					t.Errorf("a request of a connected client got status %d, want 200", status)
 				}
 			}
@@ -136,11 +136,11 @@
 
 // checkOnlyConnectedServed checks that a request of a connected client is served, and then that no request whose client
 // had disconnected was forwarded.
-func (n *running) checkOnlyConnectedServed(t *testing.T, ln *gatedListener, b *backend) {
+func (n *runningNode) checkOnlyConnectedServed(t *testing.T, ln *gatedListener, b *backend) {
 	t.Helper()
 	connected := ln.dial(t)
-	connected.send(t, text("unsafe", "stays", ""))
-	if status := connected.answered(); status != http.StatusOK {
+	connected.send(t, requestText("unsafe", "stays", ""))
+	if status := connected.readStatus(); status != http.StatusOK {
 		t.Errorf("a request of a connected client got status %d, want 200", status)
 	}
 	eventually(t, "no request is left", n.idle)
@@ -150,7 +150,7 @@
 }
 
 // hasOpenRequest reports whether the loop has an open request with an ID.
-func (n *running) hasOpenRequest(id string) bool {
+func (n *runningNode) hasOpenRequest(id string) bool {
 	var there bool
 	n.loop.runTask(func() { there = n.loop.openRequests[id] != nil })
 	return there
@@ -164,10 +164,10 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b, release := stalled(t, func(c net.Conn, _ *http.Request) bool {
+			b, release := stalledBackend(t, func(c net.Conn, _ *http.Request) bool {
 				return respond(c, "503 Service Unavailable", "", "X-Rejected: 1")
 			})
-			other := newBackend(t, ok)
+			other := newBackend(t, respondOK)
 			cfg := testConfig(t, "pushed", inService("s-0", b.addr()))
 			cfg.Discovery = silentDiscovery(t)
 			ln := newGatedListener(t)
@@ -193,7 +193,7 @@
 	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, ok)
+			b := newBackend(t, respondOK)
 			cfg := testConfig(t, "pushed", inService("s-0", b.addr()))
 			cfg.Discovery = silentDiscovery(t)
 			ln := newGatedListener(t)
@@ -223,8 +223,8 @@
 	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, ok)
-			n, ln := gatedNode(t, b)
+			b := newBackend(t, respondOK)
+			n, ln := startGatedNode(t, b)
 			unblock, loopBlocked := make(chan struct{}), make(chan struct{})
 			go func() { n.loop.tasks <- func() { close(loopBlocked); <-unblock } }()
 			<-loopBlocked
--- a/internal/node/client_listener_test.go
+++ b/internal/node/client_listener_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener = newLimitedListener(ln, 1, metrics.NewRecorder(nil), metrics.NewDecisions(quiet()))
+	listener = newLimitedListener(ln, 1, metrics.NewRecorder(nil), metrics.NewDecisions(discardLogger()))
 	out := make(chan net.Conn)
 	go func() {
 		defer close(out)
--- a/internal/node/clock_offset_test.go
+++ b/internal/node/clock_offset_test.go
@@ -29,11 +29,11 @@
 		t.Run(name, func(t *testing.T) {
 			var offset clockOffset
 			at := time.Duration(date.UnixNano())
-			offset.observe(tt.header, at+tt.sent, at+tt.received, quiet())
+			offset.observe(tt.header, at+tt.sent, at+tt.received, discardLogger())
 			if offset.ahead != tt.want {
 				t.Errorf("the clock is %v ahead, want %v", offset.ahead, tt.want)
 			}
-			offset.observe(dated, at+2*time.Hour, at+2*time.Hour, quiet())
+			offset.observe(dated, at+2*time.Hour, at+2*time.Hour, discardLogger())
 			if offset.known && tt.header.Get("Date") == dated.Get("Date") && offset.ahead != tt.want {
 				t.Errorf("a later response changed the offset to %v", offset.ahead)
 			}
@@ -63,7 +63,7 @@
 			list := endpointList{Version: 1, Snapshot: true}
 			backends := make([]*backend, servers)
 			for i := range backends {
-				backends[i] = newBackend(t, ok)
+				backends[i] = newBackend(t, respondOK)
 				list.Endpoints = append(list.Endpoints, inService(fmt.Sprintf("s-%d", i), backends[i].addr()))
 			}
 			list.Endpoints[2].StartedAtMillis = float64(discoveryNow.Add(-tt.age).UnixMilli())
--- a/internal/node/connection_race_test.go
+++ b/internal/node/connection_race_test.go
@@ -13,8 +13,8 @@
 	"keelusher/policy"
 )
 
-// gatedNode starts a node with one backend on a gated listener.
-func gatedNode(t *testing.T, b *backend) (*running, *gatedListener) {
+// startGatedNode starts a node with one backend on a gated listener.
+func startGatedNode(t *testing.T, b *backend) (*runningNode, *gatedListener) {
 	t.Helper()
 	cfg := testConfig(t, "pushed", inService("s-0", b.addr()))
 	cfg.Discovery = silentDiscovery(t)
@@ -25,15 +25,15 @@
 // Guards against requests that are lost when a shutdown closes idle connections. Wherever the request is when its
 // connection is closed as idle, in the kernel, read but not yet examined, or half of each, it is served.
 func TestRequestWhileIdleConnectionIsClosed(t *testing.T) {
-	request := text("unsafe", "2", "")
+	request := requestText("unsafe", "2", "")
 	for name, sendRequest := range map[string]func(*testing.T, *gatedClient) *gate{
 		"in the kernel of a new connection": func(t *testing.T, c *gatedClient) *gate {
 			c.send(t, request)
 			return c.node.before
 		},
 		"first bytes read, the others in the kernel": func(t *testing.T, c *gatedClient) *gate {
-			c.send(t, text("safe", "1", ""))
-			if status := c.answered(); status != http.StatusOK {
+			c.send(t, requestText("safe", "1", ""))
+			if status := c.readStatus(); status != http.StatusOK {
 				t.Fatalf("the first request got status %d, want 200", status)
 			}
 			c.node.before.set(true) // for the next read: the reader has passed the gate and waits for bytes
@@ -43,8 +43,8 @@
 			return c.node.before
 		},
 		"read completely": func(t *testing.T, c *gatedClient) *gate {
-			c.send(t, text("safe", "1", ""))
-			if status := c.answered(); status != http.StatusOK {
+			c.send(t, requestText("safe", "1", ""))
+			if status := c.readStatus(); status != http.StatusOK {
 				t.Fatalf("the first request got status %d, want 200", status)
 			}
 			c.node.after.set(true)
@@ -54,8 +54,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, ok)
-			n, ln := gatedNode(t, b)
+			b := newBackend(t, respondOK)
+			n, ln := startGatedNode(t, b)
 			ln.hold.Store(name == "in the kernel of a new connection")
 			c := ln.dial(t)
 			g := sendRequest(t, c)
@@ -63,7 +63,7 @@
 			n.stop()
 			eventually(t, "the node closes the connection or interrupts its read", c.node.isClosedOrInterrupted)
 			g.set(false)
-			if status := c.answered(); status != http.StatusOK {
+			if status := c.readStatus(); status != http.StatusOK {
 				t.Errorf("the request got status %d, want 200", status)
 			}
 			eventually(t, "the connection is closed", c.node.isClosed)
@@ -74,18 +74,18 @@
 // Guards against requests that are lost when the idle timeout expires: one that arrives after the read has timed out,
 // and before the connection is closed, is served.
 func TestRequestWhileIdleTimeoutExpires(t *testing.T) {
-	b := newBackend(t, ok)
-	_, ln := gatedNode(t, b)
+	b := newBackend(t, respondOK)
+	_, ln := startGatedNode(t, b)
 	c := ln.dial(t)
-	c.send(t, text("safe", "1", ""))
-	if status := c.answered(); status != http.StatusOK {
+	c.send(t, requestText("safe", "1", ""))
+	if status := c.readStatus(); status != http.StatusOK {
 		t.Fatalf("the first request got status %d, want 200", status)
 	}
 	c.node.afterTimeout.set(true)
 	eventually(t, "the idle timeout has expired", c.node.afterTimeout.held)
-	c.send(t, text("unsafe", "2", ""))
+	c.send(t, requestText("unsafe", "2", ""))
 	c.node.afterTimeout.set(false)
-	if status := c.answered(); status != http.StatusOK {
+	if status := c.readStatus(); status != http.StatusOK {
 		t.Errorf("the request got status %d, want 200", status)
 	}
 }
@@ -94,11 +94,11 @@
 // idle for longest is to be evicted after a request on it has been read, and before the request is examined. The
 // request is served once, and the connection is evicted after its response.
 func TestRequestWhileConnectionIsEvicted(t *testing.T) {
-	b := newBackend(t, ok)
-	n, ln := gatedNode(t, b)
+	b := newBackend(t, respondOK)
+	n, ln := startGatedNode(t, b)
 	oldest := ln.dial(t)
-	oldest.send(t, text("safe", "first", ""))
-	if status := oldest.answered(); status != http.StatusOK {
+	oldest.send(t, requestText("safe", "first", ""))
+	if status := oldest.readStatus(); status != http.StatusOK {
 		t.Fatalf("the first request got status %d, want 200", status)
 	}
 	http.DefaultClient.CloseIdleConnections() // closes the connection of the readiness check
@@ -108,16 +108,16 @@
 	n.inbound.setLimit(1)
 	sent := b.requests()
 	oldest.node.after.set(true)
-	oldest.send(t, text("unsafe", "crossed", ""))
+	oldest.send(t, requestText("unsafe", "crossed", ""))
 	eventually(t, "the reader is blocked at the gate", oldest.node.after.held)
 	c := ln.dial(t)
 	eventually(t, "the oldest connection is being evicted", oldest.node.isClosedOrInterrupted)
 	oldest.node.after.set(false)
-	if status := oldest.answered(); status != http.StatusOK {
+	if status := oldest.readStatus(); status != http.StatusOK {
 		t.Errorf("the request on the evicted connection got status %d, want 200", status)
 	}
-	c.send(t, text("unsafe", "new", ""))
-	if status := c.answered(); status != http.StatusOK {
+	c.send(t, requestText("unsafe", "new", ""))
+	if status := c.readStatus(); status != http.StatusOK {
 		t.Errorf("the request on the new connection got status %d, want 200", status)
 	}
 	if got := b.requests(); got != sent+2 {
@@ -175,7 +175,7 @@
 		"a reset":          reset,
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t, ok)
+			b := newBackend(t, respondOK)
 			p := testPool(t)
 			att := testAttempt(p, b.addr(), time.Minute)
 			if first := p.runAttempt(att); first.result != policy.Success {
@@ -205,7 +205,7 @@
 
 // Guards against a stray response that the reader has not read yet: the reuse check finds bytes in the kernel too.
 func TestUnreadUnexpectedBytesWhileConnectionIsAcquired(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
 	if first := p.runAttempt(att); first.result != policy.Success {
@@ -233,17 +233,17 @@
 // part of the response that the client has not received yet.
 func TestResponseIsCompleteDespiteUnreadBytes(t *testing.T) {
 	const long = 16 << 10
-	b, release := stalled(t, func(c net.Conn, _ *http.Request) bool {
+	b, release := stalledBackend(t, func(c net.Conn, _ *http.Request) bool {
 		return respond(c, "200 OK", strings.Repeat("x", long))
 	})
-	n, ln := gatedNode(t, b)
+	n, ln := startGatedNode(t, b)
 	c := ln.dial(t)
 	if err := c.SetReadBuffer(1); err != nil { // the minimum: most of the response stays on the node's side
 		t.Fatal(err)
 	}
-	c.send(t, text("safe", "1", ""))
+	c.send(t, requestText("safe", "1", ""))
 	eventually(t, "the server has received the request", func() bool { return b.requests() == 1 })
-	c.send(t, text("unsafe", "2", "")[:40])
+	c.send(t, requestText("unsafe", "2", "")[:40])
 	n.stop()
 	eventually(t, "the node closes connections after their responses", n.closing)
 	release()
@@ -265,10 +265,10 @@
 	for class, want := range map[string]int{"safe": http.StatusServiceUnavailable, "unsafe": http.StatusConflict} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			b, release := stalled(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
-			n, ln := gatedNode(t, b)
+			b, release := stalledBackend(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
+			n, ln := startGatedNode(t, b)
 			first := ln.dial(t)
-			first.send(t, text(class, "1", ""))
+			first.send(t, requestText(class, "1", ""))
 			eventually(t, "the server has received the request", func() bool { return b.requests() == 1 })
 			first.disconnect()
 			eventually(t, "the loop knows that the client has disconnected", func() bool {
@@ -277,14 +277,14 @@
 				return finished
 			})
 			again := ln.dial(t)
-			again.send(t, text(class, "1", ""))
-			if status := again.answered(); status != want {
+			again.send(t, requestText(class, "1", ""))
+			if status := again.readStatus(); status != want {
 				t.Errorf("retry while the first attempt is in flight: status %d, want %d", status, want)
 			}
 			release()
 			eventually(t, "the first request has ended", n.idle)
-			again.send(t, text(class, "1", ""))
-			if status := again.answered(); status != http.StatusOK {
+			again.send(t, requestText(class, "1", ""))
+			if status := again.readStatus(); status != http.StatusOK {
 				t.Errorf("retry after the first request: status %d, want 200", status)
 			}
 		})
@@ -311,10 +311,10 @@
 		})
 		return true
 	})
-	_, ln := gatedNode(t, b)
+	_, ln := startGatedNode(t, b)
 	c := ln.dial(t)
 	for _, id := range []string{"1", "2", "3"} {
-		c.send(t, text("unsafe", id, ""))
+		c.send(t, requestText("unsafe", id, ""))
 		resp, err := http.ReadResponse(c.in, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -343,12 +343,12 @@
 				time.AfterFunc(late, func() { respond(c, "200 OK", id) })
 				return respond(c, "200 OK", id)
 			})
-			_, ln := gatedNode(t, b)
+			_, ln := startGatedNode(t, b)
 			c := ln.dial(t)
 			foreign := 0
 			for i := range 8 {
 				id := strconv.Itoa(i)
-				c.send(t, text(class, id, ""))
+				c.send(t, requestText(class, id, ""))
 				resp, err := http.ReadResponse(c.in, nil)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/node/endpoint_events.go
+++ b/internal/node/endpoint_events.go
@@ -61,6 +61,6 @@
 	}
 	removed.unavailable.Store(true)
 	removed.removedAt.set(l.clock.now())
-	l.sender.retire(removed)
+	l.sender.closeIdle(removed)
 	delete(l.endpoints, id)
 }
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -29,7 +29,7 @@
 // attemptSender sends attempts to servers. No method may block.
 type attemptSender interface {
 	start(*attempt)
-	retire(*endpoint)
+	closeIdle(*endpoint)
 }
 
 // eventLoop passes events to the Balancer from one goroutine, and carries out the actions that it returns. Other
@@ -60,7 +60,7 @@
 	openRequests          map[string]*clientRequest // by ID; not answered yet, or with an attempt in flight
 	endpoints             map[string]*endpoint      // by ID; those in service
 	timers                timerHeap
-	attemptsOut           int                         // attempts in flight
+	attemptsInFlight      int
 	loggedZoneTransitions int                         // the policy's count when logZones last ran
 	loggedZones           map[string]policy.ZoneState // by zone, as logZones last saw them
 	zoneLogLimit          *rate.Limiter
@@ -129,9 +129,9 @@
 			task()
 		case <-timer.C:
 		case <-report.C:
-			l.metrics.LogReport(l.log, l.attemptsOut)
+			l.metrics.LogReport(l.log, l.attemptsInFlight)
 		case <-l.stop:
-			l.metrics.LogReport(l.log, l.attemptsOut)
+			l.metrics.LogReport(l.log, l.attemptsInFlight)
 			return
 		}
 	}
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -44,8 +44,8 @@
 	return c
 }
 
-// quiet returns a logger that discards all lines.
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+// discardLogger returns a logger that discards all lines.
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // inService returns an entry of the endpoint list for an endpoint in service.
 func inService(id, addr string) listedEndpoint {
@@ -149,8 +149,8 @@
 	return err == nil
 }
 
-// ok responds to every request with 200.
-func ok(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") }
+// respondOK responds to every request with 200.
+func respondOK(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") }
 
 // silentDiscovery starts a discovery server that keeps watches open and sends no changes, and returns its address.
 func silentDiscovery(t *testing.T) string {
@@ -186,8 +186,8 @@
 	return s.Listener.Addr().String()
 }
 
-// running is a node under test that serves on loopback.
-type running struct {
+// runningNode is a node under test that serves on loopback.
+type runningNode struct {
 	*Node
 	url          string
 	adminAddress string
@@ -196,7 +196,7 @@
 }
 
 // start starts a node, waits until it is ready and stops it when the test ends.
-func start(t *testing.T, cfg Config, adjust ...func(*Node)) *running {
+func start(t *testing.T, cfg Config, adjust ...func(*Node)) *runningNode {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -206,9 +206,9 @@
 }
 
 // startOn is like start, and accepts clients on a given listener.
-func startOn(t *testing.T, ln net.Listener, cfg Config, adjust ...func(*Node)) *running {
+func startOn(t *testing.T, ln net.Listener, cfg Config, adjust ...func(*Node)) *runningNode {
 	t.Helper()
-	n, err := New(cfg, quiet())
+	n, err := New(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,7 +220,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{
+	r := &runningNode{
 		Node:         n,
 		url:          "http://" + ln.Addr().String(),
 		adminAddress: adminListener.Addr().String(),
@@ -249,7 +249,7 @@
 
 // startWith starts a node whose endpoint list has the backends as s-0, s-1 and so on, and whose discovery sends no
 // changes.
-func startWith(t *testing.T, backends ...*backend) *running {
+func startWith(t *testing.T, backends ...*backend) *runningNode {
 	t.Helper()
 	var hosts []listedEndpoint
 	for i, b := range backends {
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -13,14 +13,14 @@
 		"a line without an end":   "GET /" + strings.Repeat("x", 1<<20),
 		"fields without an end":   "GET /api HTTP/1.1\r\nHost: s\r\n" + strings.Repeat(longField, 1000),
 		"a malformed head":        strings.Repeat("\x00\xff\r\n", 1<<18),
-		"many requests at once":   strings.Repeat(text("unsafe", "left", ""), 300),
-		"many requests with body": strings.Repeat(text("unsafe", "left", strings.Repeat("x", 1000)), 30),
-		"a body that is shorter":  text("unsafe", "left", strings.Repeat("x", 1000))[:1000],
+		"many requests at once":   strings.Repeat(requestText("unsafe", "left", ""), 300),
+		"many requests with body": strings.Repeat(requestText("unsafe", "left", strings.Repeat("x", 1000)), 30),
+		"a body that is shorter":  requestText("unsafe", "left", strings.Repeat("x", 1000))[:1000],
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, ok)
-			n, ln := gatedNode(t, b)
+			b := newBackend(t, respondOK)
+			n, ln := startGatedNode(t, b)
 			available := n.buffers.requests.available.Load()
 			ln.hold.Store(true)
 			c := ln.dial(t)
--- a/internal/node/gated_conn_test.go
+++ b/internal/node/gated_conn_test.go
@@ -180,15 +180,15 @@
 	t.Helper()
 	for range 5 { // the concurrency limit of one server
 		c := l.dial(t)
-		c.send(t, text("unsafe", "fill-"+c.LocalAddr().String(), ""))
+		c.send(t, requestText("unsafe", "fill-"+c.LocalAddr().String(), ""))
 		filling = append(filling, c)
 	}
 	eventually(t, "the server has all requests", func() bool { return b.requests() == len(filling) })
 	return filling
 }
 
-// text returns a request as it is written to a connection, with further headers.
-func text(class, id, body string, headers ...string) string {
+// requestText returns a request as it is written to a connection, with further headers.
+func requestText(class, id, body string, headers ...string) string {
 	method := http.MethodPost
 	if class == "safe" {
 		method = http.MethodGet
@@ -229,9 +229,9 @@
 	}
 }
 
-// answered reads one complete response and returns its status; 0 if there is none within 20 s or the connection ends
+// readStatus reads one complete response and returns its status; 0 if there is none within 20 s or the connection ends
 // before.
-func (c *gatedClient) answered() int {
+func (c *gatedClient) readStatus() int {
 	if err := c.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		return 0
 	}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -26,15 +26,15 @@
 
 // startProcess starts a node in the same way as the program: it takes over the listener or opens one. It waits
 // until the node can serve.
-func startProcess(t *testing.T, cfg Config) *running {
+func startProcess(t *testing.T, cfg Config) *runningNode {
 	t.Helper()
 	cfg.Control = freeAddr(t)
-	n, err := New(cfg, quiet())
+	n, err := New(cfg, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{
+	r := &runningNode{
 		Node:         n,
 		url:          "http://" + cfg.Listen,
 		adminAddress: cfg.Control,
@@ -73,7 +73,7 @@
 
 // sendUntil sends requests, each on a new connection, and polls /ready at every tenth until done is closed. The test
 // fails at the first request that does not succeed, and whenever /ready does not return 200.
-func (r *running) sendUntil(t *testing.T, client int, done <-chan struct{}) {
+func (r *runningNode) sendUntil(t *testing.T, client int, done <-chan struct{}) {
 	t.Helper()
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := 0; ; i++ {
@@ -97,7 +97,7 @@
 }
 
 // stopAndWait shuts a node down and waits until it has ended.
-func (r *running) stopAndWait(t *testing.T) {
+func (r *runningNode) stopAndWait(t *testing.T) {
 	t.Helper()
 	r.stop()
 	if err := <-r.done; err != nil {
@@ -108,7 +108,7 @@
 // While a new process takes over and the old one shuts down, no client's connection may be refused, reset or left
 // unread, and /ready must return 200 throughout. While both run, each has the connection limit of half the descriptors.
 func TestUpgradeUnderLoad(t *testing.T) {
-	cfg := upgradeConfig(t, newBackend(t, ok))
+	cfg := upgradeConfig(t, newBackend(t, respondOK))
 	oldProcess := startProcess(t, cfg)
 	done := make(chan struct{})
 	var load sync.WaitGroup
@@ -122,7 +122,7 @@
 			oldProcess.sendUntil(t, client, done)
 		}()
 	}
-	served := func(r *running) int {
+	served := func(r *runningNode) int {
 		c := r.loop.metrics.Snapshot()
 		return c.Succeeded.Sum()
 	}
@@ -151,7 +151,7 @@
 
 // If a successor exits, the old process goes on serving and can hand over to another successor.
 func TestSuccessorFails(t *testing.T) {
-	cfg := upgradeConfig(t, newBackend(t, ok))
+	cfg := upgradeConfig(t, newBackend(t, respondOK))
 	oldProcess := startProcess(t, cfg)
 	var predecessor *handover.Predecessor
 	eventually(t, "the hand-over socket accepts a connection", func() bool {
@@ -187,7 +187,7 @@
 		"silent": func(*net.UnixListener) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := upgradeConfig(t, newBackend(t, ok))
+			cfg := upgradeConfig(t, newBackend(t, respondOK))
 			ln, err := net.Listen("unix", cfg.handoverSocket)
 			if err != nil {
 				t.Fatal(err)
@@ -208,7 +208,7 @@
 
 // A node that cannot bind its hand-over socket still serves.
 func TestNoHandoverSocket(t *testing.T) {
-	cfg := upgradeConfig(t, newBackend(t, ok))
+	cfg := upgradeConfig(t, newBackend(t, respondOK))
 	cfg.handoverSocket = filepath.Join(t.TempDir(), "nowhere", "x.sock")
 	n := startProcess(t, cfg)
 	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
@@ -218,7 +218,7 @@
 
 // A drained node stays drained through an upgrade, and the new process can be returned to service.
 func TestUpgradeOfDrainedNode(t *testing.T) {
-	cfg := upgradeConfig(t, newBackend(t, ok))
+	cfg := upgradeConfig(t, newBackend(t, respondOK))
 	oldProcess := startProcess(t, cfg)
 	if status, _ := oldProcess.callAdmin(t, "PUT", "/control/out-of-service"); status != http.StatusOK {
 		t.Fatalf("PUT out-of-service got status %d, want 200", status)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -28,8 +28,9 @@
 	return (descriptors - c.reservedDescriptors()) * 5 / 8
 }
 
-// changeProcesses adds change to the number of other processes that share the limits, and adapts the share of this one.
-func (n *Node) changeProcesses(change int) {
+// adjustProcessCount adds change to the number of other processes that share the limits, and adapts the share of this
+// one.
+func (n *Node) adjustProcessCount(change int) {
 	n.sharingMutex.Lock()
 	defer n.sharingMutex.Unlock()
 	before := 1 + n.otherProcesses
--- a/internal/node/memory_reservation_test.go
+++ b/internal/node/memory_reservation_test.go
@@ -60,7 +60,7 @@
 func TestResponseDespiteFailedWrite(t *testing.T) {
 	p := testPool(t)
 	available := p.buffers.responses.available.Load()
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	att := testAttempt(p, b.addr(), time.Minute)
 	if first := p.runAttempt(att); first.result != policy.Success {
 		t.Fatalf("the first attempt ended with %v, want success", first.result)
@@ -90,18 +90,18 @@
 
 // Guards against memory of a request's body that stays reserved when the request is rejected because its ID is in use.
 func TestBodyOfIDInUseIsReleased(t *testing.T) {
-	b, release := stalled(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
-	n, ln := gatedNode(t, b)
+	b, release := stalledBackend(t, func(c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") })
+	n, ln := startGatedNode(t, b)
 	available := n.buffers.requests.available.Load()
 	first, second := ln.dial(t), ln.dial(t)
-	first.send(t, text("unsafe", "1", "payload"))
+	first.send(t, requestText("unsafe", "1", "payload"))
 	eventually(t, "the server has received the request", func() bool { return b.requests() == 1 })
-	second.send(t, text("unsafe", "1", "payload"))
-	if status := second.answered(); status != http.StatusConflict {
+	second.send(t, requestText("unsafe", "1", "payload"))
+	if status := second.readStatus(); status != http.StatusConflict {
 		t.Errorf("the second request got status %d, want 409", status)
 	}
 	release()
-	if status := first.answered(); status != http.StatusOK {
+	if status := first.readStatus(); status != http.StatusOK {
 		t.Errorf("the first request got status %d, want 200", status)
 	}
 	eventually(t, "no request is left", n.idle)
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -188,8 +188,8 @@
 	c.transition(serverConnDropped)
 }
 
-// retire closes the idle connections of an endpoint that gets no further attempts.
-func (p *pool) retire(e *endpoint) {
+// closeIdle closes the idle connections of an endpoint that gets no further attempts.
+func (p *pool) closeIdle(e *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.dropIdle()
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -19,7 +19,8 @@
 // testPool returns a pool with a limit of 8 connections, which is shut down at the end of the test.
 func testPool(t *testing.T) *pool {
 	cfg := testConfig(t, "pushed")
-	p := newPool(cfg, 8, newEventLoop(newClock(), quiet(), nil, metrics.NewRecorder(nil)), newBuffers(cfg.MemoryMB, 8))
+	p := newPool(cfg, 8, newEventLoop(newClock(), discardLogger(), nil, metrics.NewRecorder(nil)),
+		newBuffers(cfg.MemoryMB, 8))
 	t.Cleanup(p.shutdown)
 	return p
 }
@@ -44,7 +45,7 @@
 		serve func(int, net.Conn, *http.Request) bool
 		want  policy.AttemptResult
 	}{
-		"served":            {ok, policy.Success},
+		"served":            {respondOK, policy.Success},
 		"error":             {status("500 Internal Server Error"), policy.ServerError},
 		"not found":         {status("404 Not Found"), policy.ServerError},
 		"accepted":          {status("202 Accepted"), policy.ServerError},
@@ -115,7 +116,7 @@
 		"answered": func(a *attempt) { a.request.finished.Store(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, b := testPool(t), newBackend(t, ok)
+			p, b := testPool(t), newBackend(t, respondOK)
 			att := testAttempt(p, b.addr(), time.Minute)
 			p.dialer.Control = func(string, string, syscall.RawConn) error {
 				stop(att) // during the dial
@@ -185,7 +186,7 @@
 // A connection carries one request after another, each after the idle period. If the limit permits no new connection,
 // the attempt waits for the end of that period. The idle connections of a removed endpoint are closed.
 func TestConnectionIsReused(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
 	for range 5 {
@@ -211,7 +212,7 @@
 	if n := b.accepted(); n != 1 {
 		t.Errorf("%d connections, want 1, which is the limit", n)
 	}
-	p.retire(att.endpoint)
+	p.closeIdle(att.endpoint)
 	if len(p.open) != 0 {
 		t.Errorf("%d connections to a removed endpoint are open, want none", len(p.open))
 	}
@@ -219,7 +220,7 @@
 
 // At the limit on connections, an attempt evicts an idle connection to another endpoint, and fails if none is idle.
 func TestServerConnectionLimit(t *testing.T) {
-	a, b := newBackend(t, ok), newBackend(t, ok)
+	a, b := newBackend(t, respondOK), newBackend(t, respondOK)
 	p := testPool(t)
 	p.limit = 1
 	for range 2 {
@@ -264,7 +265,7 @@
 // The fields of a load report have the names that the settings give and that servers send.
 func TestLoadReport(t *testing.T) {
 	l := parseLoadReport(http.Header{"X-Load-Report": {`{"svc_ms":27.5,"busy_reqs":2.25,"other":1}`}})
-	if l == nil || l.Busy != 2.25 || l.Service != 27500*time.Microsecond {
+	if l == nil || l.BusyRequests != 2.25 || l.ServiceTime != 27500*time.Microsecond {
 		t.Errorf("load %+v, want 2.25 busy and 27.5 ms of service", l)
 	}
 	if l := parseLoadReport(http.Header{"X-Load-Report": {"{"}}); l != nil {
--- a/internal/node/request_benchmark_test.go
+++ b/internal/node/request_benchmark_test.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	n, err := New(cfg, quiet())
+	n, err := New(cfg, discardLogger())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -99,7 +99,7 @@
 	}
 	request.attemptCount++
 	request.inFlight++
-	l.attemptsOut++
+	l.attemptsInFlight++
 	l.sender.start(att)
 }
 
@@ -157,7 +157,7 @@
 	l.awaitOverdueUpdates()
 	att, request := outcome.attempt, outcome.attempt.request
 	request.inFlight--
-	l.attemptsOut--
+	l.attemptsInFlight--
 	l.metrics.CountAttemptResult(att.endpoint.id, outcome.result, l.clock.now()-att.startedAt, outcome.err)
 	if outcome.notSentReason == guard.ClientDisconnected && l.disconnect(request) {
 		request.responses <- abortResponse
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -55,7 +55,7 @@
 
 // checkResponse sends a request and checks its response against how often the request may have run. It returns the
 // status, or 0 if no response came.
-func checkResponse(t *testing.T, n *running, class, id string, runs *runCounts) int {
+func checkResponse(t *testing.T, n *runningNode, class, id string, runs *runCounts) int {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(newRequest(t, n.url, class, id, "x"))
 	if err != nil {
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -149,11 +149,11 @@
 
 func (n *Node) newHandoverServer(listener syscall.Conn) *handover.Server {
 	return handover.NewServer(handover.Config{
-		Path:            n.cfg.handoverSocket,
-		Log:             n.log,
-		Listener:        listener,
-		Phase:           n.lifecycle.Current,
-		ChangeProcesses: n.changeProcesses,
+		Path:                 n.cfg.handoverSocket,
+		Log:                  n.log,
+		Listener:             listener,
+		Phase:                n.lifecycle.Current,
+		OnProcessCountChange: n.adjustProcessCount,
 	})
 }
 
@@ -161,14 +161,14 @@
 // serve. A drained predecessor makes this process start drained.
 func (s *session) takeOver(ctx context.Context) {
 	n := s.node
-	n.changeProcesses(+1)
+	n.adjustProcessCount(+1)
 	if s.predecessor.Phase == lifecycle.Drained {
 		n.lifecycle.Transition(lifecycle.Drain)
 	}
 	go func() { // ends with the connection to the predecessor, which serve closes
 		s.predecessor.AwaitEnd(sync.OnceFunc(func() { close(s.predecessorKnows) }))
 		close(s.predecessorExited)
-		n.changeProcesses(-1)
+		n.adjustProcessCount(-1)
 	}()
 	s.run(func() {
 		defer close(s.acceptClients)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -15,18 +15,18 @@
 // A node that shuts down gives every open request a response before the platform may kill it. Requests that a server
 // may have executed get 502, queued ones 503.
 func TestFinalResponsesBeforeTheKill(t *testing.T) {
-	b, _ := stalled(t, func(net.Conn, *http.Request) bool { return false })
-	n, ln := gatedNode(t, b)
+	b, _ := stalledBackend(t, func(net.Conn, *http.Request) bool { return false })
+	n, ln := startGatedNode(t, b)
 	sent := ln.fill(t, b)
 	n.stop()
 	stoppedAt := time.Now()
 	waits := ln.dial(t) // connections are still accepted for a moment
-	waits.send(t, text("unsafe", "waits", ""))
-	if status := waits.answered(); status != http.StatusServiceUnavailable {
+	waits.send(t, requestText("unsafe", "waits", ""))
+	if status := waits.readStatus(); status != http.StatusServiceUnavailable {
 		t.Errorf("the queued request got %d, want 503", status)
 	}
 	for _, c := range sent {
-		if status := c.answered(); status != http.StatusBadGateway {
+		if status := c.readStatus(); status != http.StatusBadGateway {
 			t.Errorf("a request that was sent to the server got %d, want 502", status)
 		}
 	}
@@ -44,16 +44,16 @@
 func TestRequestCompletedAfterFinalResponses(t *testing.T) {
 	t.Parallel()
 	const length = 60000
-	b, _ := stalled(t, func(net.Conn, *http.Request) bool { return false })
-	n, ln := gatedNode(t, b)
+	b, _ := stalledBackend(t, func(net.Conn, *http.Request) bool { return false })
+	n, ln := startGatedNode(t, b)
 	hangs := ln.dial(t) // its open request keeps the node from ending
-	hangs.send(t, text("unsafe", "hangs", ""))
+	hangs.send(t, requestText("unsafe", "hangs", ""))
 	n.stop()
 	stoppedAt := time.Now()
 	after := func(d time.Duration) { time.Sleep(time.Until(stoppedAt.Add(d))) }
 	after(300 * time.Millisecond)
 	c := ln.dial(t)
-	head := text("unsafe", "late", "", fmt.Sprint("Content-Length: ", length))
+	head := requestText("unsafe", "late", "", fmt.Sprint("Content-Length: ", length))
 	c.send(t, head[:20])
 	after(2500 * time.Millisecond)
 	c.send(t, head[20:]+strings.Repeat("x", length-1))
@@ -68,7 +68,7 @@
 // If a connection to a server is established after the pool was shut down, no request may be sent on it, because its
 // client could not be answered any more.
 func TestDialDuringShutdown(t *testing.T) {
-	b := newBackend(t, ok)
+	b := newBackend(t, respondOK)
 	p := testPool(t)
 	first := testAttempt(p, b.addr(), time.Minute)
 	if outcome := p.runAttempt(first); outcome.result != policy.Success {
--- a/internal/node/sites_test.go
+++ b/internal/node/sites_test.go
@@ -164,7 +164,7 @@
 
 // siteRun is a node that sends to a tier of a site, and two servers of that tier.
 type siteRun struct {
-	node         *running
+	node         *runningNode
 	listener     *gatedListener
 	first        *backend
 	second       *backend     // in the endpoint list from the first call of checkClass on
@@ -246,7 +246,7 @@
 		fmt.Sprintf("X-Budget: %vm", class.Deadline),
 		"Connection: close",
 	}, "\r\n")+"\r\n\r\n")
-	return client.answered()
+	return client.readStatus()
 }
 
 // snapshotOf returns a complete endpoint list.
--- a/internal/node/slow_body_test.go
+++ b/internal/node/slow_body_test.go
@@ -62,13 +62,13 @@
 	for name, length := range map[string]int{"of 3 MB": 3 << 20, "of 64 KiB": maxBufferedBody} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := startWith(t, newBackend(t, ok))
+			n := startWith(t, newBackend(t, respondOK))
 			c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			head := text("unsafe", "1", "", fmt.Sprint("Content-Length: ", length))
+			head := requestText("unsafe", "1", "", fmt.Sprint("Content-Length: ", length))
 			write(t, c, head+strings.Repeat("x", length-length/16))
 			stopped := time.Now()
 			setReadTimeout(t, c, 10*time.Second)
--- a/internal/node/staleness_test.go
+++ b/internal/node/staleness_test.go
@@ -72,8 +72,8 @@
 	m.timer.Reset(0)
 }
 
-// until waits for a condition that is met in the background.
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits for a condition that is met in the background.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -95,7 +95,7 @@
 	if !m.holdSends() {
 		t.Fatal("sends are not held after the suspension")
 	}
-	until(t, "the suspension is detected", func() bool {
+	waitFor(t, "the suspension is detected", func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		return m.suspended
@@ -103,7 +103,7 @@
 	if m.lineReceived(); !m.holdSends() {
 		t.Error("sends are not held while more may be buffered")
 	}
-	until(t, "all buffered updates are read", func() bool { return !m.holdSends() })
+	waitFor(t, "all buffered updates are read", func() bool { return !m.holdSends() })
 	if m.stale() {
 		t.Error("the hold ended by its time limit, want by reading all updates")
 	}
@@ -117,12 +117,12 @@
 // handled before the requests that arrived.
 func TestEndpointUpdatesComeFirstAfterSuspension(t *testing.T) {
 	a, addr := newFakeDiscovery(t)
-	first, second := newBackend(t, ok), newBackend(t, ok)
+	first, second := newBackend(t, respondOK), newBackend(t, respondOK)
 	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
 	cfg.Discovery = addr
 	n := start(t, cfg)
 	a.lines <- ""
-	until(t, "the line is received", func() bool {
+	waitFor(t, "the line is received", func() bool {
 		n.discovery.staleness.mu.Lock()
 		defer n.discovery.staleness.mu.Unlock()
 		return n.discovery.staleness.readSinceResume
--- a/internal/simulator/decoder_test.go
+++ b/internal/simulator/decoder_test.go
@@ -75,7 +75,7 @@
 			Endpoint: "s:1",
 			Answered: true,
 			Latency:  18500 * time.Microsecond,
-			Load:     &policy.Load{Busy: 3, Service: -1},
+			Load:     &policy.Load{BusyRequests: 3, ServiceTime: -1},
 		}},
 		{Kind: BatchEnd, Instance: 3},
 	}
--- a/internal/simulator/values.go
+++ b/internal/simulator/values.go
@@ -130,7 +130,7 @@
 	if report == "" {
 		return nil
 	}
-	load := &policy.Load{Busy: -1, Service: -1}
+	load := &policy.Load{BusyRequests: -1, ServiceTime: -1}
 	for _, pair := range strings.Split(report, ",") {
 		name, text, _ := strings.Cut(pair, ":")
 		number, ok := parseNumber(text)
@@ -140,9 +140,9 @@
 		}
 		switch name {
 		case loadBusy:
-			load.Busy = number
+			load.BusyRequests = number
 		case loadService:
-			load.Service = fromMilliseconds(number)
+			load.ServiceTime = fromMilliseconds(number)
 		}
 	}
 	return load
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -91,7 +91,7 @@
 // replica.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	c := r.class
-	deadline := min(r.usefulUntil(b.settings.Tier), (r.arrived+r.deadline)/2) - 2*b.settings.TimerResolution
+	deadline := min(r.answerDeadline(b.settings.Tier), (r.arrived+r.deadline)/2) - 2*b.settings.TimerResolution
 	if len(c.subset.ready) == 0 {
 		return deadline
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -124,8 +124,8 @@
 
 // Load is the load that an endpoint reports of itself, late and inaccurately. Absent values are negative.
 type Load struct {
-	Busy    float64       // requests that it holds
-	Service time.Duration // recent service time, without the time in its queue
+	BusyRequests float64       // requests that it holds
+	ServiceTime  time.Duration // recent service time, without the time in its queue
 }
 
 // Event is an input to a Balancer: one of the types below.
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -117,17 +117,17 @@
 	}
 	for _, subset := range b.subsets {
 		subset.assign(b.settings.Zone, b.subsets)
-		weight := b.zones.weight(subset.owned)
+		weight := b.zones.weight(subset.limitedEndpoints)
 		subset.limit.setEndpoints(weight, weight/b.replicas.current)
 	}
 }
 
 // updateFairShares adapts the concurrency limit of each subset to its fair share: its endpoints, weighted by
 // the shares of their zones, over the replicas. The limit is multiplied by the ratio of the new fair share to
-// the old one, raised to the power.
-func (b *Balancer) updateFairShares(power float64) {
+// the old one, raised to the exponent.
+func (b *Balancer) updateFairShares(exponent float64) {
 	for _, subset := range b.subsets {
-		subset.limit.followFairShare(b.zones.weight(subset.owned)/b.replicas.current, power)
+		subset.limit.followFairShare(b.zones.weight(subset.limitedEndpoints)/b.replicas.current, exponent)
 	}
 }
 
@@ -138,7 +138,7 @@
 		return
 	}
 	for _, subset := range b.subsets {
-		subset.limit.fairShare = b.zones.weight(subset.owned) / b.replicas.current
+		subset.limit.fairShare = b.zones.weight(subset.limitedEndpoints) / b.replicas.current
 	}
 	b.quotas.setReplicas(b.replicas.current)
 }
--- a/policy/guard/guard.go
+++ b/policy/guard/guard.go
@@ -22,7 +22,7 @@
 	DeadlineExceeded        // the deadline of the request has passed
 	ClientDisconnected      // the client has closed its connection
 	ClientUnknown           // the operating system did not tell whether the client is still connected
-	ListOutdated            // the process was suspended, and endpoint updates may be unread
+	EndpointListStale       // the process was suspended, and endpoint updates may be unread
 	DeduplicationWindowOver // endpoints no longer discard a duplicate, or not for long enough
 	NotIdempotent           // the request may have run, and is not idempotent
 	AttemptsExhausted       // the settings allow no more attempts
@@ -62,7 +62,7 @@
 	DeadlineExceeded:        "deadline_over",
 	ClientDisconnected:      "client_left",
 	ClientUnknown:           "client_unknown",
-	ListOutdated:            "list_outdated",
+	EndpointListStale:       "list_outdated",
 	DeduplicationWindowOver: "repeat_window_over",
 	NotIdempotent:           "effect_forbids",
 	AttemptsExhausted:       "attempts_exhausted",
@@ -101,20 +101,20 @@
 
 // Send holds what is known just before the first byte of an attempt is written.
 type Send struct {
-	Now             time.Duration
-	Deadline        time.Duration // until when the attempt may run
-	RetryBefore     time.Duration // endpoints discard a duplicate until then; 0: they need not
-	RequestAnswered bool
-	EndpointRemoved bool
-	ListOutdated    bool
-	Client          ClientState
+	Now               time.Duration
+	Deadline          time.Duration // until when the attempt may run
+	RetryBefore       time.Duration // endpoints discard a duplicate until then; 0: they need not
+	RequestAnswered   bool
+	EndpointRemoved   bool
+	EndpointListStale bool
+	Client            ClientState
 }
 
 // Verdict returns Allowed if the attempt may be sent, and otherwise why not.
 func (f Send) Verdict() Verdict {
 	switch {
-	case f.ListOutdated:
-		return ListOutdated
+	case f.EndpointListStale:
+		return EndpointListStale
 	case f.RequestAnswered:
 		return RequestAnswered
 	case f.Client == ClientClosed:
--- a/policy/guard/guard_test.go
+++ b/policy/guard/guard_test.go
@@ -26,7 +26,7 @@
 		DeduplicationWindowOver: func(f *Send) { f.RetryBefore = time.Second + MaxSuspension },
 		ClientDisconnected:      func(f *Send) { f.Client = ClientClosed },
 		ClientUnknown:           func(f *Send) { f.Client = ClientStateUnknown },
-		ListOutdated:            func(f *Send) { f.ListOutdated = true },
+		EndpointListStale:       func(f *Send) { f.EndpointListStale = true },
 	} {
 		f := allowed
 		change(&f)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -189,7 +189,7 @@
 	b.emit(SendAttempt{
 		ID:          r.id,
 		Endpoint:    target.ID,
-		Timeout:     max(r.usefulUntil(b.settings.Tier)-b.now, b.settings.TimerResolution),
+		Timeout:     max(r.answerDeadline(b.settings.Tier)-b.now, b.settings.TimerResolution),
 		RetryBefore: retryBefore,
 	})
 }
--- a/policy/recorded_stream_test.go
+++ b/policy/recorded_stream_test.go
@@ -342,7 +342,7 @@
 		Latency:      latency,
 		Answered:     result == Success || run.rng.IntN(30) == 0,
 		BodyConsumed: run.rng.IntN(40) == 0,
-		Load:         &Load{Busy: 1, Service: latency},
+		Load:         &Load{BusyRequests: 1, ServiceTime: latency},
 	})
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -66,10 +66,10 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
-// usefulUntil returns the time until which an answer has a weight: the end of the latency objective at the
+// answerDeadline returns the time until which an answer has a weight: the end of the latency objective at the
 // first tier, if late answers have no weight, and the deadline otherwise. Attempts that run longer waste
 // capacity of all tiers below.
-func (r *request) usefulUntil(tier int) time.Duration {
+func (r *request) answerDeadline(tier int) time.Duration {
 	if tier == 0 && r.class.LateAnswerWeight == 0 {
 		return min(r.deadline, r.arrived+r.class.LatencyObjective)
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -36,7 +36,7 @@
 // covers it, there is time for an answer and there is an eligible endpoint. Otherwise it answers the request.
 func (b *Balancer) retryOrAnswer(r *request) {
 	cost := r.retryCost()
-	timeLeft := float64(r.usefulUntil(b.settings.Tier) - b.now)
+	timeLeft := float64(r.answerDeadline(b.settings.Tier) - b.now)
 	verdict := b.mayRetry(r)
 	switch {
 	case verdict != guard.Allowed:
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -14,11 +14,11 @@
 // request cannot reach an endpoint that is closed to its class, and a subset that is overloaded or down does not
 // affect classes with other endpoints.
 type endpointSubset struct {
-	zones        []string    // nil: all
-	machineTypes []string    // nil: all
-	ready        []*endpoint // ready endpoints, sorted as at all replicas
-	preferred    []*endpoint // those of ready that are drawn from first
-	owned        []*endpoint // those of ready that the concurrency limit is computed from
+	zones            []string    // nil: all
+	machineTypes     []string    // nil: all
+	ready            []*endpoint // ready endpoints, sorted as at all replicas
+	preferred        []*endpoint // those of ready that are drawn from first
+	limitedEndpoints []*endpoint // those of ready that the concurrency limit is computed from
 
 	queue        []*request // requests in the order in which they were queued
 	inFlight     int        // attempts of this replica in flight, of the subset's classes
@@ -66,9 +66,9 @@
 	}
 	local := excludeUnlessAll(s.ready, func(ep *endpoint) bool { return ep.Zone != localZone })
 	s.preferred = excludeUnlessAll(local, inNarrowerSubset)
-	s.owned = s.ready
+	s.limitedEndpoints = s.ready
 	if len(s.preferred) < len(local) {
-		s.owned = excludeUnlessAll(s.ready, inNarrowerSubset)
+		s.limitedEndpoints = excludeUnlessAll(s.ready, inNarrowerSubset)
 	}
 }
 
