--- a/internal/testbed/attempt_checks.go
+++ b/internal/testbed/attempt_checks.go
@@ -5,26 +5,25 @@
 	"time"
 )
 
-// Tolerances of the rules on attempts after a disconnect and on the time that servers are given.
 const (
-	lateSendTolerance  = 100 * time.Millisecond
-	budgetTolerance    = 150 * time.Millisecond
-	linkFaultCarryOver = 2 * time.Second // attempts that a faulty link delays come so soon after the fault
+	lateSendTolerance  = 100 * time.Millisecond // of an attempt after its client disconnected
+	budgetTolerance    = 150 * time.Millisecond // of the budget that a server is given
+	linkFaultCarryOver = 2 * time.Second        // attempts that a link fault delayed arrive within this time after it
 )
 
-// sender is the node that forwarded an attempt, as a header that nodes pass through tells, and the number of the
-// writing that it forwards.
+// sender holds what the sender header of a request says: the node that the client wrote the request to, and the number
+// of that write. Nodes pass the header on to servers.
 type sender struct {
-	node    string
-	writing int
+	node        string
+	writeNumber int
 }
 
-// arrivedAttempt is an attempt that came completely to a server.
+// arrivedAttempt is an attempt that a server has read completely.
 type arrivedAttempt struct {
 	id, server string
 	from       sender
-	firstByte  time.Duration // when its first byte came
-	budget     time.Duration // that its header gives to the server
+	firstByte  time.Duration // when its head had arrived
+	budget     time.Duration // from its X-Budget header
 }
 
 // verdict says what a server does with an attempt.
@@ -36,8 +35,8 @@
 	verdictDuplicate
 )
 
-// recordAttempt records an attempt and checks the rules on attempts. It returns what to do with it, which node has sent
-// it and the number of the attempt of its request.
+// recordAttempt records an attempt and checks the rules on attempts. It returns what the server does with the attempt,
+// the node that sent it, and its number among the attempts of its request, from 1.
 func (r *Checker) recordAttempt(a arrivedAttempt) (v verdict, node string, number int) {
 	var rec record
 	duplicate, lateRetry := false, false
@@ -49,7 +48,7 @@
 		rec = *p
 	})
 	if !known {
-		r.addFinding(UnknownID, a.id, "", "came to "+a.server)
+		r.addFinding(UnknownID, a.id, "", "an attempt arrived at "+a.server)
 		return verdictUnknown, "", 0
 	}
 	r.checkForwardedUnread(a, &rec)
@@ -58,18 +57,19 @@
 	}
 	if duplicate {
 		v = verdictDuplicate
-		detail := fmt.Sprintf("attempt %d of a %s came to %s after one that may have run", rec.attempts, rec.class, a.server)
+		detail := fmt.Sprintf("attempt %d of a request of class %s arrived at %s after an attempt that may have run",
+			rec.attempts, rec.class, a.server)
 		r.addFinding(DuplicateExecution, a.id, rec.node, detail)
 	}
 	r.checkTiming(a, &rec, lateRetry)
 	if rec.attempts > r.maxAttempts {
-		r.addFinding(TooManyAttempts, a.id, rec.node, fmt.Sprintf("attempt %d came to %s", rec.attempts, a.server))
+		r.addFinding(TooManyAttempts, a.id, rec.node, fmt.Sprintf("attempt %d arrived at %s", rec.attempts, a.server))
 	}
 	r.checkDraining(a, rec.node)
 	return v, rec.node, rec.attempts
 }
 
-// addAttempt counts an attempt as executed, until its server reports that it never ran.
+// addAttempt counts an attempt, also as an execution until its server reports that it did not run.
 func (rec *record) addAttempt(at time.Duration) {
 	rec.attempts++
 	if rec.executions == 0 {
@@ -78,19 +78,21 @@
 	rec.executions++
 }
 
-// checkForwardedUnread finds an attempt of a writing that its node gave back unread by closing the connection.
+// checkForwardedUnread reports an attempt of a request whose connection the node had closed without an answer, which
+// tells the client that the request was not read and may be sent again.
 func (r *Checker) checkForwardedUnread(a arrivedAttempt, rec *record) {
-	if a.from.writing == 0 || a.from.writing > rec.retracted {
+	if a.from.writeNumber == 0 || a.from.writeNumber > rec.retractedWrite {
 		return
 	}
 	if r.intervals.overlap(a.from.node, rec.retractedAt-slack, rec.retractedAt+slack) {
 		return
 	}
-	detail := fmt.Sprintf("came to %s, though its connection was closed with no answer", a.server)
+	detail := fmt.Sprintf("arrived at %s, though the node closed its connection without an answer", a.server)
 	r.addFinding(ForwardedUnread, a.id, a.from.node, detail)
 }
 
-// checkTiming checks the rules on the time at which an attempt comes. What a faulty link has delayed is excused.
+// checkTiming checks the rules on the time at which an attempt arrives. Attempts that a link fault may have delayed are
+// excused.
 func (r *Checker) checkTiming(a arrivedAttempt, rec *record, lateRetry bool) {
 	from := a.firstByte - linkFaultCarryOver
 	if r.intervals.overlap(rec.node+"->"+a.server, from, a.firstByte) || r.intervals.overlap(a.server, from, a.firstByte) {
@@ -98,11 +100,11 @@
 	}
 	if lateRetry {
 		delay := ms(a.firstByte - rec.firstRun)
-		detail := fmt.Sprintf("came to %s %.0f ms after the first that may have run", a.server, delay)
+		detail := fmt.Sprintf("arrived at %s %.0f ms after the first attempt that may have run", a.server, delay)
 		r.addFinding(RetryAfterWindow, a.id, rec.node, detail)
 	}
-	if delay := a.firstByte - rec.leftAt; rec.leftAt > 0 && delay > lateSendTolerance+slack {
-		detail := fmt.Sprintf("came to %s %.0f ms after its client had disconnected", a.server, ms(delay))
+	if delay := a.firstByte - rec.disconnectedAt; rec.disconnectedAt > 0 && delay > lateSendTolerance+slack {
+		detail := fmt.Sprintf("arrived at %s %.0f ms after its client had disconnected", a.server, ms(delay))
 		r.addFinding(SentAfterDisconnect, a.id, rec.node, detail)
 	}
 	if left := rec.deadline - a.firstByte; a.budget > left+budgetTolerance {
@@ -111,8 +113,8 @@
 	}
 }
 
-// checkDraining finds an attempt that came too long after its node was notified that the server drains. A node that was
-// stopped is not excused: it has to read what came meanwhile before it sends.
+// checkDraining reports an attempt that arrived too long after its node was notified that the server is draining or
+// removed. A node that was paused is not excused: it has to read the notifications that came meanwhile before it sends.
 func (r *Checker) checkDraining(a arrivedAttempt, node string) {
 	r.mu.Lock()
 	at, notified := r.drainNotifiedAt[nodeAndServer{node, a.server}]
@@ -124,6 +126,6 @@
 	if r.intervals.overlap(node+"->"+a.server, at, a.firstByte) || r.intervals.overlap(a.server, at, a.firstByte) {
 		return
 	}
-	detail := fmt.Sprintf("came to %s %.2f s after the node was notified", a.server, delay.Seconds())
+	detail := fmt.Sprintf("arrived at %s %.2f s after the node was notified", a.server, delay.Seconds())
 	r.addFinding(SentToDraining, a.id, node, detail)
 }
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -13,57 +13,57 @@
 
 const (
 	recordShards = 64
-	maxFindings  = 1000 // findings kept; more are only counted
+	maxFindings  = 1000 // findings kept; further ones are only counted
 	bodySalt     = 0x9e3779b97f4a7c15
 )
 
-// Checker checks the invariants of the platform. It keeps one record for each request id, both of clients and of
-// servers that call the next tier. All methods are safe for concurrent use.
+// Checker is the invariant checker. It keeps one record per request ID, both for requests of clients and for calls of
+// servers to the next tier. All methods are safe for concurrent use.
 type Checker struct {
 	now             func() time.Duration
 	intervals       *intervals
-	nonIdempotent   map[string]bool          // by class
-	dedupWindows    map[string]time.Duration // by class with an idempotency key
-	maxAttempts     int                      // of one id
+	nonIdempotent   map[string]bool          // by class name
+	dedupWindows    map[string]time.Duration // by class name; only classes with an idempotency key
+	maxAttempts     int                      // allowed per request
 	salt            uint64
 	shards          [recordShards]recordShard
-	mu              sync.Mutex // guards what follows
-	found           []Finding
+	mu              sync.Mutex // guards the fields below
+	findings        []Finding
 	counts          map[Rule]int
 	account         Account
 	drainNotifiedAt map[nodeAndServer]time.Duration
 }
 
-// nodeAndServer is the key of what one node knows of one server.
+// nodeAndServer identifies a pair of a node and a server.
 type nodeAndServer struct{ node, server string }
 
-// recordShard holds the records of some ids.
+// recordShard holds the records of the request IDs that hash to it.
 type recordShard struct {
 	sync.Mutex
 	records map[string]*record
 }
 
-// record is what is known of one request id.
+// record holds what is known of one request.
 type record struct {
-	class       string
-	node        string
-	writing     int           // how often it was written: again after a close that crossed it unread
-	retracted   int           // the last writing that was retracted
-	retractedAt time.Duration // when that was
-	deadline    time.Duration // when the client's time ends
-	written     time.Duration // completely, to a node; 0: not yet
-	ended       bool
-	attempts    int
-	executions  int           // attempts that may have run
-	served      int           // complete answers that servers made
-	firstRun    time.Duration // when the first attempt that may have run came
-	leftAt      time.Duration // when the client disconnected; 0: it has not
+	class          string
+	node           string        // that the request was last written to
+	writes         int           // how often it was written: again if a node closed the connection without reading it
+	retractedWrite int           // number of the last write that was retracted
+	retractedAt    time.Duration // when that write was retracted
+	deadline       time.Duration // of the client
+	written        time.Duration // when it was completely written to a node; 0: not yet
+	ended          bool
+	attempts       int           // that arrived at servers
+	executions     int           // attempts that may have run
+	served         int           // complete answers that servers made
+	firstRun       time.Duration // when the first attempt that may have run arrived
+	disconnectedAt time.Duration // when the client disconnected; 0: it has not
 }
 
-func newChecker(w *World, now func() time.Duration, excused *intervals) *Checker {
+func newChecker(w *World, now func() time.Duration, disturbed *intervals) *Checker {
 	r := &Checker{
 		now:             now,
-		intervals:       excused,
+		intervals:       disturbed,
 		nonIdempotent:   map[string]bool{},
 		dedupWindows:    map[string]time.Duration{},
 		maxAttempts:     w.Limits.MaxAttempts,
@@ -87,7 +87,7 @@
 	return &r.shards[xxhash.Sum64String(id)%recordShards]
 }
 
-// withRecord calls f on the record of an id with its shard locked. It reports whether there is one.
+// withRecord calls f on the record of a request ID while its shard is locked. It reports whether there is a record.
 func (r *Checker) withRecord(id string, f func(*record)) bool {
 	s := r.shardOf(id)
 	s.Lock()
@@ -104,8 +104,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[rule]++
-	if len(r.found) < maxFindings {
-		r.found = append(r.found, Finding{At: at, Rule: rule, ID: id, Node: node, Detail: detail})
+	if len(r.findings) < maxFindings {
+		r.findings = append(r.findings, Finding{At: at, Rule: rule, ID: id, Node: node, Detail: detail})
 	}
 }
 
@@ -115,7 +115,7 @@
 	f(&r.account)
 }
 
-// begin makes an id known, before its first byte is written.
+// begin creates the record of a request. It is called before the first byte of the request is written.
 func (r *Checker) begin(id, class string, deadline time.Duration) {
 	s := r.shardOf(id)
 	s.Lock()
@@ -123,30 +123,31 @@
 	s.records[id] = &record{class: class, deadline: deadline}
 }
 
-// beginWrite records which node a request is about to be written to, and returns the number of that writing.
-func (r *Checker) beginWrite(id, node string) (writing int) {
+// beginWrite records the node that a request is about to be written to, and returns the number of this write, from 1.
+func (r *Checker) beginWrite(id, node string) (writeNumber int) {
 	r.withRecord(id, func(rec *record) {
 		rec.node = node
-		rec.writing++
-		writing = rec.writing
+		rec.writes++
+		writeNumber = rec.writes
 	})
-	return writing
+	return writeNumber
 }
 
-// recordWritten records that a request is complete at a node's connection: the node has accepted it.
+// recordWritten records that a request was completely written to a connection, which counts as accepted by the node.
 func (r *Checker) recordWritten(id string, at time.Duration) {
 	r.withRecord(id, func(rec *record) { rec.written = at })
 	r.updateAccount(func(a *Account) { a.Taken++ })
 }
 
-// retractUnread takes a request back whose connection ended without an answer, as it crossed the node's close. It
-// reports whether that is possible: not if a server has the request, or if the node is known to have read all of it.
+// retractUnread marks a request as not accepted, as the node closed the connection while the request was on its way.
+// It reports whether that is possible: not if an attempt has arrived at a server, or if the node is known to have read
+// the whole request.
 func (r *Checker) retractUnread(id string, allRead bool) (unread bool) {
 	r.withRecord(id, func(rec *record) {
 		unread = rec.attempts == 0 && !allRead
 		if unread {
 			rec.written = 0
-			rec.retracted = rec.writing
+			rec.retractedWrite = rec.writes
 			rec.retractedAt = r.now()
 		}
 	})
@@ -159,14 +160,15 @@
 	return unread
 }
 
-// recordAnswer records that a request got its answer. A 200 must carry what a server made.
+// recordAnswer records that a request was answered. With checkBody, the body of a 200 must be the one that a server
+// made for this request.
 func (r *Checker) recordAnswer(id string, status int, body string, checkBody bool) {
 	var foreign, node string
 	r.withRecord(id, func(rec *record) {
 		rec.ended = true
 		node = rec.node
 		if status == 200 && checkBody && (rec.served == 0 || body != r.expectedBody(id)) {
-			foreign = fmt.Sprintf("%d servers served it, the body is %.60q", rec.served, body)
+			foreign = fmt.Sprintf("%d servers answered the request, the client got the body %.60q", rec.served, body)
 		}
 	})
 	r.updateAccount(func(a *Account) { a.Answered++ })
@@ -179,13 +181,13 @@
 func (r *Checker) recordDisconnect(id string) {
 	r.withRecord(id, func(rec *record) {
 		rec.ended = true
-		rec.leftAt = r.now()
+		rec.disconnectedAt = r.now()
 	})
 	r.updateAccount(func(a *Account) { a.Left++ })
 }
 
-// recordUnanswered records that an accepted request will get no answer: its connection broke, or its time and the slack
-// are over. It is a finding unless the testbed itself is the cause.
+// recordUnanswered records that an accepted request will get no answer: its connection broke, or its deadline and the
+// slack have passed. That is a finding unless a fault of the test bed explains it.
 func (r *Checker) recordUnanswered(id, client, how string) {
 	var rec record
 	r.withRecord(id, func(p *record) {
@@ -207,7 +209,8 @@
 	r.addFinding(Lost, id, rec.node, detail)
 }
 
-// excusesLoss reports whether the testbed had disturbed the client, the node or a direction between them.
+// excusesLoss reports whether a fault of the test bed affected the client, the node or a direction of the link between
+// them, from shortly before the request was written until now.
 func (r *Checker) excusesLoss(rec *record, client string, now time.Duration) bool {
 	from := rec.written - slack
 	for _, part := range []string{rec.node, client + "->" + rec.node, rec.node + "->" + client, client} {
@@ -218,20 +221,21 @@
 	return false
 }
 
-// recordUnexpectedAnswer records that a node answered a request that already had its answer.
+// recordUnexpectedAnswer reports that a node sent an answer while none was pending. The ID is that of the last request
+// that was answered on the connection.
 func (r *Checker) recordUnexpectedAnswer(id, node, what string) {
-	r.addFinding(AnsweredTwice, id, node, "an answer came when none was pending: "+what)
+	r.addFinding(AnsweredTwice, id, node, "got an answer while none was pending: "+what)
 }
 
-// Report adds a finding that does not concern a single request.
+// Report adds a finding that concerns no single request.
 func (r *Checker) Report(rule Rule, node, detail string) { r.addFinding(rule, "", node, detail) }
 
-// recordNotRun takes back an execution that its server rejected.
+// recordNotRun records that a server rejected an attempt without running it, so that it does not count as an execution.
 func (r *Checker) recordNotRun(id string) {
 	r.withRecord(id, func(rec *record) { rec.executions-- })
 }
 
-// recordServed records that a server made an answer, and returns the answer's body.
+// recordServed records that a server answered a request, and returns the body of the answer.
 func (r *Checker) recordServed(id string) string {
 	r.withRecord(id, func(rec *record) { rec.served++ })
 	return r.expectedBody(id)
@@ -241,8 +245,8 @@
 	return fmt.Sprintf("%s %016x", id, xxhash.Sum64String(id)^r.salt)
 }
 
-// recordNotification records when a node counts as notified, possibly in the future, that a server is draining or
-// removed, or that it is in service again. The earliest notification counts.
+// recordNotification records the time, possibly in the future, from which a node counts as notified that a server is
+// draining or removed, or with inService that it is in service again. The earliest notification counts.
 func (r *Checker) recordNotification(node, server string, inService bool, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -256,7 +260,7 @@
 	}
 }
 
-// forgetNotifications drops what a node was notified of: a new process knows nothing of it.
+// forgetNotifications drops the notifications of a node whose process is replaced: the new process has received none.
 func (r *Checker) forgetNotifications(node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -267,7 +271,7 @@
 	}
 }
 
-// Account returns what became of the requests so far.
+// Account returns the counts of the requests so far, by how they ended.
 func (r *Checker) Account() Account {
 	open := 0
 	for i := range r.shards {
@@ -280,7 +284,7 @@
 	return a
 }
 
-// countOpen returns how many requests were accepted and have not ended.
+// countOpen returns the number of requests that were accepted and have not ended.
 func (s *recordShard) countOpen() (open int) {
 	s.Lock()
 	defer s.Unlock()
@@ -292,11 +296,11 @@
 	return open
 }
 
-// Findings returns the violations in order of time, and their count by rule.
+// Findings returns the findings in order of time, at most maxFindings of them, and the count of all by rule.
 func (r *Checker) Findings() ([]Finding, map[Rule]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	found := slices.Clone(r.found)
+	found := slices.Clone(r.findings)
 	sort.SliceStable(found, func(i, j int) bool { return found[i].At < found[j].At })
 	return found, maps.Clone(r.counts)
 }
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -25,18 +25,18 @@
 	outcomeUnreached            // no connection came up
 )
 
-// String returns the name that results have for the outcome.
+// String returns the name of the outcome in results.
 func (o outcome) String() string {
 	return [...]string{EndServed, EndRejected, EndFailed, EndDisconnected, EndUnreached}[o]
 }
 
 const (
-	maxAnswerDelay = 500 * time.Millisecond // an answer this late is worth nothing, but is not lost
-	pauseCarryOver = 500 * time.Millisecond // a node that was paused answers so soon after
+	maxAnswerDelay = 500 * time.Millisecond // a paused node may answer this long after the deadline: late, but not lost
+	pauseCarryOver = 500 * time.Millisecond // within which a node answers its pending requests after a pause
 	maxBodySize    = 64 << 10
 	readBufferSize = 2 << 10
-	maxIdleConns   = 256             // connections kept by one client
-	maxIdleTime    = 5 * time.Second // a client closes connections that are idle for longer
+	maxIdleConns   = 256             // that one client keeps
+	maxIdleTime    = 5 * time.Second // after which a client closes a connection instead of using it again
 	dialTimeout    = time.Second
 )
 
@@ -45,27 +45,27 @@
 	id           string
 	class        *Class
 	tenant       string
-	deadline     time.Duration // on the testbed's clock
-	disconnectAt time.Duration // the client disconnects then; 0: it stays
+	deadline     time.Duration // on the test bed's clock
+	disconnectAt time.Duration // when the client disconnects; 0: it stays until the answer
 	isRetry      bool
 }
 
-// response is what came of a request.
+// response is the result of a request for its client.
 type response struct {
 	end        outcome
 	node       string
-	retryAfter time.Duration // 0: none was given
-	at         time.Duration // of its last byte
+	retryAfter time.Duration // from the Retry-After header; 0: there was none
+	at         time.Duration // when its last byte came, or the request ended
 }
 
-// client keeps connections to nodes and sends requests on them, one at a time on each, as the protocol's clients do. It
-// opens more when all are busy.
+// client sends requests to nodes on keep-alive connections, one request at a time on each. It opens another connection
+// when all are busy.
 type client struct {
 	testbed   *Testbed
 	name      string
-	dial      func(context.Context) (net.Conn, string, error) // to some node, with its name
-	checkBody bool                                            // answers must be what a server made
-	idPrefix  string                                          // of the requests that the client makes up itself
+	dial      func(context.Context) (net.Conn, string, error) // connects to a node and returns the node's name
+	checkBody bool                                            // the bodies of answers must be those that servers made
+	idPrefix  string                                          // from which send derives request IDs
 
 	mu      sync.Mutex
 	idle    []*clientConn
@@ -81,33 +81,33 @@
 	idleSince time.Duration
 
 	mu               sync.Mutex
-	pending          string // the request whose answer is pending; "": none
-	lastAnswered     string // the last request answered
-	previousAnswered string // the one before that
+	pending          string // ID of the request whose answer is pending; "": none
+	lastAnswered     string // ID of the last request answered
+	previousAnswered string // ID of the request answered before that
 	replies          chan connReply
 }
 
-// connReply is what came on a connection: an answer, or its end.
+// connReply is an answer read from a connection, or the end of the connection.
 type connReply struct {
 	status     int
 	retryAfter string
 	body       string
-	closing    bool
-	partial    bool // part of an answer came
+	closing    bool // the node closes the connection after this answer
+	partial    bool // at least part of an answer came
 	allRead    bool // the connection ended, and the node had read all that was written to it
 	err        error
 	at         time.Duration
 }
 
-// hasPending reports whether an answer is pending. A connection that ends while none is may be taken for a request a
-// moment later: that one was not read.
+// hasPending reports whether an answer is pending. If the connection ends while none is pending, a request that is
+// written to it a moment later was not read.
 func (cc *clientConn) hasPending() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return cc.pending != ""
 }
 
-// takePending ends the pending request, if there is one, and also returns the request answered before it.
+// takePending returns the pending request, which from now on counts as answered, and the request answered before it.
 func (cc *clientConn) takePending() (pending, lastAnswered string) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -121,7 +121,7 @@
 	return pending, lastAnswered
 }
 
-// readReplies reads answers from a connection until it ends.
+// readReplies reads answers from a connection until the connection ends.
 func (c *client) readReplies(cc *clientConn) {
 	defer c.readers.Done()
 	reader := bufio.NewReaderSize(cc.Conn, readBufferSize)
@@ -129,7 +129,7 @@
 		r := c.readReply(cc, reader)
 		pending, lastAnswered := cc.takePending()
 		if pending != "" {
-			cc.replies <- r // never blocks: one request is pending at a time
+			cc.replies <- r // does not block: only one request is pending at a time
 		} else if r.err == nil {
 			what := fmt.Sprintf("%d %.60q, closing %t", r.status, r.body, r.closing)
 			c.testbed.checker.recordUnexpectedAnswer(lastAnswered, cc.node, what)
@@ -141,7 +141,7 @@
 	}
 }
 
-// readReply waits for the next answer on a connection, or for its end.
+// readReply waits for the next answer on a connection, or for the connection's end.
 func (c *client) readReply(cc *clientConn, reader *bufio.Reader) connReply {
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -166,7 +166,7 @@
 	}
 }
 
-// get returns an idle connection or a new one.
+// get returns an idle connection if there is one and newConn is not set, else a new one.
 func (c *client) get(ctx context.Context, newConn bool) (*clientConn, error) {
 	c.mu.Lock()
 	if c.closed {
@@ -193,7 +193,8 @@
 	return cc, nil
 }
 
-// takeIdle returns the connection that was used last, and closes those that were idle for too long; c.mu is held.
+// takeIdle removes and returns the most recently used idle connection, and closes those that were idle for too long. It
+// returns nil if none is left. c.mu must be held.
 func (c *client) takeIdle() *clientConn {
 	now := c.testbed.now()
 	for n := len(c.idle); n > 0; n = len(c.idle) {
@@ -219,7 +220,7 @@
 	c.idle = append(c.idle, cc)
 }
 
-// close ends all idle connections and waits for the others; requests fail from now on.
+// close closes all idle connections and waits for the others to end. Later requests fail.
 func (c *client) close() {
 	c.mu.Lock()
 	c.closed = true
@@ -230,7 +231,8 @@
 	c.readers.Wait()
 }
 
-// do sends one request and returns what came of it, no later than its deadline and the slack.
+// do sends one request and returns its result, at the latest when its deadline and the slack have passed. It sends the
+// request again on a new connection if a used one ended before the node had read it.
 func (c *client) do(ctx context.Context, req clientRequest) response {
 	c.testbed.checker.begin(req.id, req.class.Name, req.deadline)
 	until := req.deadline + slack
@@ -247,7 +249,8 @@
 	}
 }
 
-// attempt writes the request to one connection; unread reports that the connection ended before the node read it.
+// attempt writes the request to one connection and waits for the answer. unread reports that the connection ended
+// before the node read the request, which may be written again.
 func (c *client) attempt(ctx context.Context, req clientRequest, newConn bool) (resp response, unread bool) {
 	cc, err := c.get(ctx, newConn)
 	if err != nil {
@@ -258,11 +261,11 @@
 		resp.at = c.testbed.now()
 		return resp, false
 	}
-	writing := c.testbed.checker.beginWrite(req.id, cc.node)
+	writeNumber := c.testbed.checker.beginWrite(req.id, cc.node)
 	cc.mu.Lock()
 	cc.pending = req.id
 	cc.mu.Unlock()
-	if _, err := cc.Write(c.format(req, sender{cc.node, writing})); err != nil {
+	if _, err := cc.Write(c.format(req, sender{cc.node, writeNumber})); err != nil {
 		closeQuietly(cc)
 		if cc.used && ctx.Err() == nil {
 			return response{node: cc.node}, true
@@ -281,7 +284,8 @@
 	return c.giveUp(cc, req), false
 }
 
-// giveUp closes a connection on which no answer came: the client disconnects, or its time is over.
+// giveUp closes a connection on which no answer came in time: the client disconnects, or the deadline and the slack
+// have passed.
 func (c *client) giveUp(cc *clientConn, req clientRequest) response {
 	closeQuietly(cc)
 	resp := response{node: cc.node, at: c.testbed.now(), end: outcomeDisconnected}
@@ -290,11 +294,12 @@
 		return resp
 	}
 	resp.end = outcomeFailed
-	c.testbed.checker.recordUnanswered(req.id, c.name, "no answer in time")
+	c.testbed.checker.recordUnanswered(req.id, c.name, "no answer before the deadline")
 	return resp
 }
 
-// lateReply waits longer for the answer of a node that the testbed paused: up to maxAnswerDelay late, it is not lost.
+// lateReply waits longer for the answer of a node that the test bed had paused: until maxAnswerDelay after the deadline
+// the answer is late, but not lost.
 func (c *client) lateReply(cc *clientConn, req clientRequest) (r connReply, late bool) {
 	over := req.deadline + slack
 	if c.testbed.now() < over || !c.testbed.intervals.overlap(pausedPart(cc.node), over-pauseCarryOver, over) {
@@ -308,7 +313,7 @@
 	}
 }
 
-// handleReply handles what came on a connection after a complete request was written to it.
+// handleReply handles an answer, or the end of the connection, after a complete request was written.
 func (c *client) handleReply(cc *clientConn, req clientRequest, r connReply) (resp response, unread bool) {
 	resp = response{node: cc.node, at: r.at, end: outcomeFailed}
 	if r.err != nil {
@@ -316,8 +321,8 @@
 		return resp, c.handleConnEnd(cc, req, r)
 	}
 	if before, _, _ := strings.Cut(r.body, " "); c.checkBody && before != "" && before == cc.previousAnswered {
-		// The connection is one answer behind from here on.
-		c.testbed.checker.recordUnexpectedAnswer(before, cc.node, "that of the request before")
+		// The node answered the previous request twice: all further answers on this connection would be shifted by one.
+		c.testbed.checker.recordUnexpectedAnswer(before, cc.node, "the body is that of the previous request")
 		c.testbed.checker.recordDisconnect(req.id)
 		closeQuietly(cc)
 		return resp, false
@@ -336,18 +341,20 @@
 	return resp, false
 }
 
-// handleConnEnd handles the end of a connection with a request pending. It reports whether the request may be written
-// again: the close of a used connection crossed it. On a new connection it has failed, but is not lost.
+// handleConnEnd handles the end of a connection on which a request was pending. It reports whether the request may be
+// written again, as a used connection was closed while the request was on its way. If that happens on a new connection,
+// the request has failed, but is not lost.
 func (c *client) handleConnEnd(cc *clientConn, req clientRequest, r connReply) (unread bool) {
 	if !r.partial && c.testbed.checker.retractUnread(req.id, r.allRead) {
 		return cc.used
 	}
-	how := fmt.Sprintf("the connection ended: %v (all was read: %t)", r.err, r.allRead)
+	how := fmt.Sprintf("the connection ended: %v (the node had read the whole request: %t)", r.err, r.allRead)
 	c.testbed.checker.recordUnanswered(req.id, c.name, how)
 	return false
 }
 
-// parseRetryAfter reads a Retry-After in seconds, up to the world's limit; 0: there is none.
+// parseRetryAfter returns the value of a Retry-After header in seconds, capped at the world's limit, or 0 if it is
+// missing or invalid.
 func (c *client) parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0) {
@@ -356,11 +363,11 @@
 	return min(time.Duration(seconds*float64(time.Second)), c.testbed.world.Limits.MaxRetryAfter)
 }
 
-// senderHeader tells servers, through the node that passes it on, to which node a request was written, and the number
-// of that writing.
+// senderHeader carries the node that a request was written to and the number of that write. The node passes it on to
+// the server, which hands it to the checker.
 const senderHeader = "X-Lab-Sender"
 
-// format formats a request as the protocol has it.
+// format returns a request as it is written to the connection.
 func (c *client) format(req clientRequest, to sender) []byte {
 	method := http.MethodGet
 	if req.class.Effect != Idempotent {
@@ -370,7 +377,7 @@
 	b := make([]byte, 0, 320)
 	b = fmt.Appendf(b, "%s /api HTTP/1.1\r\nHost: service.internal\r\n", method)
 	b = fmt.Appendf(b, "X-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %dm\r\n", req.id, req.class.Name, budget)
-	b = fmt.Appendf(b, "%s: %s %d\r\n", senderHeader, to.node, to.writing)
+	b = fmt.Appendf(b, "%s: %s %d\r\n", senderHeader, to.node, to.writeNumber)
 	if req.tenant != "" {
 		b = fmt.Appendf(b, "X-Caller: %s\r\n", req.tenant)
 	}
--- a/internal/testbed/connection_flood.go
+++ b/internal/testbed/connection_flood.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Times of the clients of a connection flood.
+// Timing of the clients of a connection flood.
 const (
-	floodSpacing  = 2 * time.Millisecond // between two that connect
+	floodSpacing  = 2 * time.Millisecond // between the starts of two clients
 	floodPause    = 2 * time.Second      // of a client between two requests, or two connections
 	headByteEvery = 200 * time.Millisecond
 	minLeaveAfter = time.Millisecond
@@ -19,10 +19,10 @@
 	requestPause  = 20 * time.Millisecond // of a persistent client
 )
 
-// incompleteHead is what a client sends byte by byte that never completes a head.
+// incompleteHead is what a client that never completes a request head sends, byte by byte.
 const incompleteHead = "GET /api HTTP/1.1\r\nHost: service.internal\r\nX-Call-Class: "
 
-// nodeClient is a client of one node alone, with connections that no other uses.
+// nodeClient returns a client that connects to one node only and shares no connections.
 func (tb *Testbed) nodeClient(n *Node, name string) *client {
 	return &client{
 		testbed:   tb,
@@ -33,7 +33,8 @@
 	}
 }
 
-// send sends the next request of a client, of the class whose turn it is. One that disconnects does so a while after.
+// send sends a client's request of a given number, which also selects its ID and class, and waits for its end. With a
+// leaveAfter above 0 the client disconnects after that time.
 func (c *client) send(ctx context.Context, number int, leaveAfter time.Duration) {
 	class := &c.testbed.world.Classes[number%len(c.testbed.world.Classes)]
 	from := c.testbed.now()
@@ -52,8 +53,8 @@
 }
 
 // startPersistentClients starts clients that send one request after another to a node, each on a connection of its own
-// as long as that stays open, and returns once each has had an answer. stop ends them, their last requests answered or
-// given up as any other.
+// for as long as that stays open, and returns once the first request of each has ended. stop waits for the requests in
+// flight to end as usual, and ends the clients.
 func (tb *Testbed) startPersistentClients(ctx context.Context, n *Node, count int) (stop func()) {
 	sending, cancel := context.WithCancel(ctx)
 	var all, connected sync.WaitGroup
@@ -79,8 +80,8 @@
 	}
 }
 
-// runConnectionFlood fills the connections of a node for a while. Of five clients three rest between requests, one
-// never completes a head, and one leaves before its answer.
+// runConnectionFlood opens many connections to a node and keeps them busy for a while. Of five clients, three pause
+// between requests, one never completes a request head, and one disconnects 1 to 50 ms after it has sent a request.
 func (tb *Testbed) runConnectionFlood(ctx context.Context, n *Node, count int, lasts time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, lasts)
 	defer cancel()
@@ -97,9 +98,9 @@
 				tb.runIncompleteClient(ctx, n)
 			case 1:
 				leaveAfter := minLeaveAfter + time.Duration(tb.drawn(name, "leave")*float64(maxLeaveAfter-minLeaveAfter))
-				tb.runRestingClient(ctx, n, name, leaveAfter)
+				tb.runIntermittentClient(ctx, n, name, leaveAfter)
 			default:
-				tb.runRestingClient(ctx, n, name, 0)
+				tb.runIntermittentClient(ctx, n, name, 0)
 			}
 		}()
 		if !sleep(ctx, floodSpacing) {
@@ -108,13 +109,13 @@
 	}
 }
 
-// runRestingClient sends a request now and then on a connection that it keeps; with leaveAfter it leaves before each
-// answer.
-func (tb *Testbed) runRestingClient(ctx context.Context, n *Node, name string, leaveAfter time.Duration) {
+// runIntermittentClient sends requests on one connection with a pause between them. With leaveAfter it disconnects that
+// long after it has sent each request.
+func (tb *Testbed) runIntermittentClient(ctx context.Context, n *Node, name string, leaveAfter time.Duration) {
 	c := tb.nodeClient(n, name)
 	defer c.close()
 	for number := 0; ctx.Err() == nil; number++ {
-		// A request ends by its own deadline, also after the flood's end: the checker holds it to that.
+		// The end of the flood does not cancel a request, so that the checker can hold it to its own deadline.
 		c.send(context.WithoutCancel(ctx), number, leaveAfter)
 		if !sleep(ctx, floodPause) {
 			return
@@ -122,7 +123,7 @@
 	}
 }
 
-// runIncompleteClient connects again and again, and sends a head byte by byte that it never completes.
+// runIncompleteClient connects again and again, and each time sends a request head byte by byte and never completes it.
 func (tb *Testbed) runIncompleteClient(ctx context.Context, n *Node) {
 	for ctx.Err() == nil {
 		tb.sendIncompleteHead(ctx, n)
--- a/internal/testbed/corrupt_response.go
+++ b/internal/testbed/corrupt_response.go
@@ -8,12 +8,12 @@
 
 const (
 	secondAnswerDelay = 5 * time.Millisecond
-	maxCloseDelay     = 20 * time.Millisecond // from an answer to the end of its connection
+	maxCloseDelay     = 20 * time.Millisecond // from a complete answer to the close of its connection
 )
 
-// writeCorruptResponse writes one answer in a way that the request's draw chooses: twice, cut off and without a
-// length, or complete with an end of the connection a moment later, when the next request may come. The connection
-// ends in any case.
+// writeCorruptResponse writes an answer in one of three faulty ways, which the request's random number selects: twice;
+// only its first half, without a Content-Length and followed by a reset; or complete, with a close of the connection
+// shortly after it, when the next request may already be on its way. The connection ends in each case.
 func (s *Server) writeCorruptResponse(w http.ResponseWriter, id string) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
@@ -34,7 +34,7 @@
 		_, _ = fmt.Fprint(c, complete)
 	case draw < 2.0/3:
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", body[:len(body)/2])
-		time.Sleep(secondAnswerDelay) // the half is read before the reset
+		time.Sleep(secondAnswerDelay) // so that the node reads the half before the reset
 		if g, ok := c.(*gatedConn); ok {
 			reset(g.Conn)
 		}
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -12,11 +12,12 @@
 const (
 	pollInterval  = 100 * time.Millisecond
 	readyTimeout  = time.Second
-	notReadyDelay = 200 * time.Millisecond // how long new connections still come after a node stops being ready
+	notReadyDelay = 200 * time.Millisecond // for which a node that is not ready any more still gets new connections
 )
 
-// front spreads the clients' connections over the nodes of their zone, and over all nodes when their zone has none. It
-// takes a node in once /ready answered 200, out shortly after another answer, and out late when it stops answering.
+// front spreads the clients' connections over the nodes of their zone, or over all nodes if their zone has none that is
+// ready. It polls /ready of each node: a node is in use once it answers 200, is dropped notReadyDelay after it first
+// answered otherwise, and World.FrontDetectionDelay after it stopped answering.
 type front struct {
 	testbed *Testbed
 	nodes   []*Node
@@ -25,8 +26,8 @@
 
 	mu      sync.Mutex
 	ready   map[*Node]bool
-	next    map[string]int // by zone
-	changed chan struct{}  // closed when a node comes in or goes out
+	next    map[string]int // round-robin position by zone
+	changed chan struct{}  // closed when a node is taken into use or dropped
 }
 
 func newFront(tb *Testbed, nodes []*Node) *front {
@@ -56,7 +57,7 @@
 	f.owned.Wait()
 }
 
-// watch polls one node.
+// watch polls one node until ctx ends.
 func (f *front) watch(ctx context.Context, n *Node) {
 	client := &http.Client{
 		Timeout: readyTimeout,
@@ -69,10 +70,10 @@
 	defer tick.Stop()
 	var notReadySince, unresponsiveSince time.Time
 	for {
-		yes, answered := checkReady(ctx, client, f.testbed.nodeAddr(clientsOf(n.zone), n))
+		ready, answered := checkReady(ctx, client, f.testbed.nodeAddr(clientsOf(n.zone), n))
 		now := time.Now()
 		switch {
-		case yes:
+		case ready:
 			notReadySince, unresponsiveSince = time.Time{}, time.Time{}
 			f.setReady(n, true)
 		case answered:
@@ -87,7 +88,7 @@
 			if unresponsiveSince.IsZero() {
 				unresponsiveSince = now
 			}
-			if now.Sub(unresponsiveSince) >= f.testbed.world.Notice {
+			if now.Sub(unresponsiveSince) >= f.testbed.world.FrontDetectionDelay {
 				f.setReady(n, false)
 			}
 		}
@@ -99,7 +100,7 @@
 	}
 }
 
-// checkReady asks a node whether clients may come; answered reports that it answered at all.
+// checkReady asks a node whether it is ready for clients; answered reports whether it answered at all.
 func checkReady(ctx context.Context, client *http.Client, addr string) (yes, answered bool) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/ready", nil)
 	if err != nil {
@@ -123,16 +124,17 @@
 	}
 }
 
-// isReady reports whether the front sends connections to a node, and returns what closes at the next change.
+// isReady reports whether the front sends connections to a node, and returns a channel that is closed when that changes
+// for any node.
 func (f *front) isReady(n *Node) (bool, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ready[n], f.changed
 }
 
-var errNoNode = errors.New("the front has no node")
+var errNoNode = errors.New("the front has no ready node")
 
-// pick returns the next ready node of a zone, round robin.
+// pick returns the next ready node of a zone in round-robin order, or of all nodes if the zone has no ready node.
 func (f *front) pick(zone string) (*Node, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,7 +153,7 @@
 	return nil, errNoNode
 }
 
-// dial connects a zone's client to a node.
+// dial returns a function that connects the client of a zone to a node and returns the node's name.
 func (f *front) dial(zone string) func(context.Context) (net.Conn, string, error) {
 	return func(ctx context.Context) (net.Conn, string, error) {
 		n, err := f.pick(zone)
@@ -163,5 +165,5 @@
 	}
 }
 
-// clientsOf names the clients of a zone as one end of a link.
+// clientsOf returns the name of the clients of a zone as an end of links.
 func clientsOf(zone string) string { return "clients-" + zone }
--- a/internal/testbed/improper_clients.go
+++ b/internal/testbed/improper_clients.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	improperClientTimeout = 3 * time.Second // within which an improper client must get an error or a close
+	improperClientTimeout = 3 * time.Second // within which a node must send an improper client an error, or close
 	improperClientSpacing = 2 * time.Millisecond
-	// a process whose system calls are traced accepts connections later by this
+	// a node whose system calls are traced by a shim may accept a connection this much later
 	shimDelay = time.Second
 )
 
-// improperRequest is what one sort of improper client sends, and whether the client then stays connected.
+// improperRequest is what one kind of improper client sends, and whether the client then stays connected.
 type improperRequest struct {
-	name  string
-	text  string
-	stays bool
+	name           string
+	text           string
+	staysConnected bool
 }
 
-// improperRequests lists all sorts. None sends a complete request: nothing of them may reach a server.
+// improperRequests returns all kinds. None is a complete request, so nothing of them may reach a server.
 func improperRequests(class string) []improperRequest {
 	head := "POST /api HTTP/1.1\r\nHost: s\r\nX-Call-Id: improper\r\nX-Call-Class: " + class + "\r\nX-Budget: 5000m\r\n"
 	return []improperRequest{
@@ -41,8 +41,8 @@
 	}
 }
 
-// runImproperClients connects a number of improper clients to a node, one shortly after another, and waits for their
-// ends.
+// runImproperClients connects a number of improper clients of all kinds to a node, 2 ms apart, and waits until all have
+// ended.
 func (tb *Testbed) runImproperClients(ctx context.Context, n *Node, count int) {
 	kinds := improperRequests(tb.world.Classes[len(tb.world.Classes)-1].Name)
 	var all sync.WaitGroup
@@ -59,7 +59,8 @@
 	}
 }
 
-// runImproperClient runs one improper client. A node that the testbed stops or ends meanwhile need not answer it.
+// runImproperClient runs one improper client, and reports a finding if the node neither answers it nor closes its
+// connection in time. A node that a fault affects meanwhile is excused.
 func (tb *Testbed) runImproperClient(n *Node, kind improperRequest) {
 	from := tb.now()
 	c, err := net.DialTimeout("tcp", n.Listen(), time.Second)
@@ -69,15 +70,15 @@
 	defer c.Close()
 	_ = c.SetWriteDeadline(time.Now().Add(improperClientTimeout))
 	_, err = c.Write([]byte(kind.text))
-	if err != nil || !kind.stays {
+	if err != nil || !kind.staysConnected {
 		return
 	}
 	stopped := tb.now()
-	owed := improperClientTimeout + 2*slack
+	replyTimeout := improperClientTimeout + 2*slack
 	if _, shimmed := tb.world.Shims[n.name]; shimmed {
-		owed += shimDelay
+		replyTimeout += shimDelay
 	}
-	_ = c.SetReadDeadline(time.Now().Add(owed))
+	_ = c.SetReadDeadline(time.Now().Add(replyTimeout))
 	_, err = c.Read(make([]byte, 1))
 	if errors.Is(err, os.ErrDeadlineExceeded) && !tb.intervals.overlap(n.name, from, tb.now()) {
 		tb.checker.Report(
--- a/internal/testbed/lateness.go
+++ b/internal/testbed/lateness.go
@@ -9,20 +9,20 @@
 
 const (
 	latenessInterval = 10 * time.Millisecond
-	voidLateness     = 25 * time.Millisecond // half of the rules' slack: a testbed this late proves nothing
+	voidLateness     = 25 * time.Millisecond // half of the slack of the rules; a later test bed proves nothing
 )
 
-// readinessClient asks nodes whether they are ready.
+// readinessClient is the HTTP client for the readiness and admin endpoints of nodes.
 var readinessClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 
-// lateness watches how late this process itself is: a timer every 10 ms, and the arrivals as they are sent.
+// lateness records how late this process itself is, measured by a timer every 10 ms and by when arrivals are sent.
 type lateness struct {
 	mu    sync.Mutex
-	worst map[int64]time.Duration // by second
+	worst map[int64]time.Duration // by second of the test bed's clock
 }
 
-// run measures until the testbed closes.
+// run starts measuring with a timer until the test bed closes.
 func (x *lateness) run(tb *Testbed) {
 	x.worst = map[int64]time.Duration{}
 	tb.goOwned(func() {
@@ -36,14 +36,14 @@
 				return
 			}
 			now := tb.now()
-			x.note(now, now-last-latenessInterval)
+			x.record(now, now-last-latenessInterval)
 			last = now
 		}
 	})
 }
 
-// note records that something was late by d at a time.
-func (x *lateness) note(at, d time.Duration) {
+// record records that something at a time was late by d.
+func (x *lateness) record(at, d time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if s := int64(at / time.Second); d > x.worst[s] {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Lateness is the worst lateness of the testbed itself from one time to another, by whole seconds around them.
+// Lateness returns the worst lateness of the test bed itself between two times, rounded outwards to whole seconds.
 func (tb *Testbed) Lateness(from, to time.Duration) (worst time.Duration) {
 	x := &tb.lateness
 	x.mu.Lock()
@@ -62,11 +62,12 @@
 	return worst
 }
 
-// Void reports that the testbed was too late from one time to another to hold anything against a node.
+// Void reports whether the test bed itself was so late between two times that findings prove nothing about a node.
 func (tb *Testbed) Void(from, to time.Duration) bool { return tb.Lateness(from, to) > voidLateness }
 
-// Findings returns what broke a rule. Those in a time when the testbed itself was too late, or held up the node by its
-// tracer, are marked void; the counts are of the others.
+// Findings returns the findings, and the count by rule of those that are not void. A finding is void if the test bed
+// itself was too late in the 2 s before it, or if the tracer of its node waited too long for a processor. A crash is
+// never void.
 func (tb *Testbed) Findings() (found []Finding, counts map[Rule]int) {
 	found, _ = tb.checker.Findings()
 	counts = map[Rule]int{}
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -12,29 +12,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load says what clients do. Arrivals are a Poisson process that does not wait for answers.
+// Load describes the load of clients. It is an open-loop load: arrivals are a Poisson process that does not wait for
+// answers.
 type Load struct {
-	Rate    float64   `toml:"rate"`    // first attempts a second over all zones
+	Rate    float64   `toml:"rate"`    // arrivals a second over all zones, without retries
 	ByZone  []float64 `toml:"by_zone"` // shares of the zones; default: even
-	Bursts  []Burst   `toml:"burst"`   // times at which the rate is another
-	Retries int       `toml:"retries"` // limit of attempts after the first
-	// before a retry, drawn evenly from a half to one and a half; default 200 ms
+	Bursts  []Burst   `toml:"burst"`   // times with another rate
+	Retries int       `toml:"retries"` // limit of a client's retries
+	// mean wait before a retry, drawn uniformly from 0.5 to 1.5 times this; default 200 ms
 	Backoff time.Duration `toml:"backoff"`
-	// smallest share of the deadline after which an attempt is given up; default 0.7
+	// smallest share of the deadline after which a client gives up an attempt; default 0.7
 	Patience  float64 `toml:"patience"`
-	Impatient float64 `toml:"impatient"` // share of clients that leave before their time is up
-	// requests of clients out at once; more are not sent and void the window; default 20,000
+	Impatient float64 `toml:"impatient"` // share of clients that disconnect early
+	// limit of clients in flight; arrivals beyond it are not sent and void the window; default 20,000
 	MaxInFlight int `toml:"most_flight"`
 }
 
-// Burst multiplies the rate for a while.
+// Burst multiplies the rate by Times, from At on, for the time For.
 type Burst struct {
 	At    time.Duration `toml:"at"`
 	For   time.Duration `toml:"for"`
 	Times float64       `toml:"times"`
 }
 
-// Fill sets the defaults and checks.
+// Fill sets the defaults and validates the load. The error is a KeyError.
 func (l *Load) Fill(w *World) error {
 	orDefault(&l.Backoff, 200*time.Millisecond)
 	orDefault(&l.Patience, 0.7)
@@ -48,7 +49,7 @@
 	case !(l.Rate > 0 && l.Rate <= 20000):
 		return &KeyError{"load.rate", "must be above 0 and at most 20000 a second"}
 	case len(l.ByZone) != len(w.Zones):
-		return &KeyError{"load.by_zone", fmt.Sprintf("%d shares for %d zones", len(l.ByZone), len(w.Zones))}
+		return &KeyError{"load.by_zone", fmt.Sprintf("got %d shares for %d zones", len(l.ByZone), len(w.Zones))}
 	case l.Retries < 0 || l.Retries > 10:
 		return &KeyError{"load.retries", "must be from 0 to 10"}
 	case !(l.Patience > 0 && l.Patience <= 1):
@@ -58,24 +59,25 @@
 	}
 	for i, b := range l.Bursts {
 		if b.At < 0 || b.For <= 0 || !(b.Times >= 0 && b.Times <= 100) {
-			return &KeyError{fmt.Sprintf("load.burst[%d].times", i), "a burst needs a time, a length and a factor from 0 to 100"}
+			return &KeyError{fmt.Sprintf("load.burst[%d].times", i), "at must be from 0, for above 0, times from 0 to 100"}
 		}
 	}
 	return nil
 }
 
-// Arrival is one client's first attempt, as drawn.
+// Arrival is the drawn arrival of one client.
 type Arrival struct {
 	At              time.Duration // since the load began
 	ID              string
 	Class           int
-	Tenant          int // -1: there are none
+	Tenant          int // -1: the world has no tenants
 	Zone            int
-	Patience        float64 // share of the deadline after which an attempt is given up
-	DisconnectAfter float64 // share of the deadline after which the client goes away; 0: it stays
-	OverQuota       bool    // beyond its tenant's quota in that second
+	Patience        float64 // share of the deadline after which the client gives up an attempt
+	DisconnectAfter float64 // share of the deadline after which the client disconnects; 0: it stays
+	OverQuota       bool    // exceeds its tenant's quota in that second
 }
 
+// pickShare draws one of n indices with probabilities in proportion to their shares.
 func pickShare(r *rand.Rand, shares func(int) float64, n int) int {
 	sum := 0.0
 	for i := range n {
@@ -90,7 +92,7 @@
 	return n - 1
 }
 
-// Draw draws the arrivals of a run. The same world, load, length and seed give the same arrivals.
+// Draw draws the arrivals of a run at random. The same world, load, length and seed give the same arrivals.
 func Draw(w *World, l *Load, length time.Duration, seed uint64) []Arrival {
 	r := rand.New(rand.NewPCG(seed, 1))
 	rate := func(at time.Duration) float64 {
@@ -113,7 +115,7 @@
 		if at >= length {
 			return arrivals
 		}
-		if r.Float64()*maxRate >= rate(at) { // thinning
+		if r.Float64()*maxRate >= rate(at) { // thinning of a process with the maximum rate
 			continue
 		}
 		a := Arrival{
@@ -138,7 +140,7 @@
 	}
 }
 
-// WriteArrivals writes drawn arrivals and steps, one a line, so that two drawings can be compared byte by byte.
+// WriteArrivals writes arrivals and steps, one a line, so that two runs can be compared byte by byte before they start.
 func WriteArrivals(to io.Writer, arrivals []Arrival, steps []Step) error {
 	for _, a := range arrivals {
 		_, err := fmt.Fprintf(to, "%d %s class=%d tenant=%d zone=%d patience=%.4f leaves=%.4f over=%t\n",
@@ -155,7 +157,7 @@
 	return nil
 }
 
-// Ends of arrivals, as results name them.
+// Names of the ends of arrivals in results.
 const (
 	EndServed       = "served"
 	EndLate         = "late"      // served, but not within the latency objective
@@ -163,22 +165,22 @@
 	EndFailed       = "failed"    // any other answer, or none
 	EndDisconnected = "left"      // the client disconnected first
 	EndUnreached    = "unreached" // no connection came up
-	EndUnsent       = "unsent"    // too many requests were in flight
+	EndUnsent       = "unsent"    // Load.MaxInFlight clients were in flight
 )
 
-// ArrivalResult is what became of one arrival, with all its attempts.
+// ArrivalResult is the result of one arrival, over all its attempts.
 type ArrivalResult struct {
 	Arrival        Arrival
-	End            string        // EndServed, or another of the ends
-	Latency        time.Duration // from the drawn arrival to the last byte; coordinated omission cannot hide a stall
-	Late           time.Duration // how late the testbed itself was with the first attempt
+	End            string        // one of EndServed, EndLate, ...
+	Latency        time.Duration // from the drawn arrival to the last byte, which avoids coordinated omission
+	Late           time.Duration // how late the test bed sent the first attempt
 	Attempts       int
 	Node           string
 	PriorityWeight float64 // of the request, whether earned or not
 }
 
-// Drive sends the requests of drawn arrivals and calls done, from several goroutines, with what became of each
-// arrival. It returns once every arrival has ended, or soon after ctx ends.
+// Drive runs the clients of drawn arrivals and calls done with the result of each, from several goroutines. It returns
+// once every arrival has ended, or soon after ctx ends.
 func (tb *Testbed) Drive(ctx context.Context, load *Load, arrivals []Arrival, done func(ArrivalResult)) {
 	began := tb.now()
 	var running sync.WaitGroup
@@ -203,12 +205,12 @@
 	}
 }
 
-// runClient is one client from its first attempt to its end.
+// runClient runs one client, with its retries, and returns its result.
 func (tb *Testbed) runClient(ctx context.Context, load *Load, began time.Duration, a Arrival) ArrivalResult {
 	class := &tb.world.Classes[a.Class]
 	from := began + a.At
 	s := ArrivalResult{Arrival: a, Late: tb.now() - from, PriorityWeight: class.PriorityWeight}
-	tb.lateness.note(tb.now(), s.Late)
+	tb.lateness.record(tb.now(), s.Late)
 	if a.OverQuota {
 		s.PriorityWeight *= tb.world.OverQuotaWeight
 	}
--- a/internal/testbed/load_test.go
+++ b/internal/testbed/load_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// While the node stands still arrivals go on at their drawn times, and a request's time counts from then.
+// The load is open-loop: while a paused node answers nothing, arrivals are still sent at their drawn times, and the
+// latency of a request counts from its drawn time. Otherwise a stall would be hidden (coordinated omission).
 func TestArrivalsStayOpenLoopWhileTheSystemStalls(t *testing.T) {
 	w := healthyStub()
 	tb := Start(t, w)
@@ -31,34 +32,36 @@
 		}
 		stalled++
 		if s.End == "served" && s.Latency < until-s.Arrival.At {
-			t.Errorf("an arrival at %v took %v, but nothing was served before %v", s.Arrival.At, s.Latency, until)
+			t.Errorf("an arrival at %v has a latency of %v, but nothing was served before %v", s.Arrival.At, s.Latency, until)
 		}
 		if s.Late <= voidLateness {
 			inTime++
 		}
 	}
 	if len(got.all) != len(arrivals) || stalled < 20 || inTime < stalled/2 {
-		t.Errorf("%d arrivals of %d, %d in the stall, %d of them sent in time", len(got.all), len(arrivals), stalled, inTime)
+		t.Errorf("got results of %d of %d arrivals, %d in the stall, %d of these sent in time; want all, 20 and half",
+			len(got.all), len(arrivals), stalled, inTime)
 	}
-	const late = 300 * time.Millisecond // of the testbed itself
+	const late = 300 * time.Millisecond // by which the test bed itself sends the request late
 	s := tb.runClient(context.Background(), &load, tb.now()-late, Arrival{ID: "late", Patience: 1, Tenant: -1})
 	if s.Latency < late || s.Late < late {
-		t.Errorf("sent %v late it took %v and was %v late", late, s.Latency, s.Late)
+		t.Errorf("a request sent %v late has latency %v and lateness %v, want at least that", late, s.Latency, s.Late)
 	}
 }
 
+// A finding while the test bed itself is late is void and not counted, as the lateness may have caused it.
 func TestSlowMachineVoidsFindings(t *testing.T) {
 	tb := Start(t, healthyStub())
-	Until(t, "a second in time", func() bool {
+	Until(t, "the test bed was not late for two seconds", func() bool {
 		return tb.now() > 3*time.Second && !tb.Void(tb.now()-2*time.Second, tb.now())
 	})
 	tb.checker.addFinding(Lost, "x", "n1", "planted")
 	if _, counts := tb.Findings(); counts[Lost] != 1 {
-		t.Errorf("in time: %v, want it counted", counts)
+		t.Errorf("test bed not late: counts %v, want the finding counted", counts)
 	}
-	tb.lateness.note(tb.now(), 2*voidLateness)
+	tb.lateness.record(tb.now(), 2*voidLateness)
 	found, counts := tb.Findings()
 	if len(counts) != 0 || !found[0].Void {
-		t.Errorf("too late: %v and %v, want it void", counts, found)
+		t.Errorf("test bed late: counts %v and findings %v, want the finding void", counts, found)
 	}
 }
--- a/internal/testbed/populate.go
+++ b/internal/testbed/populate.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// populate makes the servers, the nodes, the front and the clients.
+// populate creates the servers, the nodes, the front and the clients.
 func (tb *Testbed) populate() error {
 	if err := tb.addServers(); err != nil {
 		return err
@@ -61,7 +61,7 @@
 	return nodes, nil
 }
 
-// addServerNodes gives each server before the last tier a node of its own, and a client of that node.
+// addServerNodes gives each server of all tiers but the last a node of its own, and a client of that node.
 func (tb *Testbed) addServerNodes() error {
 	tiers := tb.world.Tiers
 	for t, tier := range tiers[:len(tiers)-1] {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// dialNode returns a function that connects a part of the world to a node.
+// dialNode returns a function that connects a client or server of the world to a node.
 func (tb *Testbed) dialNode(from string, n *Node) func(context.Context) (net.Conn, string, error) {
 	return func(ctx context.Context) (net.Conn, string, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", tb.nodeAddr(from, n))
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -14,16 +14,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ServerFault is how a server fails. The zero value is a healthy one.
+// ServerFault describes how a server fails. The zero value is a healthy server.
 type ServerFault struct {
-	Slow             float64 // factor by which work takes longer; 0 and 1: none
+	Slow             float64 // factor by which work takes longer; 0 and 1: not at all
 	Errors           float64 // share of requests answered with 500
 	Hang             bool    // accepts requests and answers none
-	CorruptResponses float64 // share of answers that are corrupted
+	CorruptResponses float64 // share of answers that are corrupted, see writeCorruptResponse
 }
 
-// Server stands for one machine of a tier: cores that work, slots that hold requests, a queue before them. Work is time
-// on a core, not processor time of this machine. It speaks HTTP/1.1 as the protocol has it.
+// Server emulates one machine of a tier that speaks HTTP/1.1: cores that do the work of requests, slots that limit the
+// requests held at once, and a queue for a slot. Work is simulated by holding a core for a time; it uses no processor
+// time of this machine.
 type Server struct {
 	name, zone string
 	tier       int
@@ -31,29 +32,30 @@
 	testbed    *Testbed
 	gate       *gate
 	http       *http.Server
-	node       *Node   // its node for the next tier; nil in the last
-	nextTier   *client // calls through it
+	node       *Node   // the server's node for calls to the next tier; nil in the last tier
+	nextTier   *client // sends calls through that node
 
 	cores chan struct{}
 	slots chan struct{}
 
-	mu        sync.Mutex
-	fault     ServerFault
-	health    string // as discovery lists it
-	down      bool   // no process: connections are refused
-	silent    bool
-	born      time.Duration // 0: long ago
-	queued    int           // wait for a slot
-	conns     int           // open
-	waiting   int           // wait for a core
-	busy      int           // hold a core
-	overSince time.Duration
-	idleSince time.Duration
-	choked    bool
-	recent    []sentWork // while in slow start
-	served    int
+	mu         sync.Mutex
+	fault      ServerFault
+	health     string        // as listed by discovery
+	down       bool          // the process has ended: connections are refused
+	silent     bool          // as a vanished machine: connections never come up, and open ones are silent
+	startedAt  time.Duration // start of its slow start; 0: long ago
+	queued     int           // requests that wait for a slot
+	conns      int           // open connections
+	waiting    int           // requests that wait for a core
+	busy       int           // requests that hold a core
+	overSince  time.Duration // since when more wait for a core than Choke.Waiting allows; 0: not now
+	idleSince  time.Duration // since when no request waits for a core or holds one; 0: not now
+	choked     bool          // slowed down, see Choke
+	recentWork []sentWork    // of the last SlowStart.OverloadWindow, while in slow start
+	served     int           // answers made
 }
 
+// sentWork is the work of one attempt, and when the attempt arrived.
 type sentWork struct {
 	at   time.Duration
 	work time.Duration
@@ -80,14 +82,14 @@
 		Handler:     s,
 		IdleTimeout: tb.world.Limits.ConnIdle,
 		ErrorLog:    tb.discardLog,
-		ConnState:   s.track,
+		ConnState:   s.trackConn,
 	}
-	tb.goOwned(func() { _ = s.http.Serve(g) }) // returns an error when the gate closes
+	tb.goOwned(func() { _ = s.http.Serve(g) }) // its error says only that the gate was closed
 	return s, nil
 }
 
-// track counts the open connections.
-func (s *Server) track(_ net.Conn, state http.ConnState) {
+// trackConn counts the open connections.
+func (s *Server) trackConn(_ net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
@@ -98,17 +100,17 @@
 	}
 }
 
-// Name is the server's name in discovery's list.
+// Name returns the server's name in the endpoint list.
 func (s *Server) Name() string { return s.name }
 
-// Set changes the fault of the server.
+// Set sets the fault of the server.
 func (s *Server) Set(t ServerFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = t
 }
 
-// Served is how many answers it has made.
+// Served returns the number of answers that the server has made.
 func (s *Server) Served() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +126,7 @@
 	first := s.testbed.now()
 	id := r.Header.Get("X-Call-Id")
 	if _, err := io.Copy(io.Discard, r.Body); err != nil || r.Context().Err() != nil {
-		return // its last byte never came
+		return // the request did not arrive completely
 	}
 	if id == "" {
 		w.WriteHeader(http.StatusNotFound)
@@ -138,7 +140,7 @@
 		firstByte: first,
 		budget:    budget,
 	})
-	s.testbed.count(from, s)
+	s.testbed.countAttempt(from, s)
 	class := s.testbed.classes[r.Header.Get("X-Call-Class")]
 	switch {
 	case verdict == verdictUnknown || class == nil:
@@ -155,7 +157,7 @@
 	defer cancel()
 	s.handle(ctx, w, r, execution{
 		id:       id,
-		number:   number,
+		attempt:  number,
 		class:    class,
 		tenant:   r.Header.Get("X-Caller"),
 		arrived:  first,
@@ -163,19 +165,20 @@
 	})
 }
 
-// execution is an attempt that a server handles.
+// execution is one attempt as a server handles it.
 type execution struct {
 	id       string
-	number   int // of the attempt
+	attempt  int // its number among the attempts of the request
 	class    *Class
 	tenant   string
 	arrived  time.Duration
 	deadline time.Duration
 }
 
-// handle executes an attempt as far as the server's faults and capacity allow.
+// handle executes and answers an attempt, unless the server's fault, overload in slow start, or the limits on
+// connections and slots prevent that.
 func (s *Server) handle(ctx context.Context, w http.ResponseWriter, r *http.Request, e execution) {
-	work := s.testbed.workOf(e.class, s.tier, e.id)
+	work := s.testbed.requestWork(e.class, s.tier, e.id)
 	if !s.withinCapacity(e.arrived, work) {
 		s.failOverloaded()
 		return
@@ -210,10 +213,11 @@
 		s.writeCorruptResponse(w, e.id)
 		return
 	}
-	_, _ = io.WriteString(w, s.testbed.checker.recordServed(e.id)) // fails where the node has closed the connection
+	_, _ = io.WriteString(w, s.testbed.checker.recordServed(e.id)) // fails if the node has closed the connection
 }
 
-// execute does the work of an attempt, waits, and calls the next tier.
+// execute does the work of an attempt, waits for the class's wait time, and calls the next tier. It reports whether all
+// of that succeeded in time.
 func (s *Server) execute(ctx context.Context, e execution, work time.Duration) bool {
 	if !s.work(ctx, work) || !sleep(ctx, e.class.Wait) {
 		return false
@@ -221,7 +225,7 @@
 	return s.callNextTier(ctx, e)
 }
 
-// reject answers that an attempt never ran.
+// reject answers with the mark that the attempt was rejected without running it.
 func (s *Server) reject(ctx context.Context, w http.ResponseWriter, id string) {
 	s.testbed.checker.recordNotRun(id)
 	w.Header().Set("X-Rejected", "1")
@@ -232,14 +236,14 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// senderOf reads the header that a client has added for the checker.
+// senderOf returns the contents of the sender header, which clients add for the checker.
 func senderOf(r *http.Request) sender {
-	node, writing, _ := strings.Cut(r.Header.Get(senderHeader), " ")
-	n, _ := strconv.Atoi(writing)
+	node, writeNumber, _ := strings.Cut(r.Header.Get(senderHeader), " ")
+	n, _ := strconv.Atoi(writeNumber)
 	return sender{node, n}
 }
 
-// acquireSlot waits for a slot; it returns false when the request is rejected.
+// acquireSlot waits for a slot. It returns false if the queue is full or ctx ends first: the request is rejected.
 func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -266,14 +270,15 @@
 	}
 }
 
-// callNextTier makes the calls of an attempt on the next tier, one after another, each with the time that is left and
-// an id of its own: another attempt of the same request may make its calls at the same time.
+// callNextTier makes the calls of an attempt to the next tier one after another, each with the remaining budget, and
+// reports whether all were served. The IDs of the calls depend on the number of the attempt, as another attempt of the
+// same request may make its calls at the same time.
 func (s *Server) callNextTier(ctx context.Context, e execution) bool {
 	if s.nextTier == nil {
 		return true
 	}
-	id := fmt.Sprintf("%s.%d", e.id, e.number)
-	for i := range s.testbed.callsOf(s.spec.Calls, id) {
+	id := fmt.Sprintf("%s.%d", e.id, e.attempt)
+	for i := range s.testbed.callCount(s.spec.Calls, id) {
 		resp := s.nextTier.do(ctx, clientRequest{
 			id:       subID(id, i),
 			class:    e.class,
@@ -287,12 +292,12 @@
 	return true
 }
 
-// subID is the id of a request's call number n, drawn from its own.
+// subID returns a request ID that is derived from another ID and a number.
 func subID(id string, n int) string {
 	return strconv.FormatUint(xxhash.Sum64String(id+"."+strconv.Itoa(n)), 16)
 }
 
-// parseBudget reads an X-Budget; 0: there is none.
+// parseBudget returns the value of an X-Budget header, or 0 if it is missing or invalid.
 func parseBudget(text string) time.Duration {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
@@ -309,25 +314,26 @@
 	return time.Duration(n * float64(unit))
 }
 
-// failOverloaded takes a server in slow start down that was sent more than it can take. It stays down.
+// failOverloaded crashes a server that was overloaded during slow start, and reports that as a finding. The server
+// stays down until it is restarted.
 func (s *Server) failOverloaded() {
 	s.mu.Lock()
-	was := s.down
+	wasDown := s.down
 	s.mu.Unlock()
-	if !was {
+	if !wasDown {
 		over := s.testbed.world.SlowStart.OverloadWindow
 		s.testbed.checker.addFinding(
 			SlowStartOverloaded,
 			"",
 			"",
-			fmt.Sprintf("%s was sent more than it can take over %s", s.name, over),
+			fmt.Sprintf("%s was sent more work than it can take in slow start, over %s", s.name, over),
 		)
-		go s.crash() // not from here: it ends this connection too
+		go s.crash() // in another goroutine, as it also resets the connection that is being handled here
 	}
 }
 
-// crash ends the server as a killed process ends: its connections are reset and new ones refused. Its node dies with
-// it.
+// crash ends the server as if its process was killed: open connections are reset and new ones refused. Its node is
+// killed too.
 func (s *Server) crash() {
 	s.mu.Lock()
 	s.down = true
@@ -340,7 +346,7 @@
 	}
 }
 
-// restart starts a crashed server again, in slow start, with its node.
+// restart starts a crashed server and its node again. The server is in slow start.
 func (s *Server) restart() error {
 	if s.node != nil {
 		if err := s.node.Start(); err != nil {
@@ -348,15 +354,15 @@
 		}
 	}
 	s.mu.Lock()
-	s.down, s.silent, s.choked, s.recent = false, false, false, nil
-	s.born, s.health = s.testbed.now(), healthInService
+	s.down, s.silent, s.choked, s.recentWork = false, false, false, nil
+	s.startedAt, s.health = s.testbed.now(), healthInService
 	s.mu.Unlock()
 	s.updateReachability()
 	s.testbed.intervals.end(s.name, s.testbed.now())
 	return nil
 }
 
-// setSilent makes the server silent, as a vanished machine, or ends that.
+// setSilent makes the server silent like a vanished machine, or ends that.
 func (s *Server) setSilent(on bool) {
 	s.mu.Lock()
 	s.silent = on
@@ -369,7 +375,7 @@
 	s.updateReachability()
 }
 
-// updateReachability sets the gate, and the links to it, to the state of the server.
+// updateReachability sets the server's gate, and the links to the server, to match whether it is up, down or silent.
 func (s *Server) updateReachability() {
 	s.mu.Lock()
 	mode := gateOpen
@@ -380,6 +386,6 @@
 		mode = gateRefuse
 	}
 	s.mu.Unlock()
-	_ = s.gate.set(mode) // fails only at the end of the testbed, or where the port is taken
+	_ = s.gate.set(mode) // fails only while the test bed closes, or if another program has taken the port
 	s.testbed.linksTo(s.name, mode)
 }
--- a/internal/testbed/server_work.go
+++ b/internal/testbed/server_work.go
@@ -8,42 +8,45 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// capacityShare is the share of its capacity that the server has; s.mu is held.
+// capacityShare returns the share of its full capacity that the server has at a time: in slow start it grows linearly
+// from SlowStart.From to 1. s.mu must be held.
 func (s *Server) capacityShare(now time.Duration) float64 {
 	c := s.testbed.world.SlowStart
-	if s.born == 0 || now-s.born >= c.Duration {
+	if s.startedAt == 0 || now-s.startedAt >= c.Duration {
 		return 1
 	}
-	return c.From + (1-c.From)*float64(now-s.born)/float64(c.Duration)
+	return c.From + (1-c.From)*float64(now-s.startedAt)/float64(c.Duration)
 }
 
-// withinCapacity adds work that came to a server in slow start and reports whether the server can take it.
+// withinCapacity records work that arrived at a server in slow start and reports whether the server can take it: the
+// work of the last OverloadWindow must not exceed OverloadFactor times what the server can do in that time.
 func (s *Server) withinCapacity(now, work time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.testbed.world.SlowStart
-	if s.born == 0 || now-s.born >= c.Duration {
-		s.recent = nil
+	if s.startedAt == 0 || now-s.startedAt >= c.Duration {
+		s.recentWork = nil
 		return true
 	}
-	s.recent = append(s.recent, sentWork{now, work})
-	for len(s.recent) > 0 && s.recent[0].at < now-c.OverloadWindow {
-		s.recent = s.recent[1:]
+	s.recentWork = append(s.recentWork, sentWork{now, work})
+	for len(s.recentWork) > 0 && s.recentWork[0].at < now-c.OverloadWindow {
+		s.recentWork = s.recentWork[1:]
 	}
-	if now-s.born < c.OverloadWindow {
+	if now-s.startedAt < c.OverloadWindow {
 		return true
 	}
 	var sent time.Duration
-	for _, w := range s.recent {
+	for _, w := range s.recentWork {
 		sent += w.work
 	}
 	meanShare := (s.capacityShare(now-c.OverloadWindow) + s.capacityShare(now)) / 2
-	can := float64(c.OverloadWindow) * float64(s.spec.Cores) * meanShare
-	return float64(sent) <= c.OverloadFactor*can
+	capacity := float64(c.OverloadWindow) * float64(s.spec.Cores) * meanShare
+	return float64(sent) <= c.OverloadFactor*capacity
 }
 
-// choke follows how many wait for a core; s.mu is held.
-func (s *Server) choke(now time.Duration) {
+// updateChoke updates whether the server is choked, from the number of requests that wait for a core. It is called
+// whenever that number or the number of busy cores changes. s.mu must be held.
+func (s *Server) updateChoke(now time.Duration) {
 	c := s.testbed.world.Choke
 	if c.Factor == 0 {
 		return
@@ -67,14 +70,14 @@
 	}
 }
 
-// work holds a core while work is done; it returns false when the request ended first.
+// work waits for a core and holds it for the time that the work takes. It returns false if the request ended first.
 func (s *Server) work(ctx context.Context, w time.Duration) bool {
 	if w <= 0 {
 		return ctx.Err() == nil
 	}
 	s.mu.Lock()
 	s.waiting++
-	s.choke(s.testbed.now())
+	s.updateChoke(s.testbed.now())
 	s.mu.Unlock()
 	var got bool
 	select {
@@ -92,7 +95,7 @@
 	if got {
 		s.busy++
 	}
-	s.choke(now)
+	s.updateChoke(now)
 	if s.choked {
 		took *= s.testbed.world.Choke.Factor
 	}
@@ -104,13 +107,13 @@
 	<-s.cores
 	s.mu.Lock()
 	s.busy--
-	s.choke(s.testbed.now())
+	s.updateChoke(s.testbed.now())
 	s.mu.Unlock()
 	return done
 }
 
-// drawn returns the same number from 0 to 1 for the same id and purpose, so that a request costs the same in each
-// variant.
+// drawn returns a pseudo-random number from 0 to 1 that depends only on the seed, the request ID and the purpose, so
+// that a request costs the same in each variant of an experiment.
 func (tb *Testbed) drawn(id, what string) float64 {
 	h := xxhash.Sum64String(id+"/"+what) ^ tb.world.Seed
 	h *= 0x9e3779b97f4a7c15
@@ -118,13 +121,14 @@
 	return float64(h>>11) / (1 << 53)
 }
 
-// workOf is a request's work at a tier: around the mean of its class, evenly from a half to one and a half of it.
-func (tb *Testbed) workOf(c *Class, tier int, id string) time.Duration {
+// requestWork returns the work of a request at a tier, drawn uniformly from 0.5 to 1.5 times the mean of its class.
+func (tb *Testbed) requestWork(c *Class, tier int, id string) time.Duration {
 	return time.Duration((0.5 + tb.drawn(id, "work")) * float64(c.Work[tier]))
 }
 
-// callsOf is how many calls a request makes on the next tier: the mean, rounded up or down.
-func (tb *Testbed) callsOf(mean float64, id string) int {
+// callCount returns the number of calls that a request makes to the next tier: the mean, rounded up or down at random
+// so that the average over requests is the mean.
+func (tb *Testbed) callCount(mean float64, id string) int {
 	n := math.Floor(mean)
 	if tb.drawn(id, "calls") < mean-n {
 		n++
--- a/internal/testbed/start.go
+++ b/internal/testbed/start.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// T is what the testbed needs of a test.
+// T is the part of testing.TB that the test bed needs.
 type T interface {
 	Helper()
 	Cleanup(func())
@@ -17,15 +17,15 @@
 // longEnough is how long a test waits for a condition before it fails.
 const longEnough = time.Minute
 
-// Start opens a world for a test and closes it at the test's end. A test that has failed logs the end of what each
-// node said.
+// Start opens a world for a test and closes it at the end of the test. If the test has failed, it logs the last log
+// lines of each node.
 func Start(t T, w World) *Testbed {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), longEnough)
 	defer cancel()
 	tb, err := Open(ctx, w)
 	if err != nil {
-		t.Fatalf("testbed: %v", err)
+		t.Fatalf("start of the test bed: %v", err)
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -38,12 +38,12 @@
 	return tb
 }
 
-// Until waits for a condition, looking at it every 5 ms.
-func Until(t T, what string, is func() bool) {
+// Until waits for a condition, checking it every 5 ms, and fails the test if it does not become true in time.
+func Until(t T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(longEnough); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(longEnough); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
--- a/internal/testbed/stub_node_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -13,14 +13,23 @@
 	"time"
 )
 
-// runStubNode stands in for the node program, with one planted fault: "twice" answers twice, "resend" sends bookings
-// again, "lose" ends a connection without an answer, "drained" goes on sending to a server that drains, "mute" never
-// listens. "overtell" gives servers an hour, "linger" forwards 0.7 s late, also after a disconnect, "repeat" sends
-// keyed requests again when servers do not discard them any more, "swallow" reads and closes, "give back" resets a
-// connection and sends on. "testbed" is another program: a testbed of its own that says its children's ids and waits
-// to be killed.
-func runStubNode(as string) {
-	if as == "testbed" {
+// runStubNode stands in for the node program, with one planted fault:
+//   - "twice" answers each request twice
+//   - "resend" sends each POST to a second server as well
+//   - "lose" forwards a request, but closes the connection instead of answering
+//   - "drained" goes on sending to a draining server
+//   - "mute" never listens
+//   - "overtell" gives servers a budget of an hour
+//   - "linger" forwards requests 0.7 s late, also after the client has disconnected
+//   - "repeat" sends keyed requests again after the deduplication window
+//   - "swallow" reads a request and closes the connection
+//   - "give back" resets the connection and forwards the request nevertheless, 100 ms later
+//   - "well" has no fault
+//
+// As "testbed" it is no node, but opens a test bed of its own, prints the process IDs of its nodes and waits to be
+// killed.
+func runStubNode(behavior string) {
+	if behavior == "testbed" {
 		_ = os.Setenv("TESTBED_TEST_AS", "well")
 		w := small(2, 1)
 		w.Binary = os.Args[0]
@@ -45,7 +54,7 @@
 	if err != nil {
 		panic(err)
 	}
-	if as == "mute" {
+	if behavior == "mute" {
 		fmt.Println("mute as planted")
 		select {}
 	}
@@ -63,11 +72,12 @@
 		if err != nil {
 			return
 		}
-		go serveStubNode(c, as, cfg.Known.Hosts)
+		go serveStubNode(c, behavior, cfg.Known.Hosts)
 	}
 }
 
-func serveStubNode(c net.Conn, as string, hosts []endpointEntry) {
+// serveStubNode serves one connection of a stub node.
+func serveStubNode(c net.Conn, behavior string, hosts []endpointEntry) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -76,20 +86,20 @@
 			return
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			return // a request whose body never came is not forwarded
+			return // a request whose body did not arrive completely is not forwarded
 		}
 		switch {
 		case r.URL.Path == "/ready":
-		case as == "overtell":
+		case behavior == "overtell":
 			r.Header.Set("X-Budget", "3600000m")
-		case as == "linger":
+		case behavior == "linger":
 			r.Header.Set("X-Budget", "100m")
 			time.Sleep(700 * time.Millisecond)
-		case as == "repeat":
+		case behavior == "repeat":
 			r.Header.Set("X-Budget", "100m")
-		case as == "swallow":
+		case behavior == "swallow":
 			return
-		case as == "give back":
+		case behavior == "give back":
 			_ = c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 			time.Sleep(100 * time.Millisecond)
@@ -99,18 +109,18 @@
 			return
 		}
 		answer := forward(r, hosts[0])
-		if as == "resend" && r.Method == "POST" {
+		if behavior == "resend" && r.Method == "POST" {
 			forward(r, hosts[len(hosts)-1])
 		}
-		if as == "repeat" {
+		if behavior == "repeat" {
 			time.Sleep(2 * plantedWindow)
 			forward(r, hosts[len(hosts)-1])
 		}
-		if as == "lose" {
+		if behavior == "lose" {
 			return
 		}
 		out := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
-		if as == "twice" {
+		if behavior == "twice" {
 			out += out
 		}
 		if _, err := io.WriteString(c, out); err != nil {
@@ -119,6 +129,7 @@
 	}
 }
 
+// forward sends a request to a server and returns the body of the answer, or "" on an error.
 func forward(r *http.Request, h endpointEntry) string {
 	out, err := http.NewRequest(r.Method, "http://"+h.Dial+"/api", nil)
 	if err != nil {
@@ -134,12 +145,12 @@
 	return string(body)
 }
 
-const plantedWindow = 200 * time.Millisecond // for repeats of keyed requests
+const plantedWindow = 200 * time.Millisecond // deduplication window of keyed requests
 
-// The checker finds each planted fault by its name, and nothing where none is planted. A run in which the testbed
-// itself was late proves nothing, by its own rule, and is run again; one that was not must show the fault.
+// The checker reports each planted fault under the rule that it violates, and nothing without a planted fault. A run in
+// which the test bed itself was so late that all findings are void is repeated; any other run must report the fault.
 func TestCheckerFindsPlantedFaults(t *testing.T) {
-	for as, want := range map[string]Rule{
+	for behavior, want := range map[string]Rule{
 		"well":      "",
 		"twice":     AnsweredTwice,
 		"resend":    DuplicateExecution,
@@ -151,37 +162,37 @@
 		"swallow":   Lost,
 		"give back": ForwardedUnread,
 	} {
-		t.Run(as, func(t *testing.T) {
+		t.Run(behavior, func(t *testing.T) {
 			t.Parallel()
 			end := time.Now().Add(longEnough)
 			for n, late := 1, true; late; n++ {
 				if time.Now().After(end) {
-					t.Fatalf("the testbed was late on each of %d runs", n-1)
+					t.Fatalf("the test bed was late in each of %d runs", n-1)
 				}
-				t.Run(fmt.Sprint("run", n), func(t *testing.T) { late = plantedFault(t, as, want) })
+				t.Run(fmt.Sprint("run", n), func(t *testing.T) { late = plantedFault(t, behavior, want) })
 			}
 		})
 	}
 }
 
-// plantedFault runs a load with one fault. It reports whether the testbed was too late for the checker to hold
-// anything against the node; all that it did hold against it counts.
-func plantedFault(t *testing.T, as string, want Rule) (late bool) {
+// plantedFault runs a load against a stub node and checks the findings. It reports whether the test bed was so late
+// that all findings are void; if any counts, the run is judged.
+func plantedFault(t *testing.T, behavior string, want Rule) (late bool) {
 	w := small(1, 2)
-	w.Binary, w.Env, w.Zones = os.Args[0], []string{"TESTBED_TEST_AS=" + as}, []string{"a"}
+	w.Binary, w.Env, w.Zones = os.Args[0], []string{"TESTBED_TEST_AS=" + behavior}, []string{"a"}
 	w.Discovery.Late = time.Millisecond
-	w.Classes = w.Classes[:plantedClasses(as)]
-	if as == "repeat" {
+	w.Classes = w.Classes[:plantedClassCount(behavior)]
+	if behavior == "repeat" {
 		w.Classes[0].Effect, w.Classes[0].Window = "idempotency_key", plantedWindow
 	}
 	length := time.Second
-	if as == "drained" {
+	if behavior == "drained" {
 		length = drainWithin + 2*time.Second
 	}
 	tb := Start(t, w)
-	load, arrivals := draw(t, &tb.world, Load{Rate: 40, Impatient: map[string]float64{"linger": 1}[as]}, length)
-	if as == "drained" {
-		for _, s := range tb.servers { // whichever the stub node knows first
+	load, arrivals := draw(t, &tb.world, Load{Rate: 40, Impatient: map[string]float64{"linger": 1}[behavior]}, length)
+	if behavior == "drained" {
+		for _, s := range tb.servers { // as the stub node uses whichever it was told first
 			tb.Drain(s, 0)
 		}
 	}
@@ -192,33 +203,33 @@
 	case want == "":
 		checkNoFindings(t, tb)
 	case len(counts) == 0 && tb.Void(0, tb.now()):
-		t.Logf("the testbed was %v late: %d findings are void", tb.Lateness(0, tb.now()), len(found))
+		t.Logf("the test bed was %v late: %d findings are void", tb.Lateness(0, tb.now()), len(found))
 		return true
 	case counts[want] == 0 || len(counts) > 1:
-		t.Errorf("found %v, want %q alone; ends %v", counts, want, got.ends)
+		t.Errorf("got findings %v, want only %q; ends of arrivals %v", counts, want, got.ends)
 	}
 	return false
 }
 
-// plantedClasses is how many classes the load of a planted fault has: a second attempt of a booking would break
-// another rule.
-func plantedClasses(as string) int {
-	if as == "repeat" || as == "give back" {
+// plantedClassCount returns the number of classes in the load of a planted fault. Some have no bookings: a second
+// attempt of a booking, which is not idempotent, would violate another rule too.
+func plantedClassCount(behavior string) int {
+	if behavior == "repeat" || behavior == "give back" {
 		return 1
 	}
 	return 2
 }
 
-// An improper client that a node keeps is found.
+// An improper client whose connection a node neither answers nor closes is reported.
 func TestCheckerFindsKeptImproperClients(t *testing.T) {
-	tb := Start(t, healthyStub()) // waits for complete heads without a time limit
+	tb := Start(t, healthyStub()) // the stub waits for complete requests without a time limit
 	tb.runImproperClients(context.Background(), tb.Node("n1"), 4)
 	if found, counts := tb.Checker().Findings(); counts[ImproperClientKept] == 0 || len(counts) > 1 {
-		t.Errorf("found %v", found)
+		t.Errorf("got findings %v, want only improper clients kept", found)
 	}
 }
 
-// healthyStub is a world with one stub node that has no fault.
+// healthyStub returns a world with one stub node that has no fault.
 func healthyStub() World {
 	w := small(1, 2)
 	w.Binary, w.Env = os.Args[0], []string{"TESTBED_TEST_AS=well"}
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -15,57 +15,58 @@
 	"time"
 )
 
-const maxNodes = 240 // of one testbed
+const maxNodes = 240 // of one test bed
 
-// Testbed is a running world.
+// Testbed is a running emulation of a World.
 type Testbed struct {
-	world      World
-	dir        string
-	scratch    bool // dir is the testbed's own
-	began      time.Time
-	intervals  intervals
-	checker    *Checker
-	spawner    *spawner
-	disc       *discovery
-	front      *front
-	clients    []*client // by zone
-	nodes      map[string]*Node
-	servers    map[string]*Server
-	nodeOrder  []*Node // as started
-	classes    map[string]*Class
-	discardLog *log.Logger
-	blockLock  net.Listener // holds this testbed's loopback addresses
-	block      int          // 127.block.0.0/16 is this testbed's
-	done       chan struct{}
-	owned      sync.WaitGroup
-	closing    sync.Once
-	lateness   lateness
-	attempts   atomic.Int64 // that reached servers
-	sent       sync.Map     // of them, by node: *atomic.Int64
-	crossZone  atomic.Int64 // of them, from another zone
+	world          World
+	dir            string
+	ownsDir        bool // dir is a temporary folder that Close removes
+	began          time.Time
+	intervals      intervals
+	checker        *Checker
+	spawner        *spawner
+	disc           *discovery
+	front          *front
+	clients        []*client // by zone
+	nodes          map[string]*Node
+	servers        map[string]*Server
+	nodeOrder      []*Node // in the order in which they are started
+	classes        map[string]*Class
+	discardLog     *log.Logger
+	blockLock      net.Listener // keeps other test beds off this one's block of loopback addresses
+	block          int          // number of the block: the addresses are in 127.block.0.0/16
+	done           chan struct{}
+	goroutines     sync.WaitGroup
+	closeOnce      sync.Once
+	lateness       lateness
+	attempts       atomic.Int64 // that arrived at servers
+	attemptsByNode sync.Map     // those attempts by node: *atomic.Int64
+	crossZone      atomic.Int64 // those attempts that came from another zone
 
 	mu         sync.Mutex
 	directions map[string]*direction
 	tcpLinks   map[string]*tcpLink // by FROM->TO
-	udpLinks   map[string]*udpLink // beside some of them, at the same address
+	udpLinks   map[string]*udpLink // by FROM->TO; at the addresses of TCP links
 }
 
 // Blocks of loopback addresses, 127.N.0.0/16 each.
 const (
 	firstBlock = 10
 	blocks     = 240
-	maxBlocks  = 5 // that a testbed tries
+	maxBlocks  = 5 // that a test bed tries before it gives up
 )
 
-var errAddressTaken = errors.New("another program has it")
+var errAddressTaken = errors.New("the address is in use by another program")
 
-// Open builds a world and starts its processes. It returns once the front has taken in every node, and fails, with
-// nothing left running, when one does not come up. Beside a program that has one of its addresses it takes others.
+// Open builds a world and starts its processes. It returns once the front sends connections to every node. If a node
+// does not become ready, Open fails with nothing left running. If another program uses one of the addresses, Open tries
+// again in another block of addresses.
 func Open(ctx context.Context, w World) (tb *Testbed, err error) {
 	return openFrom(ctx, w, rand.N(blocks))
 }
 
-// openFrom is Open that tries the blocks of addresses from one on.
+// openFrom does what Open does, starting with a given block of addresses.
 func openFrom(ctx context.Context, w World, block int) (tb *Testbed, err error) {
 	for range maxBlocks {
 		if tb, err = open(ctx, w, block); !errors.Is(err, errAddressTaken) {
@@ -81,7 +82,7 @@
 		return nil, err
 	}
 	if w.Binary == "" {
-		return nil, errors.New("no node program is named")
+		return nil, errors.New("World.Binary is empty, want the path of the node program")
 	}
 	tb = newTestbed(w)
 	tb.spawner = newSpawner()
@@ -90,11 +91,11 @@
 			tb.Close()
 		}
 	}()
-	if tb.blockLock, tb.block, err = claimNet(block); err != nil {
+	if tb.blockLock, tb.block, err = claimBlock(block); err != nil {
 		return tb, err
 	}
 	if tb.dir == "" {
-		tb.scratch = true
+		tb.ownsDir = true
 		if tb.dir, err = os.MkdirTemp("", "balancer-testbed-"); err != nil {
 			return tb, err
 		}
@@ -129,22 +130,23 @@
 	}
 }
 
-// claimNet claims a part of the loopback range exclusively, so that testbeds may run side by side.
-func claimNet(first int) (net.Listener, int, error) {
+// claimBlock claims a block of the loopback range exclusively, so that several test beds can run at the same time. It
+// holds the block by listening on one of its addresses.
+func claimBlock(first int) (net.Listener, int, error) {
 	for i := range blocks {
 		n := firstBlock + (first+i)%blocks
 		if listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:6999", n)); err == nil {
 			return listener, n, nil
 		}
 	}
-	return nil, 0, errors.New("no part of the loopback range is free")
+	return nil, 0, errors.New("no block of loopback addresses is free")
 }
 
 func (tb *Testbed) serverIP() string    { return fmt.Sprintf("127.%d.0.2", tb.block) }
 func (tb *Testbed) linkIP() string      { return fmt.Sprintf("127.%d.0.3", tb.block) }
 func (tb *Testbed) discoveryIP() string { return fmt.Sprintf("127.%d.0.4", tb.block) }
 
-// startAll starts the last tier's nodes first, and waits until the front has all of its own.
+// startAll starts all nodes, and waits until they are up and the front sends connections to all of its own.
 func (tb *Testbed) startAll(ctx context.Context) error {
 	for _, n := range tb.nodeOrder {
 		tb.intervals.begin(n.name, tb.now())
@@ -170,46 +172,46 @@
 	return nil
 }
 
-// now is the testbed's clock: the time since it began.
+// now returns the time on the test bed's clock, which starts when the test bed begins.
 func (tb *Testbed) now() time.Duration { return time.Since(tb.began) }
 
-// Now is the time since the testbed began, as findings have it.
+// Now returns the time since the test bed began, as in Finding.At.
 func (tb *Testbed) Now() time.Duration { return tb.now() }
 
-// Checker returns the checker of the testbed's invariants.
+// Checker returns the invariant checker.
 func (tb *Testbed) Checker() *Checker { return tb.checker }
 
-// Node returns a node by name; nil: there is none.
+// Node returns the node of a name, or nil if there is none.
 func (tb *Testbed) Node(name string) *Node { return tb.nodes[name] }
 
-// Server returns a server by name; nil: there is none.
+// Server returns the server of a name, or nil if there is none.
 func (tb *Testbed) Server(name string) *Server { return tb.servers[name] }
 
 // Nodes returns all nodes, the front ones first.
 func (tb *Testbed) Nodes() []*Node { return tb.nodeOrder }
 
-// count counts an attempt of a node that reached a server.
-func (tb *Testbed) count(from string, s *Server) {
+// countAttempt counts an attempt of a node that arrived at a server.
+func (tb *Testbed) countAttempt(from string, s *Server) {
 	tb.attempts.Add(1)
-	n, _ := tb.sent.LoadOrStore(from, new(atomic.Int64))
+	n, _ := tb.attemptsByNode.LoadOrStore(from, new(atomic.Int64))
 	n.(*atomic.Int64).Add(1)
 	if n := tb.nodes[from]; n != nil && n.zone != s.zone {
 		tb.crossZone.Add(1)
 	}
 }
 
-// Attempts is how many attempts have reached servers, at all tiers, and how many of them came from another zone.
+// Attempts returns the number of attempts that arrived at servers of all tiers, and how many of them crossed zones.
 func (tb *Testbed) Attempts() (all, crossZone int64) { return tb.attempts.Load(), tb.crossZone.Load() }
 
-// AttemptsOf is how many attempts of a node have reached servers.
+// AttemptsOf returns the number of attempts of a node that arrived at servers.
 func (tb *Testbed) AttemptsOf(node string) int64 {
-	if n, ok := tb.sent.Load(node); ok {
+	if n, ok := tb.attemptsByNode.Load(node); ok {
 		return n.(*atomic.Int64).Load()
 	}
 	return 0
 }
 
-// Imbalance is the number of answers that the busiest server of the first tier has made, over the mean.
+// Imbalance returns the number of answers of the busiest server of the first tier, divided by the mean of that tier.
 func (tb *Testbed) Imbalance() float64 {
 	sum, busiest, n := 0, 0, 0
 	for _, s := range tb.servers {
@@ -226,25 +228,26 @@
 
 // goOwned runs f in a goroutine that Close waits for.
 func (tb *Testbed) goOwned(f func()) {
-	tb.owned.Add(1)
+	tb.goroutines.Add(1)
 	go func() {
-		defer tb.owned.Done()
+		defer tb.goroutines.Done()
 		f()
 	}()
 }
 
-// entry is the server as discovery lists it.
+// entry returns the server's entry in the endpoint list.
 func (s *Server) entry() endpointEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := endpointEntry{Host: s.name, Site: s.zone, Class: "m2", Health: s.health, Share: 1}
-	if s.born != 0 {
-		h.Born = s.testbed.began.Add(s.born).UnixMilli()
+	if s.startedAt != 0 {
+		h.Born = s.testbed.began.Add(s.startedAt).UnixMilli()
 	}
 	return h
 }
 
-// Drain makes discovery list a server as draining; after the time it is removed, and answers no more.
+// Drain makes discovery list a server as draining. If removeAfter is above 0, the server is then removed from the list
+// after that time and ends.
 func (tb *Testbed) Drain(s *Server, removeAfter time.Duration) {
 	s.mu.Lock()
 	s.health = healthDraining
@@ -267,7 +270,7 @@
 	})
 }
 
-// SetDiscoveryFault changes how discovery fails.
+// SetDiscoveryFault sets the fault of discovery.
 func (tb *Testbed) SetDiscoveryFault(o DiscoveryFault) {
 	tb.disc.set(o)
 	if (o == DiscoveryFault{}) {
@@ -277,13 +280,13 @@
 	}
 }
 
-// Close ends every process and waits for all that the testbed has started.
-func (tb *Testbed) Close() { tb.closing.Do(tb.shutDown) }
+// Close ends every process and waits for all goroutines that the test bed has started.
+func (tb *Testbed) Close() { tb.closeOnce.Do(tb.shutDown) }
 
 func (tb *Testbed) shutDown() {
 	close(tb.done)
 	for _, n := range tb.nodeOrder {
-		_ = n.process.signal(syscall.SIGCONT) // fails where it has ended
+		_ = n.process.signal(syscall.SIGCONT) // fails if the process has ended
 		n.process.kill()
 	}
 	if tb.front != nil && tb.front.stop != nil {
@@ -305,13 +308,13 @@
 		}
 	}
 	tb.closeLinks()
-	tb.owned.Wait()
+	tb.goroutines.Wait()
 	close(tb.spawner.done)
 	if tb.blockLock != nil {
 		closeQuietly(tb.blockLock)
 	}
-	if tb.scratch {
-		_ = os.RemoveAll(tb.dir) // what cannot be removed stays in the temporary folder
+	if tb.ownsDir {
+		_ = os.RemoveAll(tb.dir) // on an error the rest stays in the temporary folder
 	}
 }
 
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -16,14 +16,14 @@
 var binary string // the node program, built once
 
 func TestMain(m *testing.M) {
-	if as := os.Getenv("TESTBED_TEST_AS"); as != "" {
-		runStubNode(as)
+	if behavior := os.Getenv("TESTBED_TEST_AS"); behavior != "" {
+		runStubNode(behavior)
 		return
 	}
 	os.Exit(testbedtest.Main(m, &binary))
 }
 
-// small is a world of one tier, or two, with little work.
+// small returns a world with as many tiers as numbers of servers are given, and little work.
 func small(nodes int, servers ...int) World {
 	w := World{Binary: binary, Seed: 1, Zones: []string{"a", "b"}, Classes: []Class{
 		{Name: "view", Effect: "read_like", Share: 0.7, LatencyObjective: time.Second, Deadline: 2 * time.Second},
@@ -46,7 +46,7 @@
 	return w
 }
 
-// tally counts the ends of a drive.
+// tally collects the results of arrivals and counts them by end.
 type tally struct {
 	mu   sync.Mutex
 	ends map[string]int
@@ -63,14 +63,14 @@
 	x.all = append(x.all, s)
 }
 
-// served returns how many arrivals were served.
+// served returns the number of arrivals that were served within the latency objective.
 func (x *tally) served() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.ends["served"]
 }
 
-// check fails a test, and lets it go on, where there is an error.
+// check reports a non-nil error as a failure of the test, which goes on.
 func check(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// writeText writes a text to a connection.
+// writeText writes a text to a connection and fails the test on an error.
 func writeText(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -86,6 +86,7 @@
 	}
 }
 
+// draw sets the defaults of a load and draws its arrivals.
 func draw(t *testing.T, w *World, l Load, length time.Duration) (Load, []Arrival) {
 	t.Helper()
 	if err := l.Fill(w); err != nil {
@@ -94,6 +95,7 @@
 	return l, Draw(w, &l, length, 7)
 }
 
+// checkNoFindings checks that there are no findings that count, and that every accepted request is accounted for.
 func checkNoFindings(t *testing.T, tb *Testbed) {
 	t.Helper()
 	found, counts := tb.Findings()
@@ -105,26 +107,27 @@
 	}
 	a := tb.Checker().Account()
 	if a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || a.Open != 0 {
-		t.Errorf("the account does not add up: %+v", a)
+		t.Errorf("got account %+v, want taken = answered + left + cut off + lost, and none open", a)
 	}
 }
 
-// Three tiers of the real program serve a drawn load, and every request is accounted for.
+// Three tiers of the real node program serve at least 95 % of a drawn load, and every request is accounted for.
 func TestThreeTiersServe(t *testing.T) {
 	tb := Start(t, small(2, 2, 2, 2))
 	load, arrivals := draw(t, &tb.world, Load{Rate: 100}, 2*time.Second)
 	var got tally
 	tb.Drive(context.Background(), &load, arrivals, got.add)
 	if got.served() < len(arrivals)*95/100 {
-		t.Errorf("served %d of %d: %v", got.served(), len(arrivals), got.ends)
+		t.Errorf("served %d of %d arrivals, want at least 95 %%; ends %v", got.served(), len(arrivals), got.ends)
 	}
 	checkNoFindings(t, tb)
 	if a := tb.Checker().Account(); a.Taken < 3*len(arrivals)*95/100 {
-		t.Errorf("taken %d at three tiers for %d arrivals", a.Taken, len(arrivals))
+		t.Errorf("nodes accepted %d requests for %d arrivals, want 95 %% of three for each", a.Taken, len(arrivals))
 	}
 }
 
-func TestSameSeedSameDay(t *testing.T) {
+// The same seed gives the same arrivals and fault steps, and another seed gives others, so that a run can be repeated.
+func TestSameSeedDrawsTheSameRun(t *testing.T) {
 	var out [3]bytes.Buffer
 	for i, seed := range []uint64{5, 5, 6} {
 		w := small(3, 4, 4)
@@ -148,9 +151,9 @@
 		}
 	}
 	if !bytes.Equal(out[0].Bytes(), out[1].Bytes()) {
-		t.Error("seed 5 gave two days")
+		t.Error("seed 5 gave two different runs")
 	}
 	if bytes.Equal(out[0].Bytes(), out[2].Bytes()) || out[0].Len() < 1000 {
-		t.Error("seeds 5 and 6 gave the same day, or a day is empty")
+		t.Error("seeds 5 and 6 gave the same run, or a run of less than 1000 bytes")
 	}
 }
--- a/internal/testbed/tracer_load.go
+++ b/internal/testbed/tracer_load.go
@@ -7,16 +7,18 @@
 	"keelusher/internal/testbed/shim"
 )
 
-// A node under a shim proves nothing if its tracer waited for a processor for more than this part of the time before.
+// A finding at a node under a shim is void if the node's tracer waited for a processor for more than the share
+// maxTracerWait of the tracerWaitPeriod before it.
 const (
 	maxTracerWait    = 0.25
 	tracerWaitPeriod = 4 * time.Second
 )
 
-// tracerLog is the file that holds the loads of the tracers of a node.
+// tracerLog returns the path of the file in which the tracers of a node record their waiting times.
 func (n *Node) tracerLog() string { return filepath.Join(n.process.dir, "tracer.log") }
 
-// heldUpByTracer reports whether the tracer of a node has waited for a processor for much of the time before.
+// heldUpByTracer reports whether the tracer of a node waited for a processor for more than maxTracerWait of the time
+// before a finding.
 func (tb *Testbed) heldUpByTracer(node string, at time.Duration) bool {
 	n := tb.nodes[node]
 	if n == nil {
--- a/internal/testbed/tracer_load_test.go
+++ b/internal/testbed/tracer_load_test.go
@@ -9,10 +9,11 @@
 	"keelusher/internal/testbed/shim"
 )
 
-// Findings at a node whose tracer was held up by the machine are void, those at others are not.
+// Findings at a node whose tracer waited for a processor for more than a quarter of the time are void, those at other
+// nodes are not.
 func TestHeldUpTracerVoidsFindings(t *testing.T) {
 	for name, tt := range map[string]struct {
-		waited time.Duration // of each second
+		waited time.Duration // by the tracer in each second
 		void   bool
 	}{
 		"held up":  {300 * time.Millisecond, true},
@@ -21,7 +22,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			tb := Start(t, healthyStub())
-			Until(t, "some seconds in time", func() bool {
+			Until(t, "the test bed has run for 6 s and was not late for 2 s", func() bool {
 				return tb.now() > 6*time.Second && !tb.Void(tb.now()-2*time.Second, tb.now())
 			})
 			writeLoads(t, tb.Node("n1").tracerLog(), tb.began, tt.waited)
@@ -29,13 +30,13 @@
 			tb.checker.addFinding(Lost, "y", "n2", "planted")
 			found, counts := tb.Findings()
 			if found[0].Void != tt.void || found[1].Void {
-				t.Errorf("void: %t at the traced node, %t at the other; %v", found[0].Void, found[1].Void, counts)
+				t.Errorf("got void %t at the traced node, %t at the other; counts %v", found[0].Void, found[1].Void, counts)
 			}
 		})
 	}
 }
 
-// writeLoads writes ten seconds of a tracer that waits for a part of each.
+// writeLoads writes a tracer's log of ten seconds, in each of which the tracer waited for the same time.
 func writeLoads(t *testing.T, path string, from time.Time, waited time.Duration) {
 	t.Helper()
 	f, err := os.Create(path)
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -1,8 +1,8 @@
-// Package testbed is an emulator of the platform that keelusher runs on. It starts the real node program in several
-// processes on loopback addresses of their own and emulates everything around them in this process: clients, the front,
-// servers of up to three tiers, discovery, and links between any two of them that can fail in one direction. A
-// Checker checks the four rules for every request id. The processes run unmodified; the testbed imports none of the
-// node's insides and speaks to it as the protocol says.
+// Package testbed emulates the platform that keelusher runs on. It starts the real node program in several processes,
+// each on a loopback address of its own, and emulates everything around them in this process: clients, the front that
+// spreads their connections, servers of up to three tiers, discovery, and links between any two of these that can fail
+// in one direction. A Checker checks the rules for every request ID. The node program runs unmodified: the test bed
+// imports none of its internal packages and speaks to it only over its protocols.
 package testbed
 
 import (
@@ -13,63 +13,65 @@
 	"keelusher/internal/testbed/shim"
 )
 
-// World describes the platform. The zero value of a field with a default, named beside it, means that default.
+// World describes the emulated platform. The zero value of a field for which a default is named means that default.
 type World struct {
 	Zones   []string `toml:"zones"`
-	Tiers   []Tier   `toml:"tier"` // first the one that clients' nodes call
+	Tiers   []Tier   `toml:"tier"` // in the order of calls; the first is behind the nodes that clients call
 	Classes []Class  `toml:"class"`
 	Tenants []Tenant `toml:"tenant"`
-	// factor on the priority weight of a request beyond its tenant's quota
+	// factor on the priority weight of requests beyond their tenant's quota
 	OverQuotaWeight float64       `toml:"over_worth"`
 	Limits          Limits        `toml:"limits"`
 	SlowStart       SlowStart     `toml:"cold"`
 	Choke           Choke         `toml:"choke"`
 	Discovery       DiscoverySpec `toml:"discovery"`
-	Notice          time.Duration `toml:"front_notice"` // how late the front sees that a node has died; default 2 s
-	// FROM->TO patterns of the links that get a proxy; faults add theirs
+	// after which the front drops an unresponsive node; default 2 s
+	FrontDetectionDelay time.Duration `toml:"front_notice"`
+	// FROM->TO patterns of links that get a proxy, beside those that faults need
 	Links []string `toml:"links"`
 
-	Fleet Tables `toml:"fleet"` // fleet configuration of all nodes; the testbed adds addresses. Empty: none
-	Seeds int    `toml:"seeds"` // front nodes that are the mesh's seeds; default 3
+	Fleet Tables `toml:"fleet"` // fleet configuration of all nodes, without the addresses; empty: none
+	Seeds int    `toml:"seeds"` // number of front nodes that are seeds of the mesh; default 3
 
 	Binary string   `toml:"-"` // the node program; required
 	Args   []string `toml:"-"` // its arguments
 	Env    []string `toml:"-"` // added to each node's environment
-	Dir    string   `toml:"-"` // scratch folder; default: a new one, removed at Close
+	Dir    string   `toml:"-"` // for files of this run; default: a new temporary folder that Close removes
 	Seed   uint64   `toml:"-"`
 
-	// program and arguments that run a node under a shim; it gets the spec in SHIM_SPEC
+	// program and arguments that run a node under a shim, which finds its spec in the variable SHIM_SPEC
 	Shim  []string             `toml:"-"`
-	Shims map[string]shim.Spec `toml:"-"` // by node
+	Shims map[string]shim.Spec `toml:"-"` // by node name
 
-	TrustNodes bool          `toml:"-"` // nodes are stubs that make answers themselves
+	TrustNodes bool          `toml:"-"` // nodes are stubs that answer requests themselves: bodies are not checked
 	Ready      time.Duration `toml:"-"` // limit for a node to become ready; default 30 s
 }
 
-// Tables are TOML tables that the testbed passes to the nodes without reading them.
+// Tables are TOML tables that the test bed passes to the nodes unread.
 type Tables map[string]any
 
-// UnmarshalTOML keeps a table as it is.
+// UnmarshalTOML stores a table as it is.
 func (t *Tables) UnmarshalTOML(v any) error {
 	table, ok := v.(map[string]any)
 	if !ok {
-		return fmt.Errorf("%T is no table", v)
+		return fmt.Errorf("got %T, want a table", v)
 	}
 	*t = table
 	return nil
 }
 
-// Tier is one layer of servers. Nodes is for the first tier only: behind it every server has a node of its own.
+// Tier is one tier of servers. Nodes is set for the first tier only: requests to a later tier go through nodes of which
+// each server of the tier before has one.
 type Tier struct {
 	Name    string  `toml:"name"`
 	Nodes   int     `toml:"nodes"`
 	Servers int     `toml:"servers"`
-	PerZone []int   `toml:"per_zone"` // servers by zone; default: evenly
-	Cores   int     `toml:"cores"`    // default 2
-	Slots   int     `toml:"slots"`    // requests held at once; default 16 a core
-	Queue   int     `toml:"queue"`    // requests that wait for a slot; default as many as slots
-	Conns   int     `toml:"conns"`    // connections held at once; default 1,000
-	Calls   float64 `toml:"calls"`    // mean calls on the next tier for each request, one after another
+	PerZone []int   `toml:"per_zone"` // servers by zone; default: even
+	Cores   int     `toml:"cores"`    // of a server; default 2
+	Slots   int     `toml:"slots"`    // limit of requests that a server handles at once; default 16 a core
+	Queue   int     `toml:"queue"`    // limit of requests that wait for a slot; default: as many as slots
+	Conns   int     `toml:"conns"`    // limit of connections that a server holds; default 1,000
+	Calls   float64 `toml:"calls"`    // mean number of calls to the next tier for each request, one after another
 }
 
 // Values of Class.Effect: what a second execution of a request does.
@@ -79,7 +81,8 @@
 	NotIdempotent     = "non_idempotent"
 )
 
-// Class is a class of requests. Work is time on a standard core, by tier; Wait is spent on others.
+// Class is a class of requests. Work is the mean time on a core, by tier; Wait is the time that a request then spends
+// waiting without a core.
 type Class struct {
 	Name             string          `toml:"name"`
 	Effect           string          `toml:"effect"` // Idempotent, IdempotentWithKey or NotIdempotent
@@ -89,30 +92,30 @@
 	LatencyObjective time.Duration   `toml:"aim"`
 	Deadline         time.Duration   `toml:"deadline"`
 	PriorityWeight   float64         `toml:"worth"` // default 1
-	// servers discard retries with the same key within this time; default 5 s
+	// deduplication window: servers discard retries with the same key within this time; default 5 s
 	Window time.Duration `toml:"window"`
 }
 
-// Tenant is a customer. Share is its part of the traffic, Quota what it may send a second over the whole fleet.
+// Tenant is a customer. Share is its weight in the traffic, Quota the requests a second that it may send to the fleet.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
 	Quota float64 `toml:"quota"`
 }
 
-// Limits bind each node and each server.
+// Limits are limits of the platform, on each node unless noted otherwise.
 type Limits struct {
-	Cores          float64       `toml:"cores"`           // of a node; default 1
-	MemoryMB       int           `toml:"memory_mb"`       // of a node; default 192
-	Sockets        int           `toml:"sockets"`         // of a node; default 1,024
+	Cores          float64       `toml:"cores"`           // default 1
+	MemoryMB       int           `toml:"memory_mb"`       // default 192
+	Sockets        int           `toml:"sockets"`         // default 1,024
 	ConnectTimeout time.Duration `toml:"connect_timeout"` // default 250 ms
-	ConnIdle       time.Duration `toml:"conn_idle"`       // default 10 s
-	MaxAttempts    int           `toml:"max_attempts"`    // default 5
-	MaxRetryAfter  time.Duration `toml:"max_retry_after"` // default 2 s
+	ConnIdle       time.Duration `toml:"conn_idle"`       // idle timeout of servers' connections; default 10 s
+	MaxAttempts    int           `toml:"max_attempts"`    // of one request; default 5
+	MaxRetryAfter  time.Duration `toml:"max_retry_after"` // that clients follow; default 2 s
 }
 
-// SlowStart says how servers start: with From of their capacity, with all of it after Warm. One that is sent more than
-// Multiple times what it can do at that moment, over Fall, by all nodes together, falls over.
+// SlowStart says how servers start: with the share From of their capacity, which grows to all of it over Duration. A
+// server that all nodes together send more than OverloadFactor times the work it can do in OverloadWindow crashes.
 type SlowStart struct {
 	From           float64       `toml:"from"`     // default 0.38
 	Duration       time.Duration `toml:"warm"`     // default 8.5 s
@@ -120,8 +123,8 @@
 	OverloadWindow time.Duration `toml:"fall"`     // default 3 s
 }
 
-// Choke slows a server down Factor times once more than Waiting requests a core have waited for a core for After, until
-// it has been idle for Idle. A Factor of 0 turns it off.
+// Choke describes how servers slow down under overload: by Factor, once more than Waiting requests a core have been
+// waiting for a core for the time After, until the server has been idle for the time Idle. A Factor of 0 turns it off.
 type Choke struct {
 	Waiting float64       `toml:"waiting"`
 	After   time.Duration `toml:"after"`
@@ -129,18 +132,18 @@
 	Idle    time.Duration `toml:"idle"`
 }
 
-// DiscoverySpec sets how late notifications are and how long one call takes.
+// DiscoverySpec describes the timing of discovery.
 type DiscoverySpec struct {
 	Late   time.Duration `toml:"late"`    // from a change to the notification; default 1 s
-	Call   time.Duration `toml:"call"`    // time of each call; they are handled one at a time; default 1 ms
-	Asked  bool          `toml:"asked"`   // the list follows only a watch that the module asks for
-	MaxLag time.Duration `toml:"max_lag"` // a call that waited longer fails; default 1 s
+	Call   time.Duration `toml:"call"`    // that each call takes; calls are handled one at a time; default 1 ms
+	Asked  bool          `toml:"asked"`   // nodes get the endpoint list only if they ask for a watch
+	MaxLag time.Duration `toml:"max_lag"` // a call that has waited for longer fails; default 1 s
 }
 
 const (
-	slack       = 50 * time.Millisecond // added to every limit in time, as sockets and timers are late
-	drainWithin = 3 * time.Second       // after which a draining or removed server must get nothing new
-	keyedWindow = 5 * time.Second       // servers discard retries with the same key within this time
+	slack       = 50 * time.Millisecond // added to every time limit of the rules, as sockets and timers may be late
+	drainWithin = 3 * time.Second       // after a notification; then a draining or removed server gets nothing new
+	keyedWindow = 5 * time.Second       // default of Class.Window
 )
 
 func orDefault[T comparable](v *T, d T) {
@@ -150,15 +153,15 @@
 	}
 }
 
-// Fill sets the defaults and checks the world. The error is a KeyError that names the TOML key at fault, such as
+// Fill sets the defaults and validates the world. The error is a KeyError that names the invalid TOML key, such as
 // "tier[1].cores".
 func (w *World) Fill() error {
 	w.setDefaults()
 	if len(w.Tiers) == 0 || len(w.Tiers) > 3 {
-		return &KeyError{"tier", fmt.Sprintf("%d tiers, 1 to 3 are possible", len(w.Tiers))}
+		return &KeyError{"tier", fmt.Sprintf("got %d tiers, want 1 to 3", len(w.Tiers))}
 	}
 	if len(w.Classes) == 0 {
-		return &KeyError{"class", "there is none"}
+		return &KeyError{"class", "at least one class is needed"}
 	}
 	for i := range w.Tiers {
 		if err := w.Tiers[i].fill(i, len(w.Tiers), w.Zones); err != nil {
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// setDefaults sets the defaults of all fields that concern the world as a whole.
+// setDefaults sets the defaults of the world, but not those of its tiers and classes.
 func (w *World) setDefaults() {
 	orDefault(&w.Limits.Cores, 1)
 	orDefault(&w.Limits.MemoryMB, 192)
@@ -198,7 +201,7 @@
 	orDefault(&w.Discovery.Late, time.Second)
 	orDefault(&w.Discovery.Call, time.Millisecond)
 	orDefault(&w.Discovery.MaxLag, time.Second)
-	orDefault(&w.Notice, 2*time.Second)
+	orDefault(&w.FrontDetectionDelay, 2*time.Second)
 	orDefault(&w.Ready, 30*time.Second)
 	orDefault(&w.Seeds, 3)
 	if len(w.Zones) == 0 {
@@ -206,7 +209,7 @@
 	}
 }
 
-// fill sets the defaults of a class and checks it.
+// fill sets the defaults of a class and validates it.
 func (c *Class) fill(i, tiers int) error {
 	key := fmt.Sprintf("class[%d].", i)
 	orDefault(&c.PriorityWeight, 1)
@@ -220,14 +223,14 @@
 	case !(c.Share > 0):
 		return &KeyError{key + "share", "must be above 0"}
 	case len(c.Work) != tiers:
-		return &KeyError{key + "work", fmt.Sprintf("%d figures for %d tiers", len(c.Work), tiers)}
+		return &KeyError{key + "work", fmt.Sprintf("got %d values for %d tiers", len(c.Work), tiers)}
 	case c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective:
 		return &KeyError{key + "deadline", "aim and deadline must be above 0, the deadline no shorter than the aim"}
 	}
 	return nil
 }
 
-// fill sets the defaults of a tier and checks it.
+// fill sets the defaults of a tier and validates it.
 func (t *Tier) fill(i, tiers int, zones []string) error {
 	key := fmt.Sprintf("tier[%d].", i)
 	orDefault(&t.Cores, 2)
@@ -251,24 +254,24 @@
 	case len(t.PerZone) != len(zones) || sum != t.Servers || sum == 0 || sum > 200:
 		return &KeyError{
 			key + "servers",
-			fmt.Sprintf("%d servers, %v by zone, %d zones: 1 to 200 are possible", t.Servers, t.PerZone, len(zones)),
+			fmt.Sprintf("got %d servers, %v by zone, for %d zones; want 1 to 200", t.Servers, t.PerZone, len(zones)),
 		}
 	case i == 0 && (t.Nodes < 1 || t.Nodes > 100):
-		return &KeyError{key + "nodes", "the first tier needs 1 to 100"}
+		return &KeyError{key + "nodes", "must be from 1 to 100 for the first tier"}
 	case i > 0 && t.Nodes != 0:
-		return &KeyError{key + "nodes", "only the first tier names them; each server before this tier has its own"}
+		return &KeyError{key + "nodes", "may be set for the first tier only; behind it each server has a node of its own"}
 	case t.Cores < 1 || t.Slots < 1 || t.Queue < 0 || t.Conns < 1:
-		return &KeyError{key + "cores", "cores, slots and conns must be above 0"}
+		return &KeyError{key + "cores", "cores, slots and conns must be above 0, queue from 0"}
 	case t.Calls < 0 || (t.Calls > 0) != (i < tiers-1):
-		return &KeyError{key + "calls", "must be above 0 for each tier but the last, which calls nobody"}
+		return &KeyError{key + "calls", "must be above 0 for each tier but the last, and 0 for the last"}
 	}
 	return nil
 }
 
-// KeyError says what is wrong with one key of a world or an experiment.
+// KeyError is the error of an invalid key of a world or an experiment.
 type KeyError struct{ Key, Why string }
 
-// Error names the key and what is wrong with it.
+// Error returns the key and what is wrong with it.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Why }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -276,7 +279,7 @@
 // object is a JSON object of the node's configuration.
 type object = map[string]any
 
-// settings returns the object that the platform gives to a node of a tier.
+// settings returns the settings, as JSON, that the platform gives to the node of a tier with an index.
 func (w *World) settings(tier, index int, zone string) json.RawMessage {
 	text, err := json.Marshal(object{
 		"balancers":        w.replicasOf(tier),
@@ -302,12 +305,12 @@
 		"rules":            w.ruleSettings(),
 	})
 	if err != nil {
-		panic(err) // plain maps of plain values
+		panic(err) // not reached: maps of plain values can always be encoded
 	}
 	return text
 }
 
-// replicasOf returns how many nodes serve a tier.
+// replicasOf returns the number of nodes in front of a tier.
 func (w *World) replicasOf(tier int) int {
 	if tier == 0 {
 		return w.Tiers[0].Nodes
