--- a/internal/testbed/connection_flood.go
+++ b/internal/testbed/connection_flood.go
@@ -97,7 +97,7 @@
 			case 0:
 				tb.runIncompleteClient(ctx, n)
 			case 1:
-				leaveAfter := minLeaveAfter + time.Duration(tb.drawn(name, "leave")*float64(maxLeaveAfter-minLeaveAfter))
+				leaveAfter := minLeaveAfter + time.Duration(tb.seededRandom(name, "leave")*float64(maxLeaveAfter-minLeaveAfter))
 				tb.runIntermittentClient(ctx, n, name, leaveAfter)
 			default:
 				tb.runIntermittentClient(ctx, n, name, 0)
--- a/internal/testbed/corrupt_response.go
+++ b/internal/testbed/corrupt_response.go
@@ -26,7 +26,7 @@
 	}
 	defer closeQuietly(c)
 	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	draw := s.testbed.drawn(id, "how it is spoilt")
+	draw := s.testbed.seededRandom(id, "how it is spoilt")
 	switch {
 	case draw < 1.0/3:
 		_, _ = fmt.Fprint(c, complete)
@@ -40,6 +40,6 @@
 		}
 	default:
 		_, _ = fmt.Fprint(c, complete)
-		time.Sleep(time.Duration(s.testbed.drawn(id, "end") * float64(maxCloseDelay)))
+		time.Sleep(time.Duration(s.testbed.seededRandom(id, "end") * float64(maxCloseDelay)))
 	}
 }
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -17,7 +17,7 @@
 type Load struct {
 	Rate    float64   `toml:"rate"`    // arrivals a second over all zones, without retries
 	ByZone  []float64 `toml:"by_zone"` // shares of the zones; default: even
-	Bursts  []Burst   `toml:"burst"`   // times with another rate
+	Bursts  []Burst   `toml:"burst"`   // periods with another rate
 	Retries int       `toml:"retries"` // limit of a client's retries
 	// mean wait before a retry, drawn uniformly from 0.5 to 1.5 times this; default 200 ms
 	Backoff time.Duration `toml:"backoff"`
@@ -28,11 +28,11 @@
 	MaxInFlight int `toml:"most_flight"`
 }
 
-// Burst multiplies the rate by Times, from At on, for the time For.
+// Burst multiplies the rate by Factor, from At on, for the time For.
 type Burst struct {
-	At    time.Duration `toml:"at"`
-	For   time.Duration `toml:"for"`
-	Times float64       `toml:"times"`
+	At     time.Duration `toml:"at"`
+	For    time.Duration `toml:"for"`
+	Factor float64       `toml:"times"`
 }
 
 // Fill sets the defaults and validates the load. The error is a KeyError.
@@ -58,7 +58,7 @@
 		return &KeyError{"load.impatient", "must be from 0 to 1"}
 	}
 	for i, b := range l.Bursts {
-		if b.At < 0 || b.For <= 0 || !(b.Times >= 0 && b.Times <= 100) {
+		if b.At < 0 || b.For <= 0 || !(b.Factor >= 0 && b.Factor <= 100) {
 			return &KeyError{fmt.Sprintf("load.burst[%d].times", i), "at must be from 0, for above 0, times from 0 to 100"}
 		}
 	}
@@ -99,14 +99,14 @@
 		v := l.Rate
 		for _, b := range l.Bursts {
 			if at >= b.At && at < b.At+b.For {
-				v *= b.Times
+				v *= b.Factor
 			}
 		}
 		return v
 	}
 	maxRate := l.Rate
 	for _, b := range l.Bursts {
-		maxRate = max(maxRate, l.Rate*b.Times)
+		maxRate = max(maxRate, l.Rate*b.Factor)
 	}
 	var arrivals []Arrival
 	sent := map[[2]int64]float64{} // by tenant and second
@@ -234,7 +234,7 @@
 		if resp.end == outcomeServed || resp.end == outcomeDisconnected || attempt >= load.Retries || ctx.Err() != nil {
 			return s
 		}
-		wait := time.Duration((0.5 + tb.drawn(a.ID, "backoff"+strconv.Itoa(attempt))) * float64(load.Backoff))
+		wait := time.Duration((0.5 + tb.seededRandom(a.ID, "backoff"+strconv.Itoa(attempt))) * float64(load.Backoff))
 		start = resp.at + max(wait, resp.retryAfter)
 		if start >= end || req.disconnectAt != 0 && start >= req.disconnectAt {
 			return s
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -117,6 +117,7 @@
 	return s.served
 }
 
+// sleep waits for a duration. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	return sleepUntil(time.Now().Add(d), ctx.Done())
 }
@@ -190,7 +191,7 @@
 	case fault.Hang:
 		<-r.Context().Done()
 		return
-	case fault.Errors > 0 && s.testbed.drawn(e.id, s.name) < fault.Errors:
+	case fault.Errors > 0 && s.testbed.seededRandom(e.id, s.name) < fault.Errors:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -209,7 +210,7 @@
 	s.mu.Lock()
 	s.served++
 	s.mu.Unlock()
-	if fault.CorruptResponses > 0 && s.testbed.drawn(e.id, "spoil "+s.name) < fault.CorruptResponses {
+	if fault.CorruptResponses > 0 && s.testbed.seededRandom(e.id, "spoil "+s.name) < fault.CorruptResponses {
 		s.writeCorruptResponse(w, e.id)
 		return
 	}
--- a/internal/testbed/server_work.go
+++ b/internal/testbed/server_work.go
@@ -112,9 +112,9 @@
 	return done
 }
 
-// drawn returns a pseudo-random number from 0 to 1 that depends only on the seed, the request ID and the purpose, so
-// that a request costs the same in each variant of an experiment.
-func (tb *Testbed) drawn(id, what string) float64 {
+// seededRandom returns a pseudo-random number from 0 to 1 that depends only on the seed, the request ID and the
+// purpose, so that a request costs the same in each variant of an experiment.
+func (tb *Testbed) seededRandom(id, what string) float64 {
 	h := xxhash.Sum64String(id+"/"+what) ^ tb.world.Seed
 	h *= 0x9e3779b97f4a7c15
 	h ^= h >> 32
@@ -123,14 +123,14 @@
 
 // requestWork returns the work of a request at a tier, drawn uniformly from 0.5 to 1.5 times the mean of its class.
 func (tb *Testbed) requestWork(c *Class, tier int, id string) time.Duration {
-	return time.Duration((0.5 + tb.drawn(id, "work")) * float64(c.Work[tier]))
+	return time.Duration((0.5 + tb.seededRandom(id, "work")) * float64(c.Work[tier]))
 }
 
 // callCount returns the number of calls that a request makes to the next tier: the mean, rounded up or down at random
 // so that the average over requests is the mean.
 func (tb *Testbed) callCount(mean float64, id string) int {
 	n := math.Floor(mean)
-	if tb.drawn(id, "calls") < mean-n {
+	if tb.seededRandom(id, "calls") < mean-n {
 		n++
 	}
 	return int(n)
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -146,7 +146,8 @@
 func (tb *Testbed) linkIP() string      { return fmt.Sprintf("127.%d.0.3", tb.block) }
 func (tb *Testbed) discoveryIP() string { return fmt.Sprintf("127.%d.0.4", tb.block) }
 
-// startAll starts all nodes, and waits until they are up and the front sends connections to all of its own.
+// startAll starts all nodes, the front ones first, and waits until they are ready and the front sends connections to
+// all of its own.
 func (tb *Testbed) startAll(ctx context.Context) error {
 	for _, n := range tb.nodeOrder {
 		tb.intervals.begin(n.name, tb.now())
@@ -226,7 +227,7 @@
 	return float64(busiest*n) / float64(sum)
 }
 
-// goOwned runs f in a goroutine that Close waits for.
+// goOwned runs f in a goroutine that Close waits for. f must return once done is closed or what it uses is closed.
 func (tb *Testbed) goOwned(f func()) {
 	tb.goroutines.Add(1)
 	go func() {
@@ -246,8 +247,8 @@
 	return h
 }
 
-// Drain makes discovery list a server as draining. If removeAfter is above 0, the server is then removed from the list
-// after that time and ends.
+// Drain makes discovery list a server as draining. If removeAfter is above 0, the server is removed from the list after
+// that time, and its process ends.
 func (tb *Testbed) Drain(s *Server, removeAfter time.Duration) {
 	s.mu.Lock()
 	s.health = healthDraining
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -141,9 +141,9 @@
 }
 
 const (
-	slack       = 50 * time.Millisecond // added to every time limit of the rules, as sockets and timers may be late
-	drainWithin = 3 * time.Second       // after a notification; then a draining or removed server gets nothing new
-	keyedWindow = 5 * time.Second       // default of Class.Window
+	slack              = 50 * time.Millisecond // added to every time limit of the rules, as sockets and timers may be late
+	drainWithin        = 3 * time.Second       // after a notification; then a draining or removed server gets nothing new
+	defaultDedupWindow = 5 * time.Second       // default of Class.Window
 )
 
 func orDefault[T comparable](v *T, d T) {
@@ -213,7 +213,7 @@
 func (c *Class) fill(i, tiers int) error {
 	key := fmt.Sprintf("class[%d].", i)
 	orDefault(&c.PriorityWeight, 1)
-	orDefault(&c.Window, keyedWindow)
+	orDefault(&c.Window, defaultDedupWindow)
 	switch {
 	case c.Name == "":
 		return &KeyError{key + "name", "is empty"}
