--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -15,7 +15,7 @@
 	healthRemoved   = "terminated"
 )
 
-// endpointEntry is an entry of discovery's list. Its address differs between nodes.
+// endpointEntry is an entry of discovery's list. Its Dial address differs between nodes.
 type endpointEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -27,43 +27,45 @@
 	Born   int64   `json:"born_ms"`
 }
 
-// endpointUpdate is a list, or what has changed of it since a sequence number.
+// endpointUpdate is a complete list, or the changes since a sequence number.
 type endpointUpdate struct {
 	Seq      int64           `json:"seq"`
 	Snapshot bool            `json:"whole"`
 	Hosts    []endpointEntry `json:"hosts"`
 }
 
-// discovery keeps a list for each tier and answers each node at an address of the node's own, since the servers'
-// addresses may differ between nodes. Its notifications are late by the world's setting.
+// discovery is the discovery service. It keeps a list of servers for each tier, and serves each node at a separate
+// address, since the addresses of the servers may differ between nodes. It publishes changes after the delay
+// World.Discovery.Late.
 type discovery struct {
 	testbed  *Testbed
 	callSlot chan struct{} // calls are handled one at a time
 
 	mu          sync.Mutex
 	fault       DiscoveryFault
-	late        time.Duration
+	late        time.Duration // delay of each change; World.Discovery.Late
 	tiers       []*tierList
-	gates       []*gate
-	gateByNode  map[*Node]*gate       // where each node connects
-	mutes       int                   // how often all open watches have fallen silent
-	watchStates map[*Node]*watchState // how each node follows
+	gates       []*gate               // all that were opened
+	gateByNode  map[*Node]*gate       // the current address of each node
+	mutes       int                   // number of calls of mute
+	watchStates map[*Node]*watchState // how each node follows the list
 }
 
 const (
-	silentWatchDelay = 6 * time.Second  // a node counts as notified of what its silent watch misses, after this
-	maxPollInterval  = 10 * time.Second // between two polls of a node without a watch
+	silentWatchDelay = 6 * time.Second  // a node with a silent watch counts as notified after this time
+	maxPollInterval  = 10 * time.Second // longest time between two polls of a node without a watch
 )
 
-// tierList is the list of one tier, with the log of its changes.
+// tierList is the list of one tier with the log of its changes.
 type tierList struct {
 	seq     int64
-	base    int64 // the first number that this discovery has a log for
-	hosts   map[string]endpointEntry
+	base    int64                    // sequence number at which the log starts; an older version gets the complete list
+	hosts   map[string]endpointEntry // by name
 	log     []change
 	changed chan struct{} // closed at the next change
 }
 
+// change is one entry of the log of a tier.
 type change struct {
 	seq  int64
 	host endpointEntry
@@ -83,7 +85,7 @@
 	return d
 }
 
-// wake makes watches look at the list at once; d.mu is held.
+// wake makes all watches check the list and the fault at once; d.mu is held.
 func (d *discovery) wake() {
 	for _, t := range d.tiers {
 		close(t.changed)
@@ -91,7 +93,7 @@
 	}
 }
 
-// publish publishes the state of a server after a delay; the world's setting if late is negative.
+// publish publishes the state of a server after the delay late; if late is negative, after World.Discovery.Late.
 func (d *discovery) publish(tier int, h endpointEntry, late time.Duration) {
 	if late < 0 {
 		late = d.late
@@ -124,7 +126,8 @@
 	time.AfterFunc(late, write)
 }
 
-// since returns what a node that has version from is to be sent; d.mu is held.
+// since returns the update for a node that has the list with sequence number from: the changes since then, or the
+// complete list if from is not in the log; d.mu is held.
 func (t *tierList) since(from int64) endpointUpdate {
 	n := endpointUpdate{Seq: t.seq, Hosts: []endpointEntry{}}
 	if from <= 0 || from > t.seq || from < t.base {
@@ -149,14 +152,14 @@
 	return n
 }
 
-// known returns the complete list as it is now, for a node's configuration.
+// known returns the current complete list, for a node's configuration.
 func (d *discovery) known(n *Node) endpointUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addressed(n, d.tiers[n.tier].since(0))
 }
 
-// addressed fills in the addresses at which a node dials the servers.
+// addressed sets the addresses at which a node dials the servers.
 func (d *discovery) addressed(n *Node, update endpointUpdate) endpointUpdate {
 	for i := range update.Hosts {
 		update.Hosts[i].Dial = d.testbed.serverAddr(n, update.Hosts[i].Host)
@@ -164,7 +167,7 @@
 	return update
 }
 
-// serve opens the address at which a node polls and watches.
+// serve opens and serves a new address at which a node polls and watches.
 func (d *discovery) serve(n *Node) (addr string, err error) {
 	g, err := newGate(d.testbed.discoveryIP() + ":0")
 	if err != nil {
@@ -182,20 +185,21 @@
 	return g.addr, nil
 }
 
-// gateOf returns the gate at which a node polls and watches.
+// gateOf returns the gate of the address at which a node polls and watches.
 func (d *discovery) gateOf(n *Node) *gate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gateByNode[n]
 }
 
+// state returns the present fault and the duration of a call.
 func (d *discovery) state() (DiscoveryFault, time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fault, d.testbed.world.Discovery.Call + d.fault.Slow
 }
 
-// answer handles one call of a node.
+// answer handles one poll or watch of a node.
 func (d *discovery) answer(n *Node, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/endpoints" {
 		w.WriteHeader(http.StatusNotFound)
@@ -234,8 +238,8 @@
 	d.write(n, w, update, fault)
 }
 
-// acquireCallSlot waits while other calls are handled, and takes the time of one call. It returns false when the
-// caller has left or has waited for too long.
+// acquireCallSlot waits while another call is handled, then for the duration of one call. It returns false if the
+// caller has disconnected, or has waited for World.Discovery.MaxLag and was answered with 503.
 func (d *discovery) acquireCallSlot(w http.ResponseWriter, r *http.Request) bool {
 	wait := time.NewTimer(d.testbed.world.Discovery.MaxLag)
 	defer wait.Stop()
@@ -253,11 +257,12 @@
 }
 
 const (
-	watchIdleLine  = 2 * time.Second // between two empty lines on an idle watch
-	trickleSpacing = 100 * time.Millisecond
+	watchIdleLine  = 2 * time.Second        // interval between empty lines on an idle watch
+	trickleSpacing = 100 * time.Millisecond // interval between two spaces
 )
 
-// watch writes what changed, then each change as it comes, and an empty line while there is none.
+// watch answers a watch: it writes the changes since from, then each change at once, and empty lines while there is
+// none.
 func (d *discovery) watch(n *Node, w http.ResponseWriter, r *http.Request, from int64, state *watchState) {
 	flush := http.NewResponseController(w)
 	idle := time.NewTicker(watchIdleLine)
@@ -283,7 +288,7 @@
 				return
 			}
 		}
-		from = max(next.update.Seq, 1) // 0 would ask for the complete list for ever
+		from = max(next.update.Seq, 1) // from 0, each update would be the complete list
 		select {
 		case <-next.changed:
 		case <-idle.C:
@@ -298,15 +303,15 @@
 	}
 }
 
-// watchUpdate is what a watch has to do next.
+// watchUpdate is what a watch is to send next, and the fault that applies to it.
 type watchUpdate struct {
 	update  endpointUpdate
 	changed <-chan struct{} // closed at the next change
 	fault   DiscoveryFault
-	mute    bool // the watch is silent from now on
+	mute    bool // the watch must send nothing from now on
 }
 
-// nextUpdate returns what a watch has to do next, and records when it falls silent.
+// nextUpdate returns what a watch is to send next, and records since when it is silent.
 func (d *discovery) nextUpdate(n *Node, from int64, mutes int, state *watchState) watchUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -323,7 +328,7 @@
 	return next
 }
 
-// trickle writes spaces without an end of line until the node leaves.
+// trickle writes spaces without an end of line until the node disconnects.
 func trickle(w http.ResponseWriter, r *http.Request) {
 	flush := http.NewResponseController(w)
 	for sleep(r.Context(), trickleSpacing) {
@@ -333,17 +338,18 @@
 	}
 }
 
-// write writes a list, in the form that the fault gives it. It reports whether the node got all of it.
+// write writes an update, indented or cut off if the fault says so. It reports whether all of it was written, and
+// records that the node was notified.
 func (d *discovery) write(n *Node, w http.ResponseWriter, update endpointUpdate, o DiscoveryFault) bool {
 	text, err := json.Marshal(update)
 	if err == nil && o.Indent {
 		text, err = json.MarshalIndent(update, "", "  ")
 	}
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // cannot happen: the values are plain data
 	}
 	if o.Cut {
-		_, _ = w.Write(text[:len(text)/2]) // its connection ends next in any case
+		_, _ = w.Write(text[:len(text)/2]) // the connection is aborted next in any case
 		panic(http.ErrAbortHandler)
 	}
 	if _, err := w.Write(append(text, '\n')); err != nil {
@@ -353,6 +359,7 @@
 	return true
 }
 
+// close closes all gates.
 func (d *discovery) close() {
 	d.mu.Lock()
 	gates := d.gates
--- a/internal/testbed/discovery_fault.go
+++ b/internal/testbed/discovery_fault.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// DiscoveryFault is how discovery fails. The zero value is a healthy one.
+// DiscoveryFault holds the ways in which discovery fails. With the zero value it is healthy.
 type DiscoveryFault struct {
-	Down bool          // watches end, calls are refused by a reset
-	Fail bool          // calls end in 503; watches go on
-	Slow time.Duration // added to the time of each call; calls are handled one at a time
+	Down bool          // watches end, and the connections of calls are reset
+	Fail bool          // calls are answered with 503; open watches go on
+	Slow time.Duration // added to the duration of each call; calls are handled one at a time
 
-	Unresponsive bool // calls are accepted and never answered; watches that are open fall silent
-	Trickle      bool // instead of lines, spaces are sent without an end of line
-	Cut          bool // each list ends in its middle, and with it the connection
-	Indent       bool // lists come in many lines
+	Unresponsive bool // calls are accepted and never answered; open watches fall silent
+	Trickle      bool // watches send spaces without an end of line instead of updates
+	Cut          bool // each list is cut off in the middle, and its connection closed
+	Indent       bool // lists are indented JSON of many lines
 }
 
+// set replaces the fault, and wakes all watches so that it applies at once.
 func (d *discovery) set(o DiscoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -24,7 +25,7 @@
 	d.wake()
 }
 
-// mute makes all watches that are open fall silent for good.
+// mute makes all open watches fall silent until their clients disconnect.
 func (d *discovery) mute() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -32,7 +33,8 @@
 	d.wake()
 }
 
-// renumber makes discovery come back with other sequence numbers; all watches end.
+// renumber restarts discovery with other sequence numbers, higher ones or from 1, and without a log of changes. It is
+// down for 50 ms, so that all watches end.
 func (d *discovery) renumber(higher bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,7 +49,7 @@
 	time.AfterFunc(50*time.Millisecond, func() { d.set(DiscoveryFault{}) })
 }
 
-// silent waits without an answer until the client leaves.
+// silent blocks without an answer until the client disconnects.
 func (d *discovery) silent(r *http.Request) {
 	select {
 	case <-r.Context().Done():
@@ -55,7 +57,7 @@
 	}
 }
 
-// hangUp resets the connection of a call.
+// hangUp resets the connection of a call, which it takes over from the HTTP server.
 func (d *discovery) hangUp(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if c, _, err := h.Hijack(); err == nil {
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// FaultKind says what goes wrong; its values are words of the experiment files, described at Fault.
+// FaultKind is a kind of fault as experiment files name it. The comment of Fault describes each kind.
 type FaultKind string
 
 // The kinds of fault.
@@ -46,49 +46,52 @@
 	FaultDiscoveryRenumber     FaultKind = "disc_renumber"
 )
 
-// Fault is one entry of a schedule. At is when it begins, plus an even draw from 0 to Jitter; For is how long it lasts.
+// Fault is one entry of a fault schedule. It begins at At plus a uniformly random time from 0 to Jitter, and lasts For.
 //
 // Kinds that name Target, a pattern of nodes ("n1", "n*", "n@front-?"), servers ("rooms-*") or zones:
 //
 //	kill      SIGKILL a node; started again after For (0: never)
-//	term      SIGTERM a node; started again once it has ended and For is over. Clients, each on a connection of its own,
-//	          send on it until it ends
+//	term      SIGTERM a node; started again For after its process has exited. Clients, each on one persistent
+//	          connection, send requests to it until then
 //	stop      SIGSTOP a node for For
-//	hold      SIGSTOP a node for For, 20 to 150 ms, Pick times in a row; it counts as a slow machine, and excuses nothing
-//	signals   send a node Signals, one Gap after another; where SIGTERM is among them, as term. Its stops count as hold
-//	reload    move a node's discovery to another address, and SIGHUP
-//	peers     Pick improper clients connect to a node and stop in the middle of a request, idle or flood
-//	crowd     Pick clients fill the connections of a node for For: proper ones that rest, proper ones that leave, and
-//	          others that never complete a head
-//	crash     end a server and its node; started again, in slow start, after For (0: never)
-//	slow      a server's work takes Factor times longer
+//	hold      SIGSTOP a node for For, 20 to 150 ms, Pick times in a row, as on a slow machine: requests that
+//	          fail meanwhile still count as findings
+//	signals   send a node Signals at intervals of Gap; with SIGTERM among them, it ends and starts again as with term.
+//	          A SIGSTOP among them counts as a hold
+//	reload    move a node's discovery to another address and send SIGHUP
+//	peers     Pick improper clients connect to a node; they stop in the middle of a request, stay idle or flood the node
+//	crowd     Pick clients take up the connections of a node for For: proper clients that stay idle, proper clients that
+//	          disconnect, and clients that never complete the head of a request
+//	crash     kill a server and its node; started again, in slow start, after For (0: never)
+//	slow      a server takes Factor times as long for its work
 //	errors    a server answers a Share of its requests with 500
 //	hang      a server accepts requests and answers none
-//	spoil     a server corrupts a Share of its answers: sends them twice, or half without a length, or closes after them
-//	silent    a server neither reads nor writes, as a vanished machine
+//	spoil     a server corrupts a Share of its responses: it sends a response twice, sends half of one without a length,
+//	          or closes the connection after one
+//	silent    a server neither reads nor writes, as if its machine had vanished from the network
 //	drain     discovery lists a server as draining, and removes it after For
-//	replace   the same, and a new process starts in its place, in slow start; listed once its node is ready
-//	zone      all servers of a zone are silent and, where Nodes is set, its nodes stopped; discovery drops them Late
-//	          after; at the end they come back, in slow start
+//	replace   as drain, and a new process starts in the server's place, in slow start; listed once its node is ready
+//	zone      all servers of a zone are silent and, with Nodes set, its nodes are stopped; discovery removes the servers
+//	          after Late; at the end all start again, the servers in slow start
 //
 // Kinds that name From and To, patterns of any two parts (nodes, servers, "clients-ZONE", "discovery"):
 //
-//	cut       nothing comes through in that direction
-//	split     nothing comes through in either
-//	link      Delay, Jittered, Loss, Dup, Reorder and Rate, in that direction
+//	cut       nothing is delivered in that direction
+//	split     nothing is delivered in either direction
+//	link      Delay, Jittered, Loss, Dup, Reorder and Rate apply in that direction
 //	reset     every connection from From to To is reset, once
 //
-// Discovery: disc_down, disc_fail, disc_slow (Delay); disc_dumb, disc_trickle, disc_cut and disc_indent as
-// DiscoveryFault has them; once, disc_mute (open watches fall silent for good) and disc_renumber (it comes back with
-// other sequence numbers, higher ones if Factor is above 1).
+// Kinds that apply to discovery: disc_down, disc_fail, disc_slow (by Delay), disc_dumb, disc_trickle, disc_cut and
+// disc_indent set the fields of DiscoveryFault. Two kinds happen once: disc_mute (open watches send nothing any more)
+// and disc_renumber (discovery restarts with other sequence numbers: higher ones if Factor is above 1, else from 1).
 type Fault struct {
 	Kind   FaultKind     `toml:"kind"`
 	At     time.Duration `toml:"at"`
 	For    time.Duration `toml:"for"`
 	Jitter time.Duration `toml:"jitter"`
 	Target string        `toml:"target"`
-	Pick   int           `toml:"pick"`  // how many of those that match, drawn at random; 0: all
-	Every  time.Duration `toml:"every"` // between one target and the next
+	Pick   int           `toml:"pick"`  // number of matching targets to draw, unless Kind counts others; 0: all
+	Every  time.Duration `toml:"every"` // interval between the starts at two targets
 	From   string        `toml:"from"`
 	To     string        `toml:"to"`
 	Factor float64       `toml:"factor"`
@@ -96,9 +99,9 @@
 	Nodes  bool          `toml:"nodes"`
 	Late   time.Duration `toml:"late"`
 
-	Clients int           `toml:"clients"` // of each target
+	Clients int           `toml:"clients"` // per target
 	Signals []Signal      `toml:"signals"`
-	Gap     time.Duration `toml:"gap"` // between one signal and the next
+	Gap     time.Duration `toml:"gap"` // interval between two signals
 
 	Delay    time.Duration `toml:"delay"`
 	Jittered time.Duration `toml:"jittered"`
@@ -108,7 +111,7 @@
 	Rate     int           `toml:"rate"`
 }
 
-// faultTraits says what a kind of fault applies to, and whether it lasts for a time.
+// faultTraits holds what a kind of fault applies to, and whether it needs a duration (lasts).
 type faultTraits struct{ nodes, servers, zones, link, lasts bool }
 
 // hasTarget reports whether faults of the kind name a Target.
@@ -151,7 +154,7 @@
 	FaultDiscoveryRenumber:     {},
 }
 
-// names lists the parts of the world that a kind of fault can target, in the order of their numbers.
+// names returns the names of the parts that a kind of fault can target, in the order of their numbers.
 func (w *World) names(kind faultTraits) (all []string) {
 	if kind.nodes {
 		for i := range w.Tiers[0].Nodes {
@@ -175,7 +178,7 @@
 	return all
 }
 
-// parts lists all that a link can end at.
+// parts returns the names of all parts that a link can connect.
 func (w *World) parts() []string {
 	all := append(w.names(faultTraits{nodes: true, servers: true}), "discovery")
 	for _, z := range w.Zones {
@@ -198,17 +201,17 @@
 	return matching, nil
 }
 
-// Check returns what is wrong with a fault, as a KeyError whose key starts with prefix.
+// Check validates a fault. It returns a KeyError whose key starts with prefix for the first invalid setting.
 func (f *Fault) Check(w *World, prefix string) error {
 	kind, ok := traitsOfKind[f.Kind]
 	if !ok {
 		return &KeyError{prefix + "kind", fmt.Sprintf("%q is none of %s", f.Kind, knownKinds())}
 	}
 	if f.At < 0 || f.For < 0 || f.Jitter < 0 || f.Every < 0 || f.Gap < 0 {
-		return &KeyError{prefix + "at", "a time is negative"}
+		return &KeyError{prefix + "at", "at, for, jitter, every and gap must not be negative"}
 	}
 	if kind.lasts && f.For == 0 {
-		return &KeyError{prefix + "for", string(f.Kind) + " needs a length"}
+		return &KeyError{prefix + "for", string(f.Kind) + " needs a duration above 0"}
 	}
 	if err := f.checkPatterns(kind, w, prefix); err != nil {
 		return err
@@ -216,7 +219,7 @@
 	return f.checkNumbers(prefix)
 }
 
-// knownKinds lists the kinds of fault, sorted.
+// knownKinds returns the kinds of fault, sorted and separated by commas.
 func knownKinds() string {
 	var kinds []string
 	for kind := range traitsOfKind {
@@ -226,7 +229,7 @@
 	return strings.Join(kinds, ", ")
 }
 
-// checkPatterns checks that the fault's patterns match some parts of the world.
+// checkPatterns checks that each pattern of the fault matches at least one part of the world.
 func (f *Fault) checkPatterns(kind faultTraits, w *World, prefix string) error {
 	patterns := map[string]string{}
 	names := w.parts()
@@ -250,7 +253,7 @@
 	return nil
 }
 
-// checkNumbers checks the fault's shares and factors.
+// checkNumbers checks the fault's shares, factor and signals.
 func (f *Fault) checkNumbers(prefix string) error {
 	shares := map[string]float64{"share": f.Share, "loss": f.Loss, "dup": f.Dup, "reorder": f.Reorder}
 	for key, v := range shares {
@@ -259,10 +262,10 @@
 		}
 	}
 	if f.Kind == FaultSlow && !(f.Factor > 1) {
-		return &KeyError{prefix + "factor", "slow needs one above 1"}
+		return &KeyError{prefix + "factor", "slow needs a factor above 1"}
 	}
 	if f.Kind == FaultSignals && len(f.Signals) == 0 {
-		return &KeyError{prefix + "signals", "signals needs one at least"}
+		return &KeyError{prefix + "signals", "signals needs at least one signal"}
 	}
 	for _, signal := range f.Signals {
 		if _, known := signalNumbers[signal]; !known {
@@ -270,20 +273,20 @@
 		}
 	}
 	if (f.Kind == FaultErrors || f.Kind == FaultCorruptResponses) && f.Share == 0 {
-		return &KeyError{prefix + "share", string(f.Kind) + " needs one above 0"}
+		return &KeyError{prefix + "share", string(f.Kind) + " needs a share above 0"}
 	}
 	return nil
 }
 
-// Step is one beginning or end of a fault, at a drawn time.
+// Step is the beginning or end of a fault at one target, at the time that was drawn for it.
 type Step struct {
-	At     time.Duration // since the load began
+	At     time.Duration // since the start of the schedule
 	Fault  Fault
-	Target string // one part; empty for links and discovery
-	Ends   bool
+	Target string // name of a part; empty for links and discovery
+	Ends   bool   // the step ends the fault
 }
 
-// String names the step as schedules and results print it.
+// String returns the step's name in schedules and results.
 func (s Step) String() string {
 	what := string(s.Fault.Kind)
 	switch {
@@ -298,7 +301,8 @@
 	return what
 }
 
-// Schedule draws the steps of a world's faults. The same world, faults and seed give the same steps.
+// Schedule draws the targets and times of faults and returns their steps, sorted by time. The same world, faults and
+// seed give the same steps.
 func Schedule(w *World, faults []Fault, seed uint64) ([]Step, error) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	var steps []Step
@@ -322,7 +326,7 @@
 	return steps, nil
 }
 
-// drawTargets returns the parts that a fault applies to: one empty name where it names none.
+// drawTargets returns the names of the parts that a fault applies to, or one empty name for a fault without a target.
 func (f *Fault) drawTargets(w *World, r *rand.Rand) ([]string, error) {
 	kind := traitsOfKind[f.Kind]
 	if !kind.hasTarget() {
@@ -332,7 +336,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Pick is a count of something else for these.
+	// For these kinds Pick counts clients or pauses, not targets.
 	countsOther := f.Kind == FaultImproperClients || f.Kind == FaultPause || f.Kind == FaultConnectionFlood
 	picksTargets := !countsOther
 	if picksTargets && f.Pick > 0 && f.Pick < len(targets) {
@@ -342,7 +346,8 @@
 	return targets, nil
 }
 
-// endsByStep reports whether a step of its own ends the fault.
+// endsByStep reports whether the schedule needs a step that ends the fault. Faults of the kinds that are listed
+// here end without one.
 func (f *Fault) endsByStep() bool {
 	switch f.Kind {
 	case FaultDrain, FaultTerminate, FaultPause, FaultSignals, FaultConnectionFlood:
@@ -351,7 +356,7 @@
 	return f.For > 0
 }
 
-// LinksOfFaults returns the link patterns that the faults need a proxy for.
+// LinksOfFaults returns the patterns of the links that need a proxy so that the faults can apply to them.
 func LinksOfFaults(faults []Fault) (links []string) {
 	for _, f := range faults {
 		if f.From != "" {
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// RunSchedule carries out steps at their times, counted from now. It calls report for each step and for each failure,
-// from several goroutines, and returns when the last step is done, or once ctx ends.
+// RunSchedule applies steps at their times, counted from now. It calls report for each step and for each failure, from
+// several goroutines, and returns when all steps are complete or ctx is cancelled.
 func (tb *Testbed) RunSchedule(ctx context.Context, steps []Step, report func(at time.Duration, what string)) {
 	began := tb.now()
 	var running sync.WaitGroup
@@ -20,7 +20,7 @@
 		}
 		report(tb.now()-began, s.String())
 		running.Add(1)
-		go func() { // some steps wait until a node is ready again
+		go func() { // some steps take until a node is ready again
 			defer running.Done()
 			if err := tb.Apply(ctx, s); err != nil && ctx.Err() == nil {
 				report(tb.now()-began, fmt.Sprintf("%s: %v", s, err))
@@ -29,7 +29,7 @@
 	}
 }
 
-// Apply carries out one step now.
+// Apply applies one step now.
 func (tb *Testbed) Apply(ctx context.Context, s Step) error {
 	kind, ok := traitsOfKind[s.Fault.Kind]
 	switch {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// applyNodeFault carries out a step of a fault whose target is a node.
+// applyNodeFault applies a step of a fault whose target is a node.
 func (tb *Testbed) applyNodeFault(ctx context.Context, node *Node, s Step) error {
 	switch s.Fault.Kind {
 	case FaultKill:
@@ -68,7 +68,7 @@
 	case FaultPause:
 		for range max(1, s.Fault.Pick) {
 			if err := node.Pause(s.Fault.For); err != nil || !sleep(ctx, s.Fault.For) {
-				return nil // it has ended meanwhile
+				return nil // the process has exited meanwhile
 			}
 		}
 	case FaultReload:
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// applyServerFault carries out a step of a fault whose target is a server.
+// applyServerFault applies a step of a fault whose target is a server.
 func (tb *Testbed) applyServerFault(ctx context.Context, server *Server, s Step) error {
 	switch s.Fault.Kind {
 	case FaultCrash:
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// serverFaultOf returns the fault that a server has from a step on.
+// serverFaultOf returns the fault that a server is to have after a step.
 func serverFaultOf(s Step) ServerFault {
 	if s.Ends {
 		return ServerFault{}
@@ -122,7 +122,7 @@
 	return fault
 }
 
-// applyDiscoveryFault carries out a step of a fault of discovery.
+// applyDiscoveryFault applies a step of a fault of discovery.
 func (tb *Testbed) applyDiscoveryFault(s Step) {
 	switch s.Fault.Kind {
 	case FaultDiscoveryMute:
@@ -134,7 +134,7 @@
 	}
 }
 
-// discoveryFaultOf returns the fault that discovery has from a step on.
+// discoveryFaultOf returns the fault that discovery is to have after a step.
 func discoveryFaultOf(s Step) DiscoveryFault {
 	if s.Ends {
 		return DiscoveryFault{}
@@ -151,9 +151,9 @@
 	}
 }
 
-var errNoLink = errors.New("no link of the world matches")
+var errNoLink = errors.New("no link with a proxy matches the patterns from and to")
 
-// applyLinkFault carries out a step of a fault whose target is a link.
+// applyLinkFault applies a step of a fault of links.
 func (tb *Testbed) applyLinkFault(s Step) error {
 	f := s.Fault
 	if f.Kind == FaultReset {
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// linkConditionOf returns the condition that a link has from a step on.
+// linkConditionOf returns the condition that a direction of a link is to have after a step.
 func linkConditionOf(s Step) LinkCondition {
 	if s.Ends {
 		return LinkCondition{}
@@ -190,7 +190,7 @@
 	}
 }
 
-// restart starts a node that has ended and waits until it is ready.
+// restart starts a node whose process has exited, and waits until it is ready.
 func (n *Node) restart(ctx context.Context) error {
 	if err := n.Start(); err != nil {
 		return err
@@ -198,7 +198,7 @@
 	return n.Up(ctx)
 }
 
-// revive starts a crashed server again, and lists it once its node is ready.
+// revive starts a crashed server again, and publishes it in discovery once its node is ready.
 func (tb *Testbed) revive(ctx context.Context, s *Server) error {
 	if err := s.restart(); err != nil {
 		return err
@@ -212,7 +212,8 @@
 	return nil
 }
 
-// applyZoneFault makes a whole zone silent, or brings it back in slow start.
+// applyZoneFault makes all servers of a zone silent, or starts them again in slow start. With Fault.Nodes it also
+// stops or restarts the zone's front nodes.
 func (tb *Testbed) applyZoneFault(ctx context.Context, s Step) error {
 	var servers []*Server
 	for _, server := range tb.servers {
@@ -235,7 +236,7 @@
 	return nil
 }
 
-// applyZoneFaultToNodes stops the front nodes of a zone, or starts new processes in their place.
+// applyZoneFaultToNodes stops the front nodes of a zone, or replaces their processes by new ones.
 func (tb *Testbed) applyZoneFaultToNodes(ctx context.Context, s Step) error {
 	for _, n := range tb.front.nodes {
 		if n.zone != s.Target {
@@ -251,23 +252,23 @@
 		if err := n.Start(); err != nil {
 			return err
 		}
-		tb.goOwned(func() { _ = n.Up(ctx) }) // one that does not come up stays out of the front
+		tb.goOwned(func() { _ = n.Up(ctx) }) // a node that does not become ready gets no clients
 	}
 	return nil
 }
 
-// loseServer makes a server and its node vanish; discovery drops the server late.
+// loseServer makes a server silent and stops its node. Discovery removes the server after late plus its own delay.
 func (tb *Testbed) loseServer(server *Server, late time.Duration) {
 	server.setSilent(true)
 	if server.node != nil {
-		_ = server.node.Stop() // fails where it has ended
+		_ = server.node.Stop() // fails if its process has exited
 	}
 	removed := server.entry()
 	removed.Health = healthRemoved
 	tb.disc.publish(server.tier, removed, late+tb.disc.late)
 }
 
-// restoreZone starts the servers of a zone again, all at once.
+// restoreZone restarts the servers of a zone concurrently, and waits until all have been started.
 func (tb *Testbed) restoreZone(ctx context.Context, servers []*Server) {
 	var restarts sync.WaitGroup
 	for _, server := range servers {
@@ -275,7 +276,7 @@
 		go func() {
 			defer restarts.Done()
 			server.crash()
-			_ = tb.revive(ctx, server) // a node that does not come back is a finding of its own
+			_ = tb.revive(ctx, server) // if its node fails to start, that is reported as a separate finding
 		}()
 	}
 	restarts.Wait()
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// gateMode is how a listener treats new connections.
+// gateMode is how a gate treats new connections.
 type gateMode int
 
 const (
 	gateOpen   gateMode = iota
-	gateRefuse          // as of a dead process: connections are refused at once
-	gateSilent          // as of a vanished machine: connections never come up, and open ones are silent
+	gateRefuse          // as after the exit of a process: connections are refused at once
+	gateSilent          // as if the machine had vanished: connection attempts time out, and open connections are silent
 )
 
-const backlog = 512
+const backlog = 512 // length of the accept queue while the gate is open
 
-// gate is a listener that can refuse connections or fall silent, and come back at the same address. Silence is made
-// by a full accept queue: the kernel then drops connection requests, so that they neither come up nor fail.
+// gate is a listener that can refuse connections or fall silent, and open again at the same address. While it is silent
+// its accept queue is full: the kernel then drops SYN packets, so that connection attempts neither succeed nor fail.
 type gate struct {
 	addr     string
 	accepted chan net.Conn
 	done     chan struct{}
-	owned    sync.WaitGroup
+	owned    sync.WaitGroup // goroutines that Close waits for
 
 	mu       sync.Mutex
 	mode     gateMode
-	listener *net.TCPListener // nil while refusing
-	fillers  map[string]net.Conn
+	listener *net.TCPListener    // nil while refusing
+	fillers  map[string]net.Conn // connections that fill the accept queue, by their local address
 	conns    map[*gatedConn]struct{}
 	thawed   chan struct{} // closed while not silent
 }
 
-// newGate opens a gate; port 0 picks one, kept from then on.
+// newGate opens a gate. With port 0 the kernel picks a port, which the gate then keeps.
 func newGate(addr string) (*gate, error) {
 	g := &gate{addr: addr, accepted: make(chan net.Conn), done: make(chan struct{}), fillers: map[string]net.Conn{},
 		conns: map[*gatedConn]struct{}{}, thawed: make(chan struct{})}
@@ -47,6 +47,7 @@
 	return g, nil
 }
 
+// listen opens the listener and starts to accept connections; g.mu is held, or the gate is new.
 func (g *gate) listen() error {
 	listener, err := net.Listen("tcp", g.addr)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// take accepts until its listener is closed.
+// take accepts connections until the listener is closed, and passes them to Accept.
 func (g *gate) take(listener *net.TCPListener) {
 	defer g.owned.Done()
 	for {
@@ -66,7 +67,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // silent, or out of descriptors for a moment
+		if err != nil { // the deadline of a silent gate, or no file descriptor is free for now
 			g.mu.Lock()
 			thawed := g.thawed
 			g.mu.Unlock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// set changes the mode. It returns once the new mode is in force.
+// set changes the mode, and returns once the new mode is in effect.
 func (g *gate) set(mode gateMode) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,7 +136,7 @@
 		}
 		_ = g.listener.SetDeadline(time.Now())
 		setBacklog(g.listener, 0)
-		for range 4 { // a queue of length 0 holds one
+		for range 4 { // an accept queue of length 0 still holds one connection
 			c, err := net.DialTimeout("tcp", g.addr, 10*time.Millisecond)
 			if err != nil {
 				break
@@ -146,6 +147,7 @@
 	return nil
 }
 
+// setBacklog sets the length of the accept queue of an open listener.
 func setBacklog(listener *net.TCPListener, n int) {
 	raw, err := listener.SyscallConn()
 	if err != nil {
@@ -154,10 +156,10 @@
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) }) // fails only on a closed listener
 }
 
-// refuse rejects new connections; open ones stay.
-func (g *gate) refuse() { _ = g.set(gateRefuse) } // fails only at the testbed's end
+// refuse makes the gate refuse new connections; open ones stay.
+func (g *gate) refuse() { _ = g.set(gateRefuse) } // fails only if the gate is closed
 
-// reset ends all open connections by a reset.
+// reset resets all open connections.
 func (g *gate) reset() {
 	g.mu.Lock()
 	var all []*gatedConn
@@ -172,7 +174,7 @@
 
 var _ net.Listener = (*gate)(nil)
 
-// Accept waits for the next connection; the gate's end is net.ErrClosed.
+// Accept waits for the next connection. It returns net.ErrClosed once the gate is closed.
 func (g *gate) Accept() (net.Conn, error) {
 	select {
 	case c := <-g.accepted:
@@ -182,7 +184,7 @@
 	}
 }
 
-// Close ends the gate and resets its connections. It never fails.
+// Close closes the gate and resets its connections. It never fails.
 func (g *gate) Close() error {
 	g.mu.Lock()
 	select {
@@ -210,7 +212,7 @@
 	return a
 }
 
-// gatedConn neither reads nor writes while its gate is silent.
+// gatedConn is an accepted connection of a gate. Its reads and writes block while the gate is silent.
 type gatedConn struct {
 	net.Conn
 	gate   *gate
@@ -218,6 +220,7 @@
 	closed chan struct{}
 }
 
+// hold waits while the gate is silent. It returns net.ErrClosed if the connection is closed meanwhile.
 func (c *gatedConn) hold() error {
 	c.gate.mu.Lock()
 	thawed := c.gate.thawed
@@ -250,7 +253,8 @@
 	return c.Conn.Write(p)
 }
 
-// Close of a silent connection does not reach the peer before the silence ends.
+// Close closes the connection. While the gate is silent the peer does not notice: the socket is closed once the silence
+// ends or the gate is closed.
 func (c *gatedConn) Close() (err error) {
 	c.once.Do(func() {
 		close(c.closed)
@@ -276,12 +280,13 @@
 	return err
 }
 
+// reset closes the connection so that the peer sees a reset.
 func (c *gatedConn) reset() {
 	reset(c.Conn)
 	closeQuietly(c)
 }
 
-// reset ends a connection so that the peer sees a reset.
+// reset closes a connection so that the peer sees a reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // fails only on a closed connection
--- a/internal/testbed/gate_test.go
+++ b/internal/testbed/gate_test.go
@@ -15,6 +15,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
+// A gate that refuses connections or is silent must look like a dead process or a vanished machine. Guards against a
+// gate that does not, that loses its address, or that hands out one of the connections that filled its accept queue.
 func TestGateRefusesAndComesBackAtItsAddress(t *testing.T) {
 	g, err := newGate("127.0.0.1:0")
 	if err != nil {
@@ -31,7 +33,7 @@
 				closeQuietly(c)
 			}
 			if !isExpected(err) {
-				t.Errorf("mode %d: %v", mode, err)
+				t.Errorf("connection to a gate in mode %d: got error %v, want the one of this mode", mode, err)
 			}
 		}
 		if err := g.set(gateOpen); err != nil {
@@ -43,7 +45,7 @@
 			t.Fatal(err)
 		}
 		if server.RemoteAddr().String() != client.LocalAddr().String() {
-			t.Errorf("accepted %v, want %v", server.RemoteAddr(), client.LocalAddr())
+			t.Errorf("accepted a connection from %v, want the one from %v", server.RemoteAddr(), client.LocalAddr())
 		}
 	}
 }
--- a/internal/testbed/link_condition.go
+++ b/internal/testbed/link_condition.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-const tcpRetransmission = 200 * time.Millisecond // what the loss of a piece costs on TCP
+const tcpRetransmission = 200 * time.Millisecond // added delay of a piece that is lost on TCP
 
-// LinkCondition is the condition of one direction between two parts of the world. The zero value disturbs nothing.
+// LinkCondition is the condition of one direction between two parts of the world. The zero value has no effect.
 type LinkCondition struct {
 	Delay   time.Duration
-	Jitter  time.Duration // added, drawn evenly from 0
-	Loss    float64       // share of datagrams; on TCP a lost piece comes late by a retransmission
-	Dup     float64       // share of datagrams that come twice
-	Reorder float64       // share of datagrams that come after the next
-	Rate    int           // bytes a second on a connection, in small pieces; 0: no limit
-	Cut     bool          // nothing comes through, without an error
+	Jitter  time.Duration // largest additional delay; drawn uniformly from 0
+	Loss    float64       // share of lost datagrams; on TCP a lost piece is delayed by a retransmission
+	Dup     float64       // share of datagrams that are delivered twice
+	Reorder float64       // share of datagrams that are delivered after the next one
+	Rate    int           // bytes per second of a connection, sent in small pieces; 0: no limit
+	Cut     bool          // nothing is delivered, and no error is seen
 }
 
-// direction is one direction. Its condition can change at any time.
+// direction is one direction of the traffic between two parts. Its condition can change at any time.
 type direction struct {
 	mu      sync.Mutex
 	cond    LinkCondition
-	changed chan struct{} // closed at the next change
+	changed chan struct{} // closed when the condition is set next
 	plain   atomic.Bool   // the condition is zero
 }
 
@@ -43,13 +43,14 @@
 	d.changed = make(chan struct{})
 }
 
+// get returns the condition, and a channel that is closed when it is set next.
 func (d *direction) get() (LinkCondition, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cond, d.changed
 }
 
-// open waits while the direction is cut; it returns false once done closes.
+// open waits until the direction is not cut. It returns false if done is closed first.
 func (d *direction) open(done <-chan struct{}) bool {
 	for !d.plain.Load() {
 		c, changed := d.get()
@@ -65,7 +66,8 @@
 	return true
 }
 
-// due returns when a piece that is sent now comes through, no earlier than the one before it.
+// due returns when a piece of size bytes that is sent now is delivered, no earlier than before, the delivery time of
+// the previous piece.
 func (d *direction) due(now, before time.Time, size int) time.Time {
 	if d.plain.Load() {
 		return before
@@ -87,7 +89,7 @@
 	return at
 }
 
-// sleepUntil waits until a time; it returns false once done closes.
+// sleepUntil waits until t. It returns false if done is closed first.
 func sleepUntil(t time.Time, done <-chan struct{}) bool {
 	wait := time.Until(t)
 	if wait <= 0 {
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -35,7 +35,7 @@
 	return ln.Addr().String()
 }
 
-// newLink returns a link to an echoing server, and its direction back.
+// newLink returns a link to an echo server, and the link's direction from the server to the client.
 func newLink(t *testing.T) (l *tcpLink, back *direction) {
 	t.Helper()
 	back = newDirection()
@@ -47,6 +47,7 @@
 	return l, back
 }
 
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", addr, 5*time.Second)
@@ -57,11 +58,13 @@
 	return c
 }
 
+// A reset of a link while data is on its way must reach the client as a reset, not as a clean end, and the link must
+// take new connections afterwards.
 func TestLinkResetInMidBody(t *testing.T) {
 	l, back := newLink(t)
 	c := dial(t, l.gate.addr)
 	back.set(LinkCondition{Rate: 100_000})
-	// It is accepted at once; at that rate its echo takes a second.
+	// The write completes at once; at this rate the echo takes 1 s.
 	if _, err := c.Write(make([]byte, 100_000)); err != nil {
 		t.Fatal(err)
 	}
@@ -70,17 +73,18 @@
 	}
 	l.gate.reset()
 	if _, err := io.Copy(io.Discard, c); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the reader got %v, want a reset", err)
+		t.Errorf("read after a reset of the link: got error %v, want a connection reset", err)
 	}
 	back.set(LinkCondition{})
 	c = dial(t, l.gate.addr)
 	writeText(t, c, "hello")
 	if _, err := io.ReadFull(c, make([]byte, 5)); err != nil {
-		t.Errorf("after the reset: %v", err)
+		t.Errorf("echo on a new connection after the reset: %v", err)
 	}
 }
 
-// A cut in one direction holds back only that direction, new connections do not come up, and all continues after it.
+// A cut in one direction must hold back only that direction, without an error, and block new connections. After the cut
+// the held data must be delivered and new connections must succeed.
 func TestLinkCutOneWay(t *testing.T) {
 	l, back := newLink(t)
 	c := dial(t, l.gate.addr)
@@ -89,23 +93,24 @@
 	writeText(t, c, "hello")
 	check(t, c.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
 	if n, err := c.Read(make([]byte, 5)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%d bytes and %v came through the cut", n, err)
+		t.Errorf("read through the cut: got %d bytes and error %v, want 0 bytes and a time-out", n, err)
 	}
 	if c, err := net.DialTimeout("tcp", l.gate.addr, 100*time.Millisecond); err == nil {
 		c.Close()
-		t.Error("a connection came up through the cut")
+		t.Error("a connection was established through the cut")
 	}
 	back.set(LinkCondition{})
 	l.conditionsChanged()
 	check(t, c.SetReadDeadline(time.Now().Add(longEnough)))
 	got := make([]byte, 5)
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "hello" {
-		t.Errorf("after the cut: %q, %v", got, err)
+		t.Errorf("echo after the cut: got %q and error %v, want \"hello\"", got, err)
 	}
 	dial(t, l.gate.addr)
 }
 
-// Of 4,000 datagrams as many are lost, doubled and out of order as the condition says, within five deviations.
+// Of 4,000 datagrams the shares that are lost and duplicated must match the condition within five standard deviations,
+// and at least a third of those to be reordered must arrive out of order.
 func TestUDPLinkLosesDoublesAndReorders(t *testing.T) {
 	const n, loss, dup, reorder = 4000, 0.2, 0.1, 0.1
 	server, client, there := newUDPTestLink(t)
@@ -121,17 +126,17 @@
 	checkShare := func(what string, got int, p float64) {
 		t.Helper()
 		if d := 5 * math.Sqrt(n*p*(1-p)); math.Abs(float64(got)-n*p) > d {
-			t.Errorf("%s: %d of %d, want %.0f within %.0f", what, got, n, n*p, d)
+			t.Errorf("%s: %d of %d datagrams, want %.0f with a tolerance of %.0f", what, got, n, n*p, d)
 		}
 	}
 	checkShare("lost", n-len(seen.received), loss)
-	checkShare("doubled", seen.doubled, dup*(1-loss)*(1-reorder/2)) // a reordered one is not doubled
+	checkShare("doubled", seen.doubled, dup*(1-loss)*(1-reorder/2)) // a reordered datagram is not duplicated
 	if float64(seen.outOfOrder) < n*reorder*(1-loss)/3 {
-		t.Errorf("%d out of order", seen.outOfOrder)
+		t.Errorf("%d datagrams arrived out of order, fewer than a third of those to be reordered", seen.outOfOrder)
 	}
 }
 
-// newUDPTestLink returns the two ends of a UDP link, and its direction to the server.
+// newUDPTestLink returns the sockets at both ends of a UDP link, and the direction from the client to the server.
 func newUDPTestLink(t *testing.T) (server *net.UDPConn, client net.Conn, there *direction) {
 	t.Helper()
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -153,7 +158,7 @@
 	return server, client, there
 }
 
-// exchangePingPong sends one datagram through a link and one back.
+// exchangePingPong sends one datagram through a link and one back, and checks that both arrive.
 func exchangePingPong(t *testing.T, client net.Conn, server *net.UDPConn) {
 	t.Helper()
 	buf := make([]byte, 100)
@@ -168,16 +173,16 @@
 	}
 	check(t, client.SetReadDeadline(time.Now().Add(longEnough)))
 	if k, err := client.Read(buf); err != nil || string(buf[:k]) != "pong" {
-		t.Fatalf("back came %q, %v", buf[:k], err)
+		t.Fatalf("reply through the link: got %q and error %v, want \"pong\"", buf[:k], err)
 	}
 }
 
-// datagramCounts counts numbered datagrams as they come.
+// datagramCounts counts the datagrams that arrive; each carries its number.
 type datagramCounts struct {
-	received   map[int]int // by number
+	received   map[int]int // arrivals by number
 	doubled    int
 	outOfOrder int
-	last       int // the highest number so far
+	last       int // highest number so far
 }
 
 // readAll reads datagrams until none has come for 2 ms.
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// directionLocked returns the direction from one part to another; tb.mu is held.
+// directionLocked returns the direction from one part to another, and creates it at the first call; tb.mu is held.
 func (tb *Testbed) directionLocked(from, to string) *direction {
 	key := from + "->" + to
 	if tb.directions[key] == nil {
@@ -14,7 +14,8 @@
 	return tb.directions[key]
 }
 
-// linked reports whether a link is to have a proxy.
+// linked reports whether the link between two parts has a proxy, by the patterns of World.Links. A pattern applies to
+// both orders of the parts.
 func (tb *Testbed) linked(from, to string) bool {
 	for _, p := range tb.world.Links {
 		a, b, _ := strings.Cut(p, "->")
@@ -25,12 +26,14 @@
 	return false
 }
 
+// matches reports whether a path pattern matches a name.
 func matches(pattern, name string) bool {
-	ok, _ := path.Match(pattern, name) // patterns were checked
+	ok, _ := path.Match(pattern, name) // World.Fill and Fault.Check reject invalid patterns
 	return ok
 }
 
-// linkAddr is the address at which one part dials another, whose own address is target.
+// linkAddr returns the address at which one part dials another: that of the proxy if the link has one, else target, the
+// address of the other part. It starts the proxy at the first call.
 func (tb *Testbed) linkAddr(from, to, target string) string {
 	if !tb.linked(from, to) {
 		return target
@@ -41,22 +44,24 @@
 	if tb.tcpLinks[key] == nil {
 		link, err := newTCPLink(tb.linkIP()+":0", target, tb.directionLocked(from, to), tb.directionLocked(to, from))
 		if err != nil {
-			return target // out of ports or descriptors: a fault of the link then reports that there is none
+			return target // no free port or file descriptor: a fault of this link then fails with errNoLink
 		}
 		tb.tcpLinks[key] = link
 	}
 	return tb.tcpLinks[key].gate.addr
 }
 
+// nodeAddr returns the address at which a part dials a node.
 func (tb *Testbed) nodeAddr(from string, n *Node) string {
 	return tb.linkAddr(from, n.name, n.Listen())
 }
 
+// serverAddr returns the address at which a node dials a server.
 func (tb *Testbed) serverAddr(n *Node, name string) string {
 	return tb.linkAddr(n.name, name, tb.servers[name].gate.addr)
 }
 
-// linksTo makes all links to a part treat new connections as the part does.
+// linksTo sets how the links to a part treat new connections, so that their proxies refuse them when the part does.
 func (tb *Testbed) linksTo(name string, mode gateMode) {
 	tb.mu.Lock()
 	var to []*tcpLink
@@ -71,8 +76,8 @@
 	}
 }
 
-// SetLink changes the direction from one part to another, both path patterns as in "n*" or "rooms-?", on every link of
-// the world that has a proxy. It returns how many directions that were.
+// SetLink sets the condition of the directions from one part to another on all links that have a proxy; from and to are
+// path patterns such as "n*" or "rooms-?". It returns the number of directions that were set.
 func (tb *Testbed) SetLink(from, to string, c LinkCondition) (n int) {
 	tb.mu.Lock()
 	touched := map[string]*direction{}
@@ -106,7 +111,8 @@
 	return len(touched)
 }
 
-// ResetLink resets every connection on the links from one part to another.
+// ResetLink resets all connections on the links from one part to another, both path patterns. It returns the number of
+// links.
 func (tb *Testbed) ResetLink(from, to string) (n int) {
 	tb.mu.Lock()
 	var hit []*tcpLink
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -19,40 +19,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is one node process, or the address and name under which processes start one after another.
+// Node is one node of the load balancer: a name and address under which one process runs at a time. It stays the same
+// when its process is restarted.
 type Node struct {
 	name, zone     string
-	configuredName string // the name in the process's configuration; another node's where two share one
+	configuredName string // name in the process's configuration; that of another node if a scenario gives two nodes one name
 	tier           int
 	index          int
 	testbed        *Testbed
 	address        string
-	discovery      string
+	discovery      string // address of discovery, or of its proxy
 	process        *process
-	starts         int
-	paused         atomic.Bool
-	wasReady       atomic.Bool // the present process has been
+	starts         int         // number of starts of the process
+	paused         atomic.Bool // the testbed has ever stopped or paused a process of the node
+	wasReady       atomic.Bool // the present process has been ready
 }
 
-// Name is the node's name, the same after a restart.
+// Name returns the node's name, which stays the same after a restart.
 func (n *Node) Name() string { return n.name }
 
-// Listen is the address at which clients connect.
+// Listen returns the address to which clients connect.
 func (n *Node) Listen() string { return net.JoinHostPort(n.address, "5000") }
 
-// Control is the address of the admin endpoint.
+// Control returns the address of the admin endpoint.
 func (n *Node) Control() string { return net.JoinHostPort(n.address, "5001") }
 
-// Log is the file that holds the output of the process, through all its starts.
+// Log returns the path of the file with the output of the process, over all its starts.
 func (n *Node) Log() string { return n.process.logPath() }
 
-// NodeOf names the node that belongs to a server and calls the next tier for it.
+// NodeOf returns the name of the node that belongs to a server and sends the server's requests to the next tier.
 func NodeOf(server string) string { return "n@" + server }
 
+// newNode adds a node and its directory to the testbed, and opens its address of discovery. It does not start the
+// process.
 func (tb *Testbed) newNode(name, zone string, tier, index int) (*Node, error) {
 	i := len(tb.nodeOrder)
 	if i >= maxNodes {
-		return nil, fmt.Errorf("more than %d nodes", maxNodes)
+		return nil, fmt.Errorf("the testbed supports at most %d nodes", maxNodes)
 	}
 	n := &Node{
 		name:           name,
@@ -84,7 +87,7 @@
 	return n, nil
 }
 
-// command returns the command that starts a process in the node's place.
+// command returns the command that starts the node's process, under the shim if the world has a shim spec for the node.
 func (n *Node) command() *exec.Cmd {
 	w := &n.testbed.world
 	dir := n.process.dir
@@ -108,22 +111,22 @@
 	return c
 }
 
-// shimEnv is where a shim finds its spec, as JSON.
+// shimEnv is the environment variable that holds a shim's spec as JSON.
 const shimEnv = "SHIM_SPEC"
 
-// shimSpec returns the shim's spec with a seed that differs for each start of the process, and a log.
+// shimSpec returns the JSON of a shim's spec, with log paths and a seed that differs for each start of the process.
 func (n *Node) shimSpec(spec shim.Spec) string {
 	spec.Seed += uint64(n.starts)
 	spec.Log = filepath.Join(n.process.dir, "faults.log")
 	spec.LoadLog = n.tracerLog()
 	text, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // cannot happen: the values are plain data
 	}
 	return string(text)
 }
 
-// RunShim runs a program under the shim whose spec is in the environment, and returns its exit code.
+// RunShim runs a program under the shim with the spec from the environment, and returns the program's exit code.
 func RunShim(path string, args []string) (int, error) {
 	var spec shim.Spec
 	if err := json.Unmarshal([]byte(os.Getenv(shimEnv)), &spec); err != nil {
@@ -132,12 +135,13 @@
 	return shim.Run(spec, path, args)
 }
 
-// configure writes the node's configuration as the platform does.
+// configure counts a start and writes the node's configuration, as the platform does before each start.
 func (n *Node) configure() error {
 	n.starts++
 	return n.writeConfig()
 }
 
+// writeConfig writes the node's fleet file and config.json.
 func (n *Node) writeConfig() error {
 	w := &n.testbed.world
 	path, err := n.testbed.writeFleet(n)
@@ -160,12 +164,12 @@
 		"settings": w.settings(n.tier, n.index, n.zone),
 	})
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // cannot happen: the values are plain data
 	}
 	return os.WriteFile(filepath.Join(n.process.dir, "config.json"), text, 0o600)
 }
 
-// Start starts the process; it must not be running, and its address must be free.
+// Start starts the process. It returns an error if the process is running or the node's address is in use.
 func (n *Node) Start() error {
 	listener, err := net.Listen("tcp", n.Listen())
 	if err != nil {
@@ -180,28 +184,28 @@
 	return n.process.start()
 }
 
-// Kill ends the process at once, with SIGKILL.
+// Kill kills the process with SIGKILL and waits for its exit.
 func (n *Node) Kill() {
 	n.testbed.intervals.begin(n.name, n.testbed.now())
 	n.process.kill()
 }
 
-// Running reports that there is a process in the node's place.
+// Running reports whether the node's process is running.
 func (n *Node) Running() bool {
 	running, _ := n.process.running()
 	return running
 }
 
-// Starts is how often the process was started.
+// Starts returns how often the process was started.
 func (n *Node) Starts() int { return n.starts }
 
-// Paused reports that the testbed has stopped the process for a moment, or for longer.
+// Paused reports whether the testbed has ever stopped or paused a process of the node.
 func (n *Node) Paused() bool { return n.paused.Load() }
 
-const oldDiscoveryFor = 1500 * time.Millisecond // from a move to the end of the connections at the old address
+const oldDiscoveryFor = 1500 * time.Millisecond // from a move to the reset of the connections to the old address
 
-// Reload moves the node's discovery to another address, writes that into its configuration and sends SIGHUP. The old
-// address takes no new connection, and ends those that it has a moment later.
+// Reload moves the node's discovery to another address, writes the address to the node's configuration and sends
+// SIGHUP. The old address refuses new connections at once, and resets its open ones after oldDiscoveryFor.
 func (n *Node) Reload() error {
 	before := n.testbed.disc.gateOf(n)
 	addr, err := n.testbed.disc.serve(n)
@@ -217,7 +221,8 @@
 	return n.process.signal(syscall.SIGHUP)
 }
 
-// Pause stops the process for a moment, as a busy machine may. Nothing that it does then is excused by that.
+// Pause stops the process for d and continues it, as a busy machine may. Unlike Stop it excuses no request that the
+// node loses.
 func (n *Node) Pause(d time.Duration) error {
 	n.paused.Store(true)
 	n.testbed.intervals.begin(pausedPart(n.name), n.testbed.now())
@@ -229,34 +234,34 @@
 	return n.process.signal(syscall.SIGCONT)
 }
 
-// pausedPart names the intervals in which a node was paused.
+// pausedPart returns the key of the intervals in which a node was paused.
 func pausedPart(node string) string { return "held up " + node }
 
-// Stop halts the process with SIGSTOP, and Continue lets it go on.
+// Stop stops the process with SIGSTOP. Requests that it loses until Continue are excused.
 func (n *Node) Stop() error {
 	n.paused.Store(true)
 	n.testbed.intervals.begin(n.name, n.testbed.now())
 	return n.process.signal(syscall.SIGSTOP)
 }
 
-// Continue ends a Stop.
+// Continue continues the process after Stop, with SIGCONT.
 func (n *Node) Continue() error {
 	err := n.process.signal(syscall.SIGCONT)
 	n.testbed.intervals.end(n.name, n.testbed.now())
 	return err
 }
 
-// Usage returns the resources that the process uses now.
+// Usage returns the resources that the process uses.
 func (n *Node) Usage() Usage { return n.process.usage() }
 
-// Ready asks the node whether clients may come.
+// Ready reports whether the node says that it is ready for clients.
 func (n *Node) Ready(ctx context.Context) bool {
 	yes, _ := checkReady(ctx, readinessClient, n.Listen())
 	return yes
 }
 
-// ended handles each end of the process. One that ended by itself after SIGTERM must have answered all that it
-// accepted, so that its end excuses nothing.
+// ended is called at each exit of the process; crash is empty if the exit was expected. A process that
+// exits cleanly must have answered all requests that it accepted, so only other exits excuse lost requests.
 func (n *Node) ended(crash string, clean bool) {
 	n.testbed.linksTo(n.name, gateRefuse)
 	select {
@@ -272,7 +277,8 @@
 	}
 }
 
-// Up waits until the process answers that clients may come; the front may take a moment longer.
+// Up waits until the process says that it is ready for clients, for World.Ready at most. The front may send clients a
+// moment later.
 func (n *Node) Up(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, n.testbed.world.Ready)
 	defer cancel()
@@ -286,13 +292,13 @@
 		}
 		if running, _ := n.process.running(); !running {
 			look.Stop()
-			return fmt.Errorf("%s ended before it was ready; it logged: %s", n.name, n.process.tail(2))
+			return fmt.Errorf("the process of %s exited before it was ready; end of its log: %s", n.name, n.process.tail(2))
 		}
 		select {
 		case <-look.C:
 		case <-ctx.Done():
 			look.Stop()
-			return fmt.Errorf("%s never became ready at %s; it logged: %s", n.name, n.Listen(), n.process.tail(2))
+			return fmt.Errorf("%s never became ready at %s; end of its log: %s", n.name, n.Listen(), n.process.tail(2))
 		}
 	}
 }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -15,8 +15,9 @@
 	"time"
 )
 
-// spawner starts children from one thread that lives as long as it does, since the kernel kills them when that thread
-// ends: no child outlives the testbed, however the testbed ends.
+// spawner starts all child processes from one thread that lives as long as the spawner. The children have a parent
+// death signal, which the kernel sends when the thread that started them exits: no child outlives the testbed, even if
+// the testbed is killed.
 type spawner struct {
 	jobs chan func()
 	done chan struct{}
@@ -25,7 +26,7 @@
 func newSpawner() *spawner {
 	s := &spawner{jobs: make(chan func()), done: make(chan struct{})}
 	go func() {
-		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
+		runtime.LockOSThread() // never unlocked, so that the thread exits with the goroutine
 		for {
 			select {
 			case f := <-s.jobs:
@@ -38,6 +39,7 @@
 	return s
 }
 
+// start starts a command in a process group of its own.
 func (s *spawner) start(c *exec.Cmd) error {
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	started := make(chan error, 1)
@@ -49,25 +51,26 @@
 	}
 }
 
-// process is one program that can be started again under its name. Its output goes to a file in its folder.
+// process is a program that can be started repeatedly under one name. The output of all runs goes to a log file in dir.
 type process struct {
 	name, dir string
 	spawner   *spawner
 	command   func() *exec.Cmd
-	// called at each end; crash is empty where the testbed ended it, clean is true after SIGTERM alone
+	// called at each exit; crash describes an exit that the testbed did not cause, else it is empty; clean is true after
+	// exit status 0 without SIGKILL
 	ended func(crash string, clean bool)
 
 	mu          sync.Mutex
-	cmd         *exec.Cmd // nil: not running
-	endExpected bool      // the testbed ends it
-	killed      bool      // by SIGKILL
-	stopped     bool
-	startedAt   time.Time     // of the present run
-	exited      chan struct{} // closed at its end
-	pastCPU     time.Duration // processor time of earlier runs
+	cmd         *exec.Cmd     // nil: not running
+	endExpected bool          // the testbed has sent SIGTERM or SIGKILL
+	killed      bool          // the testbed has sent SIGKILL
+	stopped     bool          // by SIGSTOP
+	startedAt   time.Time     // start of the present run
+	exited      chan struct{} // closed after the exit of the present run
+	pastCPU     time.Duration // CPU time of earlier runs
 }
 
-// start runs the program; it must not be running.
+// start starts the program. It returns an error if the program is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	defer out.Close() // the child has its own
+	defer out.Close() // the child has its own descriptor
 	c := p.command()
 	c.Stdout, c.Stderr = out, out
 	if err := p.spawner.start(c); err != nil {
@@ -90,7 +93,7 @@
 	return nil
 }
 
-// wait ends with the program.
+// wait waits for the exit of the program, and reports it.
 func (p *process) wait(c *exec.Cmd, exited chan struct{}) {
 	err := c.Wait()
 	p.mu.Lock()
@@ -108,6 +111,7 @@
 	close(exited)
 }
 
+// errOr returns the text of err, or without if err is nil.
 func errOr(err error, without string) string {
 	if err == nil {
 		return without
@@ -117,7 +121,7 @@
 
 func (p *process) logPath() string { return filepath.Join(p.dir, p.name+".log") }
 
-// tail returns the last lines of the log.
+// tail returns the last lines of the log, of its last 4 KiB at most.
 func (p *process) tail(lines int) string {
 	const maxTail = 4 << 10
 	f, err := os.Open(p.logPath())
@@ -126,7 +130,7 @@
 	}
 	defer f.Close()
 	if at, err := f.Seek(0, 2); err == nil {
-		_, _ = f.Seek(max(0, at-maxTail), 0) // else the log's beginning is shown
+		_, _ = f.Seek(max(0, at-maxTail), 0) // on an error the text is from the start of the log
 	}
 	text := make([]byte, maxTail)
 	n, _ := f.Read(text)
@@ -134,7 +138,7 @@
 	return strings.Join(all[max(0, len(all)-lines):], " | ")
 }
 
-// signal sends a signal. After SIGKILL and SIGTERM its end is expected.
+// signal sends a signal to the program, whose exit counts as expected after SIGKILL and SIGTERM.
 func (p *process) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,14 +158,15 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// running reports whether it runs, and returns a channel that closes at its end.
+// running reports whether the program is running, and returns a channel that is closed after its exit. The channel is
+// nil before the first start.
 func (p *process) running() (bool, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil, p.exited
 }
 
-// uptime is how long it has been running; 0: it is not.
+// uptime returns how long the program has been running, or 0 if it is not running.
 func (p *process) uptime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,24 +176,25 @@
 	return time.Since(p.startedAt)
 }
 
-// kill ends it at once and waits for its end.
+// kill sends SIGKILL and waits for the exit.
 func (p *process) kill() {
-	_ = p.signal(syscall.SIGKILL) // fails only where it has ended
+	_ = p.signal(syscall.SIGKILL) // fails only if it has exited
 	if _, exited := p.running(); exited != nil {
 		<-exited
 	}
 }
 
-// Usage is the resources that a process uses.
+// Usage holds the resources that a process uses.
 type Usage struct {
-	CPU   time.Duration // user and system time since its first start
-	RSS   int64         // bytes resident
-	Files int           // descriptors open
+	CPU   time.Duration // user and system time, of all runs
+	RSS   int64         // resident memory in bytes
+	Files int           // open file descriptors
 }
 
 const ticksPerSecond = 100 // USER_HZ on every Linux that Go runs on
 
-// usage reads /proc; a process that is not running has only its past CPU time.
+// usage returns the resources that the program uses, from /proc. Without a running process it has only the CPU time of
+// earlier runs.
 func (p *process) usage() (u Usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,7 +204,7 @@
 	}
 	folder := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	if text, err := os.ReadFile(folder + "stat"); err == nil {
-		if end := bytes.LastIndexByte(text, ')'); end >= 0 { // the name before it may hold anything
+		if end := bytes.LastIndexByte(text, ')'); end >= 0 { // the program name before it may contain blanks and parentheses
 			if f := strings.Fields(string(text[end+1:])); len(f) > 21 {
 				user, _ := strconv.ParseInt(f[11], 10, 64)
 				system, _ := strconv.ParseInt(f[12], 10, 64)
--- a/internal/testbed/signals.go
+++ b/internal/testbed/signals.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Signal is a signal to a node's process; its values are words of the experiment files.
+// Signal is a signal to a node's process, as experiment files name it.
 type Signal string
 
-// The signals.
+// The signals that a fault can send.
 const (
 	SignalTerminate Signal = "term"
-	SignalReload    Signal = "hup" // with a new configuration
+	SignalReload    Signal = "hup" // sent after a new configuration was written
 	SignalStop      Signal = "stop"
 	SignalContinue  Signal = "cont"
 )
@@ -24,14 +24,15 @@
 	SignalContinue:  syscall.SIGCONT,
 }
 
-// The platform's times of a restart.
+// The limits that the platform keeps at a restart or reload.
 const (
-	maxDeadlineBeforeKill = 3 * time.Second
-	killGrace             = 700 * time.Millisecond // between SIGTERM and SIGKILL, on top of the longest deadline
-	minUptimeForReload    = time.Second            // no SIGHUP comes before
+	maxDeadlineBeforeKill = 3 * time.Second        // the platform waits no longer for requests with a longer deadline
+	killGrace             = 700 * time.Millisecond // from SIGTERM to SIGKILL, in addition to the longest deadline
+	minUptimeForReload    = time.Second            // no SIGHUP is sent to a younger process
 )
 
-// killDelay is how soon after SIGTERM the platform may kill a node: the earliest that it promises.
+// killDelay returns the shortest time from SIGTERM to SIGKILL that the platform promises: the longest deadline, but at
+// most maxDeadlineBeforeKill, plus killGrace.
 func (w *World) killDelay() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range w.Classes {
@@ -40,15 +41,15 @@
 	return min(longest, maxDeadlineBeforeKill) + killGrace
 }
 
-// Terminate sends SIGTERM and waits for the end, which it brings by SIGKILL as early as the platform may. It reports
-// whether that was needed.
+// Terminate sends SIGTERM and waits for the exit of the process. If the process still runs after killDelay, when the
+// platform may kill it, Terminate sends SIGKILL. It reports whether it did.
 func (n *Node) Terminate() (killed bool) {
-	_ = n.process.signal(syscall.SIGTERM) // fails only where it has ended
+	_ = n.process.signal(syscall.SIGTERM) // fails only if it has exited
 	return n.awaitEnd(time.Now().Add(n.testbed.world.killDelay()))
 }
 
-// awaitEnd waits for the end of a process that was sent SIGTERM, and brings it by SIGKILL at a time. It reports whether
-// that was needed.
+// awaitEnd waits for the exit of a process that was sent SIGTERM, and sends SIGKILL at killAt if it still runs. It
+// reports whether it did.
 func (n *Node) awaitEnd(killAt time.Time) (killed bool) {
 	_, exited := n.process.running()
 	if exited == nil {
@@ -64,8 +65,8 @@
 	return true
 }
 
-// terminateAndRestart ends a node with SIGTERM, while clients send on their connections to it, and starts it again
-// after a while.
+// terminateAndRestart ends a node with SIGTERM, while clients send requests on persistent connections to it, and starts
+// it again after the fault's For.
 func (tb *Testbed) terminateAndRestart(ctx context.Context, node *Node, f Fault) error {
 	stop := tb.startPersistentClients(ctx, node, f.Clients)
 	killed := node.Terminate()
@@ -77,32 +78,33 @@
 	return node.restart(ctx)
 }
 
-// reportKill makes a finding of a node that did not end in time after SIGTERM.
+// reportKill adds a finding if a node had to be killed because it did not exit in time after SIGTERM.
 func (tb *Testbed) reportKill(node *Node, killed bool) {
 	if killed {
-		tb.checker.addFinding(Crash, "", node.name, "did not end in time after SIGTERM")
+		tb.checker.addFinding(Crash, "", node.name, "did not exit in time after SIGTERM")
 	}
 }
 
-// sendSignals sends a node a series of signals. One that ends by them is started again after a while.
+// sendSignals sends a node a series of signals, and continues it in case it is stopped. If SIGTERM was among them it
+// waits for the exit and starts the node again after the fault's For.
 func (tb *Testbed) sendSignals(ctx context.Context, node *Node, f Fault) error {
 	stop := tb.startPersistentClients(ctx, node, f.Clients)
 	defer stop()
 	node.paused.Store(true)
 	tb.intervals.begin(pausedPart(node.name), tb.now())
-	var killAt time.Time // zero: no SIGTERM was sent
+	var killAt time.Time // zero if no SIGTERM was sent
 	for _, signal := range f.Signals {
 		if signal == SignalTerminate && killAt.IsZero() {
 			killAt = time.Now().Add(tb.world.killDelay())
 		}
 		if err := node.sendSignal(signal); err != nil {
-			break // it has ended
+			break // it has exited
 		}
 		if !sleep(ctx, f.Gap) {
 			break
 		}
 	}
-	_ = node.process.signal(syscall.SIGCONT) // fails only where it has ended
+	_ = node.process.signal(syscall.SIGCONT) // fails only if it has exited
 	tb.intervals.end(pausedPart(node.name), tb.now())
 	if killAt.IsZero() {
 		return nil
@@ -116,7 +118,8 @@
 	return node.restart(ctx)
 }
 
-// sendSignal sends one signal. SIGHUP comes with a new configuration, and not to a process that has just started.
+// sendSignal sends one signal. For SIGHUP it writes a new configuration first; it sends none to a process that has not
+// become ready or is younger than minUptimeForReload.
 func (n *Node) sendSignal(signal Signal) error {
 	if signal != SignalReload {
 		return n.process.signal(signalNumbers[signal])
--- a/internal/testbed/signals_test.go
+++ b/internal/testbed/signals_test.go
@@ -6,7 +6,9 @@
 	"time"
 )
 
-// The platform kills a node no sooner than the longest deadline, 3 s at most, and 0.7 s after SIGTERM: so soon it is.
+// After SIGTERM the platform waits for the longest deadline, 3 s at most, and another 0.7 s before it kills a node.
+// Guards against a test bed that kills earlier, which would blame nodes wrongly, or later, which would hide nodes that
+// are too slow.
 func TestKillComesAsEarlyAsAllowed(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{
 		time.Second:     1700 * time.Millisecond,
@@ -15,11 +17,12 @@
 	} {
 		w := World{Classes: []Class{{Deadline: longest / 2}, {Deadline: longest}}}
 		if got := w.killDelay(); got != want {
-			t.Errorf("deadlines up to %v: SIGKILL after %v, want %v", longest, got, want)
+			t.Errorf("with deadlines up to %v SIGKILL comes after %v, want %v", longest, got, want)
 		}
 	}
 }
 
+// Guards against a signals fault that is accepted without signals or with an unknown one, or rejected with known ones.
 func TestSignalsOfAFaultAreChecked(t *testing.T) {
 	w := small(1, 1)
 	for name, signals := range map[string][]Signal{
@@ -29,7 +32,7 @@
 		f := Fault{Kind: FaultSignals, Target: "n1", Signals: signals}
 		var wrong *KeyError
 		if err := f.Check(&w, ""); !errors.As(err, &wrong) || wrong.Key != "signals" {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("check of a fault with signals %s: got error %v, want one for the key signals", name, err)
 		}
 	}
 	known := []Signal{SignalReload, SignalStop, SignalContinue, SignalTerminate}
--- a/internal/testbed/tcp_link.go
+++ b/internal/testbed/tcp_link.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	linkQueue       = 64 // pieces queued on one direction of a connection, as a TCP window
-	pieceSize       = 32 << 10
-	piecesPerSecond = 50 // where the rate is limited
+	linkQueue       = 64       // pieces queued per direction of a connection; limits the data in flight like a TCP window
+	pieceSize       = 32 << 10 // most bytes of one read
+	piecesPerSecond = 50       // with a limited rate
 	linkDialTimeout = 5 * time.Second
 )
 
-// tcpLink is a proxy in a link from one part to another: the client side dials it in place of the server side. Bytes of
-// the client take the direction there, those of the server the direction back. A connection comes up only while neither
-// is cut.
+// tcpLink is a TCP proxy between a client part and a server part: the client dials the proxy instead of the server.
+// Bytes from the client are subject to the direction there, those from the server to the direction back. New
+// connections are established only while neither direction is cut.
 type tcpLink struct {
 	gate        *gate
 	target      string
 	there, back *direction
 	done        chan struct{}
-	owned       sync.WaitGroup
+	owned       sync.WaitGroup // goroutines that close waits for
 
 	mu         sync.Mutex
 	serverMode gateMode // how the server treats new connections
@@ -46,7 +46,7 @@
 	return l, nil
 }
 
-// accept relays each connection until the gate is closed.
+// accept accepts connections until the gate is closed, and relays each in a goroutine.
 func (l *tcpLink) accept() {
 	defer l.owned.Done()
 	for {
@@ -62,7 +62,7 @@
 	}
 }
 
-// follow makes the link treat new connections as the server does, and as the directions allow.
+// follow records how the server treats new connections, so that the proxy treats them alike unless a direction is cut.
 func (l *tcpLink) follow(server gateMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,14 +70,14 @@
 	l.updateGate()
 }
 
-// conditionsChanged must be called after the condition of a direction was set.
+// conditionsChanged updates the gate; it must be called after the condition of a direction was set.
 func (l *tcpLink) conditionsChanged() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.updateGate()
 }
 
-// updateGate sets the mode of the gate; l.mu is held.
+// updateGate sets the mode of the gate: silent while a direction is cut, else that of the server; l.mu is held.
 func (l *tcpLink) updateGate() {
 	mode := l.serverMode
 	there, _ := l.there.get()
@@ -85,16 +85,17 @@
 	if there.Cut || back.Cut {
 		mode = gateSilent
 	}
-	_ = l.gate.set(mode) // fails only at the end, or where the port was taken meanwhile: then it refuses
+	_ = l.gate.set(mode) // fails if the gate is closed, or if another process took its port: it refuses connections then
 }
 
+// close closes the link and its connections, and waits for its goroutines.
 func (l *tcpLink) close() {
 	close(l.done)
 	_ = l.gate.Close() // never fails
 	l.owned.Wait()
 }
 
-// relay carries one connection until both directions have ended.
+// relay dials the server and forwards one connection in both directions until both have ended.
 func (l *tcpLink) relay(client *gatedConn) {
 	defer closeQuietly(client)
 	connectAt := l.there.due(time.Now(), time.Time{}, 0)
@@ -107,7 +108,7 @@
 		return
 	}
 	defer closeQuietly(server)
-	over := make(chan struct{}) // the link or the connection has ended
+	over := make(chan struct{}) // closed once the link or the connection has ended
 	end := sync.OnceFunc(func() { close(over) })
 	go func() {
 		select {
@@ -136,17 +137,17 @@
 	end()
 }
 
-// piece is some data of one direction of a connection, or its end.
+// piece is some data of one direction of a connection, or the end of that direction.
 type piece struct {
 	data []byte
-	due  time.Time
-	end  error // of the sender; nil: data
+	due  time.Time // when it is delivered
+	end  error     // error of the read, io.EOF if the sender closed its side; nil: data
 }
 
 var pieceBuffers = sync.Pool{New: func() any { b := make([]byte, pieceSize); return &b }}
 
-// pump carries one direction of a connection. It returns true when the sender ended its sending and the receiver was
-// notified, and false when the connection is to end; a reset is passed on as one.
+// pump forwards one direction of a connection. It returns true after it has forwarded the sender's FIN, and false when
+// the whole connection must end. A reset by either side is forwarded as a reset.
 func pump(from, to net.Conn, d *direction, over <-chan struct{}) bool {
 	queue := make(chan piece, linkQueue)
 	writerDone := make(chan struct{})
@@ -167,7 +168,7 @@
 			}
 		case errors.Is(p.end, io.EOF):
 			if t, ok := to.(*net.TCPConn); ok {
-				_ = t.CloseWrite() // fails only where the connection has ended
+				_ = t.CloseWrite() // fails only if the connection has ended
 			}
 			return true
 		default:
@@ -178,7 +179,7 @@
 	return false
 }
 
-// readPieces reads a connection until its end, or until the writer is done, and queues what it reads.
+// readPieces reads a connection until its end or until writerDone is closed, and queues the data and the end.
 func readPieces(from net.Conn, d *direction, queue chan<- piece, writerDone <-chan struct{}) {
 	defer close(queue)
 	var last time.Time
@@ -202,7 +203,7 @@
 	}
 }
 
-// pieceSize returns how much is read at once, at most limit bytes: less where the rate is limited.
+// pieceSize returns the most bytes to read at once: limit, or less so that a limited rate gives piecesPerSecond pieces.
 func (d *direction) pieceSize(limit int) int {
 	if d.plain.Load() {
 		return limit
@@ -214,5 +215,5 @@
 	return min(limit, max(1, c.Rate/piecesPerSecond))
 }
 
-// closeQuietly closes a connection whose end is what matters, not its error.
+// closeQuietly closes c and ignores the error, for connections whose close error does not matter.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/testbed/tcp_state.go
+++ b/internal/testbed/tcp_state.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	resetWithin = 20 * time.Millisecond // on loopback the reset that follows unread bytes comes at once
-	tcpClosed   = 7                     // TCP_CLOSE: a reset has come
+	resetWithin = 20 * time.Millisecond // on loopback a reset because of unread bytes arrives at once
+	tcpClosed   = 7                     // TCP_CLOSE, the state after a received reset
 )
 
-// peerReadAll reports of a connection whose peer has ended its sending that no reset followed: a system that closes a
-// socket over unread bytes, or gets bytes for one that is closed, answers with a reset. So the peer has read them.
-// It is valid only for connections without a proxy of the testbed in between.
+// peerReadAll reports whether the peer of a connection, which has sent its FIN, had read all bytes that were sent to
+// it. The kernel sends a reset if a socket is closed with unread bytes, or if bytes arrive for a closed socket; so the
+// peer had read all of them if no reset follows the FIN. The result is valid only if the
+// connection has no proxy of the testbed in between.
 func peerReadAll(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
@@ -28,7 +29,7 @@
 	for end := time.Now().Add(resetWithin); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		var info *unix.TCPInfo
 		err := rc.Control(func(fd uintptr) {
-			info, _ = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) // on an error the state is zero
+			info, _ = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) // on an error State is 0
 		})
 		if err != nil || info == nil || info.State == tcpClosed {
 			return false
--- a/internal/testbed/udp_link.go
+++ b/internal/testbed/udp_link.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	maxSources      = 64 // senders for which a UDP link keeps a socket
-	sourceIdle      = 30 * time.Second
+	maxSources      = 64               // senders for which a UDP link keeps a socket
+	sourceIdle      = 30 * time.Second // a sender's socket is closed after this time without a reply
 	maxDatagramSize = 64 << 10
 )
 
-// udpLink carries datagrams in one direction, and answers back to whoever sent them.
+// udpLink is a UDP proxy: it forwards datagrams to the target, and the target's replies back to the senders.
 type udpLink struct {
 	there, back *direction
 	conn        *net.UDPConn
 	target      *net.UDPAddr
 	done        chan struct{}
-	owned       sync.WaitGroup
+	owned       sync.WaitGroup // goroutines that close waits for
 
 	mu        sync.Mutex
-	sources   map[string]*net.UDPConn
-	reordered map[*direction]func() // sends a datagram that waits to come after the next
+	sources   map[string]*net.UDPConn // sockets connected to the target, by the sender's address
+	reordered map[*direction]func()   // sends the datagram that is held back until after the next one
 }
 
 func newUDPLink(listen, target string, there, back *direction) (*udpLink, error) {
@@ -55,8 +55,10 @@
 	return l, nil
 }
 
+// addr returns the address that senders use.
 func (l *udpLink) addr() string { return l.conn.LocalAddr().String() }
 
+// close closes the link's sockets and waits for its goroutines.
 func (l *udpLink) close() {
 	close(l.done)
 	closeQuietly(l.conn)
@@ -68,7 +70,8 @@
 	l.owned.Wait()
 }
 
-// forward carries datagrams to the target until the link is closed. As on any network, one that cannot be sent is lost.
+// forward forwards datagrams to the target until the link is closed. As on any network, a datagram that cannot be sent
+// is lost.
 func (l *udpLink) forward() {
 	defer l.owned.Done()
 	buf := make([]byte, maxDatagramSize)
@@ -86,7 +89,8 @@
 	}
 }
 
-// source returns the socket that stands for a sender towards the target; nil when there are too many.
+// source returns the socket through which a sender's datagrams go to the target. It opens one for a new sender, and
+// returns nil if there are maxSources already or the socket cannot be opened.
 func (l *udpLink) source(from *net.UDPAddr) *net.UDPConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,19 +108,19 @@
 	return out
 }
 
-// returnAnswers carries answers back to a sender until it has been quiet for a while.
+// returnAnswers forwards the target's replies to a sender until none has come for sourceIdle.
 func (l *udpLink) returnAnswers(out *net.UDPConn, to *net.UDPAddr) {
 	defer l.owned.Done()
 	defer closeQuietly(out)
 	buf := make([]byte, maxDatagramSize)
 	for {
-		_ = out.SetReadDeadline(time.Now().Add(sourceIdle)) // on a closed socket the read fails
+		_ = out.SetReadDeadline(time.Now().Add(sourceIdle)) // fails only on a closed socket, and then so does the read
 		n, err := out.Read(buf)
 		var timeout net.Error
 		if errors.Is(err, net.ErrClosed) || errors.As(err, &timeout) && timeout.Timeout() {
 			break
 		}
-		if err == nil { // else the target's port is closed for now
+		if err == nil { // another error means that the target's port is closed for now
 			l.send(l.back, slices.Clone(buf[:n]), func(b []byte) { _, _ = l.conn.WriteToUDP(b, to) })
 		}
 	}
@@ -125,7 +129,8 @@
 	l.mu.Unlock()
 }
 
-// send sends one datagram as the condition of its direction has it.
+// send sends one datagram subject to the condition of its direction: it may be lost, delayed, duplicated or held back
+// until after the next one.
 func (l *udpLink) send(d *direction, data []byte, write func([]byte)) {
 	if d.plain.Load() {
 		write(data)
@@ -157,7 +162,7 @@
 	}
 }
 
-// sendAfter sends a datagram after the delay of a condition, unless the link is closed by then.
+// sendAfter sends a datagram after the delay and jitter of a condition, unless the link is closed by then.
 func (l *udpLink) sendAfter(c LinkCondition, send func()) {
 	wait := c.Delay
 	if c.Jitter > 0 {
