--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -41,14 +41,14 @@
 	testbed  *Testbed
 	callSlot chan struct{} // calls are handled one at a time
 
-	mu          sync.Mutex
-	fault       DiscoveryFault
-	late        time.Duration // delay of each change; World.Discovery.Late
-	tiers       []*tierList
-	gates       []*gate               // all that were opened
-	gateByNode  map[*Node]*gate       // the current address of each node
-	mutes       int                   // number of calls of mute
-	watchStates map[*Node]*watchState // how each node follows the list
+	mu           sync.Mutex
+	fault        DiscoveryFault
+	publishDelay time.Duration // delay of each change; World.Discovery.Late
+	tiers        []*tierList
+	gates        []*gate               // all that were opened
+	gateByNode   map[*Node]*gate       // the current address of each node
+	muteCount    int                   // number of calls of mute
+	watchStates  map[*Node]*watchState // how each node follows the list
 }
 
 const (
@@ -58,11 +58,11 @@
 
 // tierList is the list of one tier with the log of its changes.
 type tierList struct {
-	seq     int64
-	base    int64                    // sequence number at which the log starts; an older version gets the complete list
-	hosts   map[string]endpointEntry // by name
-	log     []change
-	changed chan struct{} // closed at the next change
+	seq      int64
+	logStart int64                    // sequence number at which the log starts; an older version gets the complete list
+	hosts    map[string]endpointEntry // by name
+	log      []change
+	changed  chan struct{} // closed at the next change
 }
 
 // change is one entry of the log of a tier.
@@ -73,11 +73,11 @@
 
 func newDiscovery(tb *Testbed) *discovery {
 	d := &discovery{
-		testbed:     tb,
-		callSlot:    make(chan struct{}, 1),
-		late:        tb.world.Discovery.Late,
-		watchStates: map[*Node]*watchState{},
-		gateByNode:  map[*Node]*gate{},
+		testbed:      tb,
+		callSlot:     make(chan struct{}, 1),
+		publishDelay: tb.world.Discovery.Late,
+		watchStates:  map[*Node]*watchState{},
+		gateByNode:   map[*Node]*gate{},
 	}
 	for range tb.world.Tiers {
 		d.tiers = append(d.tiers, &tierList{hosts: map[string]endpointEntry{}, changed: make(chan struct{})})
@@ -85,8 +85,8 @@
 	return d
 }
 
-// wake makes all watches check the list and the fault at once; d.mu is held.
-func (d *discovery) wake() {
+// wakeWatches makes all watches check the list and the fault at once; d.mu is held.
+func (d *discovery) wakeWatches() {
 	for _, t := range d.tiers {
 		close(t.changed)
 		t.changed = make(chan struct{})
@@ -94,9 +94,9 @@
 }
 
 // publish publishes the state of a server after the delay late; if late is negative, after World.Discovery.Late.
-func (d *discovery) publish(tier int, h endpointEntry, late time.Duration) {
-	if late < 0 {
-		late = d.late
+func (d *discovery) publish(tier int, h endpointEntry, delay time.Duration) {
+	if delay < 0 {
+		delay = d.publishDelay
 	}
 	write := func() {
 		d.mu.Lock()
@@ -119,23 +119,23 @@
 		close(t.changed)
 		t.changed = make(chan struct{})
 	}
-	if late == 0 {
+	if delay == 0 {
 		write()
 		return
 	}
-	time.AfterFunc(late, write)
+	time.AfterFunc(delay, write)
 }
 
-// since returns the update for a node that has the list with sequence number from: the changes since then, or the
+// updateSince returns the update for a node that has the list with sequence number from: the changes since then, or the
 // complete list if from is not in the log; d.mu is held.
-func (t *tierList) since(from int64) endpointUpdate {
-	n := endpointUpdate{Seq: t.seq, Hosts: []endpointEntry{}}
-	if from <= 0 || from > t.seq || from < t.base {
-		n.Snapshot = true
+func (t *tierList) updateSince(from int64) endpointUpdate {
+	update := endpointUpdate{Seq: t.seq, Hosts: []endpointEntry{}}
+	if from <= 0 || from > t.seq || from < t.logStart {
+		update.Snapshot = true
 		for _, h := range t.hosts {
-			n.Hosts = append(n.Hosts, h)
+			update.Hosts = append(update.Hosts, h)
 		}
-		return n
+		return update
 	}
 	last := map[string]int{}
 	for _, c := range t.log {
@@ -143,24 +143,24 @@
 			continue
 		}
 		if i, ok := last[c.host.Host]; ok {
-			n.Hosts[i] = c.host
+			update.Hosts[i] = c.host
 			continue
 		}
-		last[c.host.Host] = len(n.Hosts)
-		n.Hosts = append(n.Hosts, c.host)
+		last[c.host.Host] = len(update.Hosts)
+		update.Hosts = append(update.Hosts, c.host)
 	}
-	return n
+	return update
 }
 
 // known returns the current complete list, for a node's configuration.
 func (d *discovery) known(n *Node) endpointUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.addressed(n, d.tiers[n.tier].since(0))
+	return d.withDialAddresses(n, d.tiers[n.tier].updateSince(0))
 }
 
-// addressed sets the addresses at which a node dials the servers.
-func (d *discovery) addressed(n *Node, update endpointUpdate) endpointUpdate {
+// withDialAddresses sets the addresses at which a node dials the servers.
+func (d *discovery) withDialAddresses(n *Node, update endpointUpdate) endpointUpdate {
 	for i := range update.Hosts {
 		update.Hosts[i].Dial = d.testbed.serverAddr(n, update.Hosts[i].Host)
 	}
@@ -175,7 +175,7 @@
 	}
 	server := &http.Server{
 		ErrorLog: d.testbed.discardLog,
-		Handler:  http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(n, w, r) }),
+		Handler:  http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.handle(n, w, r) }),
 	}
 	d.testbed.goOwned(func() { _ = server.Serve(g) }) // returns an error when the gate closes
 	d.mu.Lock()
@@ -199,8 +199,8 @@
 	return d.fault, d.testbed.world.Discovery.Call + d.fault.Slow
 }
 
-// answer handles one poll or watch of a node.
-func (d *discovery) answer(n *Node, w http.ResponseWriter, r *http.Request) {
+// handle handles one poll or watch of a node.
+func (d *discovery) handle(n *Node, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/endpoints" {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -211,7 +211,7 @@
 	fault, _ := d.state()
 	switch {
 	case fault.Down:
-		d.hangUp(w)
+		d.resetConnection(w)
 		return
 	case fault.Fail:
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -229,11 +229,11 @@
 		return
 	}
 	if fault.Unresponsive {
-		d.silent(r)
+		d.blockUntilDisconnect(r)
 		return
 	}
 	d.mu.Lock()
-	update := d.addressed(n, d.tiers[n.tier].since(0))
+	update := d.withDialAddresses(n, d.tiers[n.tier].updateSince(0))
 	d.mu.Unlock()
 	d.write(n, w, update, fault)
 }
@@ -245,8 +245,8 @@
 	defer wait.Stop()
 	select {
 	case d.callSlot <- struct{}{}:
-		_, takes := d.state()
-		ok := sleep(r.Context(), takes)
+		_, callDuration := d.state()
+		ok := sleep(r.Context(), callDuration)
 		<-d.callSlot
 		return ok
 	case <-wait.C:
@@ -268,16 +268,16 @@
 	idle := time.NewTicker(watchIdleLine)
 	defer idle.Stop()
 	d.mu.Lock()
-	mutes := d.mutes
+	muteCount := d.muteCount
 	d.mu.Unlock()
 	for first := true; ; first = false {
-		next := d.nextUpdate(n, from, mutes, state)
+		next := d.nextUpdate(n, from, muteCount, state)
 		switch {
 		case next.fault.Down:
-			d.hangUp(w)
+			d.resetConnection(w)
 			return
 		case next.mute:
-			d.silent(r)
+			d.blockUntilDisconnect(r)
 			return
 		case next.fault.Trickle:
 			trickle(w, r)
@@ -312,15 +312,15 @@
 }
 
 // nextUpdate returns what a watch is to send next, and records since when it is silent.
-func (d *discovery) nextUpdate(n *Node, from int64, mutes int, state *watchState) watchUpdate {
+func (d *discovery) nextUpdate(n *Node, from int64, muteCount int, state *watchState) watchUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := d.tiers[n.tier]
 	next := watchUpdate{
-		update:  d.addressed(n, t.since(from)),
+		update:  d.withDialAddresses(n, t.updateSince(from)),
 		changed: t.changed,
 		fault:   d.fault,
-		mute:    d.fault.Unresponsive || d.mutes > mutes,
+		mute:    d.fault.Unresponsive || d.muteCount > muteCount,
 	}
 	if (next.mute || next.fault.Trickle) && state.silent == 0 {
 		state.silent = d.testbed.now()
@@ -340,15 +340,15 @@
 
 // write writes an update, indented or cut off if the fault says so. It reports whether all of it was written, and
 // records that the node was notified.
-func (d *discovery) write(n *Node, w http.ResponseWriter, update endpointUpdate, o DiscoveryFault) bool {
+func (d *discovery) write(n *Node, w http.ResponseWriter, update endpointUpdate, fault DiscoveryFault) bool {
 	text, err := json.Marshal(update)
-	if err == nil && o.Indent {
+	if err == nil && fault.Indent {
 		text, err = json.MarshalIndent(update, "", "  ")
 	}
 	if err != nil {
 		panic(err) // cannot happen: the values are plain data
 	}
-	if o.Cut {
+	if fault.Cut {
 		_, _ = w.Write(text[:len(text)/2]) // the connection is aborted next in any case
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/testbed/discovery_fault.go
+++ b/internal/testbed/discovery_fault.go
@@ -18,19 +18,19 @@
 }
 
 // set replaces the fault, and wakes all watches so that it applies at once.
-func (d *discovery) set(o DiscoveryFault) {
+func (d *discovery) set(fault DiscoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fault = o
-	d.wake()
+	d.fault = fault
+	d.wakeWatches()
 }
 
 // mute makes all open watches fall silent until their clients disconnect.
 func (d *discovery) mute() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.mutes++
-	d.wake()
+	d.muteCount++
+	d.wakeWatches()
 }
 
 // renumber restarts discovery with other sequence numbers, higher ones or from 1, and without a log of changes. It is
@@ -42,23 +42,23 @@
 		if t.seq += 1000; !higher {
 			t.seq = 1
 		}
-		t.base, t.log = t.seq, nil
+		t.logStart, t.log = t.seq, nil
 	}
 	d.fault.Down = true
-	d.wake()
+	d.wakeWatches()
 	time.AfterFunc(50*time.Millisecond, func() { d.set(DiscoveryFault{}) })
 }
 
-// silent blocks without an answer until the client disconnects.
-func (d *discovery) silent(r *http.Request) {
+// blockUntilDisconnect blocks without an answer until the client disconnects.
+func (d *discovery) blockUntilDisconnect(r *http.Request) {
 	select {
 	case <-r.Context().Done():
 	case <-d.testbed.done:
 	}
 }
 
-// hangUp resets the connection of a call, which it takes over from the HTTP server.
-func (d *discovery) hangUp(w http.ResponseWriter) {
+// resetConnection resets the connection of a call, which it takes over from the HTTP server.
+func (d *discovery) resetConnection(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if c, _, err := h.Hijack(); err == nil {
 			if g, ok := c.(*gatedConn); ok {
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -154,8 +154,8 @@
 	FaultDiscoveryRenumber:     {},
 }
 
-// names returns the names of the parts that a kind of fault can target, in the order of their numbers.
-func (w *World) names(kind faultTraits) (all []string) {
+// targetNames returns the names of the parts that a kind of fault can target, in the order of their numbers.
+func (w *World) targetNames(kind faultTraits) (all []string) {
 	if kind.nodes {
 		for i := range w.Tiers[0].Nodes {
 			all = append(all, fmt.Sprintf("n%d", i+1))
@@ -178,9 +178,9 @@
 	return all
 }
 
-// parts returns the names of all parts that a link can connect.
-func (w *World) parts() []string {
-	all := append(w.names(faultTraits{nodes: true, servers: true}), "discovery")
+// partNames returns the names of all parts that a link can connect.
+func (w *World) partNames() []string {
+	all := append(w.targetNames(faultTraits{nodes: true, servers: true}), "discovery")
 	for _, z := range w.Zones {
 		all = append(all, clientsOf(z))
 	}
@@ -232,13 +232,13 @@
 // checkPatterns checks that each pattern of the fault matches at least one part of the world.
 func (f *Fault) checkPatterns(kind faultTraits, w *World, prefix string) error {
 	patterns := map[string]string{}
-	names := w.parts()
+	names := w.partNames()
 	if kind.link {
 		patterns["from"] = f.From
 		patterns["to"] = f.To
 	} else if kind.hasTarget() {
 		patterns["target"] = f.Target
-		names = w.names(kind)
+		names = w.targetNames(kind)
 	}
 	for key, pattern := range patterns {
 		matching, err := match(pattern, names)
@@ -317,7 +317,7 @@
 				at += time.Duration(r.Int64N(int64(f.Jitter)))
 			}
 			steps = append(steps, Step{At: at, Fault: f, Target: target})
-			if f.endsByStep() {
+			if f.hasEndStep() {
 				steps = append(steps, Step{At: at + f.For, Fault: f, Target: target, Ends: true})
 			}
 		}
@@ -332,7 +332,7 @@
 	if !kind.hasTarget() {
 		return []string{""}, nil
 	}
-	targets, err := match(f.Target, w.names(kind))
+	targets, err := match(f.Target, w.targetNames(kind))
 	if err != nil {
 		return nil, err
 	}
@@ -346,9 +346,9 @@
 	return targets, nil
 }
 
-// endsByStep reports whether the schedule needs a step that ends the fault. Faults of the kinds that are listed
+// hasEndStep reports whether the schedule needs a step that ends the fault. Faults of the kinds that are listed
 // here end without one.
-func (f *Fault) endsByStep() bool {
+func (f *Fault) hasEndStep() bool {
 	switch f.Kind {
 	case FaultDrain, FaultTerminate, FaultPause, FaultSignals, FaultConnectionFlood:
 		return false
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -11,19 +11,19 @@
 // RunSchedule applies steps at their times, counted from now. It calls report for each step and for each failure, from
 // several goroutines, and returns when all steps are complete or ctx is cancelled.
 func (tb *Testbed) RunSchedule(ctx context.Context, steps []Step, report func(at time.Duration, what string)) {
-	began := tb.now()
+	started := tb.now()
 	var running sync.WaitGroup
 	defer running.Wait()
 	for _, s := range steps {
-		if !sleepUntil(tb.began.Add(began+s.At), ctx.Done()) {
+		if !sleepUntil(tb.began.Add(started+s.At), ctx.Done()) {
 			return
 		}
-		report(tb.now()-began, s.String())
+		report(tb.now()-started, s.String())
 		running.Add(1)
 		go func() { // some steps take until a node is ready again
 			defer running.Done()
 			if err := tb.Apply(ctx, s); err != nil && ctx.Err() == nil {
-				report(tb.now()-began, fmt.Sprintf("%s: %v", s, err))
+				report(tb.now()-started, fmt.Sprintf("%s: %v", s, err))
 			}
 		}()
 	}
@@ -265,7 +265,7 @@
 	}
 	removed := server.entry()
 	removed.Health = healthRemoved
-	tb.disc.publish(server.tier, removed, late+tb.disc.late)
+	tb.disc.publish(server.tier, removed, late+tb.disc.publishDelay)
 }
 
 // restoreZone restarts the servers of a zone concurrently, and waits until all have been started.
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -22,24 +22,24 @@
 // gate is a listener that can refuse connections or fall silent, and open again at the same address. While it is silent
 // its accept queue is full: the kernel then drops SYN packets, so that connection attempts neither succeed nor fail.
 type gate struct {
-	addr     string
-	accepted chan net.Conn
-	done     chan struct{}
-	owned    sync.WaitGroup // goroutines that Close waits for
+	addr       string
+	accepted   chan net.Conn
+	done       chan struct{}
+	goroutines sync.WaitGroup // goroutines that Close waits for
 
-	mu       sync.Mutex
-	mode     gateMode
-	listener *net.TCPListener    // nil while refusing
-	fillers  map[string]net.Conn // connections that fill the accept queue, by their local address
-	conns    map[*gatedConn]struct{}
-	thawed   chan struct{} // closed while not silent
+	mu           sync.Mutex
+	mode         gateMode
+	listener     *net.TCPListener    // nil while refusing
+	queueFillers map[string]net.Conn // connections that fill the accept queue, by their local address
+	conns        map[*gatedConn]struct{}
+	unsilenced   chan struct{} // closed while not silent
 }
 
 // newGate opens a gate. With port 0 the kernel picks a port, which the gate then keeps.
 func newGate(addr string) (*gate, error) {
-	g := &gate{addr: addr, accepted: make(chan net.Conn), done: make(chan struct{}), fillers: map[string]net.Conn{},
-		conns: map[*gatedConn]struct{}{}, thawed: make(chan struct{})}
-	close(g.thawed)
+	g := &gate{addr: addr, accepted: make(chan net.Conn), done: make(chan struct{}), queueFillers: map[string]net.Conn{},
+		conns: map[*gatedConn]struct{}{}, unsilenced: make(chan struct{})}
+	close(g.unsilenced)
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
@@ -54,14 +54,14 @@
 		return err
 	}
 	g.listener = listener.(*net.TCPListener)
-	g.owned.Add(1)
-	go g.take(g.listener)
+	g.goroutines.Add(1)
+	go g.acceptLoop(g.listener)
 	return nil
 }
 
-// take accepts connections until the listener is closed, and passes them to Accept.
-func (g *gate) take(listener *net.TCPListener) {
-	defer g.owned.Done()
+// acceptLoop accepts connections until the listener is closed, and passes them to Accept.
+func (g *gate) acceptLoop(listener *net.TCPListener) {
+	defer g.goroutines.Done()
 	for {
 		c, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -69,10 +69,10 @@
 		}
 		if err != nil { // the deadline of a silent gate, or no file descriptor is free for now
 			g.mu.Lock()
-			thawed := g.thawed
+			unsilenced := g.unsilenced
 			g.mu.Unlock()
 			select {
-			case <-thawed:
+			case <-unsilenced:
 				time.Sleep(time.Millisecond)
 				continue
 			case <-g.done:
@@ -80,8 +80,8 @@
 			}
 		}
 		g.mu.Lock()
-		if f := g.fillers[c.RemoteAddr().String()]; f != nil {
-			delete(g.fillers, c.RemoteAddr().String())
+		if f := g.queueFillers[c.RemoteAddr().String()]; f != nil {
+			delete(g.queueFillers, c.RemoteAddr().String())
 			g.mu.Unlock()
 			f.Close()
 			c.Close()
@@ -116,7 +116,7 @@
 			setBacklog(g.listener, backlog)
 			_ = g.listener.SetDeadline(time.Time{}) // fails only on a closed listener
 		}
-		close(g.thawed)
+		close(g.unsilenced)
 	}
 	g.mode = mode
 	switch mode {
@@ -128,7 +128,7 @@
 		g.listener.Close()
 		g.listener = nil
 	case gateSilent:
-		g.thawed = make(chan struct{})
+		g.unsilenced = make(chan struct{})
 		if g.listener == nil {
 			if err := g.listen(); err != nil {
 				return err
@@ -141,7 +141,7 @@
 			if err != nil {
 				break
 			}
-			g.fillers[c.LocalAddr().String()] = c
+			g.queueFillers[c.LocalAddr().String()] = c
 		}
 	}
 	return nil
@@ -197,12 +197,12 @@
 	if g.listener != nil {
 		g.listener.Close()
 	}
-	for _, f := range g.fillers {
+	for _, f := range g.queueFillers {
 		f.Close()
 	}
 	g.mu.Unlock()
 	g.reset()
-	g.owned.Wait()
+	g.goroutines.Wait()
 	return nil
 }
 
@@ -220,18 +220,18 @@
 	closed chan struct{}
 }
 
-// hold waits while the gate is silent. It returns net.ErrClosed if the connection is closed meanwhile.
-func (c *gatedConn) hold() error {
+// waitWhileSilent waits while the gate is silent. It returns net.ErrClosed if the connection is closed meanwhile.
+func (c *gatedConn) waitWhileSilent() error {
 	c.gate.mu.Lock()
-	thawed := c.gate.thawed
+	unsilenced := c.gate.unsilenced
 	c.gate.mu.Unlock()
 	select {
-	case <-thawed:
+	case <-unsilenced:
 		return nil
 	default:
 	}
 	select {
-	case <-thawed:
+	case <-unsilenced:
 		return nil
 	case <-c.closed:
 		return net.ErrClosed
@@ -240,14 +240,14 @@
 
 func (c *gatedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if err := c.hold(); err != nil {
+	if err := c.waitWhileSilent(); err != nil {
 		return 0, err
 	}
 	return n, err
 }
 
 func (c *gatedConn) Write(p []byte) (int, error) {
-	if err := c.hold(); err != nil {
+	if err := c.waitWhileSilent(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
@@ -260,17 +260,17 @@
 		close(c.closed)
 		c.gate.mu.Lock()
 		delete(c.gate.conns, c)
-		thawed := c.gate.thawed
+		unsilenced := c.gate.unsilenced
 		c.gate.mu.Unlock()
 		select {
-		case <-thawed:
+		case <-unsilenced:
 			err = c.Conn.Close()
 		default:
-			c.gate.owned.Add(1)
+			c.gate.goroutines.Add(1)
 			go func() {
-				defer c.gate.owned.Done()
+				defer c.gate.goroutines.Done()
 				select {
-				case <-thawed:
+				case <-unsilenced:
 				case <-c.gate.done:
 				}
 				c.Conn.Close()
--- a/internal/testbed/link_condition.go
+++ b/internal/testbed/link_condition.go
@@ -22,15 +22,15 @@
 
 // direction is one direction of the traffic between two parts. Its condition can change at any time.
 type direction struct {
-	mu      sync.Mutex
-	cond    LinkCondition
-	changed chan struct{} // closed when the condition is set next
-	plain   atomic.Bool   // the condition is zero
+	mu          sync.Mutex
+	cond        LinkCondition
+	changed     chan struct{} // closed when the condition is set next
+	undisturbed atomic.Bool   // the condition is zero
 }
 
 func newDirection() *direction {
 	d := &direction{changed: make(chan struct{})}
-	d.plain.Store(true)
+	d.undisturbed.Store(true)
 	return d
 }
 
@@ -38,7 +38,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cond = c
-	d.plain.Store(c == LinkCondition{})
+	d.undisturbed.Store(c == LinkCondition{})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -50,9 +50,9 @@
 	return d.cond, d.changed
 }
 
-// open waits until the direction is not cut. It returns false if done is closed first.
-func (d *direction) open(done <-chan struct{}) bool {
-	for !d.plain.Load() {
+// waitWhileCut waits until the direction is not cut. It returns false if done is closed first.
+func (d *direction) waitWhileCut(done <-chan struct{}) bool {
+	for !d.undisturbed.Load() {
 		c, changed := d.get()
 		if !c.Cut {
 			return true
@@ -66,10 +66,10 @@
 	return true
 }
 
-// due returns when a piece of size bytes that is sent now is delivered, no earlier than before, the delivery time of
-// the previous piece.
-func (d *direction) due(now, before time.Time, size int) time.Time {
-	if d.plain.Load() {
+// deliveryTime returns when a piece of size bytes that is sent now is delivered, no earlier than before, the delivery
+// time of the previous piece.
+func (d *direction) deliveryTime(now, before time.Time, size int) time.Time {
+	if d.undisturbed.Load() {
 		return before
 	}
 	c, _ := d.get()
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// echo starts a server that sends back what it receives, and returns its address.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that sends back what it receives, and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,15 +36,15 @@
 }
 
 // newLink returns a link to an echo server, and the link's direction from the server to the client.
-func newLink(t *testing.T) (l *tcpLink, back *direction) {
+func newLink(t *testing.T) (l *tcpLink, toClient *direction) {
 	t.Helper()
-	back = newDirection()
-	l, err := newTCPLink("127.0.0.1:0", echo(t), newDirection(), back)
+	toClient = newDirection()
+	l, err := newTCPLink("127.0.0.1:0", startEchoServer(t), newDirection(), toClient)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(l.close)
-	return l, back
+	return l, toClient
 }
 
 // dial opens a connection that is closed at the end of the test.
@@ -61,9 +61,9 @@
 // A reset of a link while data is on its way must reach the client as a reset, not as a clean end, and the link must
 // take new connections afterwards.
 func TestLinkResetInMidBody(t *testing.T) {
-	l, back := newLink(t)
+	l, toClient := newLink(t)
 	c := dial(t, l.gate.addr)
-	back.set(LinkCondition{Rate: 100_000})
+	toClient.set(LinkCondition{Rate: 100_000})
 	// The write completes at once; at this rate the echo takes 1 s.
 	if _, err := c.Write(make([]byte, 100_000)); err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 	if _, err := io.Copy(io.Discard, c); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("read after a reset of the link: got error %v, want a connection reset", err)
 	}
-	back.set(LinkCondition{})
+	toClient.set(LinkCondition{})
 	c = dial(t, l.gate.addr)
 	writeText(t, c, "hello")
 	if _, err := io.ReadFull(c, make([]byte, 5)); err != nil {
@@ -86,9 +86,9 @@
 // A cut in one direction must hold back only that direction, without an error, and block new connections. After the cut
 // the held data must be delivered and new connections must succeed.
 func TestLinkCutOneWay(t *testing.T) {
-	l, back := newLink(t)
+	l, toClient := newLink(t)
 	c := dial(t, l.gate.addr)
-	back.set(LinkCondition{Cut: true})
+	toClient.set(LinkCondition{Cut: true})
 	l.conditionsChanged()
 	writeText(t, c, "hello")
 	check(t, c.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
@@ -99,7 +99,7 @@
 		c.Close()
 		t.Error("a connection was established through the cut")
 	}
-	back.set(LinkCondition{})
+	toClient.set(LinkCondition{})
 	l.conditionsChanged()
 	check(t, c.SetReadDeadline(time.Now().Add(longEnough)))
 	got := make([]byte, 5)
@@ -113,9 +113,9 @@
 // and at least a third of those to be reordered must arrive out of order.
 func TestUDPLinkLosesDoublesAndReorders(t *testing.T) {
 	const n, loss, dup, reorder = 4000, 0.2, 0.1, 0.1
-	server, client, there := newUDPTestLink(t)
+	server, client, toServer := newUDPTestLink(t)
 	exchangePingPong(t, client, server)
-	there.set(LinkCondition{Loss: loss, Dup: dup, Reorder: reorder})
+	toServer.set(LinkCondition{Loss: loss, Dup: dup, Reorder: reorder})
 	seen := datagramCounts{received: map[int]int{}, last: -1}
 	for i := range n {
 		writeText(t, client, strconv.Itoa(i))
@@ -130,22 +130,22 @@
 		}
 	}
 	checkShare("lost", n-len(seen.received), loss)
-	checkShare("doubled", seen.doubled, dup*(1-loss)*(1-reorder/2)) // a reordered datagram is not duplicated
+	checkShare("doubled", seen.duplicated, dup*(1-loss)*(1-reorder/2)) // a reordered datagram is not duplicated
 	if float64(seen.outOfOrder) < n*reorder*(1-loss)/3 {
 		t.Errorf("%d datagrams arrived out of order, fewer than a third of those to be reordered", seen.outOfOrder)
 	}
 }
 
 // newUDPTestLink returns the sockets at both ends of a UDP link, and the direction from the client to the server.
-func newUDPTestLink(t *testing.T) (server *net.UDPConn, client net.Conn, there *direction) {
+func newUDPTestLink(t *testing.T) (server *net.UDPConn, client net.Conn, toServer *direction) {
 	t.Helper()
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { closeQuietly(server) })
-	there = newDirection()
-	l, err := newUDPLink("127.0.0.1:0", server.LocalAddr().String(), there, newDirection())
+	toServer = newDirection()
+	l, err := newUDPLink("127.0.0.1:0", server.LocalAddr().String(), toServer, newDirection())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { closeQuietly(client) })
-	return server, client, there
+	return server, client, toServer
 }
 
 // exchangePingPong sends one datagram through a link and one back, and checks that both arrive.
@@ -180,7 +180,7 @@
 // datagramCounts counts the datagrams that arrive; each carries its number.
 type datagramCounts struct {
 	received   map[int]int // arrivals by number
-	doubled    int
+	duplicated int
 	outOfOrder int
 	last       int // highest number so far
 }
@@ -199,7 +199,7 @@
 		check(t, err)
 		c.received[x]++
 		if c.received[x] > 1 {
-			c.doubled++
+			c.duplicated++
 		}
 		if x < c.last {
 			c.outOfOrder++
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -72,7 +72,7 @@
 	}
 	tb.mu.Unlock()
 	for _, link := range to {
-		link.follow(mode)
+		link.setServerMode(mode)
 	}
 }
 
@@ -115,16 +115,16 @@
 // links.
 func (tb *Testbed) ResetLink(from, to string) (n int) {
 	tb.mu.Lock()
-	var hit []*tcpLink
+	var matching []*tcpLink
 	for key, link := range tb.tcpLinks {
 		if a, b, _ := strings.Cut(key, "->"); matches(from, a) && matches(to, b) {
-			hit = append(hit, link)
+			matching = append(matching, link)
 			tb.intervals.touch(key, tb.now())
 		}
 	}
 	tb.mu.Unlock()
-	for _, link := range hit {
+	for _, link := range matching {
 		link.gate.reset()
 	}
-	return len(hit)
+	return len(matching)
 }
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -23,7 +23,7 @@
 // when its process is restarted.
 type Node struct {
 	name, zone     string
-	configuredName string // name in the process's configuration; that of another node if a scenario gives two nodes one name
+	configuredName string // name in the process's configuration; differs if a scenario gives two nodes one name
 	tier           int
 	index          int
 	testbed        *Testbed
@@ -79,7 +79,7 @@
 		name:    name,
 		dir:     dir,
 		spawner: tb.spawner,
-		ended:   n.ended,
+		onExit:  n.onExit,
 		command: n.command,
 	}
 	tb.nodes[name] = n
@@ -135,8 +135,8 @@
 	return shim.Run(spec, path, args)
 }
 
-// configure counts a start and writes the node's configuration, as the platform does before each start.
-func (n *Node) configure() error {
+// prepareStart counts a start and writes the node's configuration, as the platform does before each start.
+func (n *Node) prepareStart() error {
 	n.starts++
 	return n.writeConfig()
 }
@@ -176,7 +176,7 @@
 		return fmt.Errorf("the address of %s is taken: %w: %w", n.name, errAddressTaken, err)
 	}
 	closeQuietly(listener)
-	if err := n.configure(); err != nil {
+	if err := n.prepareStart(); err != nil {
 		return err
 	}
 	n.testbed.checker.forgetNotifications(n.name)
@@ -202,7 +202,7 @@
 // Paused reports whether the testbed has ever stopped or paused a process of the node.
 func (n *Node) Paused() bool { return n.paused.Load() }
 
-const oldDiscoveryFor = 1500 * time.Millisecond // from a move to the reset of the connections to the old address
+const oldDiscoveryGrace = 1500 * time.Millisecond // from a move to the reset of the connections to the old address
 
 // Reload moves the node's discovery to another address, writes the address to the node's configuration and sends
 // SIGHUP. The old address refuses new connections at once, and resets its open ones after oldDiscoveryFor.
@@ -217,7 +217,7 @@
 		return err
 	}
 	before.refuse()
-	time.AfterFunc(oldDiscoveryFor, before.reset)
+	time.AfterFunc(oldDiscoveryGrace, before.reset)
 	return n.process.signal(syscall.SIGHUP)
 }
 
@@ -260,9 +260,9 @@
 	return yes
 }
 
-// ended is called at each exit of the process; crash is empty if the exit was expected. A process that
+// onExit is called at each exit of the process; crash is empty if the exit was expected. A process that
 // exits cleanly must have answered all requests that it accepted, so only other exits excuse lost requests.
-func (n *Node) ended(crash string, clean bool) {
+func (n *Node) onExit(crash string, clean bool) {
 	n.testbed.linksTo(n.name, gateRefuse)
 	select {
 	case <-n.testbed.done:
@@ -282,22 +282,22 @@
 func (n *Node) Up(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, n.testbed.world.Ready)
 	defer cancel()
-	for look := time.NewTicker(20 * time.Millisecond); ; {
+	for ticker := time.NewTicker(20 * time.Millisecond); ; {
 		if n.Ready(ctx) {
-			look.Stop()
+			ticker.Stop()
 			n.wasReady.Store(true)
 			n.testbed.linksTo(n.name, gateOpen)
 			n.testbed.intervals.end(n.name, n.testbed.now())
 			return nil
 		}
 		if running, _ := n.process.running(); !running {
-			look.Stop()
+			ticker.Stop()
 			return fmt.Errorf("the process of %s exited before it was ready; end of its log: %s", n.name, n.process.tail(2))
 		}
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
-			look.Stop()
+			ticker.Stop()
 			return fmt.Errorf("%s never became ready at %s; end of its log: %s", n.name, n.Listen(), n.process.tail(2))
 		}
 	}
--- a/internal/testbed/node_test.go
+++ b/internal/testbed/node_test.go
@@ -112,20 +112,20 @@
 		t.Fatal(err)
 	}
 	lines := bufio.NewScanner(out)
-	var folders []string
-	for len(folders) < 2 && lines.Scan() {
-		folders = append(folders, "/proc/"+lines.Text()+"/stat")
+	var statFiles []string
+	for len(statFiles) < 2 && lines.Scan() {
+		statFiles = append(statFiles, "/proc/"+lines.Text()+"/stat")
 	}
 	alive := func(stat string) bool { // a zombie counts as dead
 		text, err := os.ReadFile(stat)
 		return err == nil && !strings.Contains(string(text), ") Z ")
 	}
-	if len(folders) != 2 || !alive(folders[0]) || !alive(folders[1]) {
-		t.Fatalf("the other testbed did not start two processes; /proc files of those it reported: %v", folders)
+	if len(statFiles) != 2 || !alive(statFiles[0]) || !alive(statFiles[1]) {
+		t.Fatalf("the other testbed did not start two processes; /proc files of those it reported: %v", statFiles)
 	}
 	check(t, c.Process.Kill())
 	_ = c.Wait() // it was killed
-	for _, f := range folders {
+	for _, f := range statFiles {
 		Until(t, f+" ends", func() bool { return !alive(f) })
 	}
 }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -58,16 +58,16 @@
 	command   func() *exec.Cmd
 	// called at each exit; crash describes an exit that the testbed did not cause, else it is empty; clean is true after
 	// exit status 0 without SIGKILL
-	ended func(crash string, clean bool)
-
-	mu          sync.Mutex
-	cmd         *exec.Cmd     // nil: not running
-	endExpected bool          // the testbed has sent SIGTERM or SIGKILL
-	killed      bool          // the testbed has sent SIGKILL
-	stopped     bool          // by SIGSTOP
-	startedAt   time.Time     // start of the present run
-	exited      chan struct{} // closed after the exit of the present run
-	pastCPU     time.Duration // CPU time of earlier runs
+	onExit func(crash string, clean bool)
+
+	mu           sync.Mutex
+	cmd          *exec.Cmd     // nil: not running
+	exitExpected bool          // the testbed has sent SIGTERM or SIGKILL
+	killed       bool          // the testbed has sent SIGKILL
+	stopped      bool          // by SIGSTOP
+	startedAt    time.Time     // start of the present run
+	exited       chan struct{} // closed after the exit of the present run
+	pastCPU      time.Duration // CPU time of earlier runs
 }
 
 // start starts the program. It returns an error if the program is running.
@@ -87,7 +87,7 @@
 	if err := p.spawner.start(c); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	p.cmd, p.endExpected, p.killed, p.stopped, p.exited = c, false, false, false, make(chan struct{})
+	p.cmd, p.exitExpected, p.killed, p.stopped, p.exited = c, false, false, false, make(chan struct{})
 	p.startedAt = time.Now()
 	go p.wait(c, p.exited)
 	return nil
@@ -100,14 +100,14 @@
 	p.cmd = nil
 	p.pastCPU += c.ProcessState.UserTime() + c.ProcessState.SystemTime()
 	crash, clean := "", err == nil && !p.killed
-	if !p.endExpected {
+	if !p.exitExpected {
 		crash = fmt.Sprintf("ended by itself (%v)", errOr(err, "exit 0"))
 	}
 	p.mu.Unlock()
 	if crash != "" {
 		crash += ": " + p.tail(3)
 	}
-	p.ended(crash, clean)
+	p.onExit(crash, clean)
 	close(exited)
 }
 
@@ -147,9 +147,9 @@
 	}
 	switch s {
 	case syscall.SIGKILL:
-		p.endExpected, p.killed = true, true
+		p.exitExpected, p.killed = true, true
 	case syscall.SIGTERM:
-		p.endExpected = true
+		p.exitExpected = true
 	case syscall.SIGSTOP:
 		p.stopped = true
 	case syscall.SIGCONT:
@@ -202,8 +202,8 @@
 	if p.cmd == nil {
 		return u
 	}
-	folder := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
-	if text, err := os.ReadFile(folder + "stat"); err == nil {
+	procDir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
+	if text, err := os.ReadFile(procDir + "stat"); err == nil {
 		if end := bytes.LastIndexByte(text, ')'); end >= 0 { // the program name before it may contain blanks and parentheses
 			if f := strings.Fields(string(text[end+1:])); len(f) > 21 {
 				user, _ := strconv.ParseInt(f[11], 10, 64)
@@ -214,7 +214,7 @@
 			}
 		}
 	}
-	if d, err := os.Open(folder + "fd"); err == nil {
+	if d, err := os.Open(procDir + "fd"); err == nil {
 		names, _ := d.Readdirnames(-1)
 		d.Close()
 		u.Files = len(names)
--- a/internal/testbed/signals.go
+++ b/internal/testbed/signals.go
@@ -31,9 +31,9 @@
 	minUptimeForReload    = time.Second            // no SIGHUP is sent to a younger process
 )
 
-// killDelay returns the shortest time from SIGTERM to SIGKILL that the platform promises: the longest deadline, but at
-// most maxDeadlineBeforeKill, plus killGrace.
-func (w *World) killDelay() time.Duration {
+// minKillDelay returns the shortest time from SIGTERM to SIGKILL that the platform promises: the longest deadline, but
+// at most maxDeadlineBeforeKill, plus killGrace.
+func (w *World) minKillDelay() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range w.Classes {
 		longest = max(longest, c.Deadline)
@@ -45,12 +45,12 @@
 // platform may kill it, Terminate sends SIGKILL. It reports whether it did.
 func (n *Node) Terminate() (killed bool) {
 	_ = n.process.signal(syscall.SIGTERM) // fails only if it has exited
-	return n.awaitEnd(time.Now().Add(n.testbed.world.killDelay()))
+	return n.awaitExit(time.Now().Add(n.testbed.world.minKillDelay()))
 }
 
-// awaitEnd waits for the exit of a process that was sent SIGTERM, and sends SIGKILL at killAt if it still runs. It
+// awaitExit waits for the exit of a process that was sent SIGTERM, and sends SIGKILL at killAt if it still runs. It
 // reports whether it did.
-func (n *Node) awaitEnd(killAt time.Time) (killed bool) {
+func (n *Node) awaitExit(killAt time.Time) (killed bool) {
 	_, exited := n.process.running()
 	if exited == nil {
 		return false
@@ -95,7 +95,7 @@
 	var killAt time.Time // zero if no SIGTERM was sent
 	for _, signal := range f.Signals {
 		if signal == SignalTerminate && killAt.IsZero() {
-			killAt = time.Now().Add(tb.world.killDelay())
+			killAt = time.Now().Add(tb.world.minKillDelay())
 		}
 		if err := node.sendSignal(signal); err != nil {
 			break // it has exited
@@ -109,7 +109,7 @@
 	if killAt.IsZero() {
 		return nil
 	}
-	killed := node.awaitEnd(killAt)
+	killed := node.awaitExit(killAt)
 	stop()
 	tb.reportKill(node, killed)
 	if !sleep(ctx, f.For) {
--- a/internal/testbed/signals_test.go
+++ b/internal/testbed/signals_test.go
@@ -16,7 +16,7 @@
 		9 * time.Second: 3700 * time.Millisecond,
 	} {
 		w := World{Classes: []Class{{Deadline: longest / 2}, {Deadline: longest}}}
-		if got := w.killDelay(); got != want {
+		if got := w.minKillDelay(); got != want {
 			t.Errorf("with deadlines up to %v SIGKILL comes after %v, want %v", longest, got, want)
 		}
 	}
--- a/internal/testbed/tcp_link.go
+++ b/internal/testbed/tcp_link.go
@@ -9,61 +9,62 @@
 )
 
 const (
-	linkQueue       = 64       // pieces queued per direction of a connection; limits the data in flight like a TCP window
+	maxQueuedPieces = 64       // pieces queued per direction of a connection; limits the data in flight like a TCP window
 	pieceSize       = 32 << 10 // most bytes of one read
 	piecesPerSecond = 50       // with a limited rate
 	linkDialTimeout = 5 * time.Second
 )
 
 // tcpLink is a TCP proxy between a client part and a server part: the client dials the proxy instead of the server.
-// Bytes from the client are subject to the direction there, those from the server to the direction back. New
+// Bytes from the client are subject to the condition of toServer, those from the server to that of toClient. New
 // connections are established only while neither direction is cut.
 type tcpLink struct {
-	gate        *gate
-	target      string
-	there, back *direction
-	done        chan struct{}
-	owned       sync.WaitGroup // goroutines that close waits for
+	gate               *gate
+	target             string
+	toServer, toClient *direction
+	done               chan struct{}
+	goroutines         sync.WaitGroup // goroutines that close waits for
 
 	mu         sync.Mutex
 	serverMode gateMode // how the server treats new connections
 }
 
-func newTCPLink(listen, target string, there, back *direction) (*tcpLink, error) {
+func newTCPLink(listen, target string, toServer, toClient *direction) (*tcpLink, error) {
 	g, err := newGate(listen)
 	if err != nil {
 		return nil, err
 	}
 	l := &tcpLink{
-		gate:   g,
-		target: target,
-		there:  there,
-		back:   back,
-		done:   make(chan struct{}),
+		gate:     g,
+		target:   target,
+		toServer: toServer,
+		toClient: toClient,
+		done:     make(chan struct{}),
 	}
-	l.owned.Add(1)
+	l.goroutines.Add(1)
 	go l.accept()
 	return l, nil
 }
 
 // accept accepts connections until the gate is closed, and relays each in a goroutine.
 func (l *tcpLink) accept() {
-	defer l.owned.Done()
+	defer l.goroutines.Done()
 	for {
 		c, err := l.gate.Accept()
 		if err != nil {
 			return
 		}
-		l.owned.Add(1)
+		l.goroutines.Add(1)
 		go func() {
-			defer l.owned.Done()
+			defer l.goroutines.Done()
 			l.relay(c.(*gatedConn))
 		}()
 	}
 }
 
-// follow records how the server treats new connections, so that the proxy treats them alike unless a direction is cut.
-func (l *tcpLink) follow(server gateMode) {
+// setServerMode records how the server treats new connections, so that the proxy treats them alike unless a direction
+// is cut.
+func (l *tcpLink) setServerMode(server gateMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.serverMode = server
@@ -80,9 +81,9 @@
 // updateGate sets the mode of the gate: silent while a direction is cut, else that of the server; l.mu is held.
 func (l *tcpLink) updateGate() {
 	mode := l.serverMode
-	there, _ := l.there.get()
-	back, _ := l.back.get()
-	if there.Cut || back.Cut {
+	toServer, _ := l.toServer.get()
+	toClient, _ := l.toClient.get()
+	if toServer.Cut || toClient.Cut {
 		mode = gateSilent
 	}
 	_ = l.gate.set(mode) // fails if the gate is closed, or if another process took its port: it refuses connections then
@@ -92,14 +93,14 @@
 func (l *tcpLink) close() {
 	close(l.done)
 	_ = l.gate.Close() // never fails
-	l.owned.Wait()
+	l.goroutines.Wait()
 }
 
 // relay dials the server and forwards one connection in both directions until both have ended.
 func (l *tcpLink) relay(client *gatedConn) {
 	defer closeQuietly(client)
-	connectAt := l.there.due(time.Now(), time.Time{}, 0)
-	if !sleepUntil(connectAt, l.done) || !l.there.open(l.done) {
+	connectAt := l.toServer.deliveryTime(time.Now(), time.Time{}, 0)
+	if !sleepUntil(connectAt, l.done) || !l.toServer.waitWhileCut(l.done) {
 		return
 	}
 	server, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
@@ -108,32 +109,32 @@
 		return
 	}
 	defer closeQuietly(server)
-	over := make(chan struct{}) // closed once the link or the connection has ended
-	end := sync.OnceFunc(func() { close(over) })
+	ended := make(chan struct{}) // closed once the link or the connection has ended
+	end := sync.OnceFunc(func() { close(ended) })
 	go func() {
 		select {
 		case <-l.done:
 			end()
-		case <-over:
+		case <-ended:
 		}
 		closeQuietly(client.Conn)
 		closeQuietly(server)
 	}()
-	var both sync.WaitGroup
-	both.Add(2)
+	var directions sync.WaitGroup
+	directions.Add(2)
 	go func() {
-		defer both.Done()
-		if !pump(client.Conn, server, l.there, over) {
+		defer directions.Done()
+		if !relayDirection(client.Conn, server, l.toServer, ended) {
 			end()
 		}
 	}()
 	go func() {
-		defer both.Done()
-		if !pump(server, client.Conn, l.back, over) {
+		defer directions.Done()
+		if !relayDirection(server, client.Conn, l.toClient, ended) {
 			end()
 		}
 	}()
-	both.Wait()
+	directions.Wait()
 	end()
 }
 
@@ -146,15 +147,15 @@
 
 var pieceBuffers = sync.Pool{New: func() any { b := make([]byte, pieceSize); return &b }}
 
-// pump forwards one direction of a connection. It returns true after it has forwarded the sender's FIN, and false when
-// the whole connection must end. A reset by either side is forwarded as a reset.
-func pump(from, to net.Conn, d *direction, over <-chan struct{}) bool {
-	queue := make(chan piece, linkQueue)
+// relayDirection forwards one direction of a connection. It returns true after it has forwarded the sender's FIN, and
+// false when the whole connection must end. A reset by either side is forwarded as a reset.
+func relayDirection(from, to net.Conn, d *direction, ended <-chan struct{}) bool {
+	queue := make(chan piece, maxQueuedPieces)
 	writerDone := make(chan struct{})
 	go readPieces(from, d, queue, writerDone)
 	defer close(writerDone)
 	for p := range queue {
-		if !sleepUntil(p.due, over) || !d.open(over) {
+		if !sleepUntil(p.due, ended) || !d.waitWhileCut(ended) {
 			return false
 		}
 		switch {
@@ -186,7 +187,7 @@
 	for {
 		buf := *pieceBuffers.Get().(*[]byte)
 		n, err := from.Read(buf[:d.pieceSize(len(buf))])
-		last = d.due(time.Now(), last, n)
+		last = d.deliveryTime(time.Now(), last, n)
 		for _, p := range []piece{{buf[:n], last, nil}, {nil, last, err}} {
 			if p.end == nil && len(p.data) == 0 {
 				continue
@@ -205,7 +206,7 @@
 
 // pieceSize returns the most bytes to read at once: limit, or less so that a limited rate gives piecesPerSecond pieces.
 func (d *direction) pieceSize(limit int) int {
-	if d.plain.Load() {
+	if d.undisturbed.Load() {
 		return limit
 	}
 	c, _ := d.get()
--- a/internal/testbed/tcp_state.go
+++ b/internal/testbed/tcp_state.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	resetWithin = 20 * time.Millisecond // on loopback a reset because of unread bytes arrives at once
-	tcpClosed   = 7                     // TCP_CLOSE, the state after a received reset
+	resetTimeout = 20 * time.Millisecond // on loopback a reset because of unread bytes arrives at once
+	tcpClosed    = 7                     // TCP_CLOSE, the state after a received reset
 )
 
 // peerReadAll reports whether the peer of a connection, which has sent its FIN, had read all bytes that were sent to
@@ -26,7 +26,7 @@
 	if err != nil {
 		return false
 	}
-	for end := time.Now().Add(resetWithin); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(resetTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		var info *unix.TCPInfo
 		err := rc.Control(func(fd uintptr) {
 			info, _ = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) // on an error State is 0
--- a/internal/testbed/udp_link.go
+++ b/internal/testbed/udp_link.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	maxSources      = 64               // senders for which a UDP link keeps a socket
-	sourceIdle      = 30 * time.Second // a sender's socket is closed after this time without a reply
-	maxDatagramSize = 64 << 10
+	maxSources        = 64               // senders for which a UDP link keeps a socket
+	sourceIdleTimeout = 30 * time.Second // a sender's socket is closed after this time without a reply
+	maxDatagramSize   = 64 << 10
 )
 
 // udpLink is a UDP proxy: it forwards datagrams to the target, and the target's replies back to the senders.
 type udpLink struct {
-	there, back *direction
-	conn        *net.UDPConn
-	target      *net.UDPAddr
-	done        chan struct{}
-	owned       sync.WaitGroup // goroutines that close waits for
+	toTarget, toSender *direction
+	conn               *net.UDPConn
+	target             *net.UDPAddr
+	done               chan struct{}
+	goroutines         sync.WaitGroup // goroutines that close waits for
 
 	mu        sync.Mutex
 	sources   map[string]*net.UDPConn // sockets connected to the target, by the sender's address
 	reordered map[*direction]func()   // sends the datagram that is held back until after the next one
 }
 
-func newUDPLink(listen, target string, there, back *direction) (*udpLink, error) {
+func newUDPLink(listen, target string, toTarget, toSender *direction) (*udpLink, error) {
 	to, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		return nil, err
@@ -42,15 +42,15 @@
 		return nil, err
 	}
 	l := &udpLink{
-		there:     there,
-		back:      back,
+		toTarget:  toTarget,
+		toSender:  toSender,
 		conn:      conn,
 		target:    to,
 		done:      make(chan struct{}),
 		sources:   map[string]*net.UDPConn{},
 		reordered: map[*direction]func(){},
 	}
-	l.owned.Add(1)
+	l.goroutines.Add(1)
 	go l.forward()
 	return l, nil
 }
@@ -67,13 +67,13 @@
 		closeQuietly(c)
 	}
 	l.mu.Unlock()
-	l.owned.Wait()
+	l.goroutines.Wait()
 }
 
 // forward forwards datagrams to the target until the link is closed. As on any network, a datagram that cannot be sent
 // is lost.
 func (l *udpLink) forward() {
-	defer l.owned.Done()
+	defer l.goroutines.Done()
 	buf := make([]byte, maxDatagramSize)
 	for {
 		n, from, err := l.conn.ReadFromUDP(buf)
@@ -84,7 +84,7 @@
 			continue
 		}
 		if out := l.source(from); out != nil {
-			l.send(l.there, slices.Clone(buf[:n]), func(b []byte) { _, _ = out.Write(b) })
+			l.send(l.toTarget, slices.Clone(buf[:n]), func(b []byte) { _, _ = out.Write(b) })
 		}
 	}
 }
@@ -103,25 +103,25 @@
 		return nil
 	}
 	l.sources[from.String()] = out
-	l.owned.Add(1)
-	go l.returnAnswers(out, from)
+	l.goroutines.Add(1)
+	go l.forwardReplies(out, from)
 	return out
 }
 
-// returnAnswers forwards the target's replies to a sender until none has come for sourceIdle.
-func (l *udpLink) returnAnswers(out *net.UDPConn, to *net.UDPAddr) {
-	defer l.owned.Done()
+// forwardReplies forwards the target's replies to a sender until none has come for sourceIdleTimeout.
+func (l *udpLink) forwardReplies(out *net.UDPConn, to *net.UDPAddr) {
+	defer l.goroutines.Done()
 	defer closeQuietly(out)
 	buf := make([]byte, maxDatagramSize)
 	for {
-		_ = out.SetReadDeadline(time.Now().Add(sourceIdle)) // fails only on a closed socket, and then so does the read
+		_ = out.SetReadDeadline(time.Now().Add(sourceIdleTimeout)) // fails only on a closed socket, and then so does the read
 		n, err := out.Read(buf)
 		var timeout net.Error
 		if errors.Is(err, net.ErrClosed) || errors.As(err, &timeout) && timeout.Timeout() {
 			break
 		}
 		if err == nil { // another error means that the target's port is closed for now
-			l.send(l.back, slices.Clone(buf[:n]), func(b []byte) { _, _ = l.conn.WriteToUDP(b, to) })
+			l.send(l.toSender, slices.Clone(buf[:n]), func(b []byte) { _, _ = l.conn.WriteToUDP(b, to) })
 		}
 	}
 	l.mu.Lock()
@@ -132,7 +132,7 @@
 // send sends one datagram subject to the condition of its direction: it may be lost, delayed, duplicated or held back
 // until after the next one.
 func (l *udpLink) send(d *direction, data []byte, write func([]byte)) {
-	if d.plain.Load() {
+	if d.undisturbed.Load() {
 		write(data)
 		return
 	}
@@ -140,22 +140,22 @@
 	if c.Cut || rand.Float64() < c.Loss {
 		return
 	}
-	this := func() { write(data) }
+	sendThis := func() { write(data) }
 	l.mu.Lock()
 	delayed := l.reordered[d]
 	if delayed == nil && rand.Float64() < c.Reorder {
-		l.reordered[d] = this
+		l.reordered[d] = sendThis
 		l.mu.Unlock()
 		return
 	}
 	delete(l.reordered, d)
 	l.mu.Unlock()
-	out := []func(){this}
+	out := []func(){sendThis}
 	if delayed != nil {
 		out = append(out, delayed)
 	}
 	if rand.Float64() < c.Dup {
-		out = append(out, this)
+		out = append(out, sendThis)
 	}
 	for _, send := range out {
 		l.sendAfter(c, send)
