--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -35,15 +35,15 @@
 }
 
 // discovery is the discovery service. It keeps a list of servers for each tier, and serves each node at a separate
-// address, since the addresses of the servers may differ between nodes. It publishes changes after the delay
-// World.Discovery.Late.
+// address, since the addresses of the servers may differ between nodes. It publishes changes after
+// publishDelay.
 type discovery struct {
 	testbed  *Testbed
 	callSlot chan struct{} // calls are handled one at a time
 
 	mu           sync.Mutex
 	fault        DiscoveryFault
-	publishDelay time.Duration // delay of each change; World.Discovery.Late
+	publishDelay time.Duration // from a change to its publication, as the world sets it
 	tiers        []*tierList
 	gates        []*gate               // all that were opened
 	gateByNode   map[*Node]*gate       // the current address of each node
@@ -59,7 +59,7 @@
 // tierList is the list of one tier with the log of its changes.
 type tierList struct {
 	seq      int64
-	logStart int64                    // sequence number at which the log starts; an older version gets the complete list
+	logStart int64                    // sequence number at which the log starts; older lists are replaced as a whole
 	hosts    map[string]endpointEntry // by name
 	log      []change
 	changed  chan struct{} // closed at the next change
@@ -93,7 +93,7 @@
 	}
 }
 
-// publish publishes the state of a server after the delay late; if late is negative, after World.Discovery.Late.
+// publish publishes the state of a server after delay, or after d.publishDelay if delay is negative.
 func (d *discovery) publish(tier int, h endpointEntry, delay time.Duration) {
 	if delay < 0 {
 		delay = d.publishDelay
@@ -239,7 +239,7 @@
 }
 
 // acquireCallSlot waits while another call is handled, then for the duration of one call. It returns false if the
-// caller has disconnected, or has waited for World.Discovery.MaxLag and was answered with 503.
+// caller has disconnected, or has waited for the world's limit and was answered with 503.
 func (d *discovery) acquireCallSlot(w http.ResponseWriter, r *http.Request) bool {
 	wait := time.NewTimer(d.testbed.world.Discovery.MaxLag)
 	defer wait.Stop()
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -54,8 +54,8 @@
 //	term      SIGTERM a node; started again For after its process has exited. Clients, each on one persistent
 //	          connection, send requests to it until then
 //	stop      SIGSTOP a node for For
-//	hold      SIGSTOP a node for For, 20 to 150 ms, Pick times in a row, as on a slow machine: requests that
-//	          fail meanwhile still count as findings
+//	hold      SIGSTOP a node for For, 20 to 150 ms, Pick times in a row, as on a slow machine: requests that fail
+//	          meanwhile still count as findings
 //	signals   send a node Signals at intervals of Gap; with SIGTERM among them, it ends and starts again as with term.
 //	          A SIGSTOP among them counts as a hold
 //	reload    move a node's discovery to another address and send SIGHUP
@@ -70,7 +70,8 @@
 //	          or closes the connection after one
 //	silent    a server neither reads nor writes, as if its machine had vanished from the network
 //	drain     discovery lists a server as draining, and removes it after For
-//	replace   as drain, and a new process starts in the server's place, in slow start; listed once its node is ready
+//	replace   discovery lists a server as draining; after For a new process takes its place, in slow start, and is listed
+//	          once its node is ready
 //	zone      all servers of a zone are silent and, with Nodes set, its nodes are stopped; discovery removes the servers
 //	          after Late; at the end all start again, the servers in slow start
 //
@@ -346,8 +347,8 @@
 	return targets, nil
 }
 
-// hasEndStep reports whether the schedule needs a step that ends the fault. Faults of the kinds that are listed
-// here end without one.
+// hasEndStep reports whether the schedule needs a step that ends the fault. Faults of the kinds that are listed here
+// end without one.
 func (f *Fault) hasEndStep() bool {
 	switch f.Kind {
 	case FaultDrain, FaultTerminate, FaultPause, FaultSignals, FaultConnectionFlood:
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -28,7 +28,7 @@
 
 // matches reports whether a path pattern matches a name.
 func matches(pattern, name string) bool {
-	ok, _ := path.Match(pattern, name) // World.Fill and Fault.Check reject invalid patterns
+	ok, _ := path.Match(pattern, name) // Fault.Check rejects invalid patterns; one in World.Links matches nothing
 	return ok
 }
 
@@ -44,7 +44,7 @@
 	if tb.tcpLinks[key] == nil {
 		link, err := newTCPLink(tb.linkIP()+":0", target, tb.directionLocked(from, to), tb.directionLocked(to, from))
 		if err != nil {
-			return target // no free port or file descriptor: a fault of this link then fails with errNoLink
+			return target // no free port or file descriptor: a fault of this link alone then fails with errNoLink
 		}
 		tb.tcpLinks[key] = link
 	}
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -205,7 +205,7 @@
 const oldDiscoveryGrace = 1500 * time.Millisecond // from a move to the reset of the connections to the old address
 
 // Reload moves the node's discovery to another address, writes the address to the node's configuration and sends
-// SIGHUP. The old address refuses new connections at once, and resets its open ones after oldDiscoveryFor.
+// SIGHUP. The old address refuses new connections at once, and resets its open ones after oldDiscoveryGrace.
 func (n *Node) Reload() error {
 	before := n.testbed.disc.gateOf(n)
 	addr, err := n.testbed.disc.serve(n)
@@ -260,8 +260,8 @@
 	return yes
 }
 
-// onExit is called at each exit of the process; crash is empty if the exit was expected. A process that
-// exits cleanly must have answered all requests that it accepted, so only other exits excuse lost requests.
+// onExit is called at each exit of the process; crash is empty if the exit was expected. A process that exits cleanly
+// must have answered all requests that it accepted, so only other exits excuse lost requests.
 func (n *Node) onExit(crash string, clean bool) {
 	n.testbed.linksTo(n.name, gateRefuse)
 	select {
@@ -277,8 +277,8 @@
 	}
 }
 
-// Up waits until the process says that it is ready for clients, for World.Ready at most. The front may send clients a
-// moment later.
+// Up waits until the process says that it is ready for clients, for the world's time limit at most. The front may send
+// clients a moment later.
 func (n *Node) Up(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, n.testbed.world.Ready)
 	defer cancel()
--- a/internal/testbed/signals.go
+++ b/internal/testbed/signals.go
@@ -26,7 +26,7 @@
 
 // The limits that the platform keeps at a restart or reload.
 const (
-	maxDeadlineBeforeKill = 3 * time.Second        // the platform waits no longer for requests with a longer deadline
+	maxDeadlineBeforeKill = 3 * time.Second        // the platform grants no more, even with longer deadlines
 	killGrace             = 700 * time.Millisecond // from SIGTERM to SIGKILL, in addition to the longest deadline
 	minUptimeForReload    = time.Second            // no SIGHUP is sent to a younger process
 )
@@ -41,7 +41,7 @@
 	return min(longest, maxDeadlineBeforeKill) + killGrace
 }
 
-// Terminate sends SIGTERM and waits for the exit of the process. If the process still runs after killDelay, when the
+// Terminate sends SIGTERM and waits for the exit of the process. If the process still runs after minKillDelay, when the
 // platform may kill it, Terminate sends SIGKILL. It reports whether it did.
 func (n *Node) Terminate() (killed bool) {
 	_ = n.process.signal(syscall.SIGTERM) // fails only if it has exited
