--- a/internal/testbed/discovery_fault.go
+++ b/internal/testbed/discovery_fault.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// DiscoveryFault is how discovery fails. The zero value is a healthy one.
+// DiscoveryFault holds the ways in which discovery fails. With the zero value it is healthy.
 type DiscoveryFault struct {
-	Down bool          // watches end, calls are refused by a reset
-	Fail bool          // calls end in 503; watches go on
-	Slow time.Duration // added to the time of each call; calls are handled one at a time
+	Down bool          // watches end, and the connections of calls are reset
+	Fail bool          // calls are answered with 503; open watches go on
+	Slow time.Duration // added to the duration of each call; calls are handled one at a time
 
-	Unresponsive bool // calls are accepted and never answered; watches that are open fall silent
-	Trickle      bool // instead of lines, spaces are sent without an end of line
-	Cut          bool // each list ends in its middle, and with it the connection
-	Indent       bool // lists come in many lines
+	Unresponsive bool // calls are accepted and never answered; open watches fall silent
+	Trickle      bool // watches send spaces without an end of line instead of updates
+	Cut          bool // each list is cut off in the middle, and its connection closed
+	Indent       bool // lists are indented JSON of many lines
 }
 
-func (d *discovery) set(o DiscoveryFault) {
+// set replaces the fault, and wakes all watches so that it applies at once.
+func (d *discovery) set(fault DiscoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fault = o
-	d.wake()
+	d.fault = fault
+	d.wakeWatches()
 }
 
-// mute makes all watches that are open fall silent for good.
+// mute makes all open watches fall silent until their clients disconnect.
 func (d *discovery) mute() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.mutes++
-	d.wake()
+	d.muteCount++
+	d.wakeWatches()
 }
 
-// renumber makes discovery come back with other sequence numbers; all watches end.
+// renumber restarts discovery with other sequence numbers, higher ones or from 1, and without a log of changes. It is
+// down for 50 ms, so that all watches end.
 func (d *discovery) renumber(higher bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,23 +42,23 @@
 		if t.seq += 1000; !higher {
 			t.seq = 1
 		}
-		t.base, t.log = t.seq, nil
+		t.logStart, t.log = t.seq, nil
 	}
 	d.fault.Down = true
-	d.wake()
+	d.wakeWatches()
 	time.AfterFunc(50*time.Millisecond, func() { d.set(DiscoveryFault{}) })
 }
 
-// silent waits without an answer until the client leaves.
-func (d *discovery) silent(r *http.Request) {
+// blockUntilDisconnect blocks without an answer until the client disconnects.
+func (d *discovery) blockUntilDisconnect(r *http.Request) {
 	select {
 	case <-r.Context().Done():
 	case <-d.testbed.done:
 	}
 }
 
-// hangUp resets the connection of a call.
-func (d *discovery) hangUp(w http.ResponseWriter) {
+// resetConnection resets the connection of a call, which it takes over from the HTTP server.
+func (d *discovery) resetConnection(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if c, _, err := h.Hijack(); err == nil {
 			if g, ok := c.(*gatedConn); ok {
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// gateMode is how a listener treats new connections.
+// gateMode is how a gate treats new connections.
 type gateMode int
 
 const (
 	gateOpen   gateMode = iota
-	gateRefuse          // as of a dead process: connections are refused at once
-	gateSilent          // as of a vanished machine: connections never come up, and open ones are silent
+	gateRefuse          // as after the exit of a process: connections are refused at once
+	gateSilent          // as if the machine had vanished: connection attempts time out, and open connections are silent
 )
 
-const backlog = 512
+const backlog = 512 // length of the accept queue while the gate is open
 
-// gate is a listener that can refuse connections or fall silent, and come back at the same address. Silence is made
-// by a full accept queue: the kernel then drops connection requests, so that they neither come up nor fail.
+// gate is a listener that can refuse connections or fall silent, and open again at the same address. While it is silent
+// its accept queue is full: the kernel then drops SYN packets, so that connection attempts neither succeed nor fail.
 type gate struct {
-	addr     string
-	accepted chan net.Conn
-	done     chan struct{}
-	owned    sync.WaitGroup
+	addr       string
+	accepted   chan net.Conn
+	done       chan struct{}
+	goroutines sync.WaitGroup // goroutines that Close waits for
 
-	mu       sync.Mutex
-	mode     gateMode
-	listener *net.TCPListener // nil while refusing
-	fillers  map[string]net.Conn
-	conns    map[*gatedConn]struct{}
-	thawed   chan struct{} // closed while not silent
+	mu           sync.Mutex
+	mode         gateMode
+	listener     *net.TCPListener    // nil while refusing
+	queueFillers map[string]net.Conn // connections that fill the accept queue, by their local address
+	conns        map[*gatedConn]struct{}
+	unsilenced   chan struct{} // closed while not silent
 }
 
-// newGate opens a gate; port 0 picks one, kept from then on.
+// newGate opens a gate. With port 0 the kernel picks a port, which the gate then keeps.
 func newGate(addr string) (*gate, error) {
-	g := &gate{addr: addr, accepted: make(chan net.Conn), done: make(chan struct{}), fillers: map[string]net.Conn{},
-		conns: map[*gatedConn]struct{}{}, thawed: make(chan struct{})}
-	close(g.thawed)
+	g := &gate{addr: addr, accepted: make(chan net.Conn), done: make(chan struct{}), queueFillers: map[string]net.Conn{},
+		conns: map[*gatedConn]struct{}{}, unsilenced: make(chan struct{})}
+	close(g.unsilenced)
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
@@ -47,31 +47,32 @@
 	return g, nil
 }
 
+// listen opens the listener and starts to accept connections; g.mu is held, or the gate is new.
 func (g *gate) listen() error {
 	listener, err := net.Listen("tcp", g.addr)
 	if err != nil {
 		return err
 	}
 	g.listener = listener.(*net.TCPListener)
-	g.owned.Add(1)
-	go g.take(g.listener)
+	g.goroutines.Add(1)
+	go g.acceptLoop(g.listener)
 	return nil
 }
 
-// take accepts until its listener is closed.
-func (g *gate) take(listener *net.TCPListener) {
-	defer g.owned.Done()
+// acceptLoop accepts connections until the listener is closed, and passes them to Accept.
+func (g *gate) acceptLoop(listener *net.TCPListener) {
+	defer g.goroutines.Done()
 	for {
 		c, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // silent, or out of descriptors for a moment
+		if err != nil { // the deadline of a silent gate, or no file descriptor is free for now
 			g.mu.Lock()
-			thawed := g.thawed
+			unsilenced := g.unsilenced
 			g.mu.Unlock()
 			select {
-			case <-thawed:
+			case <-unsilenced:
 				time.Sleep(time.Millisecond)
 				continue
 			case <-g.done:
@@ -79,8 +80,8 @@
 			}
 		}
 		g.mu.Lock()
-		if f := g.fillers[c.RemoteAddr().String()]; f != nil {
-			delete(g.fillers, c.RemoteAddr().String())
+		if f := g.queueFillers[c.RemoteAddr().String()]; f != nil {
+			delete(g.queueFillers, c.RemoteAddr().String())
 			g.mu.Unlock()
 			f.Close()
 			c.Close()
@@ -98,7 +99,7 @@
 	}
 }
 
-// set changes the mode. It returns once the new mode is in force.
+// set changes the mode, and returns once the new mode is in effect.
 func (g *gate) set(mode gateMode) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -115,7 +116,7 @@
 			setBacklog(g.listener, backlog)
 			_ = g.listener.SetDeadline(time.Time{}) // fails only on a closed listener
 		}
-		close(g.thawed)
+		close(g.unsilenced)
 	}
 	g.mode = mode
 	switch mode {
@@ -127,7 +128,7 @@
 		g.listener.Close()
 		g.listener = nil
 	case gateSilent:
-		g.thawed = make(chan struct{})
+		g.unsilenced = make(chan struct{})
 		if g.listener == nil {
 			if err := g.listen(); err != nil {
 				return err
@@ -135,17 +136,18 @@
 		}
 		_ = g.listener.SetDeadline(time.Now())
 		setBacklog(g.listener, 0)
-		for range 4 { // a queue of length 0 holds one
+		for range 4 { // an accept queue of length 0 still holds one connection
 			c, err := net.DialTimeout("tcp", g.addr, 10*time.Millisecond)
 			if err != nil {
 				break
 			}
-			g.fillers[c.LocalAddr().String()] = c
+			g.queueFillers[c.LocalAddr().String()] = c
 		}
 	}
 	return nil
 }
 
+// setBacklog sets the length of the accept queue of an open listener.
 func setBacklog(listener *net.TCPListener, n int) {
 	raw, err := listener.SyscallConn()
 	if err != nil {
@@ -154,10 +156,10 @@
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) }) // fails only on a closed listener
 }
 
-// refuse rejects new connections; open ones stay.
-func (g *gate) refuse() { _ = g.set(gateRefuse) } // fails only at the testbed's end
+// refuse makes the gate refuse new connections; open ones stay.
+func (g *gate) refuse() { _ = g.set(gateRefuse) } // fails only if the gate is closed
 
-// reset ends all open connections by a reset.
+// reset resets all open connections.
 func (g *gate) reset() {
 	g.mu.Lock()
 	var all []*gatedConn
@@ -172,7 +174,7 @@
 
 var _ net.Listener = (*gate)(nil)
 
-// Accept waits for the next connection; the gate's end is net.ErrClosed.
+// Accept waits for the next connection. It returns net.ErrClosed once the gate is closed.
 func (g *gate) Accept() (net.Conn, error) {
 	select {
 	case c := <-g.accepted:
@@ -182,7 +184,7 @@
 	}
 }
 
-// Close ends the gate and resets its connections. It never fails.
+// Close closes the gate and resets its connections. It never fails.
 func (g *gate) Close() error {
 	g.mu.Lock()
 	select {
@@ -195,12 +197,12 @@
 	if g.listener != nil {
 		g.listener.Close()
 	}
-	for _, f := range g.fillers {
+	for _, f := range g.queueFillers {
 		f.Close()
 	}
 	g.mu.Unlock()
 	g.reset()
-	g.owned.Wait()
+	g.goroutines.Wait()
 	return nil
 }
 
@@ -210,7 +212,7 @@
 	return a
 }
 
-// gatedConn neither reads nor writes while its gate is silent.
+// gatedConn is an accepted connection of a gate. Its reads and writes block while the gate is silent.
 type gatedConn struct {
 	net.Conn
 	gate   *gate
@@ -218,17 +220,18 @@
 	closed chan struct{}
 }
 
-func (c *gatedConn) hold() error {
+// waitWhileSilent waits while the gate is silent. It returns net.ErrClosed if the connection is closed meanwhile.
+func (c *gatedConn) waitWhileSilent() error {
 	c.gate.mu.Lock()
-	thawed := c.gate.thawed
+	unsilenced := c.gate.unsilenced
 	c.gate.mu.Unlock()
 	select {
-	case <-thawed:
+	case <-unsilenced:
 		return nil
 	default:
 	}
 	select {
-	case <-thawed:
+	case <-unsilenced:
 		return nil
 	case <-c.closed:
 		return net.ErrClosed
@@ -237,36 +240,37 @@
 
 func (c *gatedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if err := c.hold(); err != nil {
+	if err := c.waitWhileSilent(); err != nil {
 		return 0, err
 	}
 	return n, err
 }
 
 func (c *gatedConn) Write(p []byte) (int, error) {
-	if err := c.hold(); err != nil {
+	if err := c.waitWhileSilent(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
-// Close of a silent connection does not reach the peer before the silence ends.
+// Close closes the connection. While the gate is silent the peer does not notice: the socket is closed once the silence
+// ends or the gate is closed.
 func (c *gatedConn) Close() (err error) {
 	c.once.Do(func() {
 		close(c.closed)
 		c.gate.mu.Lock()
 		delete(c.gate.conns, c)
-		thawed := c.gate.thawed
+		unsilenced := c.gate.unsilenced
 		c.gate.mu.Unlock()
 		select {
-		case <-thawed:
+		case <-unsilenced:
 			err = c.Conn.Close()
 		default:
-			c.gate.owned.Add(1)
+			c.gate.goroutines.Add(1)
 			go func() {
-				defer c.gate.owned.Done()
+				defer c.gate.goroutines.Done()
 				select {
-				case <-thawed:
+				case <-unsilenced:
 				case <-c.gate.done:
 				}
 				c.Conn.Close()
@@ -276,12 +280,13 @@
 	return err
 }
 
+// reset closes the connection so that the peer sees a reset.
 func (c *gatedConn) reset() {
 	reset(c.Conn)
 	closeQuietly(c)
 }
 
-// reset ends a connection so that the peer sees a reset.
+// reset closes a connection so that the peer sees a reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // fails only on a closed connection
