--- a/cmd/balancer-testbed/main_test.go
+++ b/cmd/balancer-testbed/main_test.go
@@ -12,7 +12,7 @@
 	"keelusher/internal/testbed/testbedtest"
 )
 
-var binary string
+var binary string // path of the node program, built by TestMain
 
 // TestMain runs the program in place of the tests if TESTBED_AS_PROGRAM is set, so that the tests can start it.
 func TestMain(m *testing.M) {
@@ -111,17 +111,19 @@
 	}
 }
 
+// The day command must print the same arrivals and fault steps for the same seed, and others for another seed.
 func TestDayDependsOnlyOnTheSeed(t *testing.T) {
-	var days []string
+	var outputs []string
 	for _, seed := range []string{"1", "1", "2"} {
 		out, err := newProgram("day", "../../experiments/first.toml", "--seed", seed).Output()
 		if err != nil {
 			t.Fatal(err)
 		}
-		days = append(days, string(out))
+		outputs = append(outputs, string(out))
 	}
-	if days[0] != days[1] || days[0] == days[2] || strings.Count(days[0], "\n") < 5000 ||
-		!strings.Contains(days[0], " cut n2->front-[12]\n") {
-		t.Errorf("the days of the seeds 1, 1 and 2 have %d, %d and %d bytes", len(days[0]), len(days[1]), len(days[2]))
+	if outputs[0] != outputs[1] || outputs[0] == outputs[2] || strings.Count(outputs[0], "\n") < 5000 ||
+		!strings.Contains(outputs[0], " cut n2->front-[12]\n") {
+		t.Errorf("the output for the seeds 1, 1 and 2 has %d, %d and %d bytes",
+			len(outputs[0]), len(outputs[1]), len(outputs[2]))
 	}
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -30,7 +30,7 @@
 	Log     *slog.Logger
 	Started time.Time // start of the process by the wall clock; default: now
 
-	// OnMessage is called with each message that another member's Send sent. It must not block, and may be nil.
+	// OnMessage is called with each message that another member has sent with Send. It must not block, and may be nil.
 	OnMessage func(from string, body []byte)
 	// OnViewChange is called by the mesh's goroutine whenever the view may have changed. It must not block, and may be
 	// nil.
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -7,16 +7,16 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Parameters of memberlist, as multiples or fractions of the probe interval. Suspicion is short, and Lifeguard's limit
-// on stretching timeouts when a process's own health is poor is small, because the probes of probing.go decide who is
-// dead.
+// Parameters of memberlist. The suspicion timeout is short, and so is the limit to which memberlist lengthens the probe
+// interval and timeouts when the process's own health is poor (Lifeguard's awareness), because the probes of probing.go
+// decide which process is dead.
 const (
-	suspicionMultiplier    = 2
+	suspicionMultiplier    = 2 // probe intervals; memberlist scales this with the logarithm of the fleet size
 	maxSuspicionMultiplier = 2
 	maxAwareness           = 2
-	gossipPerProbe         = 4
+	gossipPerProbe         = 4 // gossip rounds per probe interval
 	gossipNodes            = 3
-	fullStateProbes        = 25
+	probesPerFullState     = 25 // probe intervals between two exchanges of the full state with another process
 )
 
 // packetNetwork carries memberlist's packets and streams.
@@ -58,7 +58,7 @@
 	c.AwarenessMaxMultiplier = maxAwareness
 	c.GossipInterval = m.cfg.Probe / gossipPerProbe
 	c.GossipNodes = gossipNodes
-	c.PushPullInterval = fullStateProbes * m.cfg.Probe
+	c.PushPullInterval = probesPerFullState * m.cfg.Probe
 	c.TCPTimeout = streamOpenTimeout
 	c.EnableCompression = false
 	c.UDPBufferSize = maxPacketSize - frameHeaderSize
--- a/internal/membership/flap.go
+++ b/internal/membership/flap.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Parameters of flap damping: a member that returns after it was confirmed dead too often is suppressed for a while.
+// Parameters of flap damping: a member that has too often returned after it was confirmed dead is suppressed, that is,
+// marked in the view as one not to rely on, for a while.
 const (
 	flapHalfLife        = time.Minute // of a member's penalty
 	flapThreshold       = 2.5         // penalty from which a member is suppressed: the third return in a short time
--- a/internal/membership/leave_test.go
+++ b/internal/membership/leave_test.go
@@ -39,8 +39,8 @@
 	t.Logf("Leave took %v; all others saw the member as left %v later", took, known)
 }
 
-// Guards against a member that has left and stays dead in one view: a member that was partitioned during the leave
-// confirms it dead, and must change that to left once the others tell it.
+// Guards against a member that has left but stays dead in the view of another one: a member that was partitioned during
+// the leave confirms the first one dead, and must change its state to left once the others report that it has left.
 func TestLeaveIsLearnedAfterAPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 5
@@ -67,9 +67,10 @@
 	if p.state != Left {
 		t.Errorf("state of a dead process that is reported as departed is %s, want left", p.state)
 	}
-	p.updateMetadata([]byte(`{"p":"a"}`))
+	p.updateMetadata([]byte(`{"p":"a"}`)) // phaseAlive
 	if p.metadata.Phase != phaseLeaving || p.endState() != Left {
-		t.Errorf("after older metadata the phase is %q and the end state is %s", p.metadata.Phase, p.endState())
+		t.Errorf("after older metadata the phase is %q and the end state is %s, want \"l\" and left",
+			p.metadata.Phase, p.endState())
 	}
 	if ids := m.departedIDs(); len(ids) != 1 || ids[0] != "a" {
 		t.Errorf("IDs of departed processes are %v, want [a]", ids)
--- a/internal/membership/replay.go
+++ b/internal/membership/replay.go
@@ -46,8 +46,8 @@
 	return replayGuard{windows: map[uint64]*replayWindow{}}
 }
 
-// accept records a sender's sequence number, and reports whether it is new. A new sender beyond maxSenders displaces
-// the window of an arbitrary other one, which gets a new window if it is still there.
+// accept records a sender's sequence number, and reports whether it is new. If there are maxSenders windows already, a
+// new sender displaces the window of an arbitrary other one, which gets an empty window if it sends again.
 func (g *replayGuard) accept(process, sequence uint64) bool {
 	window := g.windows[process]
 	if window == nil {
--- a/internal/node/client_conn_state.go
+++ b/internal/node/client_conn_state.go
@@ -18,16 +18,16 @@
 //	closing    -          -            -                -            -             closed
 //	closed     -          -            -                -            -             -
 //
-// A dash is an event that has no effect. Idle, receiving and expired connections are in the lists of the listener from
-// which it evicts when the limit is reached. A transition to idle or receiving, also from that same state, moves the
-// connection to the end of the list of that state; an expired connection keeps its position.
+// A dash is an event that has no effect. Idle, receiving and expired connections are in the lists from which the
+// listener evicts when its limit on connections is reached. A transition to idle or receiving, also from that same
+// state, moves the connection to the end of the list of that state; an expired connection keeps its position.
 type clientConnState int
 
 const (
 	clientConnIdle      clientConnState = iota // waits for the head of a request
 	clientConnReceiving                        // the head of a request has been read, its body not completely
 	clientConnServing                          // a request has been read, or is forwarded while its body arrives
-	clientConnExpired                          // its reader has given it up; no response is in flight
+	clientConnExpired                          // reading timed out or was stopped to evict it; no response is in flight
 	clientConnClosing                          // the HTTP server is closing it; unread bytes may be read first
 	clientConnClosed                           // the socket is closed
 	clientConnStates
@@ -40,7 +40,7 @@
 	headRead        clientConnEvent = iota // the handler has received the head of a request
 	requestRead                            // the handler has read the whole request, or streams its body
 	responseWritten                        // the HTTP server waits for the next request
-	readExpired                            // the reader gives up a connection without a request
+	readExpired                            // reading a request has timed out, or was stopped to evict the connection
 	closeStarted
 	closeEnded
 	clientConnEvents
--- a/internal/node/client_listener_test.go
+++ b/internal/node/client_listener_test.go
@@ -67,9 +67,10 @@
 	recordRequestRead(r.WithContext(context.WithValue(context.Background(), clientConnKey{}, c)))
 }
 
-// Guards against connections beyond the limit, and against a second Close that frees another place.
+// Guards against a listener that admits connections beyond its limit, or that frees two places when one connection is
+// closed twice.
 func TestConnectionLimit(t *testing.T) {
-	b, accepted, dial := startAccepting(t)
+	listener, accepted, dial := startAccepting(t)
 	dial()
 	first := <-accepted
 	markServing(first)
@@ -79,8 +80,8 @@
 		t.Error("a second connection was admitted beyond the limit")
 	default:
 	}
-	if b.admitted != 1 {
-		t.Errorf("%d connections are admitted, want 1", b.admitted)
+	if listener.admitted != 1 {
+		t.Errorf("%d connections are admitted, want 1", listener.admitted)
 	}
 	first.Close()
 	first.Close() // must not be counted again
@@ -90,11 +91,11 @@
 // Guards against clients that are locked out by connections without a request: at the limit a new connection evicts one
 // that sends nothing or half a head, but none with a request.
 func TestIdleConnectionIsEvicted(t *testing.T) {
-	b, accepted, dial := startAccepting(t)
+	listener, accepted, dial := startAccepting(t)
 	dial()
 	silent := <-accepted
-	b.connStateChanged(silent, http.StateNew)
-	b.connStateChanged(silent, http.StateActive) // half a head
+	listener.connStateChanged(silent, http.StateNew)
+	listener.connStateChanged(silent, http.StateActive) // half a head
 	silentEnds := readUntilEnd(silent)
 	dial()
 	client := <-accepted
@@ -102,22 +103,22 @@
 		t.Errorf("the read of the silent connection returned %v, want a timeout", err)
 	}
 	markServing(client)
-	b.closeIdle(0)
+	listener.closeIdle(0) // closes idle connections of any age, but not this one
 	dial()
 	select {
 	case <-accepted:
 		t.Error("a connection with a request was evicted")
 	default:
 	}
-	b.connStateChanged(client, http.StateIdle)
+	listener.connStateChanged(client, http.StateIdle)
 	readUntilEnd(client)
 	(<-accepted).Close()
 }
 
 // At the limit, connections whose body is still arriving are evicted too, but only after those without a complete head.
 func TestPartialRequestsAreEvictedLast(t *testing.T) {
-	b, accepted, dial := startAccepting(t)
-	b.setLimit(2)
+	listener, accepted, dial := startAccepting(t)
+	listener.setLimit(2)
 	dial()
 	half := <-accepted
 	recordHeadRead((&http.Request{}).WithContext(context.WithValue(context.Background(), clientConnKey{}, half)))
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -9,8 +9,8 @@
 	"keelusher/policy"
 )
 
-// clock is a monotonic clock. A clock time is a duration since the Unix epoch, taken from the wall clock once at the
-// start, so that the start times of servers are clock times too.
+// clock is a monotonic clock. Its times, called clock times, are durations since the Unix epoch: the wall clock at the
+// creation of the clock, plus the monotonic time since then. So the start times of servers are clock times too.
 type clock struct{ start time.Time }
 
 func newClock() clock { return clock{time.Now()} }
--- a/internal/node/clock_offset.go
+++ b/internal/node/clock_offset.go
@@ -11,9 +11,9 @@
 // dateResolution is the resolution of a Date header, whose time is truncated to whole seconds.
 const dateResolution = time.Second
 
-// clockOffset is how far this process's clock is ahead of discovery's, and thereby of the start times in endpoint
-// lists. It is fixed by the first response of discovery that has a valid Date header: start times are compared with
-// those of earlier lists, which a changed offset would shift.
+// clockOffset is how far this process's clock is ahead of discovery's, to which the start times in endpoint lists
+// refer. The first response of discovery that has a valid Date header determines it for good: if it changed later, the
+// same start time in two lists would look like two different ones.
 type clockOffset struct {
 	known bool
 	ahead time.Duration // negative if this process's clock is behind
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -13,7 +13,7 @@
 
 const (
 	minBackoff = 100 * time.Millisecond
-	maxBackoff = time.Second // two watches can be tried within the removal grace of a server listed as draining
+	maxBackoff = time.Second // leaves time for two watches while a server listed as draining may still get requests
 
 	discoveryConnectTimeout = time.Second
 )
@@ -21,13 +21,13 @@
 // watchEvent is a message from discovery to the event loop.
 type watchEvent struct {
 	list       endpointList
-	clockAhead time.Duration // how far this process's clock is ahead of the clock of the list's start times
-	cached     bool          // the list is the one that the configuration names, used at the start
+	clockAhead time.Duration // how far this process's clock is ahead of discovery's, to which start times refer
+	cached     bool          // the list is from the configuration, and is used until discovery sends one
 	pollFailed bool          // a poll failed or ended; list is empty
 }
 
-// discovery follows the changes of the endpoint list. Where lists are pushed, it opens a new watch whenever one ends,
-// with a backoff. Where lists are polled, the policy requests each poll, and is notified when one fails or ends.
+// discovery receives the endpoint list and its changes. If lists are pushed, it opens a new watch whenever one ends,
+// with a backoff. If lists are polled, the policy requests each poll, and is notified when one fails or ends.
 //
 //	state            event                next
 //	waiting          poll requested       watching (polled)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -57,15 +57,15 @@
 	})
 }
 
-// deliverOverrides passes a user message from another member to the overrides host, if there is one.
+// deliverOverrides passes a message that another member has sent to the overrides host, if there is one.
 func (n *Node) deliverOverrides(from string, body []byte) {
 	if host := n.overrides.Load(); host != nil {
 		host.deliver(from, body)
 	}
 }
 
-// updateReplicaCounts notifies the policy how many replicas send to this tier, by zone. Only the majority side of a
-// partition knows that number. On any other side the counts are empty, and the policy uses the number from the
+// updateReplicaCounts tells the policy how many replicas there are, by zone, this node included. Only the majority side
+// of a partition knows that number. On any other side the counts are empty, and the policy uses the number from the
 // settings: counting too few replicas would let each of them send too much.
 func (n *Node) updateReplicaCounts(view membership.View) {
 	counts := policy.ReplicaCounts{}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,12 +37,12 @@
 	phaseChanges           chan struct{} // for closeIdleWhileDrained
 	membershipPhaseChanges chan struct{} // for runMembership
 
-	membership atomic.Pointer[membership.Mesh] // nil: the fleet configuration turns it off
-	overrides  atomic.Pointer[overridesHost]   // nil: the fleet configuration turns them off
+	membership atomic.Pointer[membership.Mesh] // nil: not yet joined, or not configured
+	overrides  atomic.Pointer[overridesHost]   // nil: not yet started, or not configured
 	accepting  atomic.Bool                     // this process accepts clients, and the predecessor, if any, knows that
 
 	sharingMutex   sync.Mutex
-	otherProcesses int // processes that share the limits, besides this one
+	otherProcesses int // processes besides this one (predecessor, successors) that share its limits
 }
 
 // New returns a node with its parts connected. It opens no sockets.
--- a/internal/node/overrides_endpoint.go
+++ b/internal/node/overrides_endpoint.go
@@ -18,7 +18,7 @@
 	maxOverrideBody    = 4 << 10                // bytes
 )
 
-// leaderTimeoutBody is the body of the answer if the leader's answer does not arrive in time.
+// leaderTimeoutBody is the body of the answer if the leader's answer does not arrive in time, or the host has ended.
 const leaderTimeoutBody = `{"error":"the leader does not answer; ask again, the id makes it safe"}`
 
 // ServeHTTP answers /control/overrides and /control/overrides/ID.
--- a/internal/overrides/random_faults_test.go
+++ b/internal/overrides/random_faults_test.go
@@ -50,7 +50,7 @@
 		checks += m.checks
 		slowest = max(slowest, agreedAfter)
 	}
-	t.Logf("%d seeds: %d overrides issued, %d checks of one in force, all states equal at most %v after the last fault",
+	t.Logf("%d seeds: %d overrides issued, %d expiry checks, all states equal at most %v after the last fault",
 		count, issued, checks, slowest)
 	if issued < 3*int(count) || checks < 100*int(count) {
 		t.Error("too few overrides were issued or checked for the run to be conclusive")
--- a/internal/simulator/protocol.go
+++ b/internal/simulator/protocol.go
@@ -1,8 +1,9 @@
 // Package simulator decodes batches of events in the simulator's text protocol, and encodes the replies. It makes no
 // routing decisions.
 //
-// A line is a word followed by values, separated by tabs. Only this package maps the protocol's words to the terms of
-// package policy: protocol.go those of lines and values, and settings.go those of the settings, as JSON tags.
+// A line is a word followed by values, separated by tabs. The protocol's words differ from the terms of package policy,
+// and only this package maps them: protocol.go defines the words of lines and values, and the JSON tags in settings.go
+// are those of the settings.
 package simulator
 
 import (
@@ -98,7 +99,7 @@
 
 const (
 	retryFlag    = 1 << 1 // in the flags of a request
-	answeredFlag = "1"
+	answeredFlag = "1"    // value at attemptAnswered if the endpoint has answered
 )
 
 // Names of the values in a load report. Other names are ignored.
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -17,7 +17,8 @@
 	return settings
 }
 
-// Every key that the policy uses is read into its field; no value here is the zero value.
+// Guards against a key of the settings that is not read, or read into the wrong field. All values differ from the zero
+// value, so that a missing one shows.
 func TestParseSettings(t *testing.T) {
 	got := mustParseSettings(t, `{"balancers":4,"me":2,"zone":"z","tier":1,"tiers":["a","b","c"],
 		"lanes":[{"name":"a","effect":"idempotency_key","key-scope":"zone","window-ms":3500,"target-ms":100,
@@ -105,6 +106,7 @@
 	}
 }
 
+// Without "retry-after":true, MaxRetryAfter must stay 0 even if max-retry-after-ms is set.
 func TestRetryAfterThatIsNotAllowed(t *testing.T) {
 	s := mustParseSettings(t, `{"limits":{"max-retry-after-ms":2000}}`)
 	if s.MaxRetryAfter != 0 {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -28,7 +28,7 @@
 	} {
 		err := Decode("f.toml", []byte(text), &into)
 		if err == nil {
-			t.Errorf("%q: no error", text)
+			t.Errorf("%q: got no error, want one", text)
 			continue
 		}
 		for _, want := range wants {
@@ -45,7 +45,7 @@
 		t.Error(err)
 	}
 	if into.Name != "x" || len(into.Tier) != 1 || into.Tier[0].Cores != 1 {
-		t.Errorf("decoded %+v", into)
+		t.Errorf("decoded %+v, want the name x and one tier with 1 core", into)
 	}
 }
 
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -6,8 +6,9 @@
 )
 
 // choose returns an endpoint for the next attempt of a request, or nil if none is eligible. It draws from
-// the first of three lists that has eligible endpoints: this replica's slice of the preferred endpoints
-// (left out if the request spills over), its slice of the subset, and the complete subset.
+// the first of three lists that has eligible endpoints: the part of the preferred endpoints that this replica
+// uses (skipped if the request spills over), the part that it uses of all ready endpoints of the subset, and
+// all of these. See selector.slice for the part that a replica uses.
 func (b *Balancer) choose(r *request) *endpoint {
 	subset := r.class.subset
 	lists := [][]*endpoint{subset.preferred, subset.ready, subset.ready}
@@ -29,8 +30,8 @@
 	return nil
 }
 
-// spillsOver draws whether a request is part of the spillover: it may be sent to any endpoint of the
-// subset, and not only to the preferred ones.
+// spillsOver decides at random whether a request is part of the spillover: it may be sent to any ready
+// endpoint of the subset, and not only to the preferred ones.
 func (b *Balancer) spillsOver(r *request) bool {
 	subset := r.class.subset
 	preferred := len(subset.preferred)
@@ -49,15 +50,15 @@
 	return kept
 }
 
-// loadLimit returns the number of this replica's attempts in flight from which an endpoint is not drawn.
+// loadLimit returns the number of this replica's attempts in flight at which an endpoint is no longer drawn.
 type loadLimit func(*endpoint) int
 
 func unlimited(*endpoint) int { return math.MaxInt }
 
 // eligible marks the endpoints of a list that may be drawn: they are healthy, admitted by slow start,
-// compatible with the earlier attempts of the request, and below a load limit. It applies the first load
-// limit that leaves any endpoint: the mean load, then the load at the last rejection, and for the last list
-// none. It returns nil if no endpoint is eligible.
+// compatible with the earlier attempts of the request, and below a load limit. It tries up to three limits
+// until one leaves an endpoint: first meanLoadLimit, then rejectionLimit, and for the last list no limit. It
+// returns nil if no endpoint is eligible.
 func (b *Balancer) eligible(r *request, list []*endpoint, last bool) []bool {
 	excluded, _ := b.excludeUnhealthy(r, list)
 	limits := []loadLimit{b.meanLoadLimit(list), b.rejectionLimit}
@@ -90,7 +91,8 @@
 }
 
 // meanLoadLimit returns a limit that leaves out endpoints with more than the mean number of this replica's
-// attempts in flight, since repeated draws of the same endpoint would overload it.
+// attempts in flight, since an endpoint that is drawn repeatedly would be overloaded. It never exceeds
+// rejectionLimit.
 func (b *Balancer) meanLoadLimit(list []*endpoint) loadLimit {
 	inFlight := 0
 	for _, ep := range list {
--- a/policy/metrics_test.go
+++ b/policy/metrics_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Avoided endpoints are those that get no requests: draining ones, unhealthy ones up to the share that may be
-// excluded, and those at the limit after a rejection.
+// Guards against a wrong count of avoided endpoints, which get no requests: draining ones, unhealthy ones up to the
+// share that may be excluded, and those that have rejected an attempt and have as many in flight as they had then.
 func TestEndpointCountsOfAvoidedEndpoints(t *testing.T) {
 	b, err := New(Settings{
 		Classes: []Class{{
@@ -40,9 +40,9 @@
 	for _, id := range []string{"a", "b", "c"} {
 		b.endpoints[id].outlier.ejectedUntil = time.Minute
 	}
-	want("of ten endpoints, two of three unhealthy ones may be excluded", 11, 3)
+	want("one is draining, and two of the three unhealthy ones of ten may be excluded", 11, 3)
 	b.endpoints["d"].rejection.inFlight, b.endpoints["d"].rejection.until = 0, time.Minute
 	want("one endpoint rejects all attempts", 11, 4)
-	b.EndpointCounts(2 * time.Minute)
+	b.EndpointCounts(2 * time.Minute) // advances the clock
 	want("ejections and rejections are over", 11, 1)
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -8,14 +8,14 @@
 
 // Ejection of endpoints whose attempts end in errors.
 const (
-	maxStreakProbability = 0.08 // an error streak ejects if the error rate makes it less probable than this
-	probationSuccesses   = 3    // successes in a row that reduce the ejection count by one
-	maxExcludedShare     = 0.2  // largest share of a list that may be excluded
-	ejectionLatencies    = 12   // mean latencies that a first ejection, or the limit after a rejection, lasts
-	maxBackoffDoublings  = 5    // of the duration of an ejection, or of the limit after a rejection
-	initialErrorRate     = 0.02
-	minErrorRate         = 0.01
-	minRejectionJitter   = 0.5 // the limit after a rejection lasts 0.5 to 1.5 times ejectionLatencies
+	maxStreakProbability  = 0.08 // an error streak ejects if the error rate makes it less probable than this
+	successesPerReduction = 3    // successes in a row that reduce the ejection count by one
+	maxExcludedShare      = 0.2  // largest share of a list that may be excluded
+	ejectionLatencies     = 12   // duration of a first ejection, or of the limit after a rejection, in mean latencies
+	maxBackoffDoublings   = 5    // how often the duration of either doubles at most
+	initialErrorRate      = 0.02
+	minErrorRate          = 0.01
+	minRejectionJitter    = 0.5 // a first limit after a rejection lasts 0.5 to 1.5 times ejectionLatencies
 )
 
 // errorRate is a moving average of the share of errors among the attempts at all endpoints.
@@ -35,23 +35,23 @@
 type outlierState struct {
 	errorStreak   int // errors in a row
 	successStreak int // successes in a row
-	ejectionCount int // doublings of the next ejection
+	ejectionCount int // how often the duration of the next ejection is doubled
 	ejectedUntil  time.Duration
 }
 
 func (o *outlierState) ejected(now time.Duration) bool { return now < o.ejectedUntil }
 
-// onProbation reports whether no attempt has succeeded since the last ejection.
+// onProbation reports whether the endpoint was ejected and has had no success since its last error.
 func (o *outlierState) onProbation() bool { return o.ejectionCount > 0 && o.successStreak == 0 }
 
-// recordSuccess ends an error streak, and takes back one doubling of the next ejection after several
-// successes in a row.
+// recordSuccess ends an error streak. After several successes in a row it reduces the ejection count by one,
+// which halves the duration of the next ejection.
 func (o *outlierState) recordSuccess() {
 	o.errorStreak = 0
 	o.successStreak++
-	if o.successStreak >= probationSuccesses && o.ejectionCount > 0 {
+	if o.successStreak >= successesPerReduction && o.ejectionCount > 0 {
 		o.ejectionCount--
-		o.successStreak = 1
+		o.successStreak = 1 // not 0, which would put the endpoint on probation
 	}
 }
 
@@ -85,7 +85,7 @@
 	r.count = min(r.count+1, maxBackoffDoublings)
 }
 
-// limit returns the number of this replica's attempts in flight from which the endpoint is not drawn.
+// limit returns the number of this replica's attempts in flight at which the endpoint is no longer drawn.
 func (r *rejectionState) limit(now time.Duration) int {
 	if now < r.until {
 		return r.inFlight
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// The share of endpoints that may be excluded, a fifth, is less than one of four endpoints. Still, an endpoint that
-// fails alone must be excluded, and part of its load must go to the other zone, since its only neighbour could not
-// take it all. If all endpoints fail alike, none may be excluded.
+// A fifth of the endpoints may be excluded, which is less than one endpoint of four. Still, an endpoint that fails
+// alone must be excluded, and part of its load must go to the other zone, since the only other endpoint of its own zone
+// could not take it all. If all endpoints fail alike, none may be excluded.
 func TestOneUnhealthyEndpointOfFew(t *testing.T) {
 	few := func() *Balancer {
 		b := newBalancer(t, func(s *Settings) { s.Zone = "a" })
@@ -157,8 +157,8 @@
 	}
 }
 
-// Without doubling, an endpoint that stays broken would get probes at a constant rate. Without a bound, or if
-// successes did not take the doublings back, a repaired endpoint would stay ejected for too long.
+// If ejections did not double in duration, an endpoint that stays broken would get probes at a constant rate. If the
+// doublings had no bound, or successes did not undo them, a repaired endpoint would stay ejected for too long.
 func TestEjectionsDouble(t *testing.T) {
 	const mean = float64(10 * time.Millisecond)
 	var state outlierState
@@ -167,14 +167,14 @@
 		state.recordError(now, mean, minErrorRate)
 		want := ejectionLatencies * 10 * msec << min(i, maxBackoffDoublings)
 		if got := state.ejectedUntil - now; got != want {
-			t.Errorf("ejection %d (from 0) lasts %v, want %v", i, got, want)
+			t.Errorf("ejection after %d earlier ones lasts %v, want %v", i, got, want)
 		}
 		now = state.ejectedUntil
 	}
 	if !state.onProbation() {
 		t.Error("the endpoint is not on probation after its ejection")
 	}
-	for range 2 * maxBackoffDoublings * probationSuccesses {
+	for range 2 * maxBackoffDoublings * successesPerReduction {
 		state.recordSuccess()
 	}
 	if state.ejectionCount != 0 || state.onProbation() {
