--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -14,7 +14,7 @@
 func Listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
 		return conn.Control(func(descriptor uintptr) {
-			// Ignored: on a system without the option, the address cannot be shared.
+			// The error is ignored: without the option the listener works, but cannot share its address.
 			_ = syscall.SetsockoptInt(int(descriptor), syscall.SOL_SOCKET, sockoptReusePort, 1)
 		})
 	}}
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -23,8 +23,8 @@
 	conn *net.UnixConn
 }
 
-// Connect receives the listener of the process that is serving now. It returns nil if there is no such process; the
-// socket file that a killed process leaves behind refuses connections.
+// Connect receives the listener of the process that is serving now. It returns nil if there is no such process: the
+// socket file does not exist, or a killed process has left it behind and it refuses connections.
 func Connect(path string) (*Predecessor, error) {
 	if path == "" {
 		return nil, nil
@@ -82,8 +82,9 @@
 	return net.FileListener(file)
 }
 
-// AnnounceServing tells the predecessor that this process accepts clients. Nobody else may be told before the
-// predecessor has acknowledged it, because the predecessor's answers to readiness checks depend on it.
+// AnnounceServing notifies the predecessor that this process accepts clients. Until the predecessor has acknowledged
+// the notification, this process must not report to any other process that it serves, because the predecessor's answers
+// to readiness checks depend on the notification.
 func (p *Predecessor) AnnounceServing() {
 	_, _ = p.conn.Write([]byte{1}) // fails only if the predecessor has exited, which AwaitEnd detects
 }
--- a/internal/handover/server.go
+++ b/internal/handover/server.go
@@ -28,10 +28,11 @@
 	"keelusher/internal/lifecycle"
 )
 
-// Timeout is the time that a predecessor has to hand over. After it, the successor opens a listener of its own.
+// Timeout is the time that a predecessor has to hand over. If it takes longer, the successor opens a listener of its
+// own.
 const Timeout = time.Second
 
-// Path returns the path of the hand-over socket for a listen address; "" if there is no directory for it.
+// Path returns the path of the hand-over socket for a listen address; "" if directory is empty.
 func Path(directory, listen string) string {
 	if directory == "" {
 		return ""
@@ -39,7 +40,7 @@
 	return filepath.Join(directory, "quaywick-"+listen+".sock")
 }
 
-// Config is what a Server needs of the node.
+// Config holds what a Server needs from the node.
 type Config struct {
 	Path     string // of the hand-over socket; "": there is none
 	Log      *slog.Logger
@@ -79,7 +80,7 @@
 	for ctx.Err() == nil {
 		listener, err := s.bind()
 		if err != nil {
-			if err.Error() != lastError { // log each cause once
+			if err.Error() != lastError { // do not log the same error twice in a row
 				s.config.Log.Warn("no successor can take over for now", "err", err)
 			}
 			lastError = err.Error()
@@ -175,7 +176,8 @@
 	if err != nil {
 		return err
 	}
-	// File and its Fd are not used, because they would put the socket into blocking mode for both processes.
+	// The methods File of the listener and Fd of that file are not used, because they would put the socket into
+	// blocking mode for both processes.
 	var sendErr error
 	err = raw.Control(func(descriptor uintptr) {
 		_, _, sendErr = conn.WriteMsgUnix([]byte{byte(s.config.Phase())}, syscall.UnixRights(int(descriptor)), nil)
@@ -183,7 +185,7 @@
 	return errors.Join(sendErr, err)
 }
 
-// followSuccessor acknowledges that the successor serves, and returns when the connection ends.
+// followSuccessor acknowledges each announcement that the successor serves, and returns when the connection ends.
 func (s *Server) followSuccessor(conn *net.UnixConn) {
 	message := make([]byte, 1)
 	for {
--- a/internal/inbound/body.go
+++ b/internal/inbound/body.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Buffer reads up to size bytes and reports whether they are the complete body. The length is that of the body, -1 if
-// it is unknown. The bytes that it returns do not count as consumed.
+// Buffer reads up to size bytes and reports whether they are the complete body. The argument length is the
+// Content-Length of the body, or -1 if it is unknown. The bytes that Buffer returns do not count as consumed.
 func (b *Body) Buffer(size int, length int64) (buffered []byte, complete bool, err error) {
 	buffered, err = io.ReadAll(io.LimitReader(b, int64(size)))
 	if err != nil {
@@ -78,7 +78,7 @@
 	return buffered, false, nil
 }
 
-// Read implements io.Reader, with the deadlines that a client has to keep.
+// Read implements io.Reader. Each read has the deadline that nextDeadline returns.
 func (b *Body) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -121,7 +121,8 @@
 func (b *Body) setReadDeadline(deadline time.Time) { _ = b.controller.SetReadDeadline(deadline) }
 
 // nextDeadline returns the deadline for the next bytes from a client that sends at minBodyRate; after the first bytes
-// it is at most maxBodyReadGap away. Only time spent in reads counts against the client.
+// it is at most maxBodyReadGap away. Only the time spent in reads is counted, because the node causes the time between
+// them.
 func (b *Body) nextDeadline(now time.Time) time.Time {
 	sendTime := time.Duration(float64(b.bytesRead) / minBodyRate * float64(time.Second))
 	left := b.firstByteTimeout + sendTime - b.waitTime
@@ -145,8 +146,9 @@
 	return errors.Is(b.err, io.EOF)
 }
 
-// Discard reads and drops the remainder of a stopped body as long as the client sends at minBodyRate. Closing the
-// connection before the client has written its whole request would reset it, and the client might lose the response.
+// Discard reads and drops the remainder of a stopped body as long as the client sends at minBodyRate. If the connection
+// were closed before the client has written its whole request, it would be reset and the client might lose the
+// response.
 func (b *Body) Discard() {
 	buffer := make([]byte, discardBufferSize)
 	for b.bytesRead < MaxBody {
--- a/internal/inbound/framing.go
+++ b/internal/inbound/framing.go
@@ -13,10 +13,11 @@
 	ErrBodyOnGet = errors.New("a GET has no body")
 )
 
-// CheckFraming returns a *Rejection if the end of a request is ambiguous. If the client and the node disagreed on it,
-// the remainder of the body could be taken for another request (request smuggling). net/http accepts a chunked body
-// together with a Content-Length, and ignores chunking in HTTP/1.0. The head is that of the request as it was read;
-// nil: unknown.
+// CheckFraming returns a *Rejection if the HTTP version of a request is below 1.1, if the end of its body is ambiguous,
+// or if it is a GET with a body. If the client and the node disagreed on the end of a body, the remainder of the body
+// could be taken for another request (request smuggling). net/http accepts a chunked body together with a
+// Content-Length, and ignores chunking in HTTP/1.0. The argument head is the head of the request as it was read, or nil
+// if it is unknown.
 func CheckFraming(r *http.Request, head *Head) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -67,7 +67,8 @@
 //	drained         drained         drained         serving (note)    shutting down
 //	shutting down   -               -               rejected          -
 //
-// Note: a drained node without a ListReceived event so far resumes to starting.
+// A dash means that the phase does not change. Note: if no ListReceived event has occurred yet, a drained node
+// changes to starting on resume.
 type Machine struct {
 	onTransition func(from, to Phase)
 
--- a/internal/lifecycle/suspension.go
+++ b/internal/lifecycle/suspension.go
@@ -1,4 +1,5 @@
-// Detection of suspensions of the whole process, which add to the age of the requests that the kernel queued meanwhile.
+// Detection of suspensions of the whole process. Requests that arrive during a suspension wait in the kernel's buffers,
+// and this time adds to their age.
 
 package lifecycle
 
@@ -12,12 +13,13 @@
 
 const (
 	heartbeatInterval = 50 * time.Millisecond
-	backlogReadTime   = 50 * time.Millisecond // after a suspension, to read all requests that were queued during it
+	backlogReadTime   = 50 * time.Millisecond // time to read all requests that were queued during a suspension
 )
 
 // SuspensionDetector detects that the process was stopped, or got no CPU time, for longer than guard.MaxSuspension. A
-// request that is read just after a suspension may have been in the kernel's buffers for as long as it lasted, while
-// its client counts the deadline from the time it sent the request. A nil detector detects nothing.
+// request that is read just after a suspension may have waited in the kernel's buffers for as long as the suspension
+// lasted. The client's deadline counts from the time when the client sent the request, so this wait is part of it. A
+// nil detector detects nothing.
 type SuspensionDetector struct {
 	start         time.Time
 	lastHeartbeat atomic.Int64 // nanoseconds after start
@@ -42,7 +44,7 @@
 	}
 }
 
-// heartbeat records that the process is running now, a time counted from s.start, and detects a suspension that has
+// heartbeat records that the process is running at now, the time since s.start, and detects a suspension that has
 // just ended.
 func (s *SuspensionDetector) heartbeat(now time.Duration) {
 	pause := now - time.Duration(s.lastHeartbeat.Swap(int64(now)))
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -19,7 +19,7 @@
 	"keelusher/policy/guard"
 )
 
-// attempt is one sending of a request to one endpoint.
+// attempt is a single send of a request to one endpoint.
 type attempt struct {
 	request  *clientRequest
 	number   int
@@ -38,7 +38,7 @@
 
 var (
 	errResponseUnwanted = errors.New("the rest of the response is not needed")
-	errEarlyResponse    = errors.New("answered before the end of the request")
+	errEarlyResponse    = errors.New("the server responded or closed the connection before the request was written")
 )
 
 // start runs an attempt in its own goroutine, which ends once the event loop has received the outcome.
@@ -93,8 +93,8 @@
 	return attemptOutcome{attempt: att, result: policy.NotSent, notSentReason: reason}
 }
 
-// writeFailed returns the outcome of an attempt whose last byte was not written: the server cannot have run the
-// request.
+// writeFailed returns the outcome of an attempt whose request was not written completely, so that the server cannot
+// have run the request.
 func writeFailed(att *attempt, err error) attemptOutcome {
 	outcome := attemptOutcome{attempt: att, result: policy.ConnectFailed, err: err}
 	if att.request.bodyStream != nil && att.request.bodyStream.Failure() != nil {
@@ -205,8 +205,8 @@
 	timeout time.Duration
 }
 
-// Write implements io.Writer. It returns errEarlyResponse if a response has arrived, or may have: a server that
-// responds early may close the connection.
+// Write implements io.Writer. It returns errEarlyResponse if a response has arrived, or if the write fails for another
+// reason than its timeout: a server that responds early may close the connection.
 func (w *streamWriter) Write(b []byte) (int, error) {
 	if len(w.replies) > 0 {
 		return 0, errEarlyResponse
@@ -307,7 +307,8 @@
 }
 
 // parseLoadReport returns the load report in a response's X-Load-Report header, or nil if there is none or it is
-// invalid. A field missing from the report is -1. The settings name the fields as servers do.
+// invalid. A field missing from the report is -1. The JSON keys are the names that servers and the settings use for the
+// fields.
 func parseLoadReport(h http.Header) *policy.Load {
 	text := h.Get("X-Load-Report")
 	if text == "" {
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	lingerTimeout  = 250 * time.Millisecond // for the client to close its end of a connection with unread bytes
-	maxLingerBytes = 256 << 10              // that are read and discarded within lingerTimeout
+	lingerTimeout  = 250 * time.Millisecond // wait for the client to close its end of a connection with unread bytes
+	maxLingerBytes = 256 << 10              // limit on the bytes that are discarded within lingerTimeout
 
 	// backgroundReadSize is the size of the read by which net/http notices a disconnect while it serves a request. It
 	// makes a read of this size only after it has read the whole request.
@@ -60,8 +60,8 @@
 
 // Close is called by the HTTP server. Closing a socket that has unread bytes, such as those of the next request, resets
 // the connection, and the client loses the part of the response that it has not received yet. Such bytes are therefore
-// read first, after the sending direction has been shut down. A connection that its reader has given up has no response
-// in flight and may be reset: the client retries what was not read.
+// read first, after the sending direction has been shut down. An expired connection has no response in flight and may
+// be reset: the client retries a request that was not read.
 func (c *clientConn) Close() error {
 	if expired := c.startClose(); !expired && !c.listener.aborting.Load() && hasUnreadBytes(c.Conn) {
 		c.linger()
@@ -71,7 +71,7 @@
 	return c.endClose()
 }
 
-// startClose begins the close and reports whether the reader had given up the connection before.
+// startClose begins the close and reports whether the connection was in the state clientConnExpired before.
 func (c *clientConn) startClose() (expired bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -167,8 +167,8 @@
 }
 
 // handleReadTimeout decides how a read ends whose deadline has passed: with bytes that were waiting in the kernel, with
-// the timeout, or with a retry. Go checks the deadline before it makes the system call, so there may be such bytes: a
-// connection without a complete request is closed only if there are none.
+// the timeout, or with a retry. Bytes may be waiting because package net checks the deadline before it calls read(2). A
+// connection without a complete request is closed only if no bytes are waiting.
 func (c *clientConn) handleReadTimeout(b []byte, timeout error) (n int, retry bool, err error) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -214,8 +214,9 @@
 	return !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline)
 }
 
-// headTimeLeft returns how much longer a head may take that has started to arrive on a reused connection: the read
-// deadline is that of the idle connection, which may pass before headTimeout. The caller holds the lock.
+// headTimeLeft returns the time left for a head that has started to arrive on a reused connection, or 0 if there is no
+// such head. It is needed because the read deadline is still that of the idle connection, which may pass before
+// headTimeout. The caller holds the lock.
 func (c *clientConn) headTimeLeft() time.Duration {
 	if !c.reused || !c.awaitsHead() || !c.head.Started() {
 		return 0
@@ -237,9 +238,9 @@
 }
 
 // clientState reports whether the client has closed the connection. A client that has shut down only its sending
-// direction cannot be told from one that has closed, and counts as disconnected. net/http notices a disconnect by its
-// background read, but not behind unread bytes of a body or of a next request, nor while the process is suspended or
-// busy.
+// direction cannot be distinguished from one that has closed the connection, and counts as disconnected. The background
+// read of net/http does not suffice: it misses a disconnect while bytes of a body or of a next request are unread, and
+// while the process is suspended or busy.
 func (c *clientConn) clientState() guard.ClientState {
 	if c == nil {
 		return guard.ClientConnected
--- a/internal/node/client_handler.go
+++ b/internal/node/client_handler.go
@@ -96,7 +96,8 @@
 	w.WriteHeader(status)
 }
 
-// reportDisconnect notifies the loop that the client of a request has reportDisconnect, and aborts its handling.
+// reportDisconnect notifies the loop that the client of a request has disconnected, and aborts the handling of the
+// request.
 func (h *clientHandler) reportDisconnect(request *clientRequest) {
 	select {
 	case h.disconnects <- request:
--- a/internal/node/client_listener.go
+++ b/internal/node/client_listener.go
@@ -16,9 +16,10 @@
 
 // limitedListener limits the number of connections that are open at once. At the limit, a further connection evicts the
 // one that has waited for the head of a request for longest, or if there is none, the one whose body has been arriving
-// for longest: clients must not wait for others that send nothing, half a head or half a body. The reader of the
-// evicted connection closes it, since only the reader knows whether a complete request has arrived meanwhile; such a
-// request is served, and another connection is evicted instead. The listener is safe for concurrent use.
+// for longest: a client must not have to wait because other clients send nothing, half a head or half a body. The
+// reader of the evicted connection closes it, since only the reader knows whether a complete request has arrived
+// meanwhile; such a request is served, and another connection is evicted instead. The listener is safe for concurrent
+// use.
 type limitedListener struct {
 	net.Listener
 	metrics   *metrics.Recorder
@@ -33,7 +34,7 @@
 	closed       bool
 	awaitingHead *list.List  // of *clientConn, longest waiting first
 	awaitingBody *list.List  // of *clientConn, longest waiting first
-	evicting     *clientConn // its reader is to close it; nil if none
+	evicting     *clientConn // the connection that its reader has been told to close; nil if there is none
 }
 
 func newLimitedListener(ln net.Listener, limit int, m *metrics.Recorder, d *metrics.Decisions) *limitedListener {
@@ -126,7 +127,7 @@
 
 // connStateChanged is called by the HTTP server when the state of a connection changes. Only StateIdle matters:
 // StateActive means that some bytes of a request have arrived, which does not keep a connection from being evicted, and
-// recordHeadRead is called when the whole head has.
+// recordHeadRead is called when the whole head has arrived.
 func (l *limitedListener) connStateChanged(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*clientConn)
 	if !ok || state != http.StateIdle {
@@ -195,7 +196,7 @@
 	return c.state != clientConnClosed
 }
 
-// firstBodyByteDue returns how soon the first bytes of a request's body have to arrive.
+// firstBodyByteDue returns the time within which the first bytes of a request's body have to arrive.
 func firstBodyByteDue(r *http.Request) time.Duration {
 	c := clientConnOf(r)
 	if c == nil {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -26,9 +26,9 @@
 	Cores            float64
 	MemoryMB         int
 	Sockets          int          // limit on file descriptors; 0: none is set
-	KnownEndpoints   endpointList // the endpoint list that this node last had
+	KnownEndpoints   endpointList // last known list, used until discovery sends one
 	Settings         policy.Settings
-	Fleet            *fleet.Config       // nil: there is none, and the node knows no other nodes
+	Fleet            *fleet.Config       // nil: none is configured, and the node has no contact with other nodes
 	ProcessesChanged func(processes int) // called when the number of processes that share the limits changes; may be nil
 
 	fleetPath             string        // path of the fleet configuration; "": none is named
@@ -38,7 +38,7 @@
 	removalGrace          time.Duration // how long after the update a draining or removed endpoint may get requests
 }
 
-// defaultRemovalGrace is the platform's removal grace. It applies where the settings name none.
+// defaultRemovalGrace is the removal grace of the platform. It is used if the settings contain none.
 const defaultRemovalGrace = 3 * time.Second
 
 // LoadConfig reads and checks the configuration file. The text of the error is one line.
--- a/internal/node/endpoint_list.go
+++ b/internal/node/endpoint_list.go
@@ -59,7 +59,7 @@
 	return l
 }
 
-var errNoEndpoints = errors.New("no hosts are named")
+var errNoEndpoints = errors.New("the endpoint list has no field hosts")
 
 // parseEndpointList parses the text of an endpoint list. A list without the field of the endpoints is an error: as a
 // snapshot it would remove all endpoints of the node.
@@ -79,7 +79,7 @@
 
 const (
 	lineHeartbeat lineKind = iota // an empty line outside a list
-	linePartial                   // a line of a list, more of which follow
+	linePartial                   // a line of a list whose last line is still to come
 	lineComplete                  // the last line of a list
 )
 
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -12,7 +12,7 @@
 	// endpoint.
 	reservedDescriptors    = 24 + admin.MaxConnections
 	defaultDescriptorLimit = 1024 // if the configuration sets none
-	minConnections         = 4    // to clients and as many to servers, however many processes share the limit
+	minConnections         = 4    // smallest limit on connections to clients, and on those to servers, for each process
 )
 
 // reservedDescriptors returns how many descriptors are neither for clients nor for servers.
@@ -28,8 +28,8 @@
 	return (descriptors - c.reservedDescriptors()) * 5 / 8
 }
 
-// adjustProcessCount adds change to the number of other processes that share the limits, and adapts the share of this
-// one.
+// adjustProcessCount adds change to the number of other processes that share the limits, and adjusts this process's
+// share.
 func (n *Node) adjustProcessCount(change int) {
 	n.sharingMutex.Lock()
 	defer n.sharingMutex.Unlock()
--- a/internal/node/memory_budget.go
+++ b/internal/node/memory_budget.go
@@ -8,7 +8,7 @@
 	maxBufferedBody = 64 << 10 // longest body of a request or a response that is buffered completely
 
 	defaultBufferMemory = 32 << 20 // for each direction, if no memory limit is set
-	memoryShareDivisor  = 8        // the buffers of one direction get this fraction of the memory limit
+	memoryShareDivisor  = 8        // the buffers of each direction get the memory limit divided by this
 	minChunkSize        = 2 << 10
 	maxChunkSize        = 32 << 10
 )
@@ -46,7 +46,7 @@
 	size   int
 }
 
-// shrinkTo reduces the reservation to size bytes and returns the rest to the budget.
+// shrinkTo reduces the reservation to size bytes and returns the remainder to the budget.
 func (r *memoryReservation) shrinkTo(size int) {
 	if r != nil && size < r.size {
 		r.budget.available.Add(int64(r.size - size))
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -9,10 +9,10 @@
 	"keelusher/policy"
 )
 
-// operatorView is the interface of the node to the admin endpoint.
+// operatorView gives the admin endpoint access to the node.
 type operatorView struct{ node *Node }
 
-// CanServe reports whether this process is able to serve clients, also if an operator has taken it out of service.
+// CanServe reports whether this process is able to serve clients, even if an operator has taken it out of service.
 func (v operatorView) CanServe() bool {
 	n := v.node
 	return n.lifecycle.CanServe() && n.accepting.Load() && n.loop.hasReadyEndpoint.Load()
@@ -52,7 +52,7 @@
 // Members returns the fleet as this node sees it, in JSON, and false if there is no membership.
 func (v operatorView) Members() ([]byte, bool) { return v.node.membersPage() }
 
-// Overrides returns the handler of the overrides' paths, nil if overrides are turned off.
+// Overrides returns the HTTP handler for the overrides, or nil if overrides are turned off.
 func (v operatorView) Overrides() http.Handler {
 	if host := v.node.overrides.Load(); host != nil {
 		return host
--- a/internal/node/overrides_host.go
+++ b/internal/node/overrides_host.go
@@ -57,7 +57,7 @@
 	Replaces *overrides.Version `json:"replaces,omitempty"`
 }
 
-// overrideReply carries the leader's answer to the member that forwarded the call of that number.
+// overrideReply carries the leader's answer to the member that forwarded the call with that number.
 type overrideReply struct {
 	Number uint64 `json:"n"`
 	overrideAnswer
@@ -69,7 +69,7 @@
 	Body   json.RawMessage `json:"b"`
 }
 
-// The bodies of answers, with their fields in the alphabetical order of their JSON keys.
+// The bodies of answers. Their fields are in alphabetical order of the JSON keys.
 type (
 	overrideRevoked struct {
 		ID      string            `json:"id"`
@@ -105,7 +105,7 @@
 }
 
 // deliver queues a message that the membership has received. It drops a malformed message, and any message while the
-// queue is full: what is lost that way is requested again.
+// queue is full: the registers request lost states again.
 func (o *overridesHost) deliver(from string, body []byte) {
 	message := envelope{from: from}
 	if json.Unmarshal(body, &message) != nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// run handles messages and tasks until ctx ends. Overrides in force expire in the event loop, also while run is
-// suspended or has ended.
+// run handles messages and tasks until ctx ends. The event loop ends overrides at their expiry, even if run is delayed
+// or has returned.
 func (o *overridesHost) run(ctx context.Context) {
 	defer close(o.ended)
 	ticker := time.NewTicker(overridesTick)
@@ -141,7 +141,8 @@
 	}
 }
 
-// runTask lets the host's goroutine run f, without waiting for the end of f. It returns false if the host has ended.
+// runTask passes f to the host's goroutine and does not wait until f has returned. It returns false if the host has
+// ended.
 func (o *overridesHost) runTask(f func(now time.Duration)) bool {
 	select {
 	case o.tasks <- f:
@@ -152,7 +153,7 @@
 }
 
 // updateMembership passes the membership's current view to the register. It is called before each message is handled,
-// because after a suspension of the process the view has no leader any more.
+// so that after a suspension of the process the register first learns that the view no longer has a leader.
 func (o *overridesHost) updateMembership(now time.Duration) {
 	if joined := o.membership.Load(); joined != nil {
 		o.view = joined.View()
@@ -210,8 +211,8 @@
 	pending <- reply.overrideAnswer // does not block: the channel has space for the one answer
 }
 
-// decideAsLeader applies a call to the register and returns the answer. The register rejects it if this process does
-// not lead.
+// decideAsLeader applies a call to the register and returns the answer. The register rejects the call if this process
+// does not lead.
 func (o *overridesHost) decideAsLeader(now time.Duration, call overrideCall) overrideAnswer {
 	if call.Revoke {
 		version, messages, err := o.register.Revoke(now, call.ID)
@@ -262,8 +263,8 @@
 	o.loop.overrideUpdates <- expiries // does not block: only this goroutine sends
 }
 
-// startCall decides a call itself if it is for this process alone or if this process leads, and forwards it to the
-// leader otherwise. The answer goes to answers, which must have space for it.
+// startCall carries out a call in this process if local is set or if this process leads. Otherwise it forwards the call
+// to the leader. The answer is sent to the channel answers, which must have space for it.
 func (o *overridesHost) startCall(now time.Duration, call overrideCall, local bool, answers chan<- overrideAnswer) {
 	switch {
 	case local:
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -22,7 +22,7 @@
 	errConnectionLimit = errors.New("the limit on connections to servers is reached")
 )
 
-// endpoint is one run of a server at one address: a server that is restarted or moved is a new endpoint.
+// endpoint is a server process at an address: a server that is restarted or moved becomes a new endpoint.
 type endpoint struct {
 	id          string
 	addr        string
@@ -48,7 +48,7 @@
 	requestsWritten  chan<- requestWritten
 	responsesStarted chan<- responseStarted
 	metrics          *metrics.Recorder
-	staleness        *stalenessMonitor // of discovery
+	staleness        *stalenessMonitor // of the endpoint list
 	buffers          buffers
 
 	decisions    *metrics.Decisions
@@ -112,8 +112,8 @@
 // full reports whether the limit on connections is reached. The caller holds p.mu.
 func (p *pool) full() bool { return len(p.open)+p.dialing >= p.limit }
 
-// evictIdle closes the least recently used idle connections until the limit permits a new connection. It reports
-// whether the limit does: not if too many connections are in use. The caller holds p.mu.
+// evictIdle closes the least recently used idle connections until the limit permits a new connection. It returns false
+// if the limit still does not permit one, because too many connections are in use. The caller holds p.mu.
 func (p *pool) evictIdle() bool {
 	for p.full() && p.idle.Len() > 0 {
 		p.idle.Front().Value.(*serverConn).transition(serverConnDropped)
@@ -195,8 +195,8 @@
 	e.dropIdle()
 }
 
-// shutdown closes all connections and waits until every attempt has ended. It is called when the requests of these
-// attempts have been answered or abandoned.
+// shutdown closes all connections and waits until every attempt has ended. It must be called only after the requests of
+// these attempts have been answered or abandoned.
 func (p *pool) shutdown() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -34,8 +34,8 @@
 
 	// Used by the loop only.
 	attemptCount int
-	inFlight     int  // number of attempts
-	counted      bool // in the metrics
+	inFlight     int  // number of attempts in flight
+	counted      bool // the metrics include the request
 }
 
 // response is the final response to a request.
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -13,7 +13,7 @@
 	"keelusher/policy/guard"
 )
 
-// handleRequest accepts a request whose head has been read, and its body up to a limit.
+// handleRequest passes a new request to the policy. Its head has been read, and so has the buffered part of its body.
 func (l *eventLoop) handleRequest(request *clientRequest) {
 	l.awaitOverdueUpdates()
 	if open := l.openRequests[request.meta.ID]; open != nil {
--- a/internal/node/request_parsing.go
+++ b/internal/node/request_parsing.go
@@ -46,17 +46,18 @@
 	return request, nil
 }
 
-// timeQueued returns how long a request that has just been read may have waited to be read, which its client counts
-// against the budget: while the process was suspended, its connection was not yet accepted or admitted, or no processor
-// was free.
+// timeQueued returns how long a request that has just been read may have waited to be read, because the process was
+// suspended, its connection was not yet accepted or admitted, or no processor was free. The client counts this time
+// against the budget.
 func (h *clientHandler) timeQueued(c *clientConn) time.Duration {
 	suspended := min(h.suspension.TimeQueued(), c.idleFor())
 	return max(suspended, c.sinceLastBytes())
 }
 
-// readBody reads a short body completely, and of a long one as much as memory is available for. The remainder is
-// streamed later. A client that sends only the head of a request with a long body thus occupies no server. Its errors
-// are of type *inbound.Rejection.
+// readBody reads a short body completely. Of a long body it reads the first part, up to maxBufferedBody bytes, and
+// leaves the remainder to be streamed. If no memory is available, it leaves the whole body to be streamed. A client
+// that sends only the head of a request with a long body thus occupies no server. Its errors are of type
+// *inbound.Rejection.
 func (h *clientHandler) readBody(w http.ResponseWriter, r *http.Request, request *clientRequest) error {
 	if r.ContentLength > maxStreamedBody {
 		return inbound.Reject(http.StatusRequestEntityTooLarge, errBodyOverLimit)
@@ -66,7 +67,7 @@
 		return nil
 	}
 	stream := inbound.NewBody(w, r, firstBodyByteDue(r))
-	// An unknown length is -1, which is the greatest value as an unsigned number, so that the maximum is reserved.
+	// An unknown length (-1) becomes the largest unsigned number, so that the maximum is reserved.
 	request.bodyMemory = h.buffers.requests.reserve(int(min(uint64(request.contentLength), maxBufferedBody)))
 	if request.bodyMemory == nil {
 		request.bodyStream = stream
--- a/internal/node/response_stream.go
+++ b/internal/node/response_stream.go
@@ -1,7 +1,7 @@
 // Streamed bodies. A body of up to maxBufferedBody bytes is buffered completely: a request can then be sent again, and
 // a response is known to be complete before a byte of it is forwarded. A longer body is streamed through a buffer of
-// fixed size for each connection and direction, so that a slow receiver slows the sender down and occupies no further
-// memory.
+// fixed size for each connection and direction, so that a slow receiver exerts back pressure on the sender and occupies
+// no further memory.
 
 package node
 
@@ -13,7 +13,7 @@
 	"keelusher/internal/inbound"
 )
 
-const maxStreamedBody = inbound.MaxBody // length in bytes of a request's or a response's body
+const maxStreamedBody = inbound.MaxBody // maximum length in bytes of a request's or a response's body
 
 // responseStream is the part of a response's body that is forwarded while it arrives. Its reader must call finish.
 type responseStream struct {
@@ -23,10 +23,10 @@
 	done      chan struct{} // closed by finish
 	once      sync.Once
 	err       error // set before done is closed: why the body was not forwarded completely
-	abandoned bool  // set before done is closed: err is not a failure of the endpoint
+	abandoned bool  // set before done is closed: the client or the node is the cause of err, not the endpoint
 }
 
-// Read implements io.Reader. Each read has the timeout for the body of a server's response.
+// Read implements io.Reader. Each read times out after pool.streamTimeout.
 func (s *responseStream) Read(b []byte) (int, error) {
 	// The error is ignored: the call fails only on a closed connection, where the read fails too.
 	_ = s.conn.SetReadDeadline(time.Now().Add(s.conn.pool.streamTimeout))
--- a/internal/node/reuse.go
+++ b/internal/node/reuse.go
@@ -1,6 +1,6 @@
 // The rules for the reuse of a connection to a server. A server may send two responses to one request, the second of
-// them late. Nothing in a response names its request, so the second one must not be taken for the response to the next
-// request on the connection.
+// them late. A response does not identify its request, so the node must make sure that the second one is not taken for
+// the response to the next request on the connection.
 
 package node
 
@@ -18,8 +18,8 @@
 	nonIdempotentIdlePeriod = 100 * time.Millisecond // for non-idempotent classes, while the limit permits new connections
 )
 
-// lateResponseAfter is how long after a response an unexpected one counts as late: such a delay is so close to the idle
-// period that the next one may exceed it.
+// lateResponseAfter is how long after a response an unexpected one counts as late. Such a delay is so close to the idle
+// period that the next delay may exceed the period.
 const lateResponseAfter = minIdlePeriod / 2
 
 // statusTimeout is the status (408, Request Timeout) that a server may send, without a request, to announce that it
@@ -35,7 +35,7 @@
 	return len(received) >= end && string(received[statusOffset:end]) == statusTimeout
 }
 
-// nonIdempotentClasses returns the names of the classes whose requests must not run twice, and therefore must not be
+// nonIdempotentClasses returns the names of the classes whose requests must not run twice. Such a request must not be
 // given the response to another request either.
 func nonIdempotentClasses(classes []policy.Class) map[string]bool {
 	names := map[string]bool{}
@@ -116,8 +116,8 @@
 }
 
 // recordUnexpected records bytes that arrived without a request on the connection. A second response that arrives soon
-// falls into the idle period. One that arrives late shows that on another connection such a response may already have
-// arrived after the next request: from then on, no connection of the endpoint carries a second request. The caller
+// falls into the idle period. A late one shows that on another connection a second response may already have arrived
+// after the next request was sent. From then on, no connection of the endpoint carries a second request. The caller
 // holds c.readMu.
 func (c *serverConn) recordUnexpected(received []byte) {
 	if isTimeoutNotice(received) {
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -120,7 +120,7 @@
 	return suspension
 }
 
-// newClientServer returns the HTTP server for clients. It takes n.inbound, which must be set.
+// newClientServer returns the HTTP server for clients. The field n.inbound must be set before the call.
 func (n *Node) newClientServer(suspension *lifecycle.SuspensionDetector) *http.Server {
 	return &http.Server{
 		Handler: &clientHandler{
@@ -157,8 +157,8 @@
 	})
 }
 
-// takeOver follows the predecessor in the background until that exits, and closes acceptClients once this process can
-// serve. A drained predecessor makes this process start drained.
+// takeOver monitors the predecessor in the background until the predecessor exits. It closes acceptClients once this
+// process can serve. If the predecessor is drained, this process starts drained too.
 func (s *session) takeOver(ctx context.Context) {
 	n := s.node
 	n.adjustProcessCount(+1)
@@ -176,8 +176,8 @@
 	})
 }
 
-// awaitReadiness returns once this process can serve, or once the predecessor has exited so that it has to serve, or
-// when ctx ends.
+// awaitReadiness returns when this process can serve, when the predecessor has exited, or when ctx ends. Without a
+// predecessor, this process accepts clients even if it cannot serve yet.
 func (n *Node) awaitReadiness(ctx context.Context, predecessorExited <-chan struct{}) {
 	ticker := time.NewTicker(readinessPollInterval)
 	defer ticker.Stop()
--- a/internal/node/server_conn.go
+++ b/internal/node/server_conn.go
@@ -19,8 +19,9 @@
 
 const serverReadBuffer = 4 << 10
 
-// serverConn is a connection to a server. Its goroutine, which runs readResponses, reads all the time, so that a close
-// by the server is noticed early. claimForReuse checks once more before the next request.
+// serverConn is a connection to a server. Its goroutine, which runs readResponses, reads continuously, so that a close
+// by the server is detected early. Before each further request, claimForReuse checks again whether the server has
+// closed the connection.
 type serverConn struct {
 	net.Conn
 	raw          syscall.RawConn
@@ -69,7 +70,7 @@
 	httpResponse *http.Response
 	body         []byte
 	bodyMemory   *memoryReservation // for body
-	bodyStream   *responseStream    // the rest of the response body after body; nil if there is none
+	bodyStream   *responseStream    // the remainder of the response body after body; nil if body is complete
 	err          error
 
 	early bool // the request was not written completely: the connection cannot be reused
@@ -81,8 +82,8 @@
 // streamFailed reports whether the response was streamed but not forwarded completely.
 func (r reply) streamFailed() bool { return r.bodyStream != nil && r.bodyStream.err != nil }
 
-// Read implements io.Reader for the response parser. Under one lock of readMu it reads the socket and records whether a
-// request was on the connection at that moment: bytes that arrived before a request are not its response.
+// Read implements io.Reader for the response parser. While it holds readMu, it reads the socket and records whether a
+// request was on the connection at that moment, because bytes that arrived before a request are not its response.
 func (c *serverConn) Read(b []byte) (int, error) {
 	var n int
 	var readErr error
@@ -107,7 +108,7 @@
 	return n, nil
 }
 
-// receive records bytes that were read, which are unexpected if no request is on the connection. The caller holds
+// receive records that bytes were read. They are unexpected if no request is on the connection. The caller holds
 // readMu.
 func (c *serverConn) receive(received []byte) {
 	next := c.exchange.transition(bytesReceived)
@@ -213,7 +214,7 @@
 	if !idle && errors.Is(err, os.ErrDeadlineExceeded) && (c.deadline.IsZero() || time.Now().Before(c.deadline)) {
 		return wakeupSpurious
 	}
-	// Bytes that arrived while the connection was idle are not the response to a request that has acquired it since.
+	// Bytes that arrived while the connection was idle are not the response to the attempt that has acquired it since.
 	idle = idle || err == nil && c.hasUnexpectedBytes()
 	if idle || err != nil {
 		c.transition(serverConnDropped)
@@ -245,7 +246,7 @@
 }
 
 // readResponse reads a response. It buffers the whole body if that is short enough and memory is available; otherwise
-// the rest of the body is left to be streamed.
+// it leaves the remainder of the body to be streamed.
 func (c *serverConn) readResponse() reply {
 	httpResponse, err := c.readFinalHead()
 	if err != nil {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -14,7 +14,7 @@
 const (
 	// frontNoticeDelay is how long the front-end load balancer still sends connections after SIGTERM.
 	frontNoticeDelay = 450 * time.Millisecond
-	// closingResponsesTime follows frontNoticeDelay. In this time every response closes its connection, and idle
+	// closingResponsesTime is the time after frontNoticeDelay in which every response closes its connection, but idle
 	// connections stay open.
 	closingResponsesTime = 150 * time.Millisecond
 	// idleCloseInterval is the interval between checks for idle connections while the node is drained or shutting down.
@@ -23,20 +23,20 @@
 	shutdownPollInterval = idleCloseInterval / 4
 	// finalResponsesMargin is how long before the kill that follows SIGTERM all open requests get their responses.
 	finalResponsesMargin = 100 * time.Millisecond
-	// killGrace is what the time between SIGTERM and the kill has on top of the longest deadline of a class.
+	// killGrace is the part of the time between SIGTERM and the kill that exceeds the longest deadline of a class.
 	killGrace = 700 * time.Millisecond
-	// shutdownSlack is the time, on top of the longest deadline, for the last responses to be written.
+	// shutdownSlack is the time after the longest deadline for the last responses to be written.
 	shutdownSlack = 20 * time.Millisecond
-	// maxDeadlineBeforeKill limits the longest deadline where the time of the kill is computed from it.
+	// maxDeadlineBeforeKill is the upper bound of the longest deadline in the computation of the time of the kill.
 	maxDeadlineBeforeKill = 3 * time.Second
 )
 
 // closeSocket closes a socket that is no longer needed, and ignores the error because nothing depends on it.
 func closeSocket(socket io.Closer) { socket.Close() }
 
-// ready reports whether the front-end load balancer may send clients: the node serves and knows an endpoint in service.
-// A process and its successor are one node to clients, so a process that shuts down is ready while its successor
-// serves.
+// ready reports whether the front-end load balancer may send clients to this process: the node serves and knows an
+// endpoint in service. A process and its successor are one node to clients, so a process that shuts down is ready while
+// its successor serves.
 func (n *Node) ready() bool {
 	phase := n.lifecycle.Current()
 	verdict := guard.AcceptClients{
@@ -61,8 +61,8 @@
 }
 
 // closeIdleWhileDrained closes idle client connections while the node is drained or shutting down, until ctx ends. It
-// closes only those that have been idle for closingResponsesTime: on others a request may be on its way, whose response
-// then closes the connection.
+// closes only those that have been idle for closingResponsesTime: on the other connections a request may be on its way,
+// and its response closes the connection.
 func (n *Node) closeIdleWhileDrained(ctx context.Context) {
 	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
@@ -85,7 +85,7 @@
 }
 
 // shutDown stops serving without losing a request. If it closed the listener at once, connections that the front-end
-// load balancer still sends would be reset; if it closed idle connections at once, requests on their way would be lost.
+// load balancer still opens would be reset; if it closed idle connections at once, requests on their way would be lost.
 // http.Server.Shutdown is unsuitable: it closes a connection without a response if its request is read after the call.
 func (n *Node) shutDown(ended <-chan serveEnded) {
 	n.lifecycle.Transition(lifecycle.Shutdown)
@@ -104,7 +104,7 @@
 			n.log.Warn("connections left open", "n", open) // every request on them has been answered
 			return
 		}
-		if now.After(finalResponsesAt) { // also fails requests that were completed since; streamed responses may still end
+		if now.After(finalResponsesAt) { // repeated for requests that arrived since; streamed responses may still end
 			n.loop.runTask(n.loop.failOpenRequests)
 		}
 		time.Sleep(shutdownPollInterval)
--- a/internal/node/staleness.go
+++ b/internal/node/staleness.go
@@ -9,14 +9,14 @@
 
 const (
 	// watchSilenceTimeout is how long a watch or a poll may go without a line. Discovery sends a line every 2 s, and a
-	// poll that has to wait its turn ends sooner. One silent watch, a new connection and a second silent watch fit in
-	// the 6 s after which a change counts as notified plus the 3 s of grace for a draining server.
+	// poll that has to wait its turn ends sooner. One silent watch, a new connection and a second silent watch fit into
+	// 9 s: 6 s until the change counts as notified, and 3 s of grace for a draining server.
 	watchSilenceTimeout = 3 * time.Second
 	// firstLineTimeout is the timeout of the first line, which discovery sends at once. It allows 1 s for a slow
 	// connection and 1 s for a poll that waits its turn. A watch that fails must leave time for another one: where
 	// lists are pushed, the grace period of a draining server has begun already.
 	firstLineTimeout = 2300 * time.Millisecond
-	// incompleteListTimeout is the timeout of the rest of a list that spans several lines.
+	// incompleteListTimeout is the timeout from the first to the last line of a list that spans several lines.
 	incompleteListTimeout = 500 * time.Millisecond
 	// suspensionThreshold is how late the monitor's own timer may fire before the process counts as suspended. The
 	// grace period of a draining server has 50 ms of slack.
@@ -34,8 +34,8 @@
 )
 
 // stalenessMonitor detects that the endpoint list may be out of date. It cancels a watch that is silent or leaves a
-// list incomplete, so that discovery opens another one. It also detects that the process was suspended: updates in the
-// socket may be overdue then, and the list is stale until they have been read.
+// list incomplete, so that discovery opens another one. It also detects that the process was suspended: overdue updates
+// may then be waiting in the socket, and the list is stale until they have been read.
 //
 //	state       line received                  timer expires
 //	no watch    ignored                        ignored
@@ -47,7 +47,7 @@
 	silenceTimeout   time.Duration
 	pushed           bool // lists are pushed: updates may become overdue even while no watch is open
 	start            time.Time
-	activityDeadline atomic.Int64 // in ns after start; past it, the process was suspended. 0 if none is due
+	activityDeadline atomic.Int64 // in ns after start; if it passes, the process was suspended. 0: there is none
 
 	mu              sync.Mutex
 	timer           *time.Timer // nil if no watch is open
@@ -56,8 +56,8 @@
 	listIncomplete  bool
 	suspended       bool
 	readSinceResume bool
-	heldDeadline    int64     // the passed activityDeadline because of which sends are held
-	heldSince       time.Time // when sends were first held because of it
+	heldDeadline    int64     // the activityDeadline that has passed, which is why sends are held
+	heldSince       time.Time // when sends were first held because heldDeadline had passed
 }
 
 func newStalenessMonitor(silence time.Duration, pushed bool) *stalenessMonitor {
@@ -84,12 +84,12 @@
 	return time.Since(m.heldSince) < maxSendHold
 }
 
-// expectActivity sets the time within which the next line or watch is due. The caller holds m.mu.
+// expectActivity sets activityDeadline: the next line or watch is due within the given time. The caller holds m.mu.
 func (m *stalenessMonitor) expectActivity(within time.Duration) {
 	m.activityDeadline.Store(int64(time.Since(m.start) + within + suspensionThreshold))
 }
 
-// watchStarted starts to monitor a watch or a poll, which the monitor ends by calling cancel.
+// watchStarted starts to monitor a watch or a poll. The monitor calls cancel to end it.
 func (m *stalenessMonitor) watchStarted(cancel func(error)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,7 +132,7 @@
 	m.timer.Reset(timeout)
 }
 
-// expire handles the expiry of the timer of a watch.
+// expire handles the expiry of the timer that was set for a watch.
 func (m *stalenessMonitor) expire(watchNumber int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/node/transient_errors.go
+++ b/internal/node/transient_errors.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	startRetryPeriod   = 5 * time.Second // during which the start of a process waits for system resources
+	startRetryPeriod   = 5 * time.Second // how long a starting process retries when system resources are short
 	startRetryInterval = 50 * time.Millisecond
 
 	minAcceptBackoff = 5 * time.Millisecond // after an accept failed for lack of memory or descriptors
@@ -29,7 +29,7 @@
 	syscall.ENOMEM,
 }
 
-// isShortage reports whether the same system call may succeed a moment later.
+// isShortage reports whether an error is a temporary shortage, so that the same system call may succeed a moment later.
 func isShortage(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(shortageErrnos, errno)
@@ -46,7 +46,7 @@
 }
 
 // RetryOnShortage calls open until it succeeds or fails with an error that isShortage does not report, for at most
-// startRetryPeriod and no longer than ctx lives. It returns the last result of open.
+// startRetryPeriod or until ctx ends. It returns the last result of open.
 func RetryOnShortage[T any](ctx context.Context, open func() (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, startRetryPeriod)
 	defer cancel()
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -25,7 +25,8 @@
 	defer cancel(nil)
 	d.setCancelWatch(cancel)
 	defer d.setCancelWatch(nil)
-	// If the machine of discovery is cut off from the network, the connection stays open: only missing lines reveal it.
+	// If the host of discovery is cut off from the network, the connection stays open. Only the absence of lines shows
+	// that.
 	d.staleness.watchStarted(cancel)
 	body, err := d.get(ctx, "?watch=1&from="+strconv.FormatInt(d.version, 10))
 	if err != nil {
--- a/internal/node/zone_evacuation.go
+++ b/internal/node/zone_evacuation.go
@@ -14,7 +14,7 @@
 // zoneLinesPerSecond limits the log lines about zones.
 const zoneLinesPerSecond = 5
 
-// zoneExpiries holds, by zone, the clock time at which its evacuation by overrides ends.
+// zoneExpiries maps each zone that overrides evacuate to the clock time at which this evacuation ends.
 type zoneExpiries map[string]time.Duration
 
 // logZones logs each zone whose state has changed since the last call, within the limit on log lines.
@@ -44,8 +44,9 @@
 	}
 }
 
-// evacuateByOperator starts or ends the evacuation of a zone, as an operator asks at the admin endpoint. It returns the
-// HTTP status: 404 for an unknown zone; 409 for the last zone that is served, unless the operator forces it.
+// evacuateByOperator starts or ends the evacuation of a zone at the request of an operator, sent to the admin endpoint.
+// It returns the HTTP status: 404 for an unknown zone; 409 for the last zone that is served, unless the operator forces
+// it.
 func (l *eventLoop) evacuateByOperator(name string, evacuate, force bool) (status int) {
 	zones := l.balancer.Zones()
 	known := slices.ContainsFunc(zones, func(z policy.Zone) bool { return z.Name == name })
@@ -72,7 +73,7 @@
 	l.apply(now, policy.ZoneEvacuation{Zone: zone, Evacuate: evacuate})
 }
 
-// handleOverrides replaces the zones that overrides evacuate, and applies the difference.
+// handleOverrides replaces the set of zones that overrides evacuate, and applies the zones that were added or removed.
 func (l *eventLoop) handleOverrides(expiries zoneExpiries) {
 	before, now := l.overrideExpiries, l.clock.now()
 	l.overrideExpiries = expiries
--- a/internal/overrides/entries.go
+++ b/internal/overrides/entries.go
@@ -88,7 +88,7 @@
 	return slices.DeleteFunc(s.export(now), func(e Entry) bool { return e.Remaining == 0 })
 }
 
-// replicatedState is the newest state of the fleet that this process knows.
+// replicatedState is the newest state of the fleet's register that this process knows.
 type replicatedState struct {
 	entries     entrySet
 	version     Version
--- a/internal/overrides/operations.go
+++ b/internal/overrides/operations.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Put issues an override, or renews or replaces the one that is in force under the id if replaces is its version. While
-// an override is in force, a repeated Put of the same id and content changes nothing and returns the existing entry.
-// With ErrIDInUse, Put returns the entry that is in force.
+// Put issues an override. An override that is in force under the same id is renewed or replaced, but only if replaces
+// is its version. While an override is in force, a repeated Put of the same id and content changes nothing and returns
+// the existing entry. With ErrIDInUse, Put returns the entry that is in force.
 func (r *Register) Put(
 	now time.Duration, id string, o Override, duration time.Duration, replaces *Version,
 ) (Entry, []OutboundMessage, error) {
@@ -43,7 +43,7 @@
 	return version, r.changeNotices(now), nil
 }
 
-// requireLeadership returns nil if this process leads, else the error for a change that it cannot accept.
+// requireLeadership returns nil if this process leads, else the error with which it rejects a change.
 func (r *Register) requireLeadership() error {
 	switch r.role {
 	case roleFollower:
--- a/internal/overrides/overrides.go
+++ b/internal/overrides/overrides.go
@@ -1,6 +1,6 @@
-// Package overrides is the replicated register of a fleet's temporary traffic overrides. It is a pure state machine: it
-// does no I/O, reads no clock and draws no random numbers. Every override expires, and each process enforces the expiry
-// on its own clock, whether or not it can reach other members.
+// Package overrides implements the replicated register of a fleet's temporary traffic overrides. The register is a pure
+// state machine: it does no I/O, reads no clock and draws no random numbers. Every override expires, and each process
+// enforces the expiry on its own clock, whether or not it can reach other members.
 //
 // The leader, which has a quorum, gives each change a Version. Members replace their state with the leader's complete
 // state, so a single response brings a process that missed changes up to date. A new leader prepares its term first: a
@@ -26,7 +26,7 @@
 
 // Limits of the register.
 const (
-	MaxEntries       = 256 // of the replicated register, and again of the overrides local to one process
+	MaxEntries       = 256 // in the replicated register, and as many among the overrides local to one process
 	MaxDuration      = 24 * time.Hour
 	MaxLocalDuration = 5 * time.Minute // of an override local to one process
 	maxIDBytes       = 64
@@ -68,7 +68,7 @@
 }
 
 // Errors for a change that is rejected. An override that is invalid in itself is rejected with an *InvalidError.
-// Operators see the texts.
+// The texts of the errors are sent to operators.
 var (
 	ErrNoQuorum       = errors.New("this side of the fleet has no majority; only an override marked here is taken")
 	ErrLeaderNotReady = errors.New("the leader is still asking what the fleet holds")
@@ -77,7 +77,7 @@
 	ErrNotFound       = errors.New("no override lives under this id")
 )
 
-// InvalidError is the error for an override that can never be accepted, and says why.
+// InvalidError is the error for an override that can never be accepted. It holds the reason.
 type InvalidError struct{ Reason string }
 
 // Error returns the reason.
--- a/internal/overrides/register.go
+++ b/internal/overrides/register.go
@@ -137,12 +137,12 @@
 }
 
 // handleStateRequest records the member's acknowledgement, and responds with the state. If the member's state is newer
-// than the leader's, it prepares a higher term instead.
+// than the leader's, the leader prepares a higher term instead.
 func (r *Register) handleStateRequest(now time.Duration, m Message) []OutboundMessage {
 	if r.role != roleLeading {
 		return nil
 	}
-	if m.Version.Compare(r.state.version) > 0 { // a state from before most of the fleet restarted
+	if m.Version.Compare(r.state.version) > 0 { // the member has a state from before most of the fleet restarted
 		r.prepare(max(m.Version.Term, r.promised.term) + 1)
 		return nil
 	}
@@ -184,7 +184,7 @@
 }
 
 // handlePromise counts a promise of the current term and adopts the member's state if it is newer. If the member has
-// promised a higher term, or this term to another process, it prepares a higher term.
+// promised a higher term, or this term to another process, this process prepares a higher term.
 func (r *Register) handlePromise(now time.Duration, m Message) []OutboundMessage {
 	if !r.answersThisProcess(now, m) || r.role != rolePreparing || !slices.Contains(r.members, m.From) {
 		return nil
--- a/internal/overrides/term.go
+++ b/internal/overrides/term.go
@@ -21,7 +21,8 @@
 	incarnation uint64
 }
 
-// promiseSet maps each member that has promised the term to this process to whether that member had a state.
+// promiseSet holds the members that have promised the term to this process. The value is true if the member had a
+// state.
 type promiseSet map[string]bool
 
 func (p promiseSet) has(member string) bool {
