--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	file := os.NewFile(uintptr(descriptors[0]), "listener") // the only one: the buffer has no space for more
+	file := os.NewFile(uintptr(descriptors[0]), "listener") // the only one: rights has no space for more
 	defer file.Close()
 	return net.FileListener(file)
 }
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -40,9 +40,9 @@
 	list           *list.List    // the list of the listener that holds element
 	element        *list.Element // nil if the connection cannot be evicted
 	listedSince    time.Time
-	reused         bool      // a response has been written to it before
+	reused         bool      // a response has been written to the connection before
 	idleSince      time.Time // when its last response was written; zero if it had none
-	closeRequested bool      // its reader closes it unless a request has begun to arrive
+	closeRequested bool      // the reader has to close the connection unless a request has begun to arrive
 	readDeadline   time.Time // of the HTTP server's read; zero if it has none
 }
 
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -77,8 +77,8 @@
 	writtenAt time.Duration
 }
 
-// responseStarted is the message from the goroutine of an attempt to the loop that a response can be forwarded while it
-// arrives.
+// responseStarted is the message from the goroutine of an attempt to the loop that the response of the attempt can be
+// forwarded while it arrives.
 type responseStarted struct {
 	attempt  *attempt
 	response response
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -13,7 +13,8 @@
 	"keelusher/policy/guard"
 )
 
-// handleRequest passes a new request to the policy. Its head has been read, and so has the buffered part of its body.
+// handleRequest passes a new request to the policy, or rejects it if its ID is in use. The head of the request and the
+// buffered part of its body have been read.
 func (l *eventLoop) handleRequest(request *clientRequest) {
 	l.awaitOverdueUpdates()
 	if open := l.openRequests[request.meta.ID]; open != nil {
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -176,8 +176,8 @@
 	})
 }
 
-// awaitReadiness returns when this process can serve, when the predecessor has exited, or when ctx ends. Without a
-// predecessor, this process accepts clients even if it cannot serve yet.
+// awaitReadiness returns when this process can serve, when the predecessor has exited, or when ctx ends. Once the
+// predecessor has exited, this process has to accept clients even if it cannot serve yet.
 func (n *Node) awaitReadiness(ctx context.Context, predecessorExited <-chan struct{}) {
 	ticker := time.NewTicker(readinessPollInterval)
 	defer ticker.Stop()
--- a/internal/node/server_conn.go
+++ b/internal/node/server_conn.go
@@ -20,8 +20,8 @@
 const serverReadBuffer = 4 << 10
 
 // serverConn is a connection to a server. Its goroutine, which runs readResponses, reads continuously, so that a close
-// by the server is detected early. Before each further request, claimForReuse checks again whether the server has
-// closed the connection.
+// by the server is detected early. Before each further request, claimForReuse checks again that the connection is open
+// and that no unexpected bytes have arrived.
 type serverConn struct {
 	net.Conn
 	raw          syscall.RawConn
@@ -214,7 +214,8 @@
 	if !idle && errors.Is(err, os.ErrDeadlineExceeded) && (c.deadline.IsZero() || time.Now().Before(c.deadline)) {
 		return wakeupSpurious
 	}
-	// Bytes that arrived while the connection was idle are not the response to the attempt that has acquired it since.
+	// Bytes that arrived while the connection was idle are not the response to the request of the attempt that has
+	// acquired it since.
 	idle = idle || err == nil && c.hasUnexpectedBytes()
 	if idle || err != nil {
 		c.transition(serverConnDropped)
--- a/internal/node/staleness.go
+++ b/internal/node/staleness.go
@@ -9,12 +9,13 @@
 
 const (
 	// watchSilenceTimeout is how long a watch or a poll may go without a line. Discovery sends a line every 2 s, and a
-	// poll that has to wait its turn ends sooner. One silent watch, a new connection and a second silent watch fit into
-	// 9 s: 6 s until the change counts as notified, and 3 s of grace for a draining server.
+	// poll that has to wait for a call slot of discovery ends sooner. One silent watch, a new connection and a
+	// second silent watch fit into 9 s: 6 s until the change counts as notified, and 3 s of grace for a draining
+	// server.
 	watchSilenceTimeout = 3 * time.Second
 	// firstLineTimeout is the timeout of the first line, which discovery sends at once. It allows 1 s for a slow
-	// connection and 1 s for a poll that waits its turn. A watch that fails must leave time for another one: where
-	// lists are pushed, the grace period of a draining server has begun already.
+	// connection and 1 s for a poll that waits for a call slot of discovery. A watch that fails must leave time
+	// for another one: where lists are pushed, the grace period of a draining server has begun already.
 	firstLineTimeout = 2300 * time.Millisecond
 	// incompleteListTimeout is the timeout from the first to the last line of a list that spans several lines.
 	incompleteListTimeout = 500 * time.Millisecond
