--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -34,8 +34,8 @@
 
 	// Used by the loop only.
 	attemptCount int
-	inFlight     int  // number of attempts
-	counted      bool // in the metrics
+	inFlight     int  // number of attempts in flight
+	counted      bool // the metrics include the request
 }
 
 // response is the final response to a request.
@@ -77,8 +77,8 @@
 	writtenAt time.Duration
 }
 
-// responseStarted is the message from the goroutine of an attempt to the loop that a response can be forwarded while it
-// arrives.
+// responseStarted is the message from the goroutine of an attempt to the loop that the response of the attempt can be
+// forwarded while it arrives.
 type responseStarted struct {
 	attempt  *attempt
 	response response
