--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -42,11 +42,12 @@
 	Epoch      Epoch             `json:"e"`
 	MemberList []string          `json:"r"`
 	Previous   []string          `json:"b,omitempty"`
-	Highest    map[string]uint64 `json:"h"`           // by member name, of its ended processes
-	Departed   []string          `json:"l,omitempty"` // IDs of processes that leave or left; absent in older builds
+	Highest    map[string]uint64 `json:"h"`           // by member name: highest incarnation of its ended processes
+	Departed   []string          `json:"l,omitempty"` // IDs of processes that leave or have left; not sent by older builds
 }
 
-// LocalState returns this process's encoded full state, or nil if the mesh's goroutine does not answer within a tick.
+// LocalState returns this process's encoded full state, or nil if the mesh's goroutine does not accept the request
+// within a tick.
 func (d *delegate) LocalState(bool) []byte {
 	m := (*Mesh)(d)
 	result := make(chan []byte, 1)
@@ -76,7 +77,8 @@
 	return text
 }
 
-// MergeRemoteState queues the LocalState of another process. It is dropped if it is invalid or the queue is full.
+// MergeRemoteState queues the full state that another process has sent. It drops the state if that is malformed or the
+// queue is full.
 func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	var state fullState
 	if len(text) == 0 || json.Unmarshal(text, &state) != nil {
@@ -88,7 +90,8 @@
 	}
 }
 
-// handleFullState merges the member list, the incarnations and the departed processes that another process knows of.
+// handleFullState adopts the member list of another process's full state if it is newer, and merges the incarnations
+// and the departed processes.
 func (m *Mesh) handleFullState(state fullState) {
 	m.quorum.adoptMemberList(message{
 		Epoch:      state.Epoch,
--- a/internal/membership/detector_reports.go
+++ b/internal/membership/detector_reports.go
@@ -11,9 +11,8 @@
 )
 
 // detectorReports holds what one failure detector has reported: state changes of processes, and the results of its
-// probes. Each detector has reports of its own. After a detector is shut down, the timers of suspicions that it had
-// started still report for a while. Nobody reads these reports, so they can't be mistaken for those of the next
-// detector.
+// probes. Each detector has its own detectorReports. After a detector is shut down, its suspicion timers still report
+// for a while. The mesh no longer reads these reports, so it cannot mistake them for those of the next detector.
 //
 // Memberlist's goroutines call the exported methods, which never block.
 type detectorReports struct {
@@ -49,7 +48,7 @@
 // NotifyJoin queues an event for a process that is new, or live again.
 func (r *detectorReports) NotifyJoin(node *memberlist.Node) { r.notify(node, true) }
 
-// NotifyLeave queues an event for a process that the failure detector takes for dead, or that has left.
+// NotifyLeave queues an event for a process that the failure detector reports dead, or that has left.
 func (r *detectorReports) NotifyLeave(node *memberlist.Node) { r.notify(node, false) }
 
 // NotifyUpdate queues an event for a process that has published new metadata.
@@ -66,7 +65,7 @@
 var failedProbe = regexp.MustCompile(`Suspect (\S+) has failed, no acks received`)
 
 // Write logs a line of memberlist's own log at the debug level, and records the failed probe if the line reports one.
-// Memberlist reports probes without an answer in no other way; a test fails if the text of that line changes.
+// That line is the only sign by which memberlist reports an unanswered probe; a test fails if its text changes.
 func (r *detectorReports) Write(line []byte) (int, error) {
 	if match := failedProbe.FindSubmatch(line); match != nil {
 		r.probes.recordFailure(string(match[1]))
--- a/internal/membership/drops.go
+++ b/internal/membership/drops.go
@@ -9,16 +9,16 @@
 // concurrent use.
 type DropCounters struct {
 	Malformed atomic.Int64
-	Version   atomic.Int64 // of another protocol version
-	Foreign   atomic.Int64 // of another fleet
+	Version   atomic.Int64 // frames of another protocol version
+	Foreign   atomic.Int64 // frames of another fleet
 	Oversized atomic.Int64
-	Replayed  atomic.Int64 // with a sequence number that has been received before, or is too old
+	Replayed  atomic.Int64 // frames whose sequence number has been received before or is too old
 	Flood     atomic.Int64 // packets over the rate limit, which are not parsed
-	Full      atomic.Int64 // because a queue was full
-	Streams   atomic.Int64 // over the limit on open streams
+	Full      atomic.Int64 // messages, packets and streams that a full queue or a busy receiver did not take
+	Streams   atomic.Int64 // streams over the limit on open streams
 }
 
-// count counts a dropped frame, by the error that is the reason.
+// count increments the counter for the error with which a frame was rejected.
 func (d *DropCounters) count(err error) {
 	switch {
 	case errors.Is(err, errVersion):
@@ -34,7 +34,7 @@
 	}
 }
 
-// byReason returns the counts by their names in the operators' interface.
+// byReason returns the counts by reason, under the names that the operators' interface uses.
 func (d *DropCounters) byReason() map[string]int64 {
 	return map[string]int64{
 		"malformed": d.Malformed.Load(),
--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// election holds the votes of other members for this process, as a leader or a candidate, and the claims granted to
-// them.
+// election is the state of a leader or candidate: the votes that other members have given this process, and the claims
+// to the majority that it has granted them.
 type election struct {
-	votes        map[string]receivedVote  // by name of the voter, its last vote
-	grantedUntil map[string]time.Duration // by name, the latest time at which the member's claim ends
+	votes        map[string]receivedVote  // by the voter's name: its last vote
+	grantedUntil map[string]time.Duration // by member name: latest end of the claims granted to it
 }
 
 // receivedVote is another member's vote for this process.
@@ -25,8 +25,8 @@
 	}
 }
 
-// record stores a vote. Its lease is counted from the sending of the heartbeat that it answers: the voter counts from
-// its vote, which is later, so the lease ends here before it ends at the voter.
+// record stores a vote. Its lease starts when this process sent the heartbeat that the vote answers. The voter counts
+// the lease from the vote, which is later, so the lease ends here before it ends at the voter.
 func (e *election) record(now time.Duration, m message) {
 	e.votes[m.From] = receivedVote{
 		process:    m.Process,
--- a/internal/membership/frame.go
+++ b/internal/membership/frame.go
@@ -11,8 +11,8 @@
 //
 //	"qm" 2 | version 1 | kind 1 | fleet 8 | process 8 | sequence 8 | check 4 | payload
 //
-// The version is 2. The fleet field is the hash of the fleet's name. The check covers all fields before it and the
-// payload. Processes of older builds read frames, so the format must not change unless the version does.
+// The version is 2. The fleet field is the hash of the fleet's name. The check field is a checksum of all fields before
+// it and of the payload. Processes of older builds read frames, so the format must not change unless the version does.
 const (
 	frameMagic      = "qm"
 	frameVersion    = 2
@@ -55,7 +55,7 @@
 	errReplayed  = errors.New("replayed")
 )
 
-// frameCheck returns the check of a frame: the low 32 bits of a hash of its header and its payload.
+// frameCheck returns the checksum of a frame: the low 32 bits of a hash of its header and its payload.
 func frameCheck(header, payload []byte) uint32 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -10,7 +10,7 @@
 // are reserved for memberlist's own header.
 const maxPacketMessage = maxPacketSize - frameHeaderSize - 100
 
-// newMessage returns a message of this process without the quorum's state.
+// newMessage returns a message from this process that, unlike quorum.newMessage, carries no state of the quorum.
 func (m *Mesh) newMessage(kind messageKind) message {
 	return message{From: m.cfg.Name, Process: m.process, Kind: kind}
 }
@@ -35,15 +35,15 @@
 	}
 }
 
-// handleUserMessage passes the body of a Send to OnMessage.
+// handleUserMessage passes the body of a message that a member has sent with Send to OnMessage.
 func (m *Mesh) handleUserMessage(msg message) {
 	if m.cfg.OnMessage != nil {
 		m.cfg.OnMessage(msg.From, msg.Body)
 	}
 }
 
-// handleQuorumMessage passes a message to the quorum and sends its reply. A message that shows that its sender has
-// received one from this process also counts as an answer to a probe.
+// handleQuorumMessage passes a message to the quorum and sends the quorum's reply. A message that isAnswer accepts also
+// counts as an answer to a probe.
 func (m *Mesh) handleQuorumMessage(msg message) {
 	digest := m.view.Load().Digest
 	m.disagreements.compare(msg, digest, m.quorum.liveness.isLive(msg.From), m.now())
@@ -60,8 +60,8 @@
 	}
 }
 
-// isAnswer reports whether a message shows that its sender has recently received one from this process: it is a vote
-// for this process, or a heartbeat that echoes a recent vote of it.
+// isAnswer reports whether a message shows that its sender has recently received a message from this process: it is a
+// vote for this process, or a heartbeat that echoes a recent vote of this process.
 func (m *Mesh) isAnswer(msg message) bool {
 	if msg.TargetProcess != m.process {
 		return false
@@ -79,7 +79,7 @@
 	})
 }
 
-// sendTo sends a message that fits into a packet to one process, once.
+// sendTo sends a message to one process as a single packet, which the message must fit into.
 func (m *Mesh) sendTo(p *process, msg message) {
 	if p == nil || m.detector == nil {
 		return
@@ -100,15 +100,15 @@
 		}
 		node := p.node
 		if len(text) < maxPacketMessage {
-			_ = m.detector.SendBestEffort(&node, text) // the next heartbeat makes up for a lost quorum message
+			_ = m.detector.SendBestEffort(&node, text) // the next heartbeat replaces a lost quorum message
 			continue
 		}
 		m.sendByStream(&node, text)
 	}
 }
 
-// sendByStream sends a message in the background. If another stream is being opened it drops the message: the next
-// heartbeat makes up for a lost quorum message.
+// sendByStream sends a message in the background. If another stream is being opened, it drops the message: the next
+// heartbeat replaces a lost quorum message.
 func (m *Mesh) sendByStream(node *memberlist.Node, text []byte) {
 	if !m.joiner.acquire() {
 		return
@@ -116,7 +116,7 @@
 	detector := m.detector
 	go func() { // ends within the stream timeouts
 		defer m.joiner.release()
-		_ = detector.SendReliable(node, text) // the next heartbeat makes up for a lost quorum message
+		_ = detector.SendReliable(node, text) // the next heartbeat replaces a lost quorum message
 	}()
 }
 
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -7,7 +7,7 @@
 
 // Parameters of name conflicts and of the broadcast of a raised incarnation.
 const (
-	conflictTimeout          = 5 * time.Second  // how long two live processes have one name before the older steps out
+	conflictTimeout          = 5 * time.Second  // after it, the older of two live processes of one name steps out
 	stepOutDuration          = 30 * time.Second // mean time outside the fleet; the actual one is 0.5 to 1.5 times this
 	incarnationBroadcasts    = 3
 	incarnationBroadcastWait = 700 * time.Millisecond
@@ -28,8 +28,8 @@
 	return incarnations{highest: map[string]uint64{}}
 }
 
-// record raises the highest incarnation of a name. A name beyond the first maxMembers is recorded only if it is
-// reserved.
+// record raises the highest incarnation of a name. Once maxMembers names are recorded, only reserved names are still
+// recorded.
 func (i *incarnations) record(name string, incarnation uint64, reserved bool) {
 	if incarnation <= i.highest[name] {
 		return
@@ -39,8 +39,8 @@
 	}
 }
 
-// merge records the incarnations that another process remembers. Names that are known here, and this process's own, are
-// reserved.
+// merge records the incarnations that another process has sent. The names that this process has already recorded, and
+// its own name, are reserved.
 func (i *incarnations) merge(highest map[string]uint64, self string) {
 	for name, incarnation := range highest {
 		i.record(name, incarnation, i.highest[name] > 0 || name == self)
@@ -54,8 +54,8 @@
 }
 
 // checkIdentity keeps this process's incarnation above those of all ended processes of its name, even if the clock was
-// set back between them. It also looks for another live process of the name: after conflictTimeout the older of the two
-// steps out of the fleet.
+// set back since they started. It also looks for another live process of the same name: after conflictTimeout, the
+// older of the two steps out of the fleet.
 func (m *Mesh) checkIdentity() {
 	now := m.now()
 	rival, highest := m.namesakes()
@@ -86,14 +86,14 @@
 	}
 }
 
-// namesakes returns, of the other processes that have this one's name, the newest live one (nil if there is none), and
-// the highest incarnation of those that have ended.
+// namesakes examines the other processes that have this one's name. It returns the newest one in state Alive, or nil if
+// there is none, and the highest incarnation of those that are leaving or have ended.
 func (m *Mesh) namesakes() (rival *process, highest uint64) {
 	highest = m.incarnations.highest[m.cfg.Name]
 	for _, p := range m.processes.byName[m.cfg.Name] {
 		live := p.isLive() && p.metadata.Phase != phaseLeaving
 		if live && m.network != nil && p.address == m.network.addr() {
-			live = false // it has ended, since this process has its address now; the others do not know that yet
+			live = false // it has ended, since this process has its address now; the detector has not reported that yet
 		}
 		if !live {
 			highest = max(highest, p.metadata.Incarnation)
@@ -106,11 +106,11 @@
 	return rival, highest
 }
 
-// stepOut leaves the fleet because a newer process has this one's name, and schedules the return.
+// stepOut takes this process out of the fleet because a newer process has its name, and schedules the return.
 func (m *Mesh) stepOut(now time.Duration, rival *process) {
 	m.log.Error("membership: stepping out of the fleet, a newer process has this one's name; clients are still served",
 		"address", rival.address)
-	_ = m.detector.Leave(tickInterval) // if the broadcast is late, the others detect the end by themselves
+	_ = m.detector.Leave(tickInterval) // if the broadcast is late, other processes detect the end by probes
 	m.stopDetector()
 	m.processes = newProcessTable()
 	m.suspected = map[string]bool{}
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -10,13 +10,13 @@
 const (
 	minJoinInterval   = 300 * time.Millisecond // before jitter
 	maxJoinInterval   = 2 * time.Second
-	leftSearchPeriod  = 2 * time.Minute // for a member that has left: most have restarted by then
+	leftSearchPeriod  = 2 * time.Minute // for a member that has left; most restart within this time
 	maxSeedsToJoin    = 2               // in one attempt
 	maxJoinTargets    = 4               // in one attempt, seeds included
-	concurrentJoiners = 16              // in a larger fleet, only about this many search at a time
+	concurrentJoiners = 16              // in a larger fleet, only about this many processes search at a time
 )
 
-// joiner schedules the search for lost members, and lets one stream at a time be opened.
+// joiner schedules the search for lost members, and allows only one stream at a time to be opened.
 type joiner struct {
 	streams chan struct{} // holds a token while no stream is being opened
 	next    time.Duration // time of the next attempt
@@ -53,9 +53,9 @@
 	j.next = now + j.backoff/2 + rand.N(j.backoff)
 }
 
-// join tries to reach lost members: seeds that are not live, dead members, and for leftSearchPeriod members that have
-// left. It continues as long as there are any, so that a partition heals without an operator, whichever side the seeds
-// are on.
+// join tries to reach lost members: seeds that are not live, dead members, and members that have left less than
+// leftSearchPeriod ago. It continues as long as any member is lost, so that a partition heals without an operator,
+// whichever side the seeds are on.
 func (m *Mesh) join() {
 	now := m.now()
 	if now < m.joiner.next {
@@ -80,7 +80,7 @@
 	detector := m.detector
 	go func() { // ends within the stream timeouts
 		defer m.joiner.release()
-		_, _ = detector.Join(targets) // an error means that they are still lost
+		_, _ = detector.Join(targets) // an error means that the targets are still lost
 	}()
 }
 
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -8,15 +8,15 @@
 
 // Timeouts and limits of a leave.
 const (
-	leaveTimeout      = 800 * time.Millisecond // for removal from the member list, step-down and acknowledgements
+	leaveTimeout      = 800 * time.Millisecond // time for removal from the member list, step-down and acknowledgements
 	leavePollInterval = tickInterval / 4
 	maxLeaveNotices   = 256 // per tick: each is acknowledged, and the packet queue holds 256
 	maxDepartedIDs    = 256 // in a full state; the most recent ones
 )
 
-// departure tracks which processes have acknowledged that this process is leaving. Gossip alone does not ensure that
-// they know: a member that learns of the end of this process before it has the changed metadata cannot distinguish the
-// leave from a failure.
+// departure tracks which processes have acknowledged that this process is leaving. Gossip alone is not enough: a
+// process that detects the end of this one before it has received the changed metadata cannot distinguish the leave
+// from a failure.
 type departure struct {
 	acknowledged map[string]bool // by process ID
 	nextNotice   time.Duration
@@ -26,8 +26,9 @@
 	return departure{acknowledged: map[string]bool{}}
 }
 
-// Leave announces that this process is leaving, and closes the mesh. Before that it waits up to 0.8 s until the process
-// is off the member list, has given up leadership, and all others have acknowledged the leave.
+// Leave announces that this process is leaving, and closes the mesh. Before it closes the mesh, it waits up to 0.8 s
+// until this process is off the member list and has given up leadership, and all other live processes have acknowledged
+// the leave.
 func (m *Mesh) Leave() {
 	m.announcePhase(phaseLeaving)
 	poll := time.NewTicker(leavePollInterval)
@@ -60,7 +61,7 @@
 }
 
 // notifyLeaving sends a leave notice, once per tick, to the live processes that have not acknowledged one. It reports
-// whether all have.
+// whether all of them have.
 func (m *Mesh) notifyLeaving() (all bool) {
 	var unacknowledged []*process
 	for _, p := range m.processes.byID {
@@ -82,7 +83,7 @@
 func (m *Mesh) handleLeaving(msg message) {
 	p := m.processes.find(msg.From, msg.Process)
 	if p == nil {
-		return // the failure detector does not know it yet; the notice is repeated
+		return // the failure detector has not reported the sender yet; the notice is repeated
 	}
 	m.recordLeaving(p)
 	reply := m.newMessage(kindLeavingAck)
@@ -128,8 +129,8 @@
 	return ids
 }
 
-// mergeDeparted merges the departedIDs of another process. Its report that a process has left takes precedence over
-// this process's own conclusion that it failed.
+// mergeDeparted records that the processes in another process's departedIDs are leaving or have left. This takes
+// precedence over this process's own conclusion that a process has failed.
 func (m *Mesh) mergeDeparted(ids []string) {
 	for _, id := range ids {
 		if p := m.processes.byID[id]; p != nil {
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -10,10 +10,10 @@
 	self      string
 	liveSince map[string]time.Duration // by name: live members, this process included
 	deadSince map[string]time.Duration // by name: members of the member list that are not live
-	left      map[string]bool          // by name: is leaving, or has left and has not come back
+	left      map[string]bool          // by name: members that are leaving, or have left and not come back
 
-	missing         []string            // members of the list that are not live here; the first maxMissingNamed
-	reportedMissing map[string][]string // by name of a live member: what it last reported as missing
+	missing         []string            // members of the list that are not live; only the first maxMissingNamed
+	reportedMissing map[string][]string // by name of a live member: the members that it last reported missing
 }
 
 func newLiveness(self string, now time.Duration) liveness {
@@ -43,7 +43,7 @@
 	l.updateMissing(memberList)
 }
 
-// updateDead updates since when members of the list have not been live.
+// updateDead updates deadSince, the times since which members of the list have not been live.
 func (l *liveness) updateDead(now time.Duration, memberList []string) {
 	deadSince := map[string]time.Duration{}
 	for _, name := range memberList {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -17,7 +17,7 @@
 	Config      string        `json:"config,omitempty"` // digest of its configuration
 	Address     string        `json:"address"`
 	Age         time.Duration `json:"age_ns"`         // time in this state, when the view was taken
-	Suppressed  bool          `json:"held,omitempty"` // flap damping: returned too often, not relied on
+	Suppressed  bool          `json:"held,omitempty"` // flap damping: died and returned too often; not used as replica
 
 	since time.Duration // start of the state, by the mesh's clock
 }
@@ -58,12 +58,12 @@
 // operators' interface.
 type Disagreement struct {
 	Member   string        `json:"with"`
-	Disputed []string      `json:"about"` // missing in only one of the views, as far as reported
+	Disputed []string      `json:"about"` // members that are missing from only one of the two views, as far as reported
 	Duration time.Duration `json:"for_ns"`
 }
 
-// View returns the latest view. A claim to the majority that has expired is left out: after a pause of the process, its
-// last view may still hold one.
+// View returns the latest view. If its claim to the majority has expired, which can happen while the process is paused,
+// the returned view has the side Minority and no leader.
 func (m *Mesh) View() View {
 	view, now := *m.view.Load(), m.now()
 	if view.Side >= Majority && now >= view.claimUntil {
@@ -81,6 +81,6 @@
 // Counters returns the counters, which are at most one second old.
 func (m *Mesh) Counters() Counters { return *m.counters.Load() }
 
-// Disagreements returns the members whose view differs from this process's view. The leader compares its view with all
-// members, the others compare theirs with the leader only.
+// Disagreements returns the members whose view differs from this process's view. The leader compares its view with
+// those of all members; any other member compares its view with the leader's only.
 func (m *Mesh) Disagreements() []Disagreement { return *m.publishedDisagreements.Load() }
--- a/internal/membership/member_list.go
+++ b/internal/membership/member_list.go
@@ -9,7 +9,7 @@
 // Limits and delays of the member list.
 const (
 	maxMembers       = 4096
-	maxFormerLists   = 8                // kept, so that members that have one can be sent a delta
+	maxFormerLists   = 8                // kept so that a member that still has one of them can be sent a delta
 	maxChangedBytes  = 600              // total length of the names in one change, so that a delta fits into a packet
 	joinDelay        = time.Second      // a new member is added after it was live for this long
 	deadRemovalDelay = 30 * time.Second // a dead member is removed after this time
@@ -30,7 +30,7 @@
 type memberList struct {
 	epoch    Epoch
 	names    []string     // sorted
-	previous []string     // the list before, while the change is not committed; nil otherwise
+	previous []string     // the list before an uncommitted change; nil without such a change
 	former   []formerList // earlier lists, the newest last
 }
 
@@ -54,12 +54,12 @@
 	return found
 }
 
-// commit completes a change: from now on only the current list needs a majority.
+// commit completes a change: from now on, a majority of the current list is enough.
 func (l *memberList) commit() { l.previous = nil }
 
 // install replaces the list by a newer one.
 func (l *memberList) install(epoch Epoch, names, previous []string) {
-	if l.epoch.Number > 0 { // the list of epoch 0 is not shared: it is from each process's own settings
+	if l.epoch.Number > 0 { // the list of epoch 0 comes from a process's own settings, so others may not have it
 		l.former = append(l.former, formerList{l.epoch, l.names})
 		l.former = l.former[max(0, len(l.former)-maxFormerLists):]
 	}
@@ -93,8 +93,8 @@
 	return next
 }
 
-// differsFrom reports whether a list has to replace this one. The list of epoch 0 is always replaced, as founding the
-// fleet gives it an epoch.
+// differsFrom reports whether next has to replace this list. The list of epoch 0 is always replaced, even by an equal
+// one, since the list of a founded fleet needs an epoch above 0.
 func (l *memberList) differsFrom(next []string) bool {
 	return l.epoch.Number == 0 || !slices.Equal(next, l.names)
 }
--- a/internal/membership/mesh.go
+++ b/internal/membership/mesh.go
@@ -62,7 +62,7 @@
 	network       packetNetwork          // what the detector sends over; nil without a detector
 	closedTraffic traffic                // sent over networks that are closed by now
 	processes     *processTable
-	suspected     map[string]bool // by process ID: suspects since a probe of the detector got no answer
+	suspected     map[string]bool // by process ID: suspects because a probe of the detector got no answer
 	reachability  *reachability
 	quorum        *quorum
 	incarnations  incarnations
@@ -99,7 +99,7 @@
 	})
 }
 
-// start is Start over the network that listen opens.
+// start implements Start, over the network that listen opens.
 func start(cfg Config, listen func(*Mesh) (packetNetwork, error)) (*Mesh, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -151,10 +151,11 @@
 // now returns the time since the mesh was started, by the monotonic clock.
 func (m *Mesh) now() time.Duration { return time.Since(m.startedAt) }
 
-// id returns the name under which memberlist knows this process.
+// id returns this process's ID, which is its node name in memberlist.
 func (m *Mesh) id() string { return processID(m.cfg.Name, m.process) }
 
-// ProcessID returns the number of this process: a random one, drawn at its start, that tells it from all others.
+// ProcessID returns the number of this process, which is drawn at random at its start and distinguishes it from all
+// other processes.
 func (m *Mesh) ProcessID() uint64 { return m.process }
 
 // AnnounceServing tells the fleet that this process serves.
@@ -177,7 +178,7 @@
 	})
 }
 
-// broadcastMetadata sends the changed metadata of this process to the others, in the background.
+// broadcastMetadata sends the changed metadata of this process to the other processes, in the background.
 func (m *Mesh) broadcastMetadata() {
 	m.viewStale = true
 	detector := m.detector
@@ -195,7 +196,7 @@
 	<-m.stopped
 }
 
-// run is the mesh's goroutine, which owns the state, until Close.
+// run is the loop of the mesh's goroutine, which owns the mesh's state. It returns after Close.
 func (m *Mesh) run() {
 	defer close(m.stopped)
 	defer m.stopDetector()
@@ -220,8 +221,8 @@
 	}
 }
 
-// reopen tries to listen again while there is no failure detector, because another process holds the address or because
-// this one has stepped out of the fleet and its time outside is over.
+// reopen tries to listen again if there is no failure detector: another process may have released the address, or this
+// process has stepped out of the fleet and its time outside is over.
 func (m *Mesh) reopen() {
 	if m.detector != nil || m.now() < max(m.nextOpen, m.conflict.outsideUntil) {
 		return
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -12,22 +12,22 @@
 	Process       uint64   `json:"p"`            // number of the sending process, drawn at its start
 	Epoch         Epoch    `json:"e"`            // of the sender's member list
 	MemberList    []string `json:"r,omitempty"`  // the sender's, for a receiver that may not have it
-	Previous      []string `json:"b,omitempty"`  // the list before, while the change is not committed
-	BaseEpoch     Epoch    `json:"b0,omitzero"`  // in place of MemberList: an epoch whose list the receiver has,
-	ListDelta     *delta   `json:"bn,omitempty"` // the changes from that list to the member list,
-	PreviousDelta *delta   `json:"bl,omitempty"` // and from that list to the previous one, if any
-	Missing       []string `json:"m,omitempty"`  // first few members that the sender does not see live
+	Previous      []string `json:"b,omitempty"`  // the list before an uncommitted change
+	BaseEpoch     Epoch    `json:"b0,omitzero"`  // base of the deltas, which replace the two lists
+	ListDelta     *delta   `json:"bn,omitempty"` // changes from the list of BaseEpoch to MemberList
+	PreviousDelta *delta   `json:"bl,omitempty"` // changes from the list of BaseEpoch to Previous
+	Missing       []string `json:"m,omitempty"`  // first few members that are not live in the sender's view
 	Digest        uint64   `json:"d,omitempty"`  // of the sender's view
 
 	Kind          messageKind     `json:"k,omitempty"`
 	TargetProcess uint64          `json:"t,omitempty"` // the process that is answered, or whose vote is echoed
 	HeartbeatAt   time.Duration   `json:"q,omitempty"` // the leader's clock at the heartbeat
 	VoteAt        time.Duration   `json:"v,omitempty"` // the voter's clock at its vote, or at the echoed vote
-	Remaining     time.Duration   `json:"l,omitempty"` // in a heartbeat: of the majority, after that vote arrived
-	HasMajority   bool            `json:"h,omitempty"` // in a heartbeat: leader has it; its list is committed
+	Remaining     time.Duration   `json:"l,omitempty"` // in a heartbeat: time from that vote to the end of the majority
+	HasMajority   bool            `json:"h,omitempty"` // in a heartbeat: the leader has one and its list is committed
 	Complete      bool            `json:"w,omitempty"` // in a heartbeat: no member of the list is missing
 	Body          json.RawMessage `json:"y,omitempty"` // of a user message
-	Subject       string          `json:"a,omitempty"` // of a probe: the process ID within memberlist
+	Subject       string          `json:"a,omitempty"` // of a probe: the probed process's ID
 }
 
 // messageKind is the kind of a message. The numbers are part of the protocol.
@@ -40,7 +40,7 @@
 	kindStepDown     messageKind = 3  // the sender has stepped down: claims to its majority must be dropped
 	kindStepDownAck  messageKind = 4  // the sender has dropped its claim
 	kindVoteReleased messageKind = 5  // no claim to the sender's majority is left: its voters are released
-	kindProbe        messageKind = 6  // asks the subject to answer, or others whether it has answered them
+	kindProbe        messageKind = 6  // asks the subject to answer, or another process whether the subject has answered it
 	kindProbeReply   messageKind = 7  // answers a probe
 	kindIndirectAck  messageKind = 8  // the subject of an indirect probe has answered the sender
 	kindUserMessage  messageKind = 9  // carries a body that was passed to Mesh.Send
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// isDisconnected reports whether this process, although there are others, has had no answer from anybody for a time
-// between disconnectedAfter and disconnectedLimit. It then assumes that it is itself cut off, and probes all others.
+// isDisconnected reports whether no process has answered this one for a time between disconnectedAfter and
+// disconnectedLimit, although other processes are live. This process is then assumed to be cut off itself, and probes
+// all others.
 func (m *Mesh) isDisconnected() bool {
 	silence := m.reachability.silence(m.now())
 	return m.processes.liveCount() > 0 && silence > disconnectedAfter && silence < disconnectedLimit
 }
 
-// hasSendFailure reports whether nobody has answered this process for sendFailureAfter. A leader then stops sending
-// heartbeats, so that the votes for it expire early.
+// hasSendFailure reports whether no process has answered this one for sendFailureAfter, although other processes are
+// live. A leader then stops sending heartbeats, so that the votes for it expire early.
 func (m *Mesh) hasSendFailure() bool {
 	return m.processes.liveCount() > 0 && m.reachability.silence(m.now()) > sendFailureAfter
 }
@@ -31,8 +32,9 @@
 	}
 }
 
-// reportDead handles the failure detector's report that a process is dead: this process probes it to verify that. In a
-// fleet of more than maxVerifiedFleet the report is taken as it is, unless this process is disconnected.
+// reportDead handles the failure detector's report that a process is dead: this process probes that process to verify
+// the report. In a fleet of more than maxVerifiedFleet, the report is accepted without probes, unless this process is
+// disconnected.
 func (m *Mesh) reportDead(p *process) {
 	if m.processes.liveCount() > maxVerifiedFleet && !m.isDisconnected() {
 		m.confirmDead(p)
@@ -144,8 +146,9 @@
 	}
 }
 
-// handleProbe answers a probe of this process, or a probe of another process that has answered this one recently. If
-// that other process has not, this one opens an inquiry too, so that it finds out as soon as the sender does.
+// handleProbe replies to a probe of this process. To a probe of another process it replies with an indirect
+// acknowledgement if that process has answered this one recently; otherwise it opens an inquiry into that process, so
+// that this process reaches a result as early as the sender.
 func (m *Mesh) handleProbe(msg message) {
 	now := m.now()
 	reply := m.newMessage(kindProbeReply)
@@ -183,8 +186,8 @@
 	}
 }
 
-// handleIndirectAck records a process's report that another one has answered it. The report is also an answer of its
-// sender.
+// handleIndirectAck records a process's report that another one has answered it. The report also counts as an answer
+// of its sender.
 func (m *Mesh) handleIndirectAck(msg message) {
 	if m.processes.byID[msg.Subject] == nil || msg.TargetProcess != m.process {
 		return
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Bounds of the memory of processes that have ended.
+// Limits on the records that are kept of processes that have ended.
 const (
 	maxEndedProcesses = 2048
 	endedRetention    = 10 * time.Minute
--- a/internal/membership/quorum.go
+++ b/internal/membership/quorum.go
@@ -8,7 +8,7 @@
 const (
 	heartbeatInterval = 400 * time.Millisecond
 	leaseDuration     = 2 * time.Second // of a vote; long enough that one or two lost heartbeats do not end it
-	echoTimeout       = leaseDuration   // without an echo for this long, a leader counts as not receiving the votes
+	echoTimeout       = leaseDuration   // a leader that echoes no vote for this long counts as not receiving votes
 )
 
 // quorum determines the side of a partition that this process is on, and maintains the member list. It is a state
@@ -34,8 +34,8 @@
 // added after 1 s.
 //
 // Founding: the first list is the seeds, and founding a fleet needs the votes of all seeds. A majority of them would
-// not be enough: these seeds may have restarted without their state, in a partition from a fleet that goes on without
-// them. One seed that still has its state prevents the founding of a second fleet.
+// not be enough: these seeds may have restarted without their state, while a partition separates them from the running
+// fleet. A single seed that still has its state prevents the founding of a second fleet.
 //
 // Rejected alternative: to count a member that has left as a vote. The next process of that name may vote on the other
 // side of a partition.
@@ -167,8 +167,8 @@
 	return Minority, 0
 }
 
-// tick returns the messages to send now, by receiver: heartbeats if this process leads or is to lead, otherwise the
-// member list for a leader from which no heartbeats arrive.
+// tick returns the messages to send now, by receiver: heartbeats if this process is the leader or a candidate, and
+// otherwise the member list for a leader from which no heartbeats arrive.
 func (q *quorum) tick(now time.Duration, digest uint64) map[string]message {
 	if !q.sendDue(now) {
 		return nil
@@ -187,8 +187,8 @@
 	return q.heartbeats(now, until, digest)
 }
 
-// sendDue reports whether to send now: at each interval, and at once when this process has a majority that it has not
-// yet acted on, as it has no claim or a change of the member list is to be committed.
+// sendDue reports whether messages are due: after each interval, and at once when this process has got a majority that
+// lets it claim its side or commit a change of the member list.
 func (q *quorum) sendDue(now time.Duration) bool {
 	if q.stepDown.started || q.sendFailure {
 		return false
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -9,8 +9,9 @@
 // Timeouts and bounds of a process's own probes. They run after the failure detector's suspicion timeout, which is kept
 // short for that reason.
 const (
-	// maxInquiries bounds the inquiries that are open at a time, except for processes that the detector suspects or
-	// reports dead, and the processes probed in one tick, those without an answer for the longest time first.
+	// maxInquiries limits the number of open inquiries; those into processes that the detector suspects or reports dead
+	// are opened even beyond it. It also limits the number of processes probed in one tick: those without an answer for
+	// the longest time are probed first.
 	maxInquiries     = 16
 	indirectProbes   = 3  // other processes that are asked about a probed one
 	maxVerifiedFleet = 64 // in a larger fleet the probes of all members would flood a suspect
@@ -19,7 +20,8 @@
 	suspectTimeout = 900 * time.Millisecond
 	suspectProbes  = 6
 
-	// A process that answers nobody is confirmed dead without a report after this time and this many probes.
+	// A process without direct or indirect answers is confirmed dead, although the detector has not reported it dead,
+	// after this time and this many probes.
 	silenceTimeout = 1600 * time.Millisecond
 	silenceProbes  = 10
 
@@ -31,23 +33,23 @@
 	// of the detector is answered every 400 ms.
 	silenceThreshold  = 500 * time.Millisecond
 	sendFailureAfter  = 600 * time.Millisecond  // without any answer: this process does not lead
-	disconnectedAfter = 1200 * time.Millisecond // without any answer: this process confirms nobody dead
-	disconnectedLimit = 20 * time.Second        // without any answer: whoever is cut off, the silent ones are dead
+	disconnectedAfter = 1200 * time.Millisecond // without any answer: this process confirms no process dead
+	disconnectedLimit = 20 * time.Second        // without any answer: this process confirms deaths again, cut off or not
 	indirectValidity  = 10 * time.Second        // age of an inquiry from which indirect answers no longer count
 )
 
-// reachability holds what this process knows about the others from its own probes: who has answered it, and who has
-// answered another process. A report of the failure detector is only a hint, and the answers to this process's own
-// probes decide: a process that the detector reports dead stays a suspect while it answers, and one that answers nobody
-// is confirmed dead without a report.
+// reachability holds the results of this process's own probes: which processes have answered it, and which have
+// answered another process. A report of the failure detector only starts an inquiry, and the answers to this process's
+// own probes decide: a process that the detector reports dead stays a suspect while it answers, and one without any
+// answer is confirmed dead even if the detector does not report it.
 //
 // Only a round trip counts as an answer. A received packet proves little: a process that can send but not receive
-// suspects everybody and keeps sending. A process without a round trip to anybody, although there are others, assumes
-// that it is itself cut off: it confirms nobody dead and does not lead, until an answer arrives or 20 s have passed.
-// That answer proves that this process receives again and says nothing about the other processes, so their inquiries
-// start again.
+// suspects all others and continues to send. If no other process answers this one, this process assumes that it is
+// itself cut off: until an answer arrives or 20 s have passed, it confirms no process dead and does not lead. The first
+// answer after that proves only that this process receives again, and nothing about the processes that have not
+// answered. Their inquiries therefore start again.
 type reachability struct {
-	answeredAt   map[string]time.Duration // by process ID: its last answer to this process
+	answeredAt   map[string]time.Duration // by process ID: time of its last answer to this process
 	indirectAt   map[string]time.Duration // by process ID: when another process last reported an answer from it
 	inquiries    map[string]*inquiry      // by process ID: the open ones
 	reportedDead map[string]time.Duration // by process ID: when the detector reported it dead; until it is confirmed
@@ -138,8 +140,8 @@
 	}
 }
 
-// restartInquiries starts all open inquiries again, because silence proves nothing about the others while this process
-// could not receive from anybody.
+// restartInquiries starts all open inquiries again, because missing answers prove nothing for the time in which this
+// process could not receive.
 func (r *reachability) restartInquiries(now time.Duration) {
 	for _, open := range r.inquiries {
 		*open = inquiry{since: now}
@@ -182,10 +184,11 @@
 	return reported
 }
 
-// silence returns how long no process has answered this one.
+// silence returns the time since the last answer of any process to this one.
 func (r *reachability) silence(now time.Duration) time.Duration { return now - r.lastAnswer }
 
-// assess returns the current result of an open inquiry. While this process is disconnected, it confirms nobody dead.
+// assess returns the current result of an open inquiry. While this process is disconnected, the result is
+// never assessmentDead.
 func (r *reachability) assess(id string, now time.Duration, disconnected bool) assessment {
 	inquiry := r.inquiries[id]
 	reported := r.isReportedDead(id)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -7,7 +7,7 @@
 //
 //	Joining   its process runs but does not serve yet
 //	Alive     it serves
-//	Suspect   it did not answer a probe, or the failure detector reports it dead, and that is not confirmed yet
+//	Suspect   it did not answer a probe, or the failure detector reports it dead; its death is not confirmed yet
 //	Dead      it is confirmed dead
 //	Left      it has announced that it is leaving
 //	Conflict  two live processes claim its name
--- a/internal/membership/stepdown.go
+++ b/internal/membership/stepdown.go
@@ -12,10 +12,10 @@
 func (s *stepDown) isOutdated(heartbeat message) bool { return heartbeat.Process == s.lastProcess }
 
 // continueStepDown takes the next step to end the leadership of a process that is leaving, so that the next leader does
-// not have to wait for the leases of the votes to end. First every member that may claim this process's majority is
-// told to drop the claim and confirms that, then all voters are released. It returns the messages to send; done reports
-// that none follow. If a member does not confirm, its claim ends with the leases at the latest, and the release waits
-// until then.
+// not have to wait for the leases of the votes to end. First it asks every member that may claim this process's
+// majority to drop the claim. Once all have confirmed that, it releases all voters. If a member does not confirm, the
+// release waits until the member's claim ends, which is no later than the leases. It returns the messages to send; done
+// reports that no more follow.
 func (q *quorum) continueStepDown(now time.Duration, digest uint64) (out map[string]message, done bool) {
 	if q.voter.votedFor != q.process {
 		return nil, true
@@ -58,7 +58,8 @@
 	reply.TargetProcess = m.Process
 }
 
-// handleStepDownAck records that the sender has dropped its claim. After the last one the votes are released at once.
+// handleStepDownAck records that the sender has dropped its claim. After the last such message, the votes
+// are released at once.
 func (q *quorum) handleStepDownAck(now time.Duration, m message) {
 	if m.TargetProcess != q.process || !q.stepDown.started {
 		return
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -119,8 +119,8 @@
 	return slices.SortedFunc(maps.Values(members), byName)
 }
 
-// recordChange returns the member with the start of its state set. If the state or the incarnation has
-// changed, it logs the change and records a return from the dead for flap damping.
+// recordChange returns the member with the start of its state set. If the state or the incarnation has changed, it logs
+// the change. If a dead member is live again, it also records the return for flap damping.
 func (m *Mesh) recordChange(member Member, now time.Duration) Member {
 	before, known := m.members[member.Name]
 	member.since = before.since
@@ -174,7 +174,7 @@
 	return member
 }
 
-// selfMember returns the member that this process runs as.
+// selfMember returns this process's own member.
 func (m *Mesh) selfMember() Member {
 	own := m.local.load()
 	member := newMember(m.cfg.Name, own, m.cfg.Listen)
@@ -205,7 +205,7 @@
 }
 
 // viewDigest returns a hash of the epoch and of the live members with their incarnations. Processes compare their
-// digests, so all of a fleet must compute them in the same way.
+// digests, so all processes of a fleet must compute them in the same way.
 func viewDigest(epoch Epoch, sorted []Member) uint64 {
 	text := fmt.Appendf(nil, "%d/%s", epoch.Number, epoch.Leader)
 	for _, member := range sorted {
--- a/internal/membership/voter.go
+++ b/internal/membership/voter.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// voter holds the vote of this process. A vote binds it to one leading process for a lease, by its own clock.
+// voter holds the vote of this process. A vote binds this process to one leading process for a lease, which is counted
+// by this process's clock.
 type voter struct {
 	eligibleAt time.Duration // one lease after the start, as an earlier process of this name may have voted
 	votedFor   uint64        // number of the leading process
@@ -36,7 +37,7 @@
 	v.expiry = now + leaseDuration
 }
 
-// release ends the lease of the vote, and reports false if the vote is not for the given process.
+// release ends the lease of the vote if the vote is for the given process, and reports whether it is.
 func (v *voter) release(process uint64) (released bool) {
 	if v.votedFor != process {
 		return false
@@ -46,8 +47,8 @@
 }
 
 // observeEcho checks whether a heartbeat echoes a recent vote of this process. A leader that does not receive votes
-// cannot get a majority: once its echoes are missing for echoTimeout it is marked for a lease, and it gets no more
-// votes, so that the lease of the last vote ends and another member can lead.
+// cannot get a majority: once its echoes are missing for echoTimeout, it is marked for the duration of a lease and
+// gets no votes in that time, so that the lease of the last vote ends and another member can lead.
 func (v *voter) observeEcho(now time.Duration, heartbeat message, self uint64) {
 	if heartbeat.TargetProcess == self && now-heartbeat.VoteAt < echoTimeout {
 		delete(v.receiveFailureUntil, heartbeat.From)
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,7 +12,7 @@
 	shedRateWeight     = averageWeight / 4 // weight of a new request in the average of the shed rate
 	minArrivals        = 1e-9              // lower bound of arrival counts, to avoid a division by zero
 	responseDeviations = 2                 // deviations above the mean latency reserved for the response
-	queueTimeDivisor   = 4                 // the queue time allowed is at least the objective over this
+	queueTimeDivisor   = 4                 // the allowed queue time is at least the latency objective divided by this
 )
 
 // recordShed raises the shed rate for a request that is answered without an attempt.
@@ -85,10 +85,10 @@
 	return guard.NoCapacity
 }
 
-// queueDeadline returns until when a request may be queued. If it were sent later, its answer would be
-// likely to miss the latency objective, and late answers take capacity from timely ones. The deadline is at
-// most half of the request's time, which matters most without any endpoint: the client can still ask another
-// replica.
+// queueDeadline returns the time until which a request may be queued. If it were sent later, its answer would
+// be likely to miss the latency objective, and late answers take capacity from timely ones. The deadline comes
+// no later than half of the request's time, so that the client can still ask another replica, which matters
+// most when this one has no endpoint.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	c := r.class
 	deadline := min(r.answerDeadline(b.settings.Tier), (r.arrived+r.deadline)/2) - 2*b.settings.TimerResolution
@@ -155,7 +155,7 @@
 	if b.classes.worstServed(c) == c {
 		weight += b.settings.WorstClassWeight / max(c.arrivals, minArrivals)
 	}
-	if r.isRetry { // its objective counts from the client's first request, so little of it is left
+	if r.isRetry { // the latency objective runs from the client's first request, so little of it is left
 		weight *= c.LateAnswerWeight
 	}
 	if r.overQuota {
--- a/policy/api.go
+++ b/policy/api.go
@@ -47,7 +47,7 @@
 	LatencyObjective    time.Duration      // answers within it earn the full weight
 	Deadline            time.Duration      // how long a client waits in total, with its retries
 	LateAnswerWeight    float64            // part of the weight that an answer after the objective earns
-	PriorityWeight      float64            // of an answer within the objective
+	PriorityWeight      float64            // weight of an answer within the objective
 	Stream              bool
 	SerializedByKey     bool     // requests with one key run one at a time, in the order of arrival
 	AllowedZones        []string // zones that the class may use; nil: all
@@ -124,7 +124,7 @@
 
 // Load is the load that an endpoint reports of itself, late and inaccurately. Absent values are negative.
 type Load struct {
-	BusyRequests float64       // requests that it holds
+	BusyRequests float64       // requests that the endpoint holds
 	ServiceTime  time.Duration // recent service time, without the time in its queue
 }
 
@@ -163,15 +163,16 @@
 		BodyConsumed bool // the request's body cannot be sent again
 		Load         *Load
 	}
-	// RequestSent reports that the last byte of a request has been sent, whose body was forwarded while it
-	// arrived. The time of the request and of its attempt counts from here.
+	// RequestSent reports that the last byte of a request has been sent to the endpoint. It follows a Request
+	// with BodyIncomplete, whose body is forwarded while it arrives. The times of the request and of its attempt
+	// start anew with this event.
 	RequestSent struct {
 		ID       string
 		Attempt  int
 		Deadline time.Duration // clock time
 	}
-	// ResponseStarted reports that a streamed response has begun. The client sets the pace from here on, so
-	// how long the rest takes says nothing about the endpoint.
+	// ResponseStarted reports that a streamed response has begun. The time that the rest of the response takes
+	// depends on the client, so it says nothing about the endpoint.
 	ResponseStarted struct {
 		ID      string
 		Attempt int
@@ -184,7 +185,7 @@
 	// Settings.Replicas. If it is empty, the number is not known, and Settings.Replicas applies again.
 	ReplicaCounts struct{ ByZone map[string]int }
 	// ZoneEvacuation starts or ends an operator's override to send nothing to a zone. It applies until the
-	// next one for the zone, and has no effect on a class while all zones that it may use are evacuated.
+	// next ZoneEvacuation of the zone, and has no effect on a class while all zones that it may use are evacuated.
 	ZoneEvacuation struct {
 		Zone     string
 		Evacuate bool
@@ -229,7 +230,7 @@
 	Share               float64       // part of the requests that may use it, from 0 to 1
 	Since               time.Duration // clock time of the last change of the state
 	Endpoints           int           // endpoints in service
-	Unresponsive        int           // endpoints whose attempts since the zone's last answer got none
+	Unresponsive        int           // endpoints that left attempts without an answer since the zone's last answer
 	InFlight            int           // attempts of this replica in flight
 }
 
--- a/policy/class.go
+++ b/policy/class.go
@@ -10,7 +10,7 @@
 	averageWeight      = 0.06 // weight of a new sample in averages over all endpoints (about 16 samples)
 	arrivalDecay       = 0.99 // factor on the counts of arrivals and answers at each arrival
 	overdueDeviations  = 3.0  // deviations above the mean latency from which an attempt is overdue
-	retryDeadlineShare = 0.95 // a request with less than this share of the longest time left counts as a retry
+	retryDeadlineShare = 0.95 // a request with less time left than this share of longestTimeLeft counts as a retry
 )
 
 // class is a class of requests with its latency and arrival statistics.
@@ -21,7 +21,7 @@
 	latencyDeviation float64       // mean absolute deviation, in ns
 	arrivals         float64       // decayed count
 	served           float64       // decayed count of answers within the latency objective
-	longestTimeLeft  time.Duration // most that a client has allowed for an answer
+	longestTimeLeft  time.Duration // longest time that a client has allowed for an answer
 }
 
 func newClass(settings Class, subset *endpointSubset) *class {
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -46,8 +46,8 @@
 }
 
 // initial returns the limit that the endpoints are assumed to handle, before responses in time raise it
-// further. It covers at least the load of the tenants' quotas. At the minimum latency, that load is a number
-// of attempts in flight: few at fast endpoints, many at endpoints that wait for others.
+// further. It covers at least the load of the tenants' quotas. The minimum latency determines how many attempts
+// in flight this load is: few at fast endpoints, many at endpoints that wait for others.
 func (l *concurrencyLimit) initial() float64 {
 	ratio := targetLatencyRatio / 2
 	if l.measured() {
@@ -56,8 +56,9 @@
 	return max(l.perEndpoint, l.quotaLoad*ratio/max(l.maxEndpoints, 1)) * l.baselineEndpoints
 }
 
-// measured reports whether as many attempts have ended as the limit allows in flight, and
-// latencySampleBase more. Until then quick responses, which end first, are overrepresented.
+// measured reports whether enough attempts have ended for the latency ratio to be representative: the number
+// that the limit allows in flight, plus latencySampleBase. Before that, quick responses are overrepresented,
+// because they arrive first.
 func (l *concurrencyLimit) measured() bool { return l.samples >= l.size+latencySampleBase }
 
 // reached reports whether no further attempt may start at this number of attempts in flight.
@@ -100,7 +101,7 @@
 	l.samples++
 	weight := max(1/l.samples, latencySampleWeight/(l.size+latencySampleBase))
 	l.latencyRatio += weight * (min(ratio, 1) - l.latencyRatio)
-	// The first responses to arrive are the quick ones, so the minimum is not known before measured.
+	// The first responses to arrive are the quick ones, so the minimum is not known until measured returns true.
 	l.minLatencyRatio += minLatencyRiseWeight * (l.latencyRatio - l.minLatencyRatio)
 	if l.latencyRatio < l.minLatencyRatio || !l.measured() {
 		l.minLatencyRatio = l.latencyRatio
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// updateReplicas advances the number of replicas, and adapts what they share: the endpoints behind the
-// concurrency limits, and the quotas.
+// updateReplicas advances the number of replicas, and adapts this replica's fair shares of the endpoints and
+// its parts of the quotas.
 func (b *Balancer) updateReplicas() {
 	if !b.replicas.advance(b.now) {
 		return
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -30,7 +30,7 @@
 }
 
 // recordSuccess records a success, and the logarithm of its latency over the mean of the class. A slow
-// endpoint is not ejected: its attempts stay in flight for longer, so that others are usually chosen.
+// endpoint is not ejected: its attempts stay in flight for longer, so that other endpoints are usually chosen.
 func (ep *endpoint) recordSuccess(logRatio float64, now time.Duration) {
 	ep.lastSuccess = now
 	ep.relativeLatency += endpointAverageWeight * (logRatio - ep.relativeLatency)
@@ -38,9 +38,9 @@
 	ep.outlier.recordSuccess()
 }
 
-// unresponsive reports whether the oldest attempt that awaits a response is overdue, while another endpoint
-// and not this one has had a success since half of that wait. An endpoint that hangs shows no other sign
-// until its attempts time out.
+// unresponsive reports whether the oldest attempt that awaits a response is overdue and, since half of its
+// expected wait was over, another endpoint has had a success and this one has not. An endpoint that hangs
+// cannot be detected otherwise before its attempts time out.
 func (ep *endpoint) unresponsive(now, lastSuccess time.Duration) bool {
 	oldest := slices.IndexFunc(ep.attempts, (*attempt).awaitsResponse)
 	if oldest < 0 {
--- a/policy/guard/guard.go
+++ b/policy/guard/guard.go
@@ -49,7 +49,7 @@
 // Time limits of the checks.
 const (
 	MaxSuspension          = 150 * time.Millisecond // longest suspension between check and write that is allowed for
-	maxSendAfterDisconnect = 100 * time.Millisecond // an attempt may be written so long after its client left
+	maxSendAfterDisconnect = 100 * time.Millisecond // an attempt may be written this long after its client has left
 	maxTimeoutExcess       = 150 * time.Millisecond // of an endpoint's timeout over the time that its client has left
 	timerSlack             = 50 * time.Millisecond  // tolerance of a time limit that is checked after a write to a socket
 )
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -11,9 +11,9 @@
 // Detection of an unresponsive zone, and its recovery.
 const (
 	minUnresponsive        = 2   // number of unresponsive endpoints from which a zone's share is reduced
-	maxUnresponsive        = 5   // number that evacuates a zone; all endpoints of a zone that has fewer
+	maxUnresponsive        = 5   // number that evacuates a zone; if the zone has fewer endpoints, all of them
 	maxAttemptsExamined    = 12  // only this many of the oldest attempts in flight are checked
-	limitReductionExponent = 0.5 // limits follow the endpoints left by it: replicas may be lost as well
+	limitReductionExponent = 0.5 // limits follow the shares with this exponent: replicas may be lost as well
 	recoveryStepLatencies  = 4   // mean latencies between two doublings of a share
 	flapResetFactor        = 32  // mean latencies in service after which a zone no longer counts as flapping
 )
@@ -79,7 +79,7 @@
 func (z *zone) delayProbe(now, meanLatency time.Duration) { z.waitUntil = now + meanLatency<<z.flaps }
 
 // allowsProbe reports whether a request may be sent to an evacuated zone as a health probe. The request must
-// be idempotent, and there is one probe at a time.
+// be idempotent, and no other probe may be in flight.
 func (z *zone) allowsProbe(r *request, now time.Duration) bool {
 	if z.state != ZoneEvacuated || z.evacuatedByOperator || now < z.waitUntil {
 		return false
@@ -229,8 +229,8 @@
 }
 
 // transition changes the state and the share of a zone. A zone with its full share is always in state serving.
-// When the share grows, the limits follow it with half of the exponent, except from state degraded, which was
-// a false alarm.
+// The limits follow the share with limitReductionExponent. When the share grows, they follow it with half of
+// that exponent, except after state degraded, whose cause was then a false alarm.
 func (t *zoneTracker) transition(z *zone, to ZoneState, share float64, now time.Duration) {
 	if share >= 1 {
 		to = ZoneServing
@@ -285,8 +285,8 @@
 	}
 }
 
-// drawSkipped draws the zones that a request is not sent to, by the shares of the zones. If all zones of the
-// subset were skipped, it returns none.
+// drawSkipped draws at random, by the shares of the zones, the zones that a request is not sent to. If it drew
+// all zones of the subset, it returns none.
 func (t *zoneTracker) drawSkipped(r *request, now time.Duration, rng *rand.Rand) []string {
 	var skipped []string
 	candidates := 0
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -6,16 +6,16 @@
 )
 
 // keyQueues holds the queue of each key that has open requests or has not settled yet. A key has settled when
-// KeySettleTime has passed since the end of an attempt that may still run. The queues hold requests, whose life
-// cycle is in policy.go, so this file belongs to package policy.
+// KeySettleTime has passed since the end of an attempt that may still run. The queues are part of package
+// policy because they hold requests, whose life cycle is in policy.go.
 type keyQueues map[uint64]*keyQueue
 
-// keyQueue holds the requests of one key that are not answered or have attempts in flight, of all classes that
-// are serialized by key, in the order of arrival.
+// keyQueue holds the requests of one key in the order of arrival: all requests of classes that are serialized by
+// key, until they are answered and have no attempts in flight.
 type keyQueue struct {
 	key       uint64
 	requests  []*request
-	settledAt time.Duration // no other request is sent before this, since an ended attempt may still run
+	settledAt time.Duration // no other request of the key is sent before this, since an ended attempt may still run
 }
 
 // join appends a request to the queue of its key and returns true. If the requests ahead are likely to take
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -77,8 +77,9 @@
 	b.classes.add(newClass(c, b.subsets[i]))
 }
 
-// addQuotaLoad adds the attempts in flight that the tenants' quotas can cause to the limit of a class. Which
-// classes a tenant uses is not known, so its quota is divided equally between them.
+// addQuotaLoad adds the attempts in flight that the tenants' quotas can cause in a class to the quota load of
+// the class's limit. The classes that a tenant uses are not known, so its quota is divided equally between all
+// classes.
 func (b *Balancer) addQuotaLoad(c Class) {
 	limit := &b.classes.find(c.Name).subset.limit
 	for _, tenant := range b.settings.Tenants {
@@ -126,7 +127,7 @@
 
 func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
-// attempt returns the attempt of a request that has the index, or nil if there is none.
+// attempt returns the attempt with an index of the request with an ID, or nil if there is none.
 func (b *Balancer) attempt(id string, index int) *attempt {
 	r := b.requests[id]
 	if r == nil || index < 0 || index >= len(r.attempts) {
@@ -135,7 +136,7 @@
 	return r.attempts[index]
 }
 
-// handleRequest sends, queues or rejects a new request. It ignores one whose ID is in use.
+// handleRequest sends, queues or rejects a new request. It ignores a request whose ID is in use.
 func (b *Balancer) handleRequest(e Request) {
 	if b.requests[e.ID] != nil {
 		return
--- a/policy/request.go
+++ b/policy/request.go
@@ -118,8 +118,8 @@
 	return !a.request.bodyIncomplete && !a.request.streaming
 }
 
-// overdue reports whether the attempt has waited for its endpoint longer than nearly all others of its class
-// take. halfway is the time at which half of that wait was over.
+// overdue reports whether the attempt has waited for its endpoint longer than nearly all other attempts of its
+// class have to. halfway is the time at which half of that wait is over.
 func (a *attempt) overdue(now time.Duration) (overdue bool, halfway time.Duration) {
 	c := a.request.class
 	wait := time.Duration(c.meanLatency + overdueDeviations*c.latencyDeviation)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -16,7 +16,7 @@
 	unsentRetryCost       = 0.1 // cost of a retry after an attempt that never ran
 )
 
-// retryTimeDivisor sets the least time that must be left for a retry: the mean latency of the class over this.
+// retryTimeDivisor sets the least time that must be left for a retry: the mean latency of the class divided by this.
 const retryTimeDivisor = 2
 
 // retryBudget is a token bucket that successes fill. Without it, the retries of successive tiers would multiply.
@@ -55,8 +55,8 @@
 	b.answer(r, verdict)
 }
 
-// mayRetry returns whether the state of the request, the idempotency of its class and the settings allow
-// another attempt, with the reason if they do not.
+// mayRetry returns guard.Allowed if the state of the request, the idempotency of its class and the settings
+// allow another attempt, and otherwise the reason why they do not.
 func (b *Balancer) mayRetry(r *request) guard.Verdict {
 	return guard.Retry{
 		Now:             b.now,
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// The comparisons of these checks are false for a NaN, so that it is invalid.
+// The comparisons of these checks are false for NaN, so that NaN is never valid.
 
 func isShare(setting string, value float64) settingCheck {
 	return settingCheck{setting, value >= 0 && value <= 1, "must be from 0 to 1"}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxCreditedShare is the largest share of slow start that an endpoint may have behind it when its start
-// becomes known.
+// maxCreditedShare is the largest share of slow start that may count as over when the start of an endpoint
+// becomes known, except in the first list.
 const maxCreditedShare = 0.25
 
 // slowStart limits the load of endpoints that have recently started. Their capacity is assumed to grow
@@ -47,7 +47,7 @@
 	return startedAt > 0 && now-startedAt < s.duration
 }
 
-// admits draws whether an endpoint may be used. In slow start the probability follows the share of its full
+// admits decides at random whether an endpoint may be used. In slow start the probability follows the share of its full
 // capacity that the endpoint has, and it gets one attempt of this replica at a time: small loads from many
 // replicas would add up.
 //
--- a/policy/spillover.go
+++ b/policy/spillover.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// current returns the spillover, given how many of the preferred endpoints are unhealthy. If these are more
-// than may be excluded, the spillover is at least their share.
+// current returns the spillover, given how many of the preferred endpoints are unhealthy. If more are unhealthy
+// than may be excluded, the spillover is at least the share of the unhealthy ones.
 func (s *spillover) current(unhealthy, preferred int) float64 {
 	share := max(s.share, minSpillover)
 	if float64(unhealthy) > maxExcludedShare*float64(preferred) {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -16,7 +16,7 @@
 type endpointSubset struct {
 	zones            []string    // nil: all
 	machineTypes     []string    // nil: all
-	ready            []*endpoint // ready endpoints, sorted as at all replicas
+	ready            []*endpoint // ready endpoints, in the same order at all replicas
 	preferred        []*endpoint // those of ready that are drawn from first
 	limitedEndpoints []*endpoint // those of ready that the concurrency limit is computed from
 
@@ -54,10 +54,10 @@
 	s.ready = slices.DeleteFunc(slices.Clone(ready), func(ep *endpoint) bool { return !s.allows(ep) })
 }
 
-// assign selects the preferred endpoints: those of the local zone or, if it has none, all ready ones, and of
-// these the ones that no narrower subset allows, if any, since the classes of a narrower subset have no other
-// endpoints. If that leaves any endpoint out, the limit does not count the endpoints of narrower subsets
-// either, so that no endpoint is counted twice.
+// assign selects the preferred endpoints. These are the endpoints of the local zone or, if it has none, all
+// ready ones. Endpoints that a narrower subset allows are left out unless all would be, since the classes of
+// the narrower subset have no other endpoints. If any endpoint is left out, the limit does not count the
+// endpoints of narrower subsets either, so that no endpoint is counted twice.
 func (s *endpointSubset) assign(localZone string, subsets []*endpointSubset) {
 	inNarrowerSubset := func(ep *endpoint) bool {
 		return slices.ContainsFunc(subsets, func(other *endpointSubset) bool {
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -16,7 +16,7 @@
 // minTimerDelay is the shortest delay of a timer.
 const minTimerDelay = time.Nanosecond
 
-// setRequestTimer sets a timer of a queued request, unless one is set that expires no later.
+// setRequestTimer sets a timer of a queued request, unless one that expires no later is already set.
 func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
 	at = max(at, b.now+minTimerDelay)
 	if r.timerAt > b.now && r.timerAt <= at {
