--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -13,8 +13,8 @@
 	incarnationBroadcastWait = 700 * time.Millisecond
 )
 
-// incarnations holds, for each name, the highest incarnation of the processes that have ended, as remembered by this
-// process and reported by others.
+// incarnations holds, for each name, the highest incarnation of the processes that have ended, from the records of this
+// process and from those that other processes have sent.
 type incarnations struct {
 	highest map[string]uint64 // by member name
 
--- a/internal/membership/member_list.go
+++ b/internal/membership/member_list.go
@@ -68,8 +68,8 @@
 	l.previous = previous
 }
 
-// next returns the list that should replace this one: without removable members and with the new live ones, as far as
-// the limits for one change allow.
+// next returns the list that should replace this one. It removes dead members that are due and members that have left,
+// and adds new live members, as far as the limits for one change allow.
 func (l *memberList) next(now time.Duration, members *liveness) []string {
 	changedBytes := 0
 	next := make([]string, 0, len(l.names)+1)
--- a/internal/membership/mesh.go
+++ b/internal/membership/mesh.go
@@ -158,7 +158,7 @@
 // other processes.
 func (m *Mesh) ProcessID() uint64 { return m.process }
 
-// AnnounceServing tells the fleet that this process serves.
+// AnnounceServing announces to the fleet that this process serves.
 func (m *Mesh) AnnounceServing() { m.announcePhase(phaseAlive) }
 
 // do runs f on the mesh's goroutine. It returns false, without running f, if the mesh has ended.
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// probe sends a probe to a process, and asks a few others whether the process has answered them.
+// probe sends a probe to a process, and asks up to indirectProbes other processes whether it has answered them.
 func (m *Mesh) probe(id string) {
 	probe := m.newMessage(kindProbe)
 	probe.Subject = id
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -36,7 +36,7 @@
 }
 
 // idSeparator separates the member's name from the process's number in a process ID. Memberlist uses these IDs as its
-// node names, so that it tells two processes of one name apart.
+// node names, so that it treats two processes of one name as two nodes.
 const idSeparator = "~"
 
 func processID(name string, number uint64) string {
@@ -121,7 +121,8 @@
 }
 
 // preferredTo reports whether p represents its member rather than another process of the same name. A live process is
-// preferred to one that has ended, of two live ones the newer, and of two that have ended the one that ended last.
+// preferred to one that has ended. Of two live processes, the newer one is preferred, and of two that have ended, the
+// one that ended last.
 func (p *process) preferredTo(other *process) bool {
 	if p.isLive() != other.isLive() {
 		return p.isLive()
@@ -132,7 +133,7 @@
 	return p.since > other.since
 }
 
-// processTable holds all processes that this one knows of, except itself.
+// processTable holds the known processes of the fleet, except this process.
 type processTable struct {
 	byID   map[string]*process
 	byName map[string][]*process
--- a/internal/membership/quorum.go
+++ b/internal/membership/quorum.go
@@ -60,7 +60,7 @@
 	until time.Duration
 }
 
-// majorityClaim is the permission to claim the majority that a leading process has granted to this one.
+// majorityClaim is this process's permission to claim the majority, which a leading process has granted.
 type majorityClaim struct {
 	leaderProcess uint64 // number of the leading process
 	until         time.Duration
@@ -232,8 +232,8 @@
 }
 
 // heartbeats returns the leader's messages to the other live members, by receiver. A member that has voted is granted a
-// claim to the majority until the leader's own majority ends. The grant is the time that remains after the arrival of
-// the vote, and the member counts it from the time of that vote by its own clock.
+// claim to the majority until the leader's own majority ends. The heartbeat carries the duration of the claim
+// from the arrival of the vote, and the member counts it from the sending of that vote by its own clock.
 func (q *quorum) heartbeats(now, until time.Duration, digest uint64) map[string]message {
 	common := q.newMessage(kindHeartbeat, digest)
 	common.HeartbeatAt = now
@@ -306,7 +306,7 @@
 }
 
 // handleHeartbeat follows the sender of a heartbeat if it is the leader, and votes for it unless this process's vote is
-// bound to another process. It takes over the grant of the majority that the heartbeat carries.
+// bound to another process. It then adopts the claim to the majority that the heartbeat grants, if there is one.
 func (q *quorum) handleHeartbeat(now time.Duration, m message, reply *message) {
 	if q.stepDown.isOutdated(m) {
 		return
--- a/internal/membership/reachability.go
+++ b/internal/membership/reachability.go
@@ -51,7 +51,7 @@
 type reachability struct {
 	answeredAt   map[string]time.Duration // by process ID: time of its last answer to this process
 	indirectAt   map[string]time.Duration // by process ID: when another process last reported an answer from it
-	inquiries    map[string]*inquiry      // by process ID: the open ones
+	inquiries    map[string]*inquiry      // by process ID: the open inquiries
 	reportedDead map[string]time.Duration // by process ID: when the detector reported it dead; until it is confirmed
 	// unreported has, by ID, the processes that were confirmed dead without a report of the detector. The detector will
 	// not report their return either.
--- a/internal/membership/voter.go
+++ b/internal/membership/voter.go
@@ -10,7 +10,7 @@
 	votedSince time.Duration // of the first vote in an unbroken series for that process
 	expiry     time.Duration // of the lease
 
-	receiveFailureUntil map[string]time.Duration // by name of a leader that does not receive this process's votes
+	receiveFailureUntil map[string]time.Duration // by leader name: until then it counts as not receiving votes
 }
 
 func newVoter(now time.Duration) voter {
--- a/policy/api.go
+++ b/policy/api.go
@@ -212,7 +212,7 @@
 // States of a zone.
 const (
 	ZoneServing    ZoneState = iota
-	ZoneDegraded             // some of its endpoints are unresponsive: a part of the requests skips it
+	ZoneDegraded             // some of its endpoints are unresponsive: a part of its requests goes to other zones
 	ZoneEvacuated            // it gets only health probes, or nothing if an operator evacuated it
 	ZoneRecovering           // it has answered again: its share grows (recovery ramp)
 )
--- a/policy/class.go
+++ b/policy/class.go
@@ -43,7 +43,7 @@
 	c.longestTimeLeft = max(c.longestTimeLeft, timeLeft)
 }
 
-// looksLikeRetry reports whether a client allows less time than others of the class. Clients allow the same
+// looksLikeRetry reports whether a client allows less time than it would for a first request. Clients allow the same
 // time for each request, unless the deadline of the class, which covers all their retries, comes first.
 func (c *class) looksLikeRetry(timeLeft time.Duration) bool {
 	return float64(timeLeft) < retryDeadlineShare*float64(c.longestTimeLeft)
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -26,7 +26,7 @@
 //	degraded    serving     an endpoint answers
 //	degraded    evacuated   as from serving
 //	evacuated   recovering  a health probe is answered, or the list changes after it had no endpoint of the zone
-//	evacuated   serving     the same after the first evacuation, or an operator's override ends
+//	evacuated   serving     as to recovering, if it was the first evacuation; or an operator's override ends
 //	recovering  serving     the share has grown to 1
 //	recovering  degraded    as from serving
 //	recovering  evacuated   as from serving
