--- a/policy/policy.go
+++ b/policy/policy.go
@@ -127,7 +127,7 @@
 
 func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
-// attempt returns the attempt with an index of the request with an ID, or nil if there is none.
+// attempt returns the attempt that has the given index among those of the request with the ID, or nil.
 func (b *Balancer) attempt(id string, index int) *attempt {
 	r := b.requests[id]
 	if r == nil || index < 0 || index >= len(r.attempts) {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -53,8 +53,8 @@
 }
 
 // groups cuts a list into a left and a right group and returns this replica's slice of each, without the
-// endpoints of skipped zones. These are removed after the cut, so that the remaining endpoints
-// stay in their groups.
+// endpoints of skipped zones. These are removed after the cut, so that the remaining endpoints stay
+// in their groups.
 func (s selector) groups(list []*endpoint, share float64, skippedZones []string) (left, right []*endpoint) {
 	cut := int(math.Ceil(leftGroupShare * float64(len(list))))
 	left = withoutZones(list[:cut], skippedZones)
