--- a/policy/class.go
+++ b/policy/class.go
@@ -10,7 +10,7 @@
 	averageWeight      = 0.06 // weight of a new sample in averages over all endpoints (about 16 samples)
 	arrivalDecay       = 0.99 // factor on the counts of arrivals and answers at each arrival
 	overdueDeviations  = 3.0  // deviations above the mean latency from which an attempt is overdue
-	retryDeadlineShare = 0.95 // a request with less than this share of the longest time left counts as a retry
+	retryDeadlineShare = 0.95 // a request with less time left than this share of longestTimeLeft counts as a retry
 )
 
 // class is a class of requests with its latency and arrival statistics.
@@ -21,7 +21,7 @@
 	latencyDeviation float64       // mean absolute deviation, in ns
 	arrivals         float64       // decayed count
 	served           float64       // decayed count of answers within the latency objective
-	longestTimeLeft  time.Duration // most that a client has allowed for an answer
+	longestTimeLeft  time.Duration // longest time that a client has allowed for an answer
 }
 
 func newClass(settings Class, subset *endpointSubset) *class {
@@ -43,7 +43,7 @@
 	c.longestTimeLeft = max(c.longestTimeLeft, timeLeft)
 }
 
-// looksLikeRetry reports whether a client allows less time than others of the class. Clients allow the same
+// looksLikeRetry reports whether a client allows less time than it would for a first request. Clients allow the same
 // time for each request, unless the deadline of the class, which covers all their retries, comes first.
 func (c *class) looksLikeRetry(timeLeft time.Duration) bool {
 	return float64(timeLeft) < retryDeadlineShare*float64(c.longestTimeLeft)
