--- a/internal/node/accept_faults_test.go
+++ b/internal/node/accept_faults_test.go
@@ -77,7 +77,7 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			clients, operators := newFaultyListener(t, errno, errno), newFaultyListener(t, errno, errno)
-			cfg := testConfig(t, "pushed", inService("s-0", newBackend(t, respondOK).addr()))
+			cfg := testConfig(t, "pushed", inService("s-0", newBackend(t, serveOK).addr()))
 			cfg.Discovery = silentDiscovery(t)
 			n, err := New(cfg, discardLogger())
 			if err != nil {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -53,7 +53,7 @@
 
 // The admin endpoint answers unknown paths with 404, wrong methods with 405 and malformed requests with 400 or 431.
 func TestAdminRequests(t *testing.T) {
-	n := startWith(t, newBackend(t, respondOK))
+	n := startWith(t, newBackend(t, serveOK))
 	for _, call := range []struct {
 		method, path string
 		want         int
@@ -133,7 +133,7 @@
 
 // A connection with an incomplete request is closed. Otherwise it would count against the connection limit for ever.
 func TestAdminClosesIncompleteRequest(t *testing.T) {
-	n := startWith(t, newBackend(t, respondOK))
+	n := startWith(t, newBackend(t, serveOK))
 	c := dialAdmin(t, n)
 	if _, err := io.WriteString(c, "GET /control/ready HTTP/1.1\r\nHost"); err != nil {
 		t.Fatal(err)
@@ -284,7 +284,7 @@
 
 // The admin endpoint returns the counts of decisions.
 func TestDecisionsAtAdminEndpoint(t *testing.T) {
-	n := startWith(t, newBackend(t, respondOK))
+	n := startWith(t, newBackend(t, serveOK))
 	n.loop.decisions.Violation(guard.TimeoutTooLong)
 	resp, err := http.Get("http://" + n.adminAddress + "/control/decisions")
 	if err != nil {
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -169,7 +169,7 @@
 // 64 kB/s.
 func TestSlowClientIsServed(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	n := startWith(t, b)
 	for _, size := range []int{60e3, 192e3} { // buffered, streamed
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -201,7 +201,7 @@
 // an error or a close, and no server gets a complete request.
 func TestStalledBodyIsRejected(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	n := startWith(t, b)
 	for _, length := range []string{"Content-Length: 1000000", "Transfer-Encoding: chunked"} {
 		t.Run(length, func(t *testing.T) {
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	refusing.Close()
-	good := newBackend(t, respondOK)
+	good := newBackend(t, serveOK)
 	cfg := testConfig(t, "pushed", inService("s-0", refusing.Addr().String()), inService("s-1", good.addr()))
 	cfg.Discovery = silentDiscovery(t)
 	n := start(t, cfg)
@@ -334,7 +334,7 @@
 // response at once, and may send the whole body.
 func TestRejectedClientMayFinishItsBody(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	n := startWith(t, b)
 	b.ln.Close()
 	c := sendHead(t, n, fmt.Sprintf("Content-Length: %d", maxBufferedBody+256000))
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -167,7 +167,7 @@
 			b, release := stalledBackend(t, func(c net.Conn, _ *http.Request) bool {
 				return respond(c, "503 Service Unavailable", "", "X-Rejected: 1")
 			})
-			other := newBackend(t, respondOK)
+			other := newBackend(t, serveOK)
 			cfg := testConfig(t, "pushed", inService("s-0", b.addr()))
 			cfg.Discovery = silentDiscovery(t)
 			ln := newGatedListener(t)
@@ -193,7 +193,7 @@
 	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, respondOK)
+			b := newBackend(t, serveOK)
 			cfg := testConfig(t, "pushed", inService("s-0", b.addr()))
 			cfg.Discovery = silentDiscovery(t)
 			ln := newGatedListener(t)
@@ -223,7 +223,7 @@
 	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, respondOK)
+			b := newBackend(t, serveOK)
 			n, ln := startGatedNode(t, b)
 			unblock, loopBlocked := make(chan struct{}), make(chan struct{})
 			go func() { n.loop.tasks <- func() { close(loopBlocked); <-unblock } }()
--- a/internal/node/client_handler_test.go
+++ b/internal/node/client_handler_test.go
@@ -18,7 +18,7 @@
 
 // A request reaches the server with its URL, body and end-to-end headers, and with what is left of its budget.
 func TestRequestIsForwarded(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	n := startWith(t, b)
 	r := newRequest(t, n.url, "keyed", "id-1", "payload")
 	r.Header.Set("Connection", "X-Hop")
@@ -38,7 +38,7 @@
 
 // Guards against malformed requests that are forwarded: each gets a 4xx, and none reaches a server.
 func TestMalformedRequests(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	n := startWith(t, b)
 	for name, corrupt := range map[string]func(*http.Request){
 		"no id":          func(r *http.Request) { r.Header.Del("X-Call-Id") },
@@ -80,7 +80,7 @@
 // Guards against request smuggling: however ambiguous the end of a body is, a request inside it is not served. The
 // outer request is rejected and its connection closed before the inner one is read.
 func TestNoRequestSmuggledInABody(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	n := startWith(t, b)
 	fields := func(id string) string {
 		return "Host: s\r\nX-Call-Id: " + id + "\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\n"
@@ -121,7 +121,7 @@
 // Guards against idle connections that use up the limit: a client that sends no complete request is answered or closed
 // within 3 s of the connect, and so is a connection that is idle after a request.
 func TestClientsWithoutARequestAreClosed(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	n := startWith(t, b)
 	request := "POST /api HTTP/1.1\r\nHost: s\r\nX-Call-Id: 1\r\nX-Call-Class: unsafe\r\nX-Budget: 30000m\r\n"
 	for name, text := range map[string]string{
--- a/internal/node/clock_offset_test.go
+++ b/internal/node/clock_offset_test.go
@@ -63,7 +63,7 @@
 			list := endpointList{Version: 1, Snapshot: true}
 			backends := make([]*backend, servers)
 			for i := range backends {
-				backends[i] = newBackend(t, respondOK)
+				backends[i] = newBackend(t, serveOK)
 				list.Endpoints = append(list.Endpoints, inService(fmt.Sprintf("s-%d", i), backends[i].addr()))
 			}
 			list.Endpoints[2].StartedAtMillis = float64(discoveryNow.Add(-tt.age).UnixMilli())
--- a/internal/node/connection_race_test.go
+++ b/internal/node/connection_race_test.go
@@ -54,7 +54,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, respondOK)
+			b := newBackend(t, serveOK)
 			n, ln := startGatedNode(t, b)
 			ln.hold.Store(name == "in the kernel of a new connection")
 			c := ln.dial(t)
@@ -74,7 +74,7 @@
 // Guards against requests that are lost when the idle timeout expires: one that arrives after the read has timed out,
 // and before the connection is closed, is served.
 func TestRequestWhileIdleTimeoutExpires(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	_, ln := startGatedNode(t, b)
 	c := ln.dial(t)
 	c.send(t, requestText("safe", "1", ""))
@@ -94,7 +94,7 @@
 // idle for longest is to be evicted after a request on it has been read, and before the request is examined. The
 // request is served once, and the connection is evicted after its response.
 func TestRequestWhileConnectionIsEvicted(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	n, ln := startGatedNode(t, b)
 	oldest := ln.dial(t)
 	oldest.send(t, requestText("safe", "first", ""))
@@ -175,7 +175,7 @@
 		"a reset":          reset,
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t, respondOK)
+			b := newBackend(t, serveOK)
 			p := testPool(t)
 			att := testAttempt(p, b.addr(), time.Minute)
 			if first := p.runAttempt(att); first.result != policy.Success {
@@ -205,7 +205,7 @@
 
 // Guards against a stray response that the reader has not read yet: the reuse check finds bytes in the kernel too.
 func TestUnreadUnexpectedBytesWhileConnectionIsAcquired(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
 	if first := p.runAttempt(att); first.result != policy.Success {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -209,7 +209,7 @@
 
 // If the first polls fail, the policy polls again until the node gets its list.
 func TestPolicyPollsAgain(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	calls := make(chan struct{}, 100)
 	addr := newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
 		calls <- struct{}{}
@@ -241,7 +241,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, respondOK)
+			b := newBackend(t, serveOK)
 			const list = `{"seq":%d,"whole":true,"hosts":[{"host":"s-1","dial":%q,"site":"z","health":%q}]}` + "\n"
 			var calls atomic.Int64
 			var drained, notified time.Time // when discovery gets the change, and when it has written it
--- a/internal/node/endpoint_events_test.go
+++ b/internal/node/endpoint_events_test.go
@@ -12,7 +12,7 @@
 // that is missing from a snapshot is removed.
 func TestEndpointListChangesApply(t *testing.T) {
 	a, addr := newFakeDiscovery(t)
-	first, second := newBackend(t, respondOK), newBackend(t, respondOK)
+	first, second := newBackend(t, serveOK), newBackend(t, serveOK)
 	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
 	cfg.Discovery = addr
 	events := make(chan struct{}, 10)
@@ -54,7 +54,7 @@
 	if got := second.requests(); got != before {
 		t.Errorf("the draining server got %d new requests, want none", got-before)
 	}
-	moved := newBackend(t, respondOK)
+	moved := newBackend(t, serveOK)
 	update(`{"seq":3,"hosts":[` + entry("s-1", moved.addr(), "in_service") + `]}`)
 	before = first.requests()
 	send()
@@ -62,7 +62,7 @@
 		t.Errorf("after the move the old address got %d requests, the new one %d; want 0 and 10",
 			first.requests()-before, moved.requests())
 	}
-	third := newBackend(t, respondOK)
+	third := newBackend(t, serveOK)
 	update(`{"seq":4,"whole":true,"hosts":[` + entry("s-3", third.addr(), "in_service") + `]}`)
 	send()
 	if moved.requests() != 10 || third.requests() != 10 {
@@ -75,7 +75,7 @@
 // huge one, invalid numbers, and 10,000 entries. The node uses the valid entries, continues to serve requests, and
 // accepts the next list.
 func TestUnusualLists(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	entry := func(id, addr, health string) string {
 		return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","health":%q}`, id, addr, health)
 	}
@@ -95,7 +95,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			other, next := newBackend(t, respondOK), make(chan struct{})
+			other, next := newBackend(t, serveOK), make(chan struct{})
 			cfg := testConfig(t, "pushed", inService("s-0", "127.0.0.1:1"))
 			cfg.Discovery = newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) { // the same list on each watch
 				writeFlushed(w, `{"seq":5,"whole":true,"hosts":[`+hosts+`]}`+"\n")
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -149,8 +149,8 @@
 	return err == nil
 }
 
-// respondOK responds to every request with 200.
-func respondOK(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") }
+// serveOK responds to every request with 200.
+func serveOK(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", "done") }
 
 // silentDiscovery starts a discovery server that keeps watches open and sends no changes, and returns its address.
 func silentDiscovery(t *testing.T) string {
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, respondOK)
+			b := newBackend(t, serveOK)
 			n, ln := startGatedNode(t, b)
 			available := n.buffers.requests.available.Load()
 			ln.hold.Store(true)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -108,7 +108,7 @@
 // While a new process takes over and the old one shuts down, no client's connection may be refused, reset or left
 // unread, and /ready must return 200 throughout. While both run, each has the connection limit of half the descriptors.
 func TestUpgradeUnderLoad(t *testing.T) {
-	cfg := upgradeConfig(t, newBackend(t, respondOK))
+	cfg := upgradeConfig(t, newBackend(t, serveOK))
 	oldProcess := startProcess(t, cfg)
 	done := make(chan struct{})
 	var load sync.WaitGroup
@@ -151,7 +151,7 @@
 
 // If a successor exits, the old process goes on serving and can hand over to another successor.
 func TestSuccessorFails(t *testing.T) {
-	cfg := upgradeConfig(t, newBackend(t, respondOK))
+	cfg := upgradeConfig(t, newBackend(t, serveOK))
 	oldProcess := startProcess(t, cfg)
 	var predecessor *handover.Predecessor
 	eventually(t, "the hand-over socket accepts a connection", func() bool {
@@ -187,7 +187,7 @@
 		"silent": func(*net.UnixListener) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := upgradeConfig(t, newBackend(t, respondOK))
+			cfg := upgradeConfig(t, newBackend(t, serveOK))
 			ln, err := net.Listen("unix", cfg.handoverSocket)
 			if err != nil {
 				t.Fatal(err)
@@ -208,7 +208,7 @@
 
 // A node that cannot bind its hand-over socket still serves.
 func TestNoHandoverSocket(t *testing.T) {
-	cfg := upgradeConfig(t, newBackend(t, respondOK))
+	cfg := upgradeConfig(t, newBackend(t, serveOK))
 	cfg.handoverSocket = filepath.Join(t.TempDir(), "nowhere", "x.sock")
 	n := startProcess(t, cfg)
 	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
@@ -218,7 +218,7 @@
 
 // A drained node stays drained through an upgrade, and the new process can be returned to service.
 func TestUpgradeOfDrainedNode(t *testing.T) {
-	cfg := upgradeConfig(t, newBackend(t, respondOK))
+	cfg := upgradeConfig(t, newBackend(t, serveOK))
 	oldProcess := startProcess(t, cfg)
 	if status, _ := oldProcess.callAdmin(t, "PUT", "/control/out-of-service"); status != http.StatusOK {
 		t.Fatalf("PUT out-of-service got status %d, want 200", status)
--- a/internal/node/memory_reservation_test.go
+++ b/internal/node/memory_reservation_test.go
@@ -60,7 +60,7 @@
 func TestResponseDespiteFailedWrite(t *testing.T) {
 	p := testPool(t)
 	available := p.buffers.responses.available.Load()
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	att := testAttempt(p, b.addr(), time.Minute)
 	if first := p.runAttempt(att); first.result != policy.Success {
 		t.Fatalf("the first attempt ended with %v, want success", first.result)
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -45,7 +45,7 @@
 		serve func(int, net.Conn, *http.Request) bool
 		want  policy.AttemptResult
 	}{
-		"served":            {respondOK, policy.Success},
+		"served":            {serveOK, policy.Success},
 		"error":             {status("500 Internal Server Error"), policy.ServerError},
 		"not found":         {status("404 Not Found"), policy.ServerError},
 		"accepted":          {status("202 Accepted"), policy.ServerError},
@@ -116,7 +116,7 @@
 		"answered": func(a *attempt) { a.request.finished.Store(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, b := testPool(t), newBackend(t, respondOK)
+			p, b := testPool(t), newBackend(t, serveOK)
 			att := testAttempt(p, b.addr(), time.Minute)
 			p.dialer.Control = func(string, string, syscall.RawConn) error {
 				stop(att) // during the dial
@@ -186,7 +186,7 @@
 // A connection carries one request after another, each after the idle period. If the limit permits no new connection,
 // the attempt waits for the end of that period. The idle connections of a removed endpoint are closed.
 func TestConnectionIsReused(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	p := testPool(t)
 	att := testAttempt(p, b.addr(), time.Minute)
 	for range 5 {
@@ -220,7 +220,7 @@
 
 // At the limit on connections, an attempt evicts an idle connection to another endpoint, and fails if none is idle.
 func TestServerConnectionLimit(t *testing.T) {
-	a, b := newBackend(t, respondOK), newBackend(t, respondOK)
+	a, b := newBackend(t, serveOK), newBackend(t, serveOK)
 	p := testPool(t)
 	p.limit = 1
 	for range 2 {
--- a/internal/node/queued_request_test.go
+++ b/internal/node/queued_request_test.go
@@ -23,7 +23,7 @@
 		"no time left":     {queued / 2, http.StatusServiceUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := newBackend(t, respondOK)
+			server := newBackend(t, serveOK)
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
--- a/internal/node/retry_window_test.go
+++ b/internal/node/retry_window_test.go
@@ -71,7 +71,7 @@
 	} {
 		t.Run(want.String(), func(t *testing.T) {
 			p := testPool(t)
-			att := testAttempt(p, newBackend(t, respondOK).addr(), time.Minute)
+			att := testAttempt(p, newBackend(t, serveOK).addr(), time.Minute)
 			att.request.deadline = att.deadline
 			if why := p.checkSend(att); why != guard.Allowed {
 				t.Fatalf("verdict %v before the attempt, want allowed", why)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -68,7 +68,7 @@
 // If a connection to a server is established after the pool was shut down, no request may be sent on it, because its
 // client could not be answered any more.
 func TestDialDuringShutdown(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	p := testPool(t)
 	first := testAttempt(p, b.addr(), time.Minute)
 	if outcome := p.runAttempt(first); outcome.result != policy.Success {
--- a/internal/node/slow_body_test.go
+++ b/internal/node/slow_body_test.go
@@ -62,7 +62,7 @@
 	for name, length := range map[string]int{"of 3 MB": 3 << 20, "of 64 KiB": maxBufferedBody} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := startWith(t, newBackend(t, respondOK))
+			n := startWith(t, newBackend(t, serveOK))
 			c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/node/staleness_test.go
+++ b/internal/node/staleness_test.go
@@ -117,7 +117,7 @@
 // handled before the requests that arrived.
 func TestEndpointUpdatesComeFirstAfterSuspension(t *testing.T) {
 	a, addr := newFakeDiscovery(t)
-	first, second := newBackend(t, respondOK), newBackend(t, respondOK)
+	first, second := newBackend(t, serveOK), newBackend(t, serveOK)
 	cfg := testConfig(t, "pushed", inService("s-1", first.addr()), inService("s-2", second.addr()))
 	cfg.Discovery = addr
 	n := start(t, cfg)
--- a/internal/node/zone_evacuation_test.go
+++ b/internal/node/zone_evacuation_test.go
@@ -13,7 +13,7 @@
 // Operators can list the zones and evacuate one, which gets no requests until they restore it. The last zone that is
 // served is evacuated only if they force it, and requests are still served then.
 func TestZonesAtAdminEndpoint(t *testing.T) {
-	local, remote := newBackend(t, respondOK), newBackend(t, respondOK)
+	local, remote := newBackend(t, serveOK), newBackend(t, serveOK)
 	a, b := inService("s-0", local.addr()), inService("s-1", remote.addr())
 	b.Zone = "hall/y"
 	cfg := testConfig(t, "pushed", a, b)
@@ -69,7 +69,7 @@
 // An override expires in the event loop, before the next request is handled, even if the overrides host does not run,
 // as after a suspension.
 func TestOverrideExpiresWithoutItsHost(t *testing.T) {
-	x, y := newBackend(t, respondOK), newBackend(t, respondOK)
+	x, y := newBackend(t, serveOK), newBackend(t, serveOK)
 	a, b := inService("s-1", x.addr()), inService("s-2", y.addr())
 	a.Zone, b.Zone = "x", "y"
 	n := start(t, testConfig(t, "pushed", a, b))
@@ -93,7 +93,7 @@
 // A zone is evacuated as long as an operator's evacuation at this node or an override asks for it. The end of one does
 // not end the other.
 func TestOperatorEvacuationOutlivesOverride(t *testing.T) {
-	b := newBackend(t, respondOK)
+	b := newBackend(t, serveOK)
 	n := start(t, testConfig(t, "pushed", inService("s-1", b.addr())))
 	n.loop.runTask(func() {
 		l, now := n.loop, n.loop.clock.now()
--- a/internal/testbed/attempt_checks.go
+++ b/internal/testbed/attempt_checks.go
@@ -120,7 +120,7 @@
 	at, notified := r.drainNotifiedAt[nodeAndServer{node, a.server}]
 	r.mu.Unlock()
 	delay := a.firstByte - at
-	if !notified || delay <= drainWithin+slack {
+	if !notified || delay <= drainDeadline+slack {
 		return
 	}
 	if r.intervals.overlap(node+"->"+a.server, at, a.firstByte) || r.intervals.overlap(a.server, at, a.firstByte) {
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -149,7 +149,7 @@
 		return connReply{
 			err:     err,
 			partial: errors.Is(err, io.ErrUnexpectedEOF) && !atBoundary,
-			allRead: atBoundary && cc.hasPending() && !c.testbed.linked(c.name, cc.node) && peerReadAll(cc.Conn),
+			allRead: atBoundary && cc.hasPending() && !c.testbed.hasProxy(c.name, cc.node) && peerReadAll(cc.Conn),
 			at:      c.testbed.now(),
 		}
 	}
--- a/internal/testbed/connection_flood.go
+++ b/internal/testbed/connection_flood.go
@@ -134,7 +134,7 @@
 }
 
 func (tb *Testbed) sendIncompleteHead(ctx context.Context, n *Node) {
-	c, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", n.Listen())
+	c, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", n.ListenAddr())
 	if err != nil {
 		return
 	}
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -17,14 +17,14 @@
 
 // endpointEntry is an entry of discovery's list. Its Dial address differs between nodes.
 type endpointEntry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	Born   int64   `json:"born_ms"`
+	Host      string  `json:"host"`
+	Dial      string  `json:"dial"`
+	Zone      string  `json:"site"`
+	Class     string  `json:"class"`
+	Block     int     `json:"block"`
+	Health    string  `json:"health"`
+	Share     float64 `json:"share"`
+	StartedMS int64   `json:"born_ms"`
 }
 
 // endpointUpdate is a complete list, or the changes since a sequence number.
@@ -75,7 +75,7 @@
 	d := &discovery{
 		testbed:      tb,
 		callSlot:     make(chan struct{}, 1),
-		publishDelay: tb.world.Discovery.Late,
+		publishDelay: tb.world.Discovery.NotificationDelay,
 		watchStates:  map[*Node]*watchState{},
 		gateByNode:   map[*Node]*gate{},
 	}
@@ -110,7 +110,7 @@
 		}
 		t.log = append(t.log, change{t.seq, h})
 		if h.Health != healthInService {
-			for _, n := range d.testbed.nodeOrder {
+			for _, n := range d.testbed.orderedNodes {
 				if n.tier == tier {
 					d.testbed.checker.recordNotification(n.name, h.Host, false, d.notificationTime(n))
 				}
@@ -152,8 +152,8 @@
 	return update
 }
 
-// known returns the current complete list, for a node's configuration.
-func (d *discovery) known(n *Node) endpointUpdate {
+// fullList returns the current complete list, for a node's configuration.
+func (d *discovery) fullList(n *Node) endpointUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.withDialAddresses(n, d.tiers[n.tier].updateSince(0))
@@ -177,7 +177,7 @@
 		ErrorLog: d.testbed.discardLog,
 		Handler:  http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.handle(n, w, r) }),
 	}
-	d.testbed.goOwned(func() { _ = server.Serve(g) }) // returns an error when the gate closes
+	d.testbed.startGoroutine(func() { _ = server.Serve(g) }) // returns an error when the gate closes
 	d.mu.Lock()
 	d.gates = append(d.gates, g)
 	d.gateByNode[n] = g
@@ -196,7 +196,7 @@
 func (d *discovery) state() (DiscoveryFault, time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fault, d.testbed.world.Discovery.Call + d.fault.Slow
+	return d.fault, d.testbed.world.Discovery.CallDuration + d.fault.Slow
 }
 
 // handle handles one poll or watch of a node.
--- a/internal/testbed/discovery_fault.go
+++ b/internal/testbed/discovery_fault.go
@@ -17,8 +17,8 @@
 	Indent       bool // lists are indented JSON of many lines
 }
 
-// set replaces the fault, and wakes all watches so that it applies at once.
-func (d *discovery) set(fault DiscoveryFault) {
+// setFault replaces the fault, and wakes all watches so that it applies at once.
+func (d *discovery) setFault(fault DiscoveryFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = fault
@@ -46,7 +46,7 @@
 	}
 	d.fault.Down = true
 	d.wakeWatches()
-	time.AfterFunc(50*time.Millisecond, func() { d.set(DiscoveryFault{}) })
+	time.AfterFunc(50*time.Millisecond, func() { d.setFault(DiscoveryFault{}) })
 }
 
 // blockUntilDisconnect blocks without an answer until the client disconnects.
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -57,7 +57,7 @@
 		if errors.As(err, &key) {
 			all = append(all, tomlfile.ProblemAt(path, text, under+key.Key, key.Why))
 		} else if err != nil {
-			all = append(all, tomlfile.Problem{File: path, Why: err.Error()})
+			all = append(all, tomlfile.Problem{File: path, Reason: err.Error()})
 		}
 	}
 	for _, err := range f.check() {
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -90,7 +90,7 @@
 		}
 		server.crash()
 	case FaultSlow, FaultErrors, FaultHang, FaultCorruptResponses:
-		server.Set(serverFaultOf(s))
+		server.SetFault(serverFaultOf(s))
 	case FaultSilent:
 		server.setSilent(!s.Ends)
 	case FaultDrain:
@@ -126,9 +126,9 @@
 func (tb *Testbed) applyDiscoveryFault(s Step) {
 	switch s.Fault.Kind {
 	case FaultDiscoveryMute:
-		tb.disc.mute()
+		tb.discovery.mute()
 	case FaultDiscoveryRenumber:
-		tb.disc.renumber(s.Fault.Factor > 1)
+		tb.discovery.renumber(s.Fault.Factor > 1)
 	default:
 		tb.SetDiscoveryFault(discoveryFaultOf(s))
 	}
@@ -195,7 +195,7 @@
 	if err := n.Start(); err != nil {
 		return err
 	}
-	return n.Up(ctx)
+	return n.AwaitReady(ctx)
 }
 
 // revive starts a crashed server again, and publishes it in discovery once its node is ready.
@@ -204,11 +204,11 @@
 		return err
 	}
 	if s.node != nil {
-		if err := s.node.Up(ctx); err != nil {
+		if err := s.node.AwaitReady(ctx); err != nil {
 			return err
 		}
 	}
-	tb.disc.publish(s.tier, s.entry(), -1)
+	tb.discovery.publish(s.tier, s.entry(), -1)
 	return nil
 }
 
@@ -252,7 +252,7 @@
 		if err := n.Start(); err != nil {
 			return err
 		}
-		tb.goOwned(func() { _ = n.Up(ctx) }) // a node that does not become ready gets no clients
+		tb.startGoroutine(func() { _ = n.AwaitReady(ctx) }) // a node that does not become ready gets no clients
 	}
 	return nil
 }
@@ -265,7 +265,7 @@
 	}
 	removed := server.entry()
 	removed.Health = healthRemoved
-	tb.disc.publish(server.tier, removed, late+tb.disc.publishDelay)
+	tb.discovery.publish(server.tier, removed, late+tb.discovery.publishDelay)
 }
 
 // restoreZone restarts the servers of a zone concurrently, and waits until all have been started.
--- a/internal/testbed/improper_clients.go
+++ b/internal/testbed/improper_clients.go
@@ -63,7 +63,7 @@
 // connection in time. A node that a fault affects meanwhile is excused.
 func (tb *Testbed) runImproperClient(n *Node, kind improperRequest) {
 	from := tb.now()
-	c, err := net.DialTimeout("tcp", n.Listen(), time.Second)
+	c, err := net.DialTimeout("tcp", n.ListenAddr(), time.Second)
 	if err != nil {
 		return
 	}
--- a/internal/testbed/intervals.go
+++ b/internal/testbed/intervals.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// touch records that a part was disturbed at one moment.
-func (s *intervals) touch(part string, at time.Duration) {
+// recordMoment records that a part was disturbed at one moment.
+func (s *intervals) recordMoment(part string, at time.Duration) {
 	if s.overlap(part, at, at) { // the moment is within a recorded interval
 		return
 	}
--- a/internal/testbed/lateness.go
+++ b/internal/testbed/lateness.go
@@ -12,8 +12,8 @@
 	voidLateness     = 25 * time.Millisecond // half of the slack of the rules; a later test bed proves nothing
 )
 
-// readinessClient is the HTTP client for the readiness and admin endpoints of nodes.
-var readinessClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
+// nodeHTTPClient is the HTTP client for the readiness and admin endpoints of nodes.
+var nodeHTTPClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 
 // lateness records how late this process itself is, measured by a timer every 10 ms and by when arrivals are sent.
@@ -25,7 +25,7 @@
 // run starts measuring with a timer until the test bed closes.
 func (x *lateness) run(tb *Testbed) {
 	x.worst = map[int64]time.Duration{}
-	tb.goOwned(func() {
+	tb.startGoroutine(func() {
 		tick := time.NewTicker(latenessInterval)
 		defer tick.Stop()
 		last := tb.now()
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -101,7 +101,7 @@
 	}
 	toClient.set(LinkCondition{})
 	l.conditionsChanged()
-	check(t, c.SetReadDeadline(time.Now().Add(longEnough)))
+	check(t, c.SetReadDeadline(time.Now().Add(waitTimeout)))
 	got := make([]byte, 5)
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "hello" {
 		t.Errorf("echo after the cut: got %q and error %v, want \"hello\"", got, err)
@@ -163,7 +163,7 @@
 	t.Helper()
 	buf := make([]byte, 100)
 	writeText(t, client, "ping")
-	check(t, server.SetReadDeadline(time.Now().Add(longEnough)))
+	check(t, server.SetReadDeadline(time.Now().Add(waitTimeout)))
 	_, from, err := server.ReadFromUDP(buf)
 	if err != nil {
 		t.Fatal(err)
@@ -171,7 +171,7 @@
 	if _, err := server.WriteToUDP([]byte("pong"), from); err != nil {
 		t.Fatal(err)
 	}
-	check(t, client.SetReadDeadline(time.Now().Add(longEnough)))
+	check(t, client.SetReadDeadline(time.Now().Add(waitTimeout)))
 	if k, err := client.Read(buf); err != nil || string(buf[:k]) != "pong" {
 		t.Fatalf("reply through the link: got %q and error %v, want \"pong\"", buf[:k], err)
 	}
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -14,9 +14,9 @@
 	return tb.directions[key]
 }
 
-// linked reports whether the link between two parts has a proxy, by the patterns of World.Links. A pattern applies to
+// hasProxy reports whether the link between two parts has a proxy, by the patterns of World.Links. A pattern applies to
 // both orders of the parts.
-func (tb *Testbed) linked(from, to string) bool {
+func (tb *Testbed) hasProxy(from, to string) bool {
 	for _, p := range tb.world.Links {
 		a, b, _ := strings.Cut(p, "->")
 		if matches(a, from) && matches(b, to) || matches(a, to) && matches(b, from) {
@@ -35,7 +35,7 @@
 // linkAddr returns the address at which one part dials another: that of the proxy if the link has one, else target, the
 // address of the other part. It starts the proxy at the first call.
 func (tb *Testbed) linkAddr(from, to, target string) string {
-	if !tb.linked(from, to) {
+	if !tb.hasProxy(from, to) {
 		return target
 	}
 	tb.mu.Lock()
@@ -53,7 +53,7 @@
 
 // nodeAddr returns the address at which a part dials a node.
 func (tb *Testbed) nodeAddr(from string, n *Node) string {
-	return tb.linkAddr(from, n.name, n.Listen())
+	return tb.linkAddr(from, n.name, n.ListenAddr())
 }
 
 // serverAddr returns the address at which a node dials a server.
@@ -61,8 +61,9 @@
 	return tb.linkAddr(n.name, name, tb.servers[name].gate.addr)
 }
 
-// linksTo sets how the links to a part treat new connections, so that their proxies refuse them when the part does.
-func (tb *Testbed) linksTo(name string, mode gateMode) {
+// setLinkModes sets how the links to a part treat new connections, so that their proxies refuse them when the part
+// does.
+func (tb *Testbed) setLinkModes(name string, mode gateMode) {
 	tb.mu.Lock()
 	var to []*tcpLink
 	for key, link := range tb.tcpLinks {
@@ -119,7 +120,7 @@
 	for key, link := range tb.tcpLinks {
 		if a, b, _ := strings.Cut(key, "->"); matches(from, a) && matches(to, b) {
 			matching = append(matching, link)
-			tb.intervals.touch(key, tb.now())
+			tb.intervals.recordMoment(key, tb.now())
 		}
 	}
 	tb.mu.Unlock()
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -22,8 +22,8 @@
 	// mean wait before a retry, drawn uniformly from 0.5 to 1.5 times this; default 200 ms
 	Backoff time.Duration `toml:"backoff"`
 	// smallest share of the deadline after which a client gives up an attempt; default 0.7
-	Patience  float64 `toml:"patience"`
-	Impatient float64 `toml:"impatient"` // share of clients that disconnect early
+	Patience             float64 `toml:"patience"`
+	EarlyDisconnectShare float64 `toml:"impatient"` // share of clients that disconnect early
 	// limit of clients in flight; arrivals beyond it are not sent and void the window; default 20,000
 	MaxInFlight int `toml:"most_flight"`
 }
@@ -54,7 +54,7 @@
 		return &KeyError{"load.retries", "must be from 0 to 10"}
 	case !(l.Patience > 0 && l.Patience <= 1):
 		return &KeyError{"load.patience", "must be above 0 and at most 1"}
-	case !(l.Impatient >= 0 && l.Impatient <= 1):
+	case !(l.EarlyDisconnectShare >= 0 && l.EarlyDisconnectShare <= 1):
 		return &KeyError{"load.impatient", "must be from 0 to 1"}
 	}
 	for i, b := range l.Bursts {
@@ -126,7 +126,7 @@
 		a.Class = pickShare(r, func(i int) float64 { return w.Classes[i].Share }, len(w.Classes))
 		a.Zone = pickShare(r, func(i int) float64 { return l.ByZone[i] }, len(w.Zones))
 		a.Patience = l.Patience + (1-l.Patience)*r.Float64()
-		if r.Float64() < l.Impatient {
+		if r.Float64() < l.EarlyDisconnectShare {
 			a.DisconnectAfter = a.Patience * r.Float64()
 		}
 		if len(w.Tenants) > 0 {
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -34,8 +34,8 @@
 		for _, s := range tb.front.nodes[:min(tb.world.Seeds, len(tb.front.nodes))] {
 			seeds = append(seeds, s.name+"="+s.meshListen())
 		}
-		for _, o := range tb.nodeOrder {
-			if o == n || !tb.linked(n.name, o.name) {
+		for _, o := range tb.orderedNodes {
+			if o == n || !tb.hasProxy(n.name, o.name) {
 				continue
 			}
 			addr, err := tb.meshLink(n, o)
@@ -126,7 +126,7 @@
 
 // Fleet reads the node's view of the fleet from its admin endpoint.
 func (n *Node) Fleet(ctx context.Context) (*FleetView, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/control/members", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.AdminAddr()+"/control/members", nil)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -178,7 +178,7 @@
 	first := Start(t, healthyStub())
 	n := first.Node("n1")
 	n.Kill()
-	other, err := net.Listen("tcp", n.Listen())
+	other, err := net.Listen("tcp", n.ListenAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -38,11 +38,11 @@
 // Name returns the node's name, which stays the same after a restart.
 func (n *Node) Name() string { return n.name }
 
-// Listen returns the address to which clients connect.
-func (n *Node) Listen() string { return net.JoinHostPort(n.address, "5000") }
+// ListenAddr returns the address to which clients connect.
+func (n *Node) ListenAddr() string { return net.JoinHostPort(n.address, "5000") }
 
-// Control returns the address of the admin endpoint.
-func (n *Node) Control() string { return net.JoinHostPort(n.address, "5001") }
+// AdminAddr returns the address of the admin endpoint.
+func (n *Node) AdminAddr() string { return net.JoinHostPort(n.address, "5001") }
 
 // Log returns the path of the file with the output of the process, over all its starts.
 func (n *Node) Log() string { return n.process.logPath() }
@@ -53,7 +53,7 @@
 // newNode adds a node and its directory to the testbed, and opens its address of discovery. It does not start the
 // process.
 func (tb *Testbed) newNode(name, zone string, tier, index int) (*Node, error) {
-	i := len(tb.nodeOrder)
+	i := len(tb.orderedNodes)
 	if i >= maxNodes {
 		return nil, fmt.Errorf("the testbed supports at most %d nodes", maxNodes)
 	}
@@ -67,7 +67,7 @@
 		address:        fmt.Sprintf("127.%d.1.%d", tb.block, 10+i),
 	}
 	var err error
-	if n.discovery, err = tb.disc.serve(n); err != nil {
+	if n.discovery, err = tb.discovery.serve(n); err != nil {
 		return nil, err
 	}
 	n.discovery = tb.linkAddr(name, "discovery", n.discovery)
@@ -83,7 +83,7 @@
 		command: n.command,
 	}
 	tb.nodes[name] = n
-	tb.nodeOrder = append(tb.nodeOrder, n)
+	tb.orderedNodes = append(tb.orderedNodes, n)
 	return n, nil
 }
 
@@ -100,7 +100,7 @@
 	c.Env = append(os.Environ(), w.Env...)
 	c.Env = append(c.Env,
 		"ROUTER_NAME="+n.configuredName,
-		"ROUTER_LISTEN="+n.Listen(),
+		"ROUTER_LISTEN="+n.ListenAddr(),
 		"ROUTER_DISCOVERY="+n.discovery,
 		"ROUTER_CONFIG="+filepath.Join(dir, "config.json"),
 		"TMPDIR="+filepath.Join(dir, "tmp"),
@@ -151,8 +151,8 @@
 	text, err := json.Marshal(map[string]any{
 		"fleet":     path,
 		"name":      n.configuredName,
-		"listen":    n.Listen(),
-		"control":   n.Control(),
+		"listen":    n.ListenAddr(),
+		"control":   n.AdminAddr(),
 		"discovery": n.discovery,
 		"seed":      fmt.Sprintf("%016x", xxhash.Sum64String(n.name)^w.Seed^uint64(n.starts)<<32),
 		"limits": map[string]any{
@@ -160,7 +160,7 @@
 			"memory_mb": w.Limits.MemoryMB,
 			"sockets":   w.Limits.Sockets,
 		},
-		"known":    n.testbed.disc.known(n),
+		"known":    n.testbed.discovery.fullList(n),
 		"settings": w.settings(n.tier, n.index, n.zone),
 	})
 	if err != nil {
@@ -171,7 +171,7 @@
 
 // Start starts the process. It returns an error if the process is running or the node's address is in use.
 func (n *Node) Start() error {
-	listener, err := net.Listen("tcp", n.Listen())
+	listener, err := net.Listen("tcp", n.ListenAddr())
 	if err != nil {
 		return fmt.Errorf("the address of %s is taken: %w: %w", n.name, errAddressTaken, err)
 	}
@@ -207,8 +207,8 @@
 // Reload moves the node's discovery to another address, writes the address to the node's configuration and sends
 // SIGHUP. The old address refuses new connections at once, and resets its open ones after oldDiscoveryGrace.
 func (n *Node) Reload() error {
-	before := n.testbed.disc.gateOf(n)
-	addr, err := n.testbed.disc.serve(n)
+	before := n.testbed.discovery.gateOf(n)
+	addr, err := n.testbed.discovery.serve(n)
 	if err != nil {
 		return err
 	}
@@ -256,14 +256,14 @@
 
 // Ready reports whether the node says that it is ready for clients.
 func (n *Node) Ready(ctx context.Context) bool {
-	yes, _ := checkReady(ctx, readinessClient, n.Listen())
+	yes, _ := checkReady(ctx, nodeHTTPClient, n.ListenAddr())
 	return yes
 }
 
 // onExit is called at each exit of the process; crash is empty if the exit was expected. A process that exits cleanly
 // must have answered all requests that it accepted, so only other exits excuse lost requests.
 func (n *Node) onExit(crash string, clean bool) {
-	n.testbed.linksTo(n.name, gateRefuse)
+	n.testbed.setLinkModes(n.name, gateRefuse)
 	select {
 	case <-n.testbed.done:
 		return
@@ -277,28 +277,28 @@
 	}
 }
 
-// Up waits until the process says that it is ready for clients, for the world's time limit at most. The front may send
-// clients a moment later.
-func (n *Node) Up(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, n.testbed.world.Ready)
+// AwaitReady waits until the process says that it is ready for clients, for World.ReadyTimeout at most. The front may
+// send clients a moment later.
+func (n *Node) AwaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, n.testbed.world.ReadyTimeout)
 	defer cancel()
 	for ticker := time.NewTicker(20 * time.Millisecond); ; {
 		if n.Ready(ctx) {
 			ticker.Stop()
 			n.wasReady.Store(true)
-			n.testbed.linksTo(n.name, gateOpen)
+			n.testbed.setLinkModes(n.name, gateOpen)
 			n.testbed.intervals.end(n.name, n.testbed.now())
 			return nil
 		}
 		if running, _ := n.process.running(); !running {
 			ticker.Stop()
-			return fmt.Errorf("the process of %s exited before it was ready; end of its log: %s", n.name, n.process.tail(2))
+			return fmt.Errorf("the process of %s exited before it was ready; end of its log: %s", n.name, n.process.logTail(2))
 		}
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
 			ticker.Stop()
-			return fmt.Errorf("%s never became ready at %s; end of its log: %s", n.name, n.Listen(), n.process.tail(2))
+			return fmt.Errorf("%s never became ready at %s; end of its log: %s", n.name, n.ListenAddr(), n.process.logTail(2))
 		}
 	}
 }
--- a/internal/testbed/node_test.go
+++ b/internal/testbed/node_test.go
@@ -76,7 +76,7 @@
 	tb := Start(t, healthyStub())
 	n := tb.Node("n1")
 	n.Kill()
-	other, err := net.Listen("tcp", n.Listen())
+	other, err := net.Listen("tcp", n.ListenAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 // its log.
 func TestNodeThatNeverBecomesReady(t *testing.T) {
 	w := healthyStub()
-	w.Env, w.Ready = []string{"TESTBED_TEST_AS=mute"}, 300*time.Millisecond
+	w.Env, w.ReadyTimeout = []string{"TESTBED_TEST_AS=mute"}, 300*time.Millisecond
 	_, err := Open(context.Background(), w)
 	if err == nil || !strings.Contains(err.Error(), "n1 never became ready") ||
 		!strings.Contains(err.Error(), "mute as planted") {
--- a/internal/testbed/notification_times.go
+++ b/internal/testbed/notification_times.go
@@ -21,7 +21,7 @@
 		return max(now, state.silent+silentWatchDelay)
 	case state.watches > 0:
 		return now + silentWatchDelay
-	case d.testbed.world.Discovery.Asked || d.fault.Down || d.fault.Fail:
+	case d.testbed.world.Discovery.WatchOnRequest || d.fault.Down || d.fault.Fail:
 		return max(now, state.lastPoll+maxPollInterval)
 	}
 	return now // the node has no watch, and a poll would return the change
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -26,7 +26,7 @@
 			for i := range w.Classes { // clients must still be waiting when the stopped node continues
 				w.Classes[i].LatencyObjective, w.Classes[i].Deadline = 2500*time.Millisecond, 8*time.Second
 			}
-			w.Zones, w.Discovery.Late, w.Discovery.Asked = []string{"a"}, 50*time.Millisecond, true
+			w.Zones, w.Discovery.NotificationDelay, w.Discovery.WatchOnRequest = []string{"a"}, 50*time.Millisecond, true
 			tb := Start(t, w)
 			load, arrivals := draw(t, &tb.world, Load{Rate: 100}, c.load)
 			steps, err := Schedule(&tb.world, []Fault{
@@ -54,7 +54,7 @@
 			tb.checker.mu.Lock()
 			defer tb.checker.mu.Unlock()
 			at, notified := tb.checker.drainNotifiedAt[nodeAndServer{"n1", "front-2"}]
-			if !notified || at > tb.now()-drainWithin-slack {
+			if !notified || at > tb.now()-drainDeadline-slack {
 				t.Errorf("n1 notified %v, at %v: the run ended too early to check the drain", notified, at)
 			}
 		})
--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -13,12 +13,12 @@
 // SendOverride sends a request for /control/overrides/ID, with a body that may be empty, to the node's admin endpoint.
 // It returns the status of the response.
 func (n *Node) SendOverride(ctx context.Context, method, id, body string) (int, error) {
-	url := "http://" + n.Control() + "/control/overrides/" + id
+	url := "http://" + n.AdminAddr() + "/control/overrides/" + id
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
-	resp, err := readinessClient.Do(req)
+	resp, err := nodeHTTPClient.Do(req)
 	if err != nil {
 		return 0, err
 	}
@@ -29,11 +29,11 @@
 // OverridesInForce reads from the node's admin endpoint which overrides are in force there, and returns the time that
 // each has left, by ID.
 func (n *Node) OverridesInForce(ctx context.Context) (map[string]time.Duration, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/control/overrides", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.AdminAddr()+"/control/overrides", nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := readinessClient.Do(req)
+	resp, err := nodeHTTPClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/populate.go
+++ b/internal/testbed/populate.go
@@ -42,7 +42,7 @@
 					return err
 				}
 				tb.servers[s.name] = s
-				tb.disc.publish(t, s.entry(), 0)
+				tb.discovery.publish(t, s.entry(), 0)
 			}
 		}
 	}
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -105,7 +105,7 @@
 	}
 	p.mu.Unlock()
 	if crash != "" {
-		crash += ": " + p.tail(3)
+		crash += ": " + p.logTail(3)
 	}
 	p.onExit(crash, clean)
 	close(exited)
@@ -121,8 +121,8 @@
 
 func (p *process) logPath() string { return filepath.Join(p.dir, p.name+".log") }
 
-// tail returns the last lines of the log, of its last 4 KiB at most.
-func (p *process) tail(lines int) string {
+// logTail returns the last lines of the log, of its last 4 KiB at most.
+func (p *process) logTail(lines int) string {
 	const maxTail = 4 << 10
 	f, err := os.Open(p.logPath())
 	if err != nil {
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -117,7 +117,7 @@
 		}
 	}
 	for _, n := range s.nodes {
-		if err := n.Up(ctx); err != nil {
+		if err := n.AwaitReady(ctx); err != nil {
 			return err
 		}
 	}
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -84,7 +84,7 @@
 		ErrorLog:    tb.discardLog,
 		ConnState:   s.trackConn,
 	}
-	tb.goOwned(func() { _ = s.http.Serve(g) }) // its error says only that the gate was closed
+	tb.startGoroutine(func() { _ = s.http.Serve(g) }) // its error says only that the gate was closed
 	return s, nil
 }
 
@@ -103,8 +103,8 @@
 // Name returns the server's name in the endpoint list.
 func (s *Server) Name() string { return s.name }
 
-// Set sets the fault of the server.
-func (s *Server) Set(t ServerFault) {
+// SetFault sets the fault of the server.
+func (s *Server) SetFault(t ServerFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = t
@@ -388,5 +388,5 @@
 	}
 	s.mu.Unlock()
 	_ = s.gate.set(mode) // fails only while the test bed closes, or if another program has taken the port
-	s.testbed.linksTo(s.name, mode)
+	s.testbed.setLinkModes(s.name, mode)
 }
--- a/internal/testbed/server_test.go
+++ b/internal/testbed/server_test.go
@@ -56,7 +56,7 @@
 // are listed again, accept connections, and are in slow start.
 func TestLostZoneReturnsInSlowStart(t *testing.T) {
 	w := small(2, 4)
-	w.Discovery.Late = 10 * time.Millisecond
+	w.Discovery.NotificationDelay = 10 * time.Millisecond
 	tb := Start(t, w)
 	step := Step{Fault: Fault{Kind: "zone", Target: "b", Late: 50 * time.Millisecond}, Target: "b"}
 	if err := tb.Apply(context.Background(), step); err != nil {
@@ -70,12 +70,12 @@
 		c.Close()
 		t.Error("connected to a server of the lost zone")
 	}
-	Until(t, "discovery drops the zone", func() bool { return len(tb.disc.known(n).Hosts) == 2 })
+	Until(t, "discovery drops the zone", func() bool { return len(tb.discovery.fullList(n).Hosts) == 2 })
 	step.Ends = true
 	if err := tb.Apply(context.Background(), step); err != nil {
 		t.Fatal(err)
 	}
-	Until(t, "discovery lists the zone", func() bool { return len(tb.disc.known(n).Hosts) == 4 })
+	Until(t, "discovery lists the zone", func() bool { return len(tb.discovery.fullList(n).Hosts) == 4 })
 	s.mu.Lock()
 	share := s.capacityShare(tb.now())
 	s.mu.Unlock()
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -39,7 +39,7 @@
 // NewPlan draws the plan of a seed.
 func NewPlan(seed uint64) *Plan {
 	r := rand.New(rand.NewPCG(seed, 11))
-	p := &Plan{Seed: seed, World: world(seed, r), Load: testbed.Load{Rate: 70, Retries: 1, Impatient: 0.2}}
+	p := &Plan{Seed: seed, World: world(seed, r), Load: testbed.Load{Rate: 70, Retries: 1, EarlyDisconnectShare: 0.2}}
 	for _, at := range []time.Duration{firstCluster, secondCluster} {
 		p.Faults = append(p.Faults, cluster(r, at)...)
 	}
@@ -106,7 +106,7 @@
 			},
 		},
 		Limits:    testbed.Limits{ConnectTimeout: 2 * time.Second},
-		Discovery: testbed.DiscoverySpec{Asked: r.IntN(2) == 0, Late: 200 * time.Millisecond},
+		Discovery: testbed.DiscoverySpec{WatchOnRequest: r.IntN(2) == 0, NotificationDelay: 200 * time.Millisecond},
 	}
 	w.Shims = map[string]shim.Spec{}
 	for _, node := range []string{"n1", "n2", "n@front-1"} {
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -148,7 +148,7 @@
 }
 
 func getJSONOnce(ctx context.Context, n *testbed.Node, path string, into any) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.AdminAddr()+path, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/start.go
+++ b/internal/testbed/start.go
@@ -14,14 +14,14 @@
 	Fatalf(format string, args ...any)
 }
 
-// longEnough is how long a test waits for a condition before it fails.
-const longEnough = time.Minute
+// waitTimeout is how long a test waits for a condition before it fails.
+const waitTimeout = time.Minute
 
 // Start opens a world for a test and closes it at the end of the test. If the test has failed, it logs the last log
 // lines of each node.
 func Start(t T, w World) *Testbed {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), longEnough)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	tb, err := Open(ctx, w)
 	if err != nil {
@@ -29,8 +29,8 @@
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			for _, n := range tb.nodeOrder {
-				t.Logf("%s logged: %s", n.name, n.process.tail(4))
+			for _, n := range tb.orderedNodes {
+				t.Logf("%s logged: %s", n.name, n.process.logTail(4))
 			}
 		}
 		tb.Close()
@@ -41,7 +41,7 @@
 // Until waits for a condition, checking it every 5 ms, and fails the test if it does not become true in time.
 func Until(t T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(longEnough); !condition(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("condition not met in time: %s", what)
 		}
--- a/internal/testbed/stub_node_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -164,7 +164,7 @@
 	} {
 		t.Run(behavior, func(t *testing.T) {
 			t.Parallel()
-			end := time.Now().Add(longEnough)
+			end := time.Now().Add(waitTimeout)
 			for n, late := 1, true; late; n++ {
 				if time.Now().After(end) {
 					t.Fatalf("the test bed was late in each of %d runs", n-1)
@@ -180,17 +180,18 @@
 func plantedFault(t *testing.T, behavior string, want Rule) (late bool) {
 	w := small(1, 2)
 	w.Binary, w.Env, w.Zones = os.Args[0], []string{"TESTBED_TEST_AS=" + behavior}, []string{"a"}
-	w.Discovery.Late = time.Millisecond
+	w.Discovery.NotificationDelay = time.Millisecond
 	w.Classes = w.Classes[:plantedClassCount(behavior)]
 	if behavior == "repeat" {
 		w.Classes[0].Effect, w.Classes[0].Window = "idempotency_key", plantedWindow
 	}
 	length := time.Second
 	if behavior == "drained" {
-		length = drainWithin + 2*time.Second
+		length = drainDeadline + 2*time.Second
 	}
 	tb := Start(t, w)
-	load, arrivals := draw(t, &tb.world, Load{Rate: 40, Impatient: map[string]float64{"linger": 1}[behavior]}, length)
+	load, arrivals := draw(t, &tb.world, Load{Rate: 40,
+		EarlyDisconnectShare: map[string]float64{"linger": 1}[behavior]}, length)
 	if behavior == "drained" {
 		for _, s := range tb.servers { // as the stub node uses whichever it was told first
 			tb.Drain(s, 0)
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -26,12 +26,12 @@
 	intervals      intervals
 	checker        *Checker
 	spawner        *spawner
-	disc           *discovery
+	discovery      *discovery
 	front          *front
 	clients        []*client // by zone
 	nodes          map[string]*Node
 	servers        map[string]*Server
-	nodeOrder      []*Node // in the order in which they are started
+	orderedNodes   []*Node // in the order in which they are started
 	classes        map[string]*Class
 	discardLog     *log.Logger
 	blockLock      net.Listener // keeps other test beds off this one's block of loopback addresses
@@ -107,7 +107,7 @@
 	}
 	tb.checker = newChecker(&tb.world, tb.now, &tb.intervals)
 	tb.lateness.run(tb)
-	tb.disc = newDiscovery(tb)
+	tb.discovery = newDiscovery(tb)
 	if err = tb.populate(); err != nil {
 		return tb, err
 	}
@@ -149,15 +149,15 @@
 // startAll starts all nodes, the front ones first, and waits until they are ready and the front sends connections to
 // all of its own.
 func (tb *Testbed) startAll(ctx context.Context) error {
-	for _, n := range tb.nodeOrder {
+	for _, n := range tb.orderedNodes {
 		tb.intervals.begin(n.name, tb.now())
 		if err := n.Start(); err != nil {
 			return err
 		}
 	}
 	tb.front.start()
-	for _, n := range tb.nodeOrder {
-		if err := n.Up(ctx); err != nil {
+	for _, n := range tb.orderedNodes {
+		if err := n.AwaitReady(ctx); err != nil {
 			return err
 		}
 	}
@@ -189,7 +189,7 @@
 func (tb *Testbed) Server(name string) *Server { return tb.servers[name] }
 
 // Nodes returns all nodes, the front ones first.
-func (tb *Testbed) Nodes() []*Node { return tb.nodeOrder }
+func (tb *Testbed) Nodes() []*Node { return tb.orderedNodes }
 
 // countAttempt counts an attempt of a node that arrived at a server.
 func (tb *Testbed) countAttempt(from string, s *Server) {
@@ -227,8 +227,9 @@
 	return float64(busiest*n) / float64(sum)
 }
 
-// goOwned runs f in a goroutine that Close waits for. f must return once done is closed or what it uses is closed.
-func (tb *Testbed) goOwned(f func()) {
+// startGoroutine runs f in a goroutine that Close waits for. f must return once done is closed or what it uses is
+// closed.
+func (tb *Testbed) startGoroutine(f func()) {
 	tb.goroutines.Add(1)
 	go func() {
 		defer tb.goroutines.Done()
@@ -240,9 +241,9 @@
 func (s *Server) entry() endpointEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := endpointEntry{Host: s.name, Site: s.zone, Class: "m2", Health: s.health, Share: 1}
+	h := endpointEntry{Host: s.name, Zone: s.zone, Class: "m2", Health: s.health, Share: 1}
 	if s.startedAt != 0 {
-		h.Born = s.testbed.began.Add(s.startedAt).UnixMilli()
+		h.StartedMS = s.testbed.began.Add(s.startedAt).UnixMilli()
 	}
 	return h
 }
@@ -253,7 +254,7 @@
 	s.mu.Lock()
 	s.health = healthDraining
 	s.mu.Unlock()
-	tb.disc.publish(s.tier, s.entry(), -1)
+	tb.discovery.publish(s.tier, s.entry(), -1)
 	if removeAfter <= 0 {
 		return
 	}
@@ -266,14 +267,14 @@
 		s.mu.Lock()
 		s.health = healthRemoved
 		s.mu.Unlock()
-		tb.disc.publish(s.tier, s.entry(), -1)
+		tb.discovery.publish(s.tier, s.entry(), -1)
 		s.crash()
 	})
 }
 
 // SetDiscoveryFault sets the fault of discovery.
 func (tb *Testbed) SetDiscoveryFault(o DiscoveryFault) {
-	tb.disc.set(o)
+	tb.discovery.setFault(o)
 	if (o == DiscoveryFault{}) {
 		tb.intervals.end("discovery", tb.now())
 	} else {
@@ -286,7 +287,7 @@
 
 func (tb *Testbed) shutDown() {
 	close(tb.done)
-	for _, n := range tb.nodeOrder {
+	for _, n := range tb.orderedNodes {
 		_ = n.process.signal(syscall.SIGCONT) // fails if the process has ended
 		n.process.kill()
 	}
@@ -296,8 +297,8 @@
 	for _, c := range tb.clients {
 		c.close()
 	}
-	if tb.disc != nil {
-		tb.disc.close()
+	if tb.discovery != nil {
+		tb.discovery.close()
 	}
 	for _, s := range tb.servers {
 		closeQuietly(s.gate)
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -134,7 +134,7 @@
 		if err := w.Fill(); err != nil {
 			t.Fatal(err)
 		}
-		load := Load{Rate: 50, Impatient: 0.05, Bursts: []Burst{{At: time.Second, For: time.Second, Factor: 3}}}
+		load := Load{Rate: 50, EarlyDisconnectShare: 0.05, Bursts: []Burst{{At: time.Second, For: time.Second, Factor: 3}}}
 		if err := load.Fill(&w); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -43,8 +43,8 @@
 	Shim  []string             `toml:"-"`
 	Shims map[string]shim.Spec `toml:"-"` // by node name
 
-	TrustNodes bool          `toml:"-"` // nodes are stubs that answer requests themselves: bodies are not checked
-	Ready      time.Duration `toml:"-"` // limit for a node to become ready; default 30 s
+	TrustNodes   bool          `toml:"-"` // nodes are stubs that answer requests themselves: bodies are not checked
+	ReadyTimeout time.Duration `toml:"-"` // limit for a node to become ready; default 30 s
 }
 
 // Tables are TOML tables that the test bed passes to the nodes unread.
@@ -134,15 +134,15 @@
 
 // DiscoverySpec describes the timing of discovery.
 type DiscoverySpec struct {
-	Late   time.Duration `toml:"late"`    // from a change to the notification; default 1 s
-	Call   time.Duration `toml:"call"`    // that each call takes; calls are handled one at a time; default 1 ms
-	Asked  bool          `toml:"asked"`   // nodes get the endpoint list only if they ask for a watch
-	MaxLag time.Duration `toml:"max_lag"` // a call that has waited for longer fails; default 1 s
+	NotificationDelay time.Duration `toml:"late"`    // from a change to the notification; default 1 s
+	CallDuration      time.Duration `toml:"call"`    // that each call takes; calls are handled one at a time; default 1 ms
+	WatchOnRequest    bool          `toml:"asked"`   // nodes get the endpoint list only if they ask for a watch
+	MaxLag            time.Duration `toml:"max_lag"` // a call that has waited for longer fails; default 1 s
 }
 
 const (
 	slack              = 50 * time.Millisecond // added to every time limit of the rules, as sockets and timers may be late
-	drainWithin        = 3 * time.Second       // after a notification; then a draining or removed server gets nothing new
+	drainDeadline      = 3 * time.Second       // after a notification; then a draining or removed server gets nothing new
 	defaultDedupWindow = 5 * time.Second       // default of Class.Window
 )
 
@@ -198,11 +198,11 @@
 	orDefault(&w.SlowStart.Duration, 8500*time.Millisecond)
 	orDefault(&w.SlowStart.OverloadFactor, 4)
 	orDefault(&w.SlowStart.OverloadWindow, 3*time.Second)
-	orDefault(&w.Discovery.Late, time.Second)
-	orDefault(&w.Discovery.Call, time.Millisecond)
+	orDefault(&w.Discovery.NotificationDelay, time.Second)
+	orDefault(&w.Discovery.CallDuration, time.Millisecond)
 	orDefault(&w.Discovery.MaxLag, time.Second)
 	orDefault(&w.FrontDetectionDelay, 2*time.Second)
-	orDefault(&w.Ready, 30*time.Second)
+	orDefault(&w.ReadyTimeout, 30*time.Second)
 	orDefault(&w.Seeds, 3)
 	if len(w.Zones) == 0 {
 		w.Zones = []string{"a"}
@@ -326,7 +326,7 @@
 }
 
 func (w *World) registryMode() string {
-	if w.Discovery.Asked {
+	if w.Discovery.WatchOnRequest {
 		return "on_request"
 	}
 	return "pushed"
@@ -379,7 +379,7 @@
 		"cold-from":              w.SlowStart.From,
 		"fall-ms":                ms(w.SlowStart.OverloadWindow),
 		"fall-multiple":          w.SlowStart.OverloadFactor,
-		"stop-sending-within-ms": ms(drainWithin),
+		"stop-sending-within-ms": ms(drainDeadline),
 		"warm-after-ms":          ms(w.SlowStart.Duration),
 	}
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -13,13 +13,13 @@
 
 // Problem is an error in a file.
 type Problem struct {
-	File string
-	Line int    // 0: unknown
-	Key  string // empty: unknown
-	Why  string // reason, in words
+	File   string
+	Line   int    // 0: unknown
+	Key    string // empty: unknown
+	Reason string // in words
 }
 
-// Error returns FILE:LINE: KEY: WHY, without the parts that are unknown.
+// Error returns FILE:LINE: KEY: REASON, without the parts that are unknown.
 func (p Problem) Error() string {
 	location := p.File
 	if p.Line > 0 {
@@ -28,7 +28,7 @@
 	if p.Key != "" {
 		location += ": " + p.Key
 	}
-	return location + ": " + p.Why
+	return location + ": " + p.Reason
 }
 
 // Decode decodes text into a struct with toml tags. The error is a Problem if the text cannot be decoded, or joins a
@@ -53,23 +53,23 @@
 	var parseError toml.ParseError
 	if errors.As(err, &parseError) {
 		return Problem{
-			File: file,
-			Line: parseError.Position.Line,
-			Key:  parseError.LastKey,
-			Why:  parseError.Message,
+			File:   file,
+			Line:   parseError.Position.Line,
+			Key:    parseError.LastKey,
+			Reason: parseError.Message,
 		}
 	}
 	message := strings.TrimPrefix(err.Error(), "toml: ")
 	parts := typeMessage.FindStringSubmatch(message)
 	if parts == nil {
-		return Problem{File: file, Why: message}
+		return Problem{File: file, Reason: message}
 	}
 	line, _ := strconv.Atoi(parts[1]) // the pattern matches only digits
 	return Problem{
-		File: file,
-		Line: line,
-		Key:  parts[2],
-		Why:  parts[3],
+		File:   file,
+		Line:   line,
+		Key:    parts[2],
+		Reason: parts[3],
 	}
 }
 
@@ -77,9 +77,9 @@
 // there is none the header of the key's table.
 func ProblemAt(file string, text []byte, key, why string) Problem {
 	return Problem{
-		File: file,
-		Line: findLine(text, key),
-		Key:  key,
-		Why:  why,
+		File:   file,
+		Line:   findLine(text, key),
+		Key:    key,
+		Reason: why,
 	}
 }
