--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -55,13 +55,13 @@
 	return v.expiry
 }
 
-// grant records that a member may claim this process's majority until a time.
-func (e *election) grant(name string, until time.Duration) {
+// grantClaim records that a member may claim this process's majority until a time.
+func (e *election) grantClaim(name string, until time.Duration) {
 	e.grantedUntil[name] = max(e.grantedUntil[name], until)
 }
 
-// withdraw records that a member no longer claims this process's majority, and reports whether no claim is left.
-func (e *election) withdraw(name string) (last bool) {
+// withdrawClaim records that a member no longer claims this process's majority, and reports whether no claim is left.
+func (e *election) withdrawClaim(name string) (last bool) {
 	delete(e.grantedUntil, name)
 	return len(e.grantedUntil) == 0
 }
--- a/internal/membership/frame.go
+++ b/internal/membership/frame.go
@@ -9,16 +9,16 @@
 
 // A frame carries one packet, or opens one stream. Its fields with their sizes in bytes, all numbers big-endian:
 //
-//	"qm" 2 | version 1 | kind 1 | fleet 8 | process 8 | sequence 8 | check 4 | payload
+//	"qm" 2 | version 1 | kind 1 | fleet 8 | process 8 | sequence 8 | checksum 4 | payload
 //
-// The version is 2. The fleet field is the hash of the fleet's name. The check field is a checksum of all fields before
-// it and of the payload. Processes of older builds read frames, so the format must not change unless the version does.
+// The version is 2. The fleet field is the hash of the fleet's name. The checksum covers all fields before it and the
+// payload. Processes of older builds read frames, so the format must not change unless the version does.
 const (
-	frameMagic      = "qm"
-	frameVersion    = 2
-	frameCheckSize  = 4
-	frameHeaderSize = 2 + 1 + 1 + 8 + 8 + 8 + frameCheckSize
-	maxPacketSize   = 1400 // bytes with the frame header, to avoid IP fragmentation
+	frameMagic        = "qm"
+	frameVersion      = 2
+	frameChecksumSize = 4
+	frameHeaderSize   = 2 + 1 + 1 + 8 + 8 + 8 + frameChecksumSize
+	maxPacketSize     = 1400 // bytes with the frame header, to avoid IP fragmentation
 )
 
 // Byte offsets of the fields in a frame.
@@ -28,7 +28,7 @@
 	fleetOffset    = 4
 	processOffset  = 12
 	sequenceOffset = 20
-	checkOffset    = 28
+	checksumOffset = 28
 )
 
 type frameKind byte
@@ -55,8 +55,8 @@
 	errReplayed  = errors.New("replayed")
 )
 
-// frameCheck returns the checksum of a frame: the low 32 bits of a hash of its header and its payload.
-func frameCheck(header, payload []byte) uint32 {
+// frameChecksum returns the checksum of a frame: the low 32 bits of a hash of its header and its payload.
+func frameChecksum(header, payload []byte) uint32 {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.Write(header) // writes to a digest never fail
@@ -72,7 +72,7 @@
 	b = binary.BigEndian.AppendUint64(b, f.fleet)
 	b = binary.BigEndian.AppendUint64(b, f.process)
 	b = binary.BigEndian.AppendUint64(b, f.sequence)
-	b = binary.BigEndian.AppendUint32(b, frameCheck(b[start:], f.payload))
+	b = binary.BigEndian.AppendUint32(b, frameChecksum(b[start:], f.payload))
 	return append(b, f.payload...)
 }
 
@@ -89,9 +89,9 @@
 	f.process = binary.BigEndian.Uint64(b[processOffset:])
 	f.sequence = binary.BigEndian.Uint64(b[sequenceOffset:])
 	f.payload = b[frameHeaderSize:]
-	check := binary.BigEndian.Uint32(b[checkOffset:])
+	checksum := binary.BigEndian.Uint32(b[checksumOffset:])
 	validKind := f.kind == framePacket || f.kind == frameStream
-	if check != frameCheck(b[:checkOffset], f.payload) || !validKind {
+	if checksum != frameChecksum(b[:checksumOffset], f.payload) || !validKind {
 		return f, errMalformed
 	}
 	if f.fleet != fleet {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -10,7 +10,7 @@
 // are reserved for memberlist's own header.
 const maxPacketMessage = maxPacketSize - frameHeaderSize - 100
 
-// newMessage returns a message from this process that, unlike quorum.newMessage, carries no state of the quorum.
+// newMessage returns a message from this process that, unlike quorum.newQuorumMessage, carries no state of the quorum.
 func (m *Mesh) newMessage(kind messageKind) message {
 	return message{From: m.cfg.Name, Process: m.process, Kind: kind}
 }
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -80,8 +80,8 @@
 		m.log.Warn("membership: name conflict, another process has this one's name",
 			"address", rival.address, "incarnation", rival.metadata.Incarnation, "own", own)
 	}
-	older := newer(rival.metadata.Incarnation, rival.id, own, m.id())
-	if older && now-m.conflict.since >= conflictTimeout {
+	rivalIsNewer := newer(rival.metadata.Incarnation, rival.id, own, m.id())
+	if rivalIsNewer && now-m.conflict.since >= conflictTimeout {
 		m.stepOut(now, rival)
 	}
 }
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -84,8 +84,8 @@
 	return true
 }
 
-// others returns the names of the live members except this process.
-func (l *liveness) others() []string {
+// otherLiveNames returns the names of the live members except this process.
+func (l *liveness) otherLiveNames() []string {
 	var names []string
 	for name := range l.liveSince {
 		if name != l.self {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -48,8 +48,8 @@
 	kindLeavingAck   messageKind = 11 // the sender knows that the target process is leaving
 )
 
-// newMessage returns a message with the quorum's epoch and missing members, and the digest of the view.
-func (q *quorum) newMessage(kind messageKind, digest uint64) message {
+// newQuorumMessage returns a message with the quorum's epoch and missing members, and the digest of the view.
+func (q *quorum) newQuorumMessage(kind messageKind, digest uint64) message {
 	return message{
 		From:    q.self,
 		Process: q.process,
--- a/internal/membership/quorum.go
+++ b/internal/membership/quorum.go
@@ -206,7 +206,7 @@
 	if leader == "" || now < q.leader.until {
 		return nil
 	}
-	return map[string]message{leader: q.newMessage(kindMemberList, digest)}
+	return map[string]message{leader: q.newQuorumMessage(kindMemberList, digest)}
 }
 
 // voteForSelf casts or renews this process's vote for itself, if it may vote and is not bound to another process. The
@@ -235,7 +235,7 @@
 // claim to the majority until the leader's own majority ends. The heartbeat carries the duration of the claim
 // from the arrival of the vote, and the member counts it from the sending of that vote by its own clock.
 func (q *quorum) heartbeats(now, until time.Duration, digest uint64) map[string]message {
-	common := q.newMessage(kindHeartbeat, digest)
+	common := q.newQuorumMessage(kindHeartbeat, digest)
 	common.HeartbeatAt = now
 	common.Complete = q.liveness.isComplete(q.list.names)
 	common.HasMajority = until > now && q.list.previous == nil
@@ -249,7 +249,7 @@
 			heartbeat.TargetProcess = v.process
 			heartbeat.VoteAt = v.sentAt
 			heartbeat.Remaining = max(0, until-v.receivedAt)
-			q.election.grant(name, until)
+			q.election.grantClaim(name, until)
 			if v.epoch != q.list.epoch {
 				q.list.writeTo(&heartbeat, v.epoch)
 			}
@@ -285,7 +285,7 @@
 	}
 	q.adoptMemberList(m)
 	q.liveness.reportedMissing[m.From] = m.Missing
-	reply = q.newMessage(kindMemberList, digest)
+	reply = q.newQuorumMessage(kindMemberList, digest)
 	order := m.Epoch.compare(q.list.epoch)
 	if order < 0 {
 		q.list.writeTo(&reply, m.Epoch)
--- a/internal/membership/stepdown.go
+++ b/internal/membership/stepdown.go
@@ -4,12 +4,12 @@
 
 // stepDown records whether this process has stepped down as a leader, and which other process did so last.
 type stepDown struct {
-	started     bool   // this process has given up leadership for good
-	lastProcess uint64 // number of the process whose kindStepDown message arrived last
+	started         bool   // this process has given up leadership for good
+	lastSteppedDown uint64 // number of the process whose kindStepDown message arrived last
 }
 
 // isOutdated reports whether a heartbeat was sent before its leader stepped down, and must be ignored.
-func (s *stepDown) isOutdated(heartbeat message) bool { return heartbeat.Process == s.lastProcess }
+func (s *stepDown) isOutdated(heartbeat message) bool { return heartbeat.Process == s.lastSteppedDown }
 
 // continueStepDown takes the next step to end the leadership of a process that is leaving, so that the next leader does
 // not have to wait for the leases of the votes to end. First it asks every member that may claim this process's
@@ -31,9 +31,9 @@
 	}
 	q.nextSend = now + tickInterval
 	if claimants := q.election.claimants(now); len(claimants) > 0 {
-		return toAll(claimants, q.newMessage(kindStepDown, digest)), false
+		return toAll(claimants, q.newQuorumMessage(kindStepDown, digest)), false
 	}
-	return toAll(q.liveness.others(), q.newMessage(kindVoteReleased, digest)), true
+	return toAll(q.liveness.otherLiveNames(), q.newQuorumMessage(kindVoteReleased, digest)), true
 }
 
 // toAll returns one message for each of the names.
@@ -47,7 +47,7 @@
 
 // handleStepDown drops the claim that the sender has granted to this process, and confirms that in the reply.
 func (q *quorum) handleStepDown(m message, reply *message) {
-	q.stepDown.lastProcess = m.Process
+	q.stepDown.lastSteppedDown = m.Process
 	if q.claim.leaderProcess == m.Process {
 		q.claim.until = 0
 	}
@@ -64,7 +64,7 @@
 	if m.TargetProcess != q.process || !q.stepDown.started {
 		return
 	}
-	if last := q.election.withdraw(m.From); last {
+	if last := q.election.withdrawClaim(m.From); last {
 		q.nextSend = now
 	}
 }
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -95,7 +95,7 @@
 	})
 	cfg := testConfig(t, "pushed", inService("s", b.addr()))
 	cfg.Discovery = silentDiscovery(t)
-	cfg.Sockets = 2 * reservedDescriptors // the minimum that the configuration allows
+	cfg.Sockets = 2 * baseReservedDescriptors // the minimum that the configuration allows
 	n := start(t, cfg)
 	held := make(chan bool)
 	limit := cfg.clientConnectionLimit(cfg.Sockets)
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -89,7 +89,7 @@
 
 // notSent records that the guard did not allow an attempt, and returns its outcome.
 func (p *pool) notSent(att *attempt, reason guard.Verdict) attemptOutcome {
-	p.decisions.AttemptNotSent(att.logName(), reason)
+	p.decisions.AttemptNotSent(att.logIdentity(), reason)
 	return attemptOutcome{attempt: att, result: policy.NotSent, notSentReason: reason}
 }
 
@@ -244,7 +244,7 @@
 // the process may have been suspended between checkSend and the write.
 func (p *pool) recordWritten(att *attempt, clientDeadline time.Duration) {
 	p.metrics.Update(func(c *metrics.Counters) { c.AttemptsWritten++ })
-	p.decisions.AttemptWritten(att.logName(), guard.Sent{
+	p.decisions.AttemptWritten(att.logIdentity(), guard.Sent{
 		Now:            p.clock.now(),
 		ClientDeadline: clientDeadline,
 		Timeout:        att.budgetSent,
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -145,7 +145,7 @@
 	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 {
 		return errLimits
 	}
-	if c.Sockets > 0 && c.Sockets < 2*reservedDescriptors {
+	if c.Sockets > 0 && c.Sockets < 2*baseReservedDescriptors {
 		return errLimits
 	}
 	return nil
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -49,7 +49,7 @@
 	requests         chan *clientRequest       // from the handlers of clients' requests
 	disconnects      chan *clientRequest       // from the same handlers, if the client disconnects before the response
 	attemptResults   chan attemptOutcome       // from attempts that ended
-	requestsSent     chan requestWritten       // from attempts that stream a request body, once it is written
+	requestsWritten  chan requestWritten       // from attempts that stream a request body, once it is written
 	responsesStarted chan responseStarted      // from attempts that stream a response
 	replicaCounts    chan policy.ReplicaCounts // from the membership; holds only the newest
 	overrideUpdates  chan zoneExpiries         // from overridesHost; holds only the newest
@@ -82,7 +82,7 @@
 		requests:            make(chan *clientRequest),
 		disconnects:         make(chan *clientRequest),
 		attemptResults:      make(chan attemptOutcome),
-		requestsSent:        make(chan requestWritten),
+		requestsWritten:     make(chan requestWritten),
 		responsesStarted:    make(chan responseStarted),
 		replicaCounts:       make(chan policy.ReplicaCounts, 1),
 		overrideUpdates:     make(chan zoneExpiries, 1),
@@ -121,8 +121,8 @@
 			l.handleDisconnect(request)
 		case outcome := <-l.attemptResults:
 			l.handleAttemptResult(outcome)
-		case written := <-l.requestsSent:
-			l.handleRequestSent(written)
+		case written := <-l.requestsWritten:
+			l.handleRequestWritten(written)
 		case started := <-l.responsesStarted:
 			l.handleResponseStarted(started)
 		case task := <-l.tasks:
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// reservedDescriptors is the number of descriptors for the listeners, discovery, logs, the runtime and the admin
+	// baseReservedDescriptors is the number of descriptors for the listeners, discovery, logs, the runtime and the admin
 	// endpoint.
-	reservedDescriptors    = 24 + admin.MaxConnections
-	defaultDescriptorLimit = 1024 // if the configuration sets none
-	minConnections         = 4    // smallest limit on connections to clients, and on those to servers, for each process
+	baseReservedDescriptors = 24 + admin.MaxConnections
+	defaultDescriptorLimit  = 1024 // if the configuration sets none
+	minConnections          = 4    // smallest limit on connections to clients, and on those to servers, for each process
 )
 
 // reservedDescriptors returns how many descriptors are neither for clients nor for servers.
 func (c *Config) reservedDescriptors() int {
 	if c.hasMembership() {
-		return reservedDescriptors + membership.MaxDescriptors
+		return baseReservedDescriptors + membership.MaxDescriptors
 	}
-	return reservedDescriptors
+	return baseReservedDescriptors
 }
 
 // clientConnectionLimit returns how many of the given descriptors are for clients' connections.
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -72,7 +72,7 @@
 		idleTimeout:      cfg.connectionIdleTimeout / 2,
 		streamTimeout:    cfg.connectionIdleTimeout,
 		results:          l.attemptResults,
-		requestsWritten:  l.requestsSent,
+		requestsWritten:  l.requestsWritten,
 		responsesStarted: l.responsesStarted,
 		metrics:          l.metrics,
 		buffers:          b,
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -104,9 +104,9 @@
 	l.sender.start(att)
 }
 
-// handleRequestSent sets the deadline of a request whose body has been streamed to a server: its budget counts from the
-// time when the body was written.
-func (l *eventLoop) handleRequestSent(written requestWritten) {
+// handleRequestWritten sets the deadline of a request whose body has been streamed to a server: its budget counts from
+// the time when the body was written.
+func (l *eventLoop) handleRequestWritten(written requestWritten) {
 	request := written.attempt.request
 	request.deadline = written.writtenAt + request.budget
 	if !request.finished.Load() {
@@ -148,8 +148,8 @@
 	request.bodyMemory.release()
 }
 
-// logName returns the identification of an attempt in the log of decisions.
-func (att *attempt) logName() metrics.Attempt {
+// logIdentity returns the identification of an attempt in the log of decisions.
+func (att *attempt) logIdentity() metrics.Attempt {
 	return metrics.Attempt{RequestID: att.request.meta.ID, Number: att.number, Endpoint: att.endpoint.id}
 }
 
--- a/internal/node/reuse.go
+++ b/internal/node/reuse.go
@@ -124,7 +124,7 @@
 		return
 	}
 	c.pool.decisions.UnexpectedResponse(c.endpoint.id)
-	if time.Since(c.quietSince) >= lateResponseAfter {
+	if time.Since(c.requestEndedAt) >= lateResponseAfter {
 		c.endpoint.respondsLate.Store(true)
 	}
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -28,29 +28,29 @@
 
 // session is the state of one call of serve.
 type session struct {
-	node        *Node
-	tasks       sync.WaitGroup // goroutines that serve waits for
-	clients     *http.Server
-	admin       *http.Server          // nil: there is no admin endpoint
-	predecessor *handover.Predecessor // nil: no process served this address before
-	serveEnded  chan serveEnded       // receives one value when the HTTP server for clients has ended
+	node              *Node
+	tasks             sync.WaitGroup // goroutines that serve waits for
+	clients           *http.Server
+	admin             *http.Server          // nil: there is no admin endpoint
+	predecessor       *handover.Predecessor // nil: no process served this address before
+	clientServerEnded chan serveEnded       // receives one value when the HTTP server for clients has ended
 
 	// Each is closed once, by a goroutine that takeOver starts.
-	acceptClients     chan struct{} // this process may accept clients; closed by serve if there is no predecessor
-	predecessorKnows  chan struct{} // the predecessor has acknowledged that this process accepts clients
-	predecessorExited chan struct{}
+	acceptClients           chan struct{} // this process may accept clients; closed by serve if there is no predecessor
+	predecessorAcknowledged chan struct{} // the predecessor has acknowledged that this process accepts clients
+	predecessorExited       chan struct{}
 }
 
 // serve runs the node on its listeners until ctx ends. Without an admin endpoint adminListener is nil, and without a
 // predecessor previous is nil.
 func (n *Node) serve(ctx context.Context, listener, adminListener net.Listener, previous *handover.Predecessor) error {
 	s := &session{
-		node:              n,
-		predecessor:       previous,
-		serveEnded:        make(chan serveEnded, 1),
-		acceptClients:     make(chan struct{}),
-		predecessorKnows:  make(chan struct{}),
-		predecessorExited: make(chan struct{}),
+		node:                    n,
+		predecessor:             previous,
+		clientServerEnded:       make(chan serveEnded, 1),
+		acceptClients:           make(chan struct{}),
+		predecessorAcknowledged: make(chan struct{}),
+		predecessorExited:       make(chan struct{}),
 	}
 	watchContext, stopWatching := context.WithCancel(context.Background())
 	suspension := s.startLoop(watchContext)
@@ -83,10 +83,10 @@
 
 	var err error
 	select {
-	case ended := <-s.serveEnded:
+	case ended := <-s.clientServerEnded:
 		err = fmt.Errorf("serve: %w", ended.err)
 	case <-ctx.Done():
-		n.shutDown(s.serveEnded)
+		n.shutDown(s.clientServerEnded)
 	}
 	stopMembership()
 	stopHandover()
@@ -166,7 +166,7 @@
 		n.lifecycle.Transition(lifecycle.Drain)
 	}
 	go func() { // ends with the connection to the predecessor, which serve closes
-		s.predecessor.AwaitEnd(sync.OnceFunc(func() { close(s.predecessorKnows) }))
+		s.predecessor.AwaitEnd(sync.OnceFunc(func() { close(s.predecessorAcknowledged) }))
 		close(s.predecessorExited)
 		n.adjustProcessCount(-1)
 	}()
@@ -197,7 +197,7 @@
 func (s *session) startAccepting() {
 	go func() {
 		<-s.acceptClients
-		s.serveEnded <- serveEnded{err: s.clients.Serve(s.node.inbound)}
+		s.clientServerEnded <- serveEnded{err: s.clients.Serve(s.node.inbound)}
 	}()
 }
 
@@ -209,7 +209,7 @@
 	if s.predecessor != nil {
 		s.predecessor.AnnounceServing()
 		select {
-		case <-s.predecessorKnows:
+		case <-s.predecessorAcknowledged:
 		case <-s.predecessorExited:
 		case <-time.After(handover.Timeout):
 			n.log.Warn("the predecessor does not acknowledge")
@@ -223,7 +223,7 @@
 // startAdmin starts the admin endpoint, which runs until its server is closed.
 func (s *session) startAdmin(listener net.Listener) {
 	n := s.node
-	s.admin = admin.NewServer(operatorView{n}, n.log)
+	s.admin = admin.NewServer(adminBackend{n}, n.log)
 	s.run(func() {
 		limited := newLimitedListener(listener, admin.MaxConnections, metrics.NewRecorder(nil), n.loop.decisions)
 		if err := s.admin.Serve(limited); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/node/server_conn.go
+++ b/internal/node/server_conn.go
@@ -32,9 +32,9 @@
 	replies      chan reply    // from readResponses to the attempt; has room for one
 	done         chan struct{} // closed when state becomes serverConnClosed
 
-	readMu     sync.Mutex // held during each read of the socket, until its result is recorded
-	exchange   exchangeState
-	quietSince time.Time // when the last request on the connection ended; guarded by readMu
+	readMu         sync.Mutex // held during each read of the socket, until its result is recorded
+	exchange       exchangeState
+	requestEndedAt time.Time // when the last request on the connection ended; guarded by readMu
 
 	// Guarded by pool.mu.
 	state       serverConnState
@@ -155,7 +155,7 @@
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	if c.exchange == exchangeAwaiting {
-		c.quietSince = time.Now()
+		c.requestEndedAt = time.Now()
 	}
 	c.exchange = c.exchange.transition(requestEnded)
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// frontNoticeDelay is how long the front-end load balancer still sends connections after SIGTERM.
-	frontNoticeDelay = 450 * time.Millisecond
-	// closingResponsesTime is the time after frontNoticeDelay in which every response closes its connection, but idle
+	// frontEndNoticeDelay is how long the front-end load balancer still sends connections after SIGTERM.
+	frontEndNoticeDelay = 450 * time.Millisecond
+	// closingResponsesTime is the time after frontEndNoticeDelay in which every response closes its connection, but idle
 	// connections stay open.
 	closingResponsesTime = 150 * time.Millisecond
 	// idleCloseInterval is the interval between checks for idle connections while the node is drained or shutting down.
@@ -51,10 +51,10 @@
 	return verdict == guard.Allowed
 }
 
-// closing reports whether every response has to close its connection: from frontNoticeDelay after the node was drained
-// or began to shut down, and at once if it shuts down while a successor serves.
+// closing reports whether every response has to close its connection: from frontEndNoticeDelay after the node was
+// drained or began to shut down, and at once if it shuts down while a successor serves.
 func (n *Node) closing() bool {
-	if n.lifecycle.DrainedFor() >= frontNoticeDelay {
+	if n.lifecycle.DrainedFor() >= frontEndNoticeDelay {
 		return true
 	}
 	return n.lifecycle.Current() == lifecycle.ShuttingDown && n.handover.SuccessorServes()
@@ -75,7 +75,7 @@
 		select {
 		case <-n.phaseChanges:
 		case <-ticker.C:
-			if n.lifecycle.DrainedFor() >= frontNoticeDelay+closingResponsesTime {
+			if n.lifecycle.DrainedFor() >= frontEndNoticeDelay+closingResponsesTime {
 				n.inbound.closeIdle(closingResponsesTime)
 			}
 		case <-ctx.Done():
@@ -91,11 +91,11 @@
 	n.lifecycle.Transition(lifecycle.Shutdown)
 	began, longest := time.Now(), longestDeadline(n.cfg.Settings)
 	finalResponsesAt := began.Add(min(longest, maxDeadlineBeforeKill) + killGrace - finalResponsesMargin)
-	waitUntil := began.Add(frontNoticeDelay + closingResponsesTime + longest + shutdownSlack)
+	waitUntil := began.Add(frontEndNoticeDelay + closingResponsesTime + longest + shutdownSlack)
 	if n.handover.SuccessorServes() {
 		closeSocket(n.inbound) // the successor accepts the connections in the shared queue
 	}
-	time.Sleep(frontNoticeDelay + closingResponsesTime)
+	time.Sleep(frontEndNoticeDelay + closingResponsesTime)
 	closeSocket(n.inbound)
 	<-ended
 	for open := n.inbound.openConnections(); open > 0; open = n.inbound.openConnections() {
--- a/internal/node/zone_evacuation.go
+++ b/internal/node/zone_evacuation.go
@@ -21,8 +21,8 @@
 func (l *eventLoop) logZones() {
 	l.loggedZoneTransitions = l.balancer.ZoneTransitions()
 	for _, zone := range l.balancer.Zones() {
-		was := l.loggedZones[zone.Name]
-		if was == zone.State {
+		previous := l.loggedZones[zone.Name]
+		if previous == zone.State {
 			continue
 		}
 		l.loggedZones[zone.Name] = zone.State
@@ -32,7 +32,7 @@
 		}
 		l.log.Info("zone",
 			"name", zone.Name,
-			"was", was.String(),
+			"was", previous.String(),
 			"is", zone.State.String(),
 			"evacuated_by_operator", zone.EvacuatedByOperator,
 			"share", zone.Share,
@@ -78,13 +78,13 @@
 	before, now := l.overrideExpiries, l.clock.now()
 	l.overrideExpiries = expiries
 	for _, zone := range slices.Sorted(maps.Keys(before)) {
-		if _, still := expiries[zone]; !still {
+		if _, stillInForce := expiries[zone]; !stillInForce {
 			l.log.Info("override removed", "zone", zone)
 			l.applyEvacuation(now, zone)
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(expiries)) {
-		if _, was := before[zone]; !was {
+		if _, wasInForce := before[zone]; !wasInForce {
 			l.log.Info("override in force", "zone", zone, "remaining", expiries[zone]-now)
 			l.applyEvacuation(now, zone)
 		}
--- a/internal/overrides/term.go
+++ b/internal/overrides/term.go
@@ -33,18 +33,18 @@
 // complete reports whether the promises suffice to lead. A member without a state may have restarted and lost its
 // promises and its entries, so it counts only if all members have promised.
 func (p promiseSet) complete(members []string) bool {
-	knew := 0
-	answered := 0
+	withState := 0
+	promised := 0
 	for _, member := range members {
 		knewState, ok := p[member]
 		if ok {
-			answered++
+			promised++
 		}
 		if knewState {
-			knew++
+			withState++
 		}
 	}
-	return 2*knew > len(members) || answered == len(members)
+	return 2*withState > len(members) || promised == len(members)
 }
 
 // acknowledgements maps each member to the version that it had when it last requested the leader's state.
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -136,7 +136,7 @@
 func (t *zoneTracker) countEndpoints(ready []*endpoint, now time.Duration) {
 	for _, z := range t.sorted {
 		if z.endpoints == 0 && z.state == ZoneEvacuated && !z.evacuatedByOperator {
-			t.recover(z, z.recoveryShare(), now)
+			t.advanceRecovery(z, z.recoveryShare(), now)
 		}
 		z.endpoints = 0
 	}
@@ -222,8 +222,8 @@
 	}
 }
 
-// recover gives a zone a share again, and delays the next doubling of the share.
-func (t *zoneTracker) recover(z *zone, share float64, now time.Duration) {
+// advanceRecovery gives a zone in recovery its next share, and delays the next doubling of the share.
+func (t *zoneTracker) advanceRecovery(z *zone, share float64, now time.Duration) {
 	z.waitUntil = now + recoveryStepLatencies*t.meanLatency()
 	t.transition(z, ZoneRecovering, share, now)
 }
@@ -279,9 +279,9 @@
 	case z.state == ZoneDegraded:
 		t.transition(z, ZoneServing, 1, now)
 	case z.state == ZoneEvacuated:
-		t.recover(z, z.recoveryShare(), now)
+		t.advanceRecovery(z, z.recoveryShare(), now)
 	case z.state == ZoneRecovering && now >= z.waitUntil:
-		t.recover(z, 2*z.share, now)
+		t.advanceRecovery(z, 2*z.share, now)
 	}
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -113,7 +113,7 @@
 	case RequestSent:
 		b.handleRequestSent(e)
 	case ClientDisconnected:
-		b.close(b.requests[e.ID])
+		b.markAnswered(b.requests[e.ID])
 	case ShutdownDeadline:
 		b.answer(b.requests[e.ID], guard.ProcessTerminating)
 	case ReplicaCounts:
@@ -234,7 +234,7 @@
 		if e.Result == Success && !r.answered && inTime {
 			r.class.served++
 		}
-		b.close(r)
+		b.markAnswered(r)
 	case !r.answered && r.inFlight == 0:
 		b.retryOrAnswer(r)
 	}
@@ -312,7 +312,7 @@
 	} else {
 		b.emit(Fail{ID: r.id, Reason: reason})
 	}
-	b.close(r)
+	b.markAnswered(r)
 }
 
 // retryAfter returns the wait that a rejection recommends. It is short: after a long wait, the latency
@@ -322,9 +322,9 @@
 	return min(b.settings.MaxRetryAfter, b.settings.TimerResolution)
 }
 
-// close marks a request as answered and takes it out of its queue. Its attempts in flight are not canceled,
+// markAnswered marks a request as answered and takes it out of its queue. Its attempts in flight are not canceled,
 // and count against the concurrency limit until they end, since endpoints may still be working on them.
-func (b *Balancer) close(r *request) {
+func (b *Balancer) markAnswered(r *request) {
 	if r == nil || r.answered {
 		return
 	}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -27,15 +27,15 @@
 
 // startTime returns when slow start begins for an endpoint that reports a new start time, or 0 if the endpoint
 // started long ago. Start times come from the wall clocks of other machines, which may be wrong, so times in
-// the future count as now. If the endpoint has restarted while this replica runs, its start also counts as
-// recent: no more than maxCreditedShare of slow start is over. In the first list, start times in the past are
-// used as they are, since nothing else distinguishes old endpoints from new ones.
-func (s slowStart) startTime(reported, now time.Duration, restarted bool) time.Duration {
+// the future count as now. If a list has been received before, the endpoint has started while this replica runs,
+// so its start also counts as recent: no more than maxCreditedShare of slow start is over. In the first list,
+// start times in the past are used as they are, since nothing else distinguishes old endpoints from new ones.
+func (s slowStart) startTime(reported, now time.Duration, listReceived bool) time.Duration {
 	if reported <= 0 {
 		return 0
 	}
 	earliest := time.Duration(1)
-	if restarted {
+	if listReceived {
 		credit := time.Duration(maxCreditedShare * float64(s.duration))
 		earliest = max(earliest, now-credit)
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -104,10 +104,10 @@
 	start := slowStart{duration: 8 * time.Second} // a quarter, 2 s, may be credited
 	now := time.Minute
 	for _, c := range []struct {
-		name      string
-		stamp     time.Duration
-		restarted bool
-		want      time.Duration
+		name         string
+		stamp        time.Duration
+		listReceived bool
+		want         time.Duration
 	}{
 		{"started long ago", 0, true, 0},
 		{"first list", 10 * time.Second, false, 10 * time.Second},
@@ -116,7 +116,7 @@
 		{"while the replica runs, too long ago", 10 * time.Second, true, now - 2*time.Second},
 		{"while the replica runs, in the future", time.Hour, true, now},
 	} {
-		if got := start.startTime(c.stamp, now, c.restarted); got != c.want {
+		if got := start.startTime(c.stamp, now, c.listReceived); got != c.want {
 			t.Errorf("%s: slow start begins at %v, want %v", c.name, got, c.want)
 		}
 	}
