--- a/cmd/balancer-testbed/capacity.go
+++ b/cmd/balancer-testbed/capacity.go
@@ -107,7 +107,7 @@
 	results   chan testbed.ArrivalResult
 	recorded  chan struct{} // closed when all results have been recorded
 	startedAt time.Time
-	cpu       time.Duration // processor time of this process during the load; before stop: at its start
+	cpu       time.Duration // processor time of this process during the load; until stop is called, its value at the start
 	elapsed   time.Duration
 }
 
--- a/cmd/balancer-testbed/main.go
+++ b/cmd/balancer-testbed/main.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// execute runs the command of the command line and returns the exit code.
+// execute runs the command that the command line names and returns the exit code.
 func execute() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/balancer-testbed/mesh.go
+++ b/cmd/balancer-testbed/mesh.go
@@ -60,7 +60,7 @@
 	return c
 }
 
-// meshScenario runs one scenario with all seeds and prints its rows. It reports bad if a run failed or had two
+// meshScenario runs one scenario with all seeds and prints its rows. bad reports whether a run failed or had two
 // majorities.
 func meshScenario(
 	ctx context.Context,
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -31,7 +31,7 @@
 // run starts the node and serves until SIGTERM, SIGINT or an error.
 func run() error {
 	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // first of all, because an unhandled SIGHUP would end the program
+	signal.Notify(reload, syscall.SIGHUP) // before anything else, because an unhandled SIGHUP would end the program
 	path := os.Getenv("ROUTER_CONFIG")
 	config, err := node.RetryOnShortage(context.Background(), func() (node.Config, error) { return node.LoadConfig(path) })
 	if err != nil {
--- a/internal/admin/endpoint.go
+++ b/internal/admin/endpoint.go
@@ -38,7 +38,7 @@
 	EvacuateZone(name string, evacuate, force bool) (status int, ok bool)
 	// Members returns the JSON form of the fleet's members; the bool is false if there is no membership.
 	Members() ([]byte, bool)
-	// Overrides returns the handler of the calls under OverridesPath, nil if the node has no overrides.
+	// Overrides returns the handler of calls to OverridesPath and below, or nil if the node has no overrides.
 	Overrides() http.Handler
 }
 
--- a/internal/admin/zones.go
+++ b/internal/admin/zones.go
@@ -19,7 +19,7 @@
 	Share               float64       `json:"share"`   // fraction of the draws of its endpoints that are accepted
 	InState             time.Duration `json:"age_ns"`  // time since the last change of the state
 	Endpoints           int           `json:"servers"` // endpoints in service
-	Unresponsive        int           `json:"silent"`  // those in service whose last several attempts got no response
+	Unresponsive        int           `json:"silent"`  // endpoints in service whose last several attempts got no response
 	InFlight            int           `json:"out"`     // attempts of this node
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,7 +23,7 @@
 
 // Mesh configures membership.
 type Mesh struct {
-	Listen        string            `toml:"listen"` // address for UDP and TCP, under which other nodes know this one
+	Listen        string            `toml:"listen"` // address for UDP and TCP, announced to the other nodes
 	Seeds         []string          `toml:"seeds"`  // NAME=ADDRESS of the initial members; the same on all nodes
 	DialAddresses map[string]string `toml:"dial"`   // by member; used by this process in place of the member's own address
 	ProbeInterval time.Duration     `toml:"probe"`  // between two probes; default: defaultProbeInterval
--- a/internal/metrics/decisions.go
+++ b/internal/metrics/decisions.go
@@ -41,7 +41,7 @@
 const (
 	CloseIdle     CloseCause = iota // no request within the idle timeout
 	CloseSlowHead                   // the head of a request was not complete in time
-	CloseEvicted                    // the connection limit was reached; this one had been without a request for longest
+	CloseEvicted                    // the connection limit was reached; this connection had been idle for longest
 	CloseShutdown                   // the node is draining or shutting down
 	numberOfCloseCauses
 )
@@ -65,7 +65,7 @@
 type Decisions struct {
 	log            *slog.Logger
 	decisionLimit  *rate.Limiter
-	violationLimit *rate.Limiter // separate, so that other lines do not suppress violations
+	violationLimit *rate.Limiter // separate, so that other lines do not use up the limit for violations
 
 	attemptsNotSent     verdictCounters
 	requestsRejected    verdictCounters // rejected or failed by the policy
@@ -138,8 +138,8 @@
 }
 
 // UnexpectedResponse counts and logs bytes that an endpoint sent without a request. An endpoint that responds twice may
-// earlier have sent its second response after the next request was written to that connection: the client of that
-// request then got the response of another.
+// earlier have sent its second response after the next request was written to that connection. The client of that next
+// request then got the response to the previous one.
 func (d *Decisions) UnexpectedResponse(endpoint string) {
 	d.unexpectedResponses.Add(1)
 	d.logLimited(d.decisionLimit, slog.LevelWarn, "unexpected response", "server", endpoint)
--- a/internal/metrics/recorder.go
+++ b/internal/metrics/recorder.go
@@ -124,7 +124,7 @@
 	r.lastInvalidReason = reason
 }
 
-// CountResponse counts the final response to a request by class and status, and those of requests without any attempt.
+// CountResponse counts the final response to a request by class and status, and separately if there was no attempt.
 func (r *Recorder) CountResponse(class string, status, attempts int) {
 	r.Update(func(c *Counters) {
 		switch status {
--- a/internal/simulator/decoder.go
+++ b/internal/simulator/decoder.go
@@ -14,8 +14,8 @@
 const (
 	readBufferBytes  = 1 << 20
 	maxEndpointLists = 16 // endpoint lists that the input may define
-	maxQuotedBytes   = 40 // of the input, in an error
-	noInstance       = -1 // the instance before a batch has selected one
+	maxQuotedBytes   = 40 // maximum length of input that an error quotes
+	noInstance       = -1 // value of Decoder.instance until a batch selects an instance
 )
 
 // Decoder decodes the simulator's messages one at a time.
@@ -23,7 +23,7 @@
 	reader   *bufio.Reader
 	line     int // number of the last line that was read
 	inBatch  bool
-	instance int                                 // to which the following lines belong
+	instance int                                 // instance to which the following lines belong
 	lists    [maxEndpointLists][]policy.Endpoint // by the number that the input gave them
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// inputError returns the error that Next reports for an error of readLine.
+// inputError returns the error that Next returns for an error of readLine.
 func (d *Decoder) inputError(err error) error {
 	switch {
 	case errors.Is(err, io.EOF) && !d.inBatch:
--- a/internal/simulator/encoder.go
+++ b/internal/simulator/encoder.go
@@ -14,7 +14,7 @@
 type Encoder struct {
 	writer   io.Writer
 	reply    []byte // the reply to the current batch
-	instance int    // to which the last line belongs
+	instance int    // instance to which the last line belongs
 }
 
 // NewEncoder returns an Encoder that writes to writer.
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -7,7 +7,7 @@
 	"keelusher/policy"
 )
 
-// decodeEvent decodes a line that carries an event. An error is stored in v.
+// decodeEvent decodes a line with an event. An error is stored in v.
 func (d *Decoder) decodeEvent(v *values) policy.Event {
 	switch v.word {
 	case wordEndpointUpdate:
--- a/internal/simulator/protocol.go
+++ b/internal/simulator/protocol.go
@@ -125,7 +125,7 @@
 	"void":        policy.NotSent,
 }
 
-// MessageKind says what a Message carries.
+// MessageKind is the kind of a Message, which determines the fields that are set.
 type MessageKind int
 
 // Kinds of messages.
--- a/internal/simulator/values.go
+++ b/internal/simulator/values.go
@@ -10,8 +10,8 @@
 	"keelusher/policy"
 )
 
-// maxNumber is the largest absolute value of a time in milliseconds and of a reported load, so that it fits into a
-// time.Duration.
+// maxNumber is the largest absolute value allowed for a time in milliseconds, so that the time fits into a
+// time.Duration, and for a reported load.
 const maxNumber = 1e12
 
 // values parses the values of one line by position, and keeps the first error.
--- a/internal/testbed/attempt_checks.go
+++ b/internal/testbed/attempt_checks.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	lateSendTolerance  = 100 * time.Millisecond // of an attempt after its client disconnected
-	budgetTolerance    = 150 * time.Millisecond // of the budget that a server is given
-	linkFaultCarryOver = 2 * time.Second        // attempts that a link fault delayed arrive within this time after it
+	lateSendTolerance  = 100 * time.Millisecond // for an attempt that arrives after its client disconnected
+	budgetTolerance    = 150 * time.Millisecond // by which a server's budget may exceed the client's time
+	linkFaultCarryOver = 2 * time.Second        // attempts that a link fault delayed arrive within this time after its end
 )
 
-// sender holds what the sender header of a request says: the node that the client wrote the request to, and the number
-// of that write. Nodes pass the header on to servers.
+// sender is the decoded sender header of a request: the node that the client wrote the request to, and the number of
+// that write. Nodes pass the header on to servers.
 type sender struct {
 	node        string
 	writeNumber int
@@ -26,7 +26,7 @@
 	budget     time.Duration // from its X-Budget header
 }
 
-// verdict says what a server does with an attempt.
+// verdict is what a server must do with an attempt.
 type verdict int
 
 const (
@@ -69,7 +69,7 @@
 	return v, rec.node, rec.attempts
 }
 
-// addAttempt counts an attempt, also as an execution until its server reports that it did not run.
+// addAttempt counts an attempt. The attempt also counts as an execution, until its server reports that it did not run.
 func (rec *record) addAttempt(at time.Duration) {
 	rec.attempts++
 	if rec.executions == 0 {
@@ -78,8 +78,8 @@
 	rec.executions++
 }
 
-// checkForwardedUnread reports an attempt of a request whose connection the node had closed without an answer, which
-// tells the client that the request was not read and may be sent again.
+// checkForwardedUnread reports an attempt of a request whose connection the node had closed without an answer. Such a
+// close tells the client that the request was not read and may be sent again.
 func (r *Checker) checkForwardedUnread(a arrivedAttempt, rec *record) {
 	if a.from.writeNumber == 0 || a.from.writeNumber > rec.retractedWrite {
 		return
@@ -114,7 +114,8 @@
 }
 
 // checkDraining reports an attempt that arrived too long after its node was notified that the server is draining or
-// removed. A node that was paused is not excused: it has to read the notifications that came meanwhile before it sends.
+// removed. A node that was paused is not excused: it has to read the notifications that arrived
+// meanwhile before it sends an attempt.
 func (r *Checker) checkDraining(a arrivedAttempt, node string) {
 	r.mu.Lock()
 	at, notified := r.drainNotifiedAt[nodeAndServer{node, a.server}]
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -13,7 +13,7 @@
 
 const (
 	recordShards = 64
-	maxFindings  = 1000 // findings kept; further ones are only counted
+	maxFindings  = 1000 // findings that are stored; further ones are only counted
 	bodySalt     = 0x9e3779b97f4a7c15
 )
 
@@ -46,8 +46,8 @@
 // record holds what is known of one request.
 type record struct {
 	class          string
-	node           string        // that the request was last written to
-	writes         int           // how often it was written: again if a node closed the connection without reading it
+	node           string        // to which the request was last written
+	writes         int           // number of writes: a request that a node closed unread is written again
 	retractedWrite int           // number of the last write that was retracted
 	retractedAt    time.Duration // when that write was retracted
 	deadline       time.Duration // of the client
@@ -139,9 +139,8 @@
 	r.updateAccount(func(a *Account) { a.Taken++ })
 }
 
-// retractUnread marks a request as not accepted, as the node closed the connection while the request was on its way.
-// It reports whether that is possible: not if an attempt has arrived at a server, or if the node is known to have read
-// the whole request.
+// retractUnread marks a request as not accepted, because the node closed the connection before it read the request. It
+// changes nothing and returns false if an attempt has arrived at a server or the node is known to have read all of it.
 func (r *Checker) retractUnread(id string, allRead bool) (unread bool) {
 	r.withRecord(id, func(rec *record) {
 		unread = rec.attempts == 0 && !allRead
@@ -160,8 +159,8 @@
 	return unread
 }
 
-// recordAnswer records that a request was answered. With checkBody, the body of a 200 must be the one that a server
-// made for this request.
+// recordAnswer records that a request was answered. If checkBody is true, it reports a 200 whose body is not the one
+// that a server made for this request.
 func (r *Checker) recordAnswer(id string, status int, body string, checkBody bool) {
 	var foreign, node string
 	r.withRecord(id, func(rec *record) {
@@ -187,7 +186,7 @@
 }
 
 // recordUnanswered records that an accepted request will get no answer: its connection broke, or its deadline and the
-// slack have passed. That is a finding unless a fault of the test bed explains it.
+// slack have passed. It reports a finding unless a fault of the test bed excuses the loss.
 func (r *Checker) recordUnanswered(id, client, how string) {
 	var rec record
 	r.withRecord(id, func(p *record) {
@@ -227,7 +226,7 @@
 	r.addFinding(AnsweredTwice, id, node, "got an answer while none was pending: "+what)
 }
 
-// Report adds a finding that concerns no single request.
+// Report adds a finding that is not about a particular request.
 func (r *Checker) Report(rule Rule, node, detail string) { r.addFinding(rule, "", node, detail) }
 
 // recordNotRun records that a server rejected an attempt without running it, so that it does not count as an execution.
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -21,8 +21,8 @@
 	outcomeServed       outcome = iota
 	outcomeRejected             // 429 or 503
 	outcomeFailed               // any other answer, or none
-	outcomeDisconnected         // the client disconnected first
-	outcomeUnreached            // no connection came up
+	outcomeDisconnected         // the client disconnected before the answer
+	outcomeUnreached            // no connection was established
 )
 
 // String returns the name of the outcome in results.
@@ -32,10 +32,10 @@
 
 const (
 	maxAnswerDelay = 500 * time.Millisecond // a paused node may answer this long after the deadline: late, but not lost
-	pauseCarryOver = 500 * time.Millisecond // within which a node answers its pending requests after a pause
+	pauseCarryOver = 500 * time.Millisecond // after a pause, a node answers its pending requests within this time
 	maxBodySize    = 64 << 10
 	readBufferSize = 2 << 10
-	maxIdleConns   = 256             // that one client keeps
+	maxIdleConns   = 256             // per client
 	maxIdleTime    = 5 * time.Second // after which a client closes a connection instead of using it again
 	dialTimeout    = time.Second
 )
@@ -55,7 +55,7 @@
 	end        outcome
 	node       string
 	retryAfter time.Duration // from the Retry-After header; 0: there was none
-	at         time.Duration // when its last byte came, or the request ended
+	at         time.Duration // when its last byte arrived, or the request ended without one
 }
 
 // client sends requests to nodes on keep-alive connections, one request at a time on each. It opens another connection
@@ -64,7 +64,7 @@
 	testbed   *Testbed
 	name      string
 	dial      func(context.Context) (net.Conn, string, error) // connects to a node and returns the node's name
-	checkBody bool                                            // the bodies of answers must be those that servers made
+	checkBody bool                                            // whether bodies of answers must be those that servers made
 	idPrefix  string                                          // from which send derives request IDs
 
 	mu      sync.Mutex
@@ -93,14 +93,14 @@
 	retryAfter string
 	body       string
 	closing    bool // the node closes the connection after this answer
-	partial    bool // at least part of an answer came
-	allRead    bool // the connection ended, and the node had read all that was written to it
+	partial    bool // at least part of an answer arrived
+	allRead    bool // the connection ended after the node had read all bytes written to it
 	err        error
 	at         time.Duration
 }
 
-// hasPending reports whether an answer is pending. If the connection ends while none is pending, a request that is
-// written to it a moment later was not read.
+// hasPending reports whether an answer is pending. If the connection ends while none is pending, the node has not read
+// a request that is written to it a moment later.
 func (cc *clientConn) hasPending() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -284,8 +284,8 @@
 	return c.giveUp(cc, req), false
 }
 
-// giveUp closes a connection on which no answer came in time: the client disconnects, or the deadline and the slack
-// have passed.
+// giveUp closes a connection on which no answer arrived in time: either the client disconnects now, or the deadline and
+// the slack have passed.
 func (c *client) giveUp(cc *clientConn, req clientRequest) response {
 	closeQuietly(cc)
 	resp := response{node: cc.node, at: c.testbed.now(), end: outcomeDisconnected}
@@ -342,8 +342,8 @@
 }
 
 // handleConnEnd handles the end of a connection on which a request was pending. It reports whether the request may be
-// written again, as a used connection was closed while the request was on its way. If that happens on a new connection,
-// the request has failed, but is not lost.
+// written again: the node closed a reused connection before it read the request. If the node does that on a new
+// connection, the request has failed, but is not lost.
 func (c *client) handleConnEnd(cc *clientConn, req clientRequest, r connReply) (unread bool) {
 	if !r.partial && c.testbed.checker.retractUnread(req.id, r.allRead) {
 		return cc.used
--- a/internal/testbed/connection_flood.go
+++ b/internal/testbed/connection_flood.go
@@ -12,11 +12,11 @@
 // Timing of the clients of a connection flood.
 const (
 	floodSpacing  = 2 * time.Millisecond // between the starts of two clients
-	floodPause    = 2 * time.Second      // of a client between two requests, or two connections
+	floodPause    = 2 * time.Second      // between two requests, or two connections, of a client
 	headByteEvery = 200 * time.Millisecond
 	minLeaveAfter = time.Millisecond
 	maxLeaveAfter = 50 * time.Millisecond
-	requestPause  = 20 * time.Millisecond // of a persistent client
+	requestPause  = 20 * time.Millisecond // between two requests of a persistent client
 )
 
 // incompleteHead is what a client that never completes a request head sends, byte by byte.
@@ -52,9 +52,9 @@
 	c.do(ctx, req)
 }
 
-// startPersistentClients starts clients that send one request after another to a node, each on a connection of its own
-// for as long as that stays open, and returns once the first request of each has ended. stop waits for the requests in
-// flight to end as usual, and ends the clients.
+// startPersistentClients starts clients that send one request after another to a node. Each client reuses one
+// connection for as long as the node keeps it open. The function returns once the first request of each client has
+// ended. stop ends the clients after their requests in flight have ended.
 func (tb *Testbed) startPersistentClients(ctx context.Context, n *Node, count int) (stop func()) {
 	sending, cancel := context.WithCancel(ctx)
 	var all, connected sync.WaitGroup
@@ -80,8 +80,9 @@
 	}
 }
 
-// runConnectionFlood opens many connections to a node and keeps them busy for a while. Of five clients, three pause
-// between requests, one never completes a request head, and one disconnects 1 to 50 ms after it has sent a request.
+// runConnectionFlood runs count clients, each with one connection at a time to a node, for the time lasts. Of five
+// clients, three pause between requests, one never completes a request head, and one disconnects 1 to 50 ms after it
+// has sent a request.
 func (tb *Testbed) runConnectionFlood(ctx context.Context, n *Node, count int, lasts time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, lasts)
 	defer cancel()
@@ -109,13 +110,13 @@
 	}
 }
 
-// runIntermittentClient sends requests on one connection with a pause between them. With leaveAfter it disconnects that
-// long after it has sent each request.
+// runIntermittentClient sends requests on one connection with a pause between them. If leaveAfter is above 0, it
+// disconnects that long after it has sent each request.
 func (tb *Testbed) runIntermittentClient(ctx context.Context, n *Node, name string, leaveAfter time.Duration) {
 	c := tb.nodeClient(n, name)
 	defer c.close()
 	for number := 0; ctx.Err() == nil; number++ {
-		// The end of the flood does not cancel a request, so that the checker can hold it to its own deadline.
+		// The end of the flood does not cancel a request, so that the checker still applies the request's own deadline.
 		c.send(context.WithoutCancel(ctx), number, leaveAfter)
 		if !sleep(ctx, floodPause) {
 			return
--- a/internal/testbed/corrupt_response.go
+++ b/internal/testbed/corrupt_response.go
@@ -11,9 +11,10 @@
 	maxCloseDelay     = 20 * time.Millisecond // from a complete answer to the close of its connection
 )
 
-// writeCorruptResponse writes an answer in one of three faulty ways, which the request's random number selects: twice;
-// only its first half, without a Content-Length and followed by a reset; or complete, with a close of the connection
-// shortly after it, when the next request may already be on its way. The connection ends in each case.
+// writeCorruptResponse writes an answer in one of three faulty ways, which a random number derived from the request ID
+// selects: the answer twice; only its first half, without a Content-Length and followed by a reset; or the complete
+// answer, followed shortly by a close of the connection, when the next request may already be on its way. In each case
+// the connection ends.
 func (s *Server) writeCorruptResponse(w http.ResponseWriter, id string) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -35,20 +35,19 @@
 }
 
 // discovery is the discovery service. It keeps a list of servers for each tier, and serves each node at a separate
-// address, since the addresses of the servers may differ between nodes. It publishes changes after
-// publishDelay.
+// address, since the addresses of the servers may differ between nodes. It publishes changes after publishDelay.
 type discovery struct {
 	testbed  *Testbed
 	callSlot chan struct{} // calls are handled one at a time
 
 	mu           sync.Mutex
 	fault        DiscoveryFault
-	publishDelay time.Duration // from a change to its publication, as the world sets it
+	publishDelay time.Duration // from a change to its publication
 	tiers        []*tierList
-	gates        []*gate               // all that were opened
+	gates        []*gate               // all gates opened so far
 	gateByNode   map[*Node]*gate       // the current address of each node
 	muteCount    int                   // number of calls of mute
-	watchStates  map[*Node]*watchState // how each node follows the list
+	watchStates  map[*Node]*watchState // state of each node's watches and polls
 }
 
 const (
@@ -59,7 +58,7 @@
 // tierList is the list of one tier with the log of its changes.
 type tierList struct {
 	seq      int64
-	logStart int64                    // sequence number at which the log starts; older lists are replaced as a whole
+	logStart int64                    // sequence number at which the log starts; a node with an older list gets all
 	hosts    map[string]endpointEntry // by name
 	log      []change
 	changed  chan struct{} // closed at the next change
@@ -85,7 +84,7 @@
 	return d
 }
 
-// wakeWatches makes all watches check the list and the fault at once; d.mu is held.
+// wakeWatches makes all watches check the list and the fault at once. d.mu must be held.
 func (d *discovery) wakeWatches() {
 	for _, t := range d.tiers {
 		close(t.changed)
@@ -127,7 +126,7 @@
 }
 
 // updateSince returns the update for a node that has the list with sequence number from: the changes since then, or the
-// complete list if from is not in the log; d.mu is held.
+// complete list if from is not in the log. d.mu must be held.
 func (t *tierList) updateSince(from int64) endpointUpdate {
 	update := endpointUpdate{Seq: t.seq, Hosts: []endpointEntry{}}
 	if from <= 0 || from > t.seq || from < t.logStart {
@@ -238,8 +237,8 @@
 	d.write(n, w, update, fault)
 }
 
-// acquireCallSlot waits while another call is handled, then for the duration of one call. It returns false if the
-// caller has disconnected, or has waited for the world's limit and was answered with 503.
+// acquireCallSlot waits until no other call is handled, and then for the duration of one call. It returns false if the
+// caller has disconnected, or if it answered the caller with 503 because the wait exceeded DiscoverySpec.MaxLag.
 func (d *discovery) acquireCallSlot(w http.ResponseWriter, r *http.Request) bool {
 	wait := time.NewTimer(d.testbed.world.Discovery.MaxLag)
 	defer wait.Stop()
@@ -261,8 +260,8 @@
 	trickleSpacing = 100 * time.Millisecond // interval between two spaces
 )
 
-// watch answers a watch: it writes the changes since from, then each change at once, and empty lines while there is
-// none.
+// watch serves a watch: it writes the changes since from, then each further change as it is published, and empty lines
+// while there are no changes.
 func (d *discovery) watch(n *Node, w http.ResponseWriter, r *http.Request, from int64, state *watchState) {
 	flush := http.NewResponseController(w)
 	idle := time.NewTicker(watchIdleLine)
@@ -288,7 +287,7 @@
 				return
 			}
 		}
-		from = max(next.update.Seq, 1) // from 0, each update would be the complete list
+		from = max(next.update.Seq, 1) // at 0, each update would be the complete list
 		select {
 		case <-next.changed:
 		case <-idle.C:
@@ -311,7 +310,7 @@
 	mute    bool // the watch must send nothing from now on
 }
 
-// nextUpdate returns what a watch is to send next, and records since when it is silent.
+// nextUpdate returns what a watch is to send next. If the watch falls silent now, it records the time.
 func (d *discovery) nextUpdate(n *Node, from int64, muteCount int, state *watchState) watchUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -346,10 +345,10 @@
 		text, err = json.MarshalIndent(update, "", "  ")
 	}
 	if err != nil {
-		panic(err) // cannot happen: the values are plain data
+		panic(err) // cannot happen: endpoint updates can always be encoded
 	}
 	if fault.Cut {
-		_, _ = w.Write(text[:len(text)/2]) // the connection is aborted next in any case
+		_, _ = w.Write(text[:len(text)/2]) // an error does not matter: the connection is aborted next
 		panic(http.ErrAbortHandler)
 	}
 	if _, err := w.Write(append(text, '\n')); err != nil {
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -23,7 +23,7 @@
 	World    testbed.World   `toml:"world"`
 	Load     testbed.Load    `toml:"load"`
 	Faults   []testbed.Fault `toml:"fault"`
-	Variants []Variant       `toml:"variant"` // default: one, named "base"
+	Variants []Variant       `toml:"variant"` // default: one variant named "base"
 }
 
 // Variant is a way to run the nodes. The others are compared with the first one.
@@ -33,7 +33,7 @@
 	Args   []string `toml:"args"`
 	Env    []string `toml:"env"` // NAME=value
 
-	Fleet testbed.Tables `toml:"fleet"` // replaces the world's fleet configuration; {} means none
+	Fleet testbed.Tables `toml:"fleet"` // replaces the world's fleet configuration; {}: the nodes have none
 }
 
 const (
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -30,8 +30,8 @@
 
 const maxLineSize = 4 << 20
 
-// Read reads a results file. It ignores an invalid last line, as a crash leaves it; the error for any other invalid
-// line has the line's number.
+// Read reads a results file. It ignores an invalid last line, which a crash during a write leaves; the error for any
+// other invalid line contains the line's number.
 func Read(path string) (*Results, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -254,7 +254,7 @@
 	return strings.Join(all, ", ")
 }
 
-// writeTable writes a Markdown table; rows calls row for each row.
+// writeTable writes a Markdown table with the header head. rows must call its argument once for each row of the table.
 func writeTable(b *strings.Builder, head []string, rows func(row func(...any))) {
 	fmt.Fprintf(b, "| %s |\n|%s\n", strings.Join(head, " | "), strings.Repeat(" --- |", len(head)))
 	rows(func(cells ...any) {
@@ -298,8 +298,8 @@
 	color.RGBA{0x7a, 0x7a, 0x7a, 255},
 }
 
-// line adds a line to a plot: a value of a variant's windows over time, as the mean over its runs. Void windows and
-// those for which of returns false are left out.
+// line adds a line to a plot: the value that of returns for a variant's windows over time, as the mean over the runs.
+// Void windows and those for which of returns false are left out.
 func (r *Results) line(p *plot.Plot, variant, name string, n int, of func(Window) (v float64, ok bool)) error {
 	sums, counts := map[float64]float64{}, map[float64]int{}
 	for _, w := range r.Windows {
--- a/internal/testbed/experiment/runner.go
+++ b/internal/testbed/experiment/runner.go
@@ -43,8 +43,8 @@
 	P99            float64        `json:"p99_ms"`
 	Attempts       int64          `json:"attempts"` // that reached servers, at all tiers
 	CrossZone      int64          `json:"crossed"`  // attempts that went to another zone
-	CPU            float64        `json:"cpu"`      // cores, all nodes together
-	MaxCPU         float64        `json:"most_cpu"` // cores, the busiest node
+	CPU            float64        `json:"cpu"`      // cores used by all nodes together
+	MaxCPU         float64        `json:"most_cpu"` // cores used by the busiest node
 	MaxRSS         float64        `json:"most_rss_mb"`
 	MaxFiles       int            `json:"most_files"`
 }
@@ -93,20 +93,20 @@
 	File     *File
 	Binary   string
 	Out      io.Writer           // receives the results as JSON lines
-	Progress func(string)        // is called often with a text about the progress of the run
-	Done     func(Key, *Summary) // is called with the summary of each run that ended
+	Progress func(string)        // called frequently with a text about the progress of the run
+	Done     func(Key, *Summary) // called with the summary of each run that ended
 
 	mu sync.Mutex
 }
 
 // Run runs all variants with all seeds. If ctx ends, it writes the results of the interrupted run so far and returns
-// an error that wraps ctx's.
+// an error that wraps the error of ctx.
 func (r *Runner) Run(ctx context.Context) error {
 	runs := 0
 	for _, seed := range r.File.Seeds {
 		for repeat := range r.File.Repeat {
 			for i := range r.File.Variants {
-				v := r.File.Variants[(i+repeat+runs)%len(r.File.Variants)] // so that no variant always runs first
+				v := r.File.Variants[(i+repeat+runs)%len(r.File.Variants)] // rotated, so that none always runs first
 				s, err := r.runOnce(ctx, v, seed, repeat)
 				if s != nil && r.Done != nil {
 					r.Done(s.Key, s)
@@ -149,7 +149,7 @@
 // runRecord collects the results of a run.
 type runRecord struct {
 	key     Key
-	began   time.Duration // on the testbed's clock
+	began   time.Duration // on the test bed's clock
 	mu      sync.Mutex
 	windows []Window
 	hists   []*hdrhistogram.Histogram
--- a/internal/testbed/experiment/statistics.go
+++ b/internal/testbed/experiment/statistics.go
@@ -55,8 +55,7 @@
 	return d
 }
 
-// medianAndWorst returns the median and the worst of some values. The worst is the lowest if low is true, else the
-// highest.
+// medianAndWorst returns the median and the worst of x. The worst value is the lowest if low is true, else the highest.
 func medianAndWorst(x []float64, low bool) (median, worst float64) {
 	if len(x) == 0 {
 		return 0, 0
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -50,19 +50,19 @@
 //
 // Kinds that name Target, a pattern of nodes ("n1", "n*", "n@front-?"), servers ("rooms-*") or zones:
 //
-//	kill      SIGKILL a node; started again after For (0: never)
+//	kill      SIGKILL a node; it is started again after For (0: never)
 //	term      SIGTERM a node; started again For after its process has exited. Clients, each on one persistent
 //	          connection, send requests to it until then
 //	stop      SIGSTOP a node for For
-//	hold      SIGSTOP a node for For, 20 to 150 ms, Pick times in a row, as on a slow machine: requests that fail
-//	          meanwhile still count as findings
+//	hold      SIGSTOP a node for For (20 to 150 ms), Pick times in a row, as on a slow machine; requests that the
+//	          node loses meanwhile are findings
 //	signals   send a node Signals at intervals of Gap; with SIGTERM among them, it ends and starts again as with term.
 //	          A SIGSTOP among them counts as a hold
 //	reload    move a node's discovery to another address and send SIGHUP
 //	peers     Pick improper clients connect to a node; they stop in the middle of a request, stay idle or flood the node
 //	crowd     Pick clients take up the connections of a node for For: proper clients that stay idle, proper clients that
 //	          disconnect, and clients that never complete the head of a request
-//	crash     kill a server and its node; started again, in slow start, after For (0: never)
+//	crash     kill a server and its node; both are started again after For (0: never), the server in slow start
 //	slow      a server takes Factor times as long for its work
 //	errors    a server answers a Share of its requests with 500
 //	hang      a server accepts requests and answers none
@@ -83,7 +83,7 @@
 //	reset     every connection from From to To is reset, once
 //
 // Kinds that apply to discovery: disc_down, disc_fail, disc_slow (by Delay), disc_dumb, disc_trickle, disc_cut and
-// disc_indent set the fields of DiscoveryFault. Two kinds happen once: disc_mute (open watches send nothing any more)
+// disc_indent set the fields of DiscoveryFault. Two kinds happen once: disc_mute (open watches send nothing further)
 // and disc_renumber (discovery restarts with other sequence numbers: higher ones if Factor is above 1, else from 1).
 type Fault struct {
 	Kind   FaultKind     `toml:"kind"`
@@ -91,7 +91,7 @@
 	For    time.Duration `toml:"for"`
 	Jitter time.Duration `toml:"jitter"`
 	Target string        `toml:"target"`
-	Pick   int           `toml:"pick"`  // number of matching targets to draw, unless Kind counts others; 0: all
+	Pick   int           `toml:"pick"`  // number of matching targets to draw (some kinds: of clients or pauses); 0: all
 	Every  time.Duration `toml:"every"` // interval between the starts at two targets
 	From   string        `toml:"from"`
 	To     string        `toml:"to"`
--- a/internal/testbed/fault_handlers.go
+++ b/internal/testbed/fault_handlers.go
@@ -20,7 +20,7 @@
 		}
 		report(tb.now()-started, s.String())
 		running.Add(1)
-		go func() { // some steps take until a node is ready again
+		go func() { // some steps last until a node is ready again
 			defer running.Done()
 			if err := tb.Apply(ctx, s); err != nil && ctx.Err() == nil {
 				report(tb.now()-started, fmt.Sprintf("%s: %v", s, err))
@@ -252,12 +252,13 @@
 		if err := n.Start(); err != nil {
 			return err
 		}
-		tb.startGoroutine(func() { _ = n.AwaitReady(ctx) }) // a node that does not become ready gets no clients
+		tb.startGoroutine(func() { _ = n.AwaitReady(ctx) }) // on an error the node gets no clients: it is not ready
 	}
 	return nil
 }
 
-// loseServer makes a server silent and stops its node. Discovery removes the server after late plus its own delay.
+// loseServer makes a server silent and stops its node. Discovery removes the server after the time late plus its own
+// publication delay.
 func (tb *Testbed) loseServer(server *Server, late time.Duration) {
 	server.setSilent(true)
 	if server.node != nil {
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -12,7 +12,7 @@
 const (
 	pollInterval  = 100 * time.Millisecond
 	readyTimeout  = time.Second
-	notReadyDelay = 200 * time.Millisecond // for which a node that is not ready any more still gets new connections
+	notReadyDelay = 200 * time.Millisecond // how long a node still gets new connections after it is no longer ready
 )
 
 // front spreads the clients' connections over the nodes of their zone, or over all nodes if their zone has none that is
@@ -57,7 +57,7 @@
 	f.owned.Wait()
 }
 
-// watch polls one node until ctx ends.
+// watch polls /ready of one node until ctx ends.
 func (f *front) watch(ctx context.Context, n *Node) {
 	client := &http.Client{
 		Timeout: readyTimeout,
@@ -100,7 +100,7 @@
 	}
 }
 
-// checkReady asks a node whether it is ready for clients; answered reports whether it answered at all.
+// checkReady requests /ready of a node. yes reports whether the node answered 200, answered whether it answered at all.
 func checkReady(ctx context.Context, client *http.Client, addr string) (yes, answered bool) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/ready", nil)
 	if err != nil {
@@ -165,5 +165,5 @@
 	}
 }
 
-// clientsOf returns the name of the clients of a zone as an end of links.
+// clientsOf returns the name under which links and faults refer to the clients of a zone.
 func clientsOf(zone string) string { return "clients-" + zone }
--- a/internal/testbed/gate.go
+++ b/internal/testbed/gate.go
@@ -13,8 +13,8 @@
 
 const (
 	gateOpen   gateMode = iota
-	gateRefuse          // as after the exit of a process: connections are refused at once
-	gateSilent          // as if the machine had vanished: connection attempts time out, and open connections are silent
+	gateRefuse          // connections are refused at once, as after the exit of a process
+	gateSilent          // connection attempts time out and open connections stall, as if the machine were off the network
 )
 
 const backlog = 512 // length of the accept queue while the gate is open
@@ -47,7 +47,7 @@
 	return g, nil
 }
 
-// listen opens the listener and starts to accept connections; g.mu is held, or the gate is new.
+// listen opens the listener and starts to accept connections. g.mu must be held unless the gate is new.
 func (g *gate) listen() error {
 	listener, err := net.Listen("tcp", g.addr)
 	if err != nil {
@@ -67,7 +67,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // the deadline of a silent gate, or no file descriptor is free for now
+		if err != nil { // the deadline that a silent gate sets, or a temporary lack of file descriptors
 			g.mu.Lock()
 			unsilenced := g.unsilenced
 			g.mu.Unlock()
@@ -280,13 +280,13 @@
 	return err
 }
 
-// reset closes the connection so that the peer sees a reset.
+// reset closes the connection with a TCP reset.
 func (c *gatedConn) reset() {
 	reset(c.Conn)
 	closeQuietly(c)
 }
 
-// reset closes a connection so that the peer sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // fails only on a closed connection
--- a/internal/testbed/improper_clients.go
+++ b/internal/testbed/improper_clients.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	improperClientTimeout = 3 * time.Second // within which a node must send an improper client an error, or close
+	improperClientTimeout = 3 * time.Second // limit for a node to send an error or close the connection
 	improperClientSpacing = 2 * time.Millisecond
 	// a node whose system calls are traced by a shim may accept a connection this much later
 	shimDelay = time.Second
@@ -25,7 +25,7 @@
 	staysConnected bool
 }
 
-// improperRequests returns all kinds. None is a complete request, so nothing of them may reach a server.
+// improperRequests returns one request of each kind. None is complete, so a node must forward none of them to a server.
 func improperRequests(class string) []improperRequest {
 	head := "POST /api HTTP/1.1\r\nHost: s\r\nX-Call-Id: improper\r\nX-Call-Class: " + class + "\r\nX-Budget: 5000m\r\n"
 	return []improperRequest{
--- a/internal/testbed/intervals.go
+++ b/internal/testbed/intervals.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// intervals records when the test bed itself disturbed each part of the world, so that the checker does not blame a
-// node for the effects. Parts are named as in faults; a link is FROM->TO.
+// intervals records when the test bed itself disturbed each part of the world, so that the checker reports no findings
+// for the effects. Parts are named as in faults; a link is FROM->TO.
 type intervals struct {
 	mu     sync.Mutex
 	byPart map[string][]interval
--- a/internal/testbed/lateness.go
+++ b/internal/testbed/lateness.go
@@ -9,14 +9,15 @@
 
 const (
 	latenessInterval = 10 * time.Millisecond
-	voidLateness     = 25 * time.Millisecond // half of the slack of the rules; a later test bed proves nothing
+	voidLateness     = 25 * time.Millisecond // half of the slack of the rules; beyond it a finding proves nothing
 )
 
 // nodeHTTPClient is the HTTP client for the readiness and admin endpoints of nodes.
 var nodeHTTPClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 
-// lateness records how late this process itself is, measured by a timer every 10 ms and by when arrivals are sent.
+// lateness records the scheduling delay of this process, measured with a timer every 10 ms and by how late arrivals are
+// sent.
 type lateness struct {
 	mu    sync.Mutex
 	worst map[int64]time.Duration // by second of the test bed's clock
--- a/internal/testbed/link_condition.go
+++ b/internal/testbed/link_condition.go
@@ -17,7 +17,7 @@
 	Dup     float64       // share of datagrams that are delivered twice
 	Reorder float64       // share of datagrams that are delivered after the next one
 	Rate    int           // bytes per second of a connection, sent in small pieces; 0: no limit
-	Cut     bool          // nothing is delivered, and no error is seen
+	Cut     bool          // nothing is delivered, and neither side gets an error
 }
 
 // direction is one direction of the traffic between two parts. Its condition can change at any time.
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -15,7 +15,7 @@
 }
 
 // hasProxy reports whether the link between two parts has a proxy, by the patterns of World.Links. A pattern applies to
-// both orders of the parts.
+// the link in both directions.
 func (tb *Testbed) hasProxy(from, to string) bool {
 	for _, p := range tb.world.Links {
 		a, b, _ := strings.Cut(p, "->")
@@ -44,7 +44,7 @@
 	if tb.tcpLinks[key] == nil {
 		link, err := newTCPLink(tb.linkIP()+":0", target, tb.directionLocked(from, to), tb.directionLocked(to, from))
 		if err != nil {
-			return target // no free port or file descriptor: a fault of this link alone then fails with errNoLink
+			return target // no free port or file descriptor: a fault that matches only this link then fails with errNoLink
 		}
 		tb.tcpLinks[key] = link
 	}
@@ -61,8 +61,8 @@
 	return tb.linkAddr(n.name, name, tb.servers[name].gate.addr)
 }
 
-// setLinkModes sets how the links to a part treat new connections, so that their proxies refuse them when the part
-// does.
+// setLinkModes sets how the links to a part treat new connections, so that the proxies refuse connections while the
+// part refuses them.
 func (tb *Testbed) setLinkModes(name string, mode gateMode) {
 	tb.mu.Lock()
 	var to []*tcpLink
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -12,23 +12,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load describes the load of clients. It is an open-loop load: arrivals are a Poisson process that does not wait for
-// answers.
+// Load describes an open-loop load of clients: arrivals are a Poisson process and do not wait for answers.
 type Load struct {
 	Rate    float64   `toml:"rate"`    // arrivals a second over all zones, without retries
 	ByZone  []float64 `toml:"by_zone"` // shares of the zones; default: even
 	Bursts  []Burst   `toml:"burst"`   // periods with another rate
-	Retries int       `toml:"retries"` // limit of a client's retries
+	Retries int       `toml:"retries"` // maximum number of retries of a client
 	// mean wait before a retry, drawn uniformly from 0.5 to 1.5 times this; default 200 ms
 	Backoff time.Duration `toml:"backoff"`
-	// smallest share of the deadline after which a client gives up an attempt; default 0.7
+	// minimum share of the deadline after which a client's attempt times out; default 0.7
 	Patience             float64 `toml:"patience"`
 	EarlyDisconnectShare float64 `toml:"impatient"` // share of clients that disconnect early
-	// limit of clients in flight; arrivals beyond it are not sent and void the window; default 20,000
+	// limit on concurrent clients; arrivals beyond it are not sent and make the window void; default 20,000
 	MaxInFlight int `toml:"most_flight"`
 }
 
-// Burst multiplies the rate by Factor, from At on, for the time For.
+// Burst multiplies the rate by Factor from the time At for the duration For.
 type Burst struct {
 	At     time.Duration `toml:"at"`
 	For    time.Duration `toml:"for"`
@@ -72,7 +71,7 @@
 	Class           int
 	Tenant          int // -1: the world has no tenants
 	Zone            int
-	Patience        float64 // share of the deadline after which the client gives up an attempt
+	Patience        float64 // share of the deadline after which the client's attempt times out
 	DisconnectAfter float64 // share of the deadline after which the client disconnects; 0: it stays
 	OverQuota       bool    // exceeds its tenant's quota in that second
 }
@@ -163,8 +162,8 @@
 	EndLate         = "late"      // served, but not within the latency objective
 	EndRejected     = "refused"   // 429 or 503
 	EndFailed       = "failed"    // any other answer, or none
-	EndDisconnected = "left"      // the client disconnected first
-	EndUnreached    = "unreached" // no connection came up
+	EndDisconnected = "left"      // the client disconnected before the answer
+	EndUnreached    = "unreached" // no connection was established
 	EndUnsent       = "unsent"    // Load.MaxInFlight clients were in flight
 )
 
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -31,7 +31,7 @@
 	discovery      string // address of discovery, or of its proxy
 	process        *process
 	starts         int         // number of starts of the process
-	paused         atomic.Bool // the testbed has ever stopped or paused a process of the node
+	paused         atomic.Bool // the test bed has ever stopped or paused a process of the node
 	wasReady       atomic.Bool // the present process has been ready
 }
 
@@ -50,12 +50,12 @@
 // NodeOf returns the name of the node that belongs to a server and sends the server's requests to the next tier.
 func NodeOf(server string) string { return "n@" + server }
 
-// newNode adds a node and its directory to the testbed, and opens its address of discovery. It does not start the
-// process.
+// newNode adds a node and its directory to the test bed, and opens the node's address of discovery. It does not
+// start the process.
 func (tb *Testbed) newNode(name, zone string, tier, index int) (*Node, error) {
 	i := len(tb.orderedNodes)
 	if i >= maxNodes {
-		return nil, fmt.Errorf("the testbed supports at most %d nodes", maxNodes)
+		return nil, fmt.Errorf("the test bed supports at most %d nodes", maxNodes)
 	}
 	n := &Node{
 		name:           name,
@@ -87,7 +87,7 @@
 	return n, nil
 }
 
-// command returns the command that starts the node's process, under the shim if the world has a shim spec for the node.
+// command returns the command that starts the node's process, under a shim if the world has a shim spec for the node.
 func (n *Node) command() *exec.Cmd {
 	w := &n.testbed.world
 	dir := n.process.dir
@@ -199,7 +199,7 @@
 // Starts returns how often the process was started.
 func (n *Node) Starts() int { return n.starts }
 
-// Paused reports whether the testbed has ever stopped or paused a process of the node.
+// Paused reports whether the test bed has ever stopped or paused a process of the node.
 func (n *Node) Paused() bool { return n.paused.Load() }
 
 const oldDiscoveryGrace = 1500 * time.Millisecond // from a move to the reset of the connections to the old address
@@ -221,8 +221,8 @@
 	return n.process.signal(syscall.SIGHUP)
 }
 
-// Pause stops the process for d and continues it, as a busy machine may. Unlike Stop it excuses no request that the
-// node loses.
+// Pause stops the process for d and then continues it, as a busy machine may. Unlike with Stop, requests that the node
+// loses meanwhile are findings.
 func (n *Node) Pause(d time.Duration) error {
 	n.paused.Store(true)
 	n.testbed.intervals.begin(pausedPart(n.name), n.testbed.now())
@@ -237,7 +237,7 @@
 // pausedPart returns the key of the intervals in which a node was paused.
 func pausedPart(node string) string { return "held up " + node }
 
-// Stop stops the process with SIGSTOP. Requests that it loses until Continue are excused.
+// Stop stops the process with SIGSTOP. The checker excuses requests that the node loses until Continue.
 func (n *Node) Stop() error {
 	n.paused.Store(true)
 	n.testbed.intervals.begin(n.name, n.testbed.now())
--- a/internal/testbed/notification_times.go
+++ b/internal/testbed/notification_times.go
@@ -10,8 +10,8 @@
 	lastPoll time.Duration // when it last polled, or its last watch ended
 }
 
-// notificationTime returns when a node counts, by the rules of the platform, as notified of a change that happens now,
-// if nothing is written to it before. The caller holds d.mu.
+// notificationTime returns the time from which a node counts as notified of a change that happens now, by the rules of
+// the platform. An update that is written to the node notifies it earlier. d.mu must be held.
 func (d *discovery) notificationTime(n *Node) time.Duration {
 	now, state := d.testbed.now(), d.watchStates[n]
 	switch {
--- a/internal/testbed/one_sided_scenarios.go
+++ b/internal/testbed/one_sided_scenarios.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// linkReturnInterval is the time between the return of one link and the next. It is longer than a node takes to act on
-// what it has received.
+// linkReturnInterval is the time between restoring one link and the next. It is longer than a node takes to act on a
+// received message.
 const linkReturnInterval = 150 * time.Millisecond
 
-// burstsOfLoss drops all packets for 300 ms of each 1.5 s and a tenth of them in the rest, for 30 s.
+// burstsOfLoss drops all packets for 300 ms of each 1.5 s and 10% of them in the remaining 1.2 s, for 30 s.
 func (s *scenarioRun) burstsOfLoss(ctx context.Context) error {
 	at := s.testbed.now()
 	for s.testbed.now()-at < 30*time.Second {
@@ -27,7 +27,7 @@
 }
 
 // waitUntilHealed ends the conditions of some links, records how long it takes until all nodes agree, and counts the
-// wrong removals after since, only those of the given names if there are any.
+// wrong removals after the time since. If names are given, it counts only removals of these members.
 func (s *scenarioRun) waitUntilHealed(
 	ctx context.Context,
 	from, to string,
@@ -128,8 +128,8 @@
 	return s.waitUntilHealed(ctx, "n*", "n*", at, names(s.nodes[:half])...)
 }
 
-// leaderStopped stops the leader for a while, beginning while its vote is live. For up to 1 s no member may be removed,
-// for longer only the leader.
+// leaderStopped stops the leader for d, beginning while its vote is live. If d is at most 1 s, no member may be
+// removed, else only the leader.
 func (s *scenarioRun) leaderStopped(ctx context.Context, d time.Duration) error {
 	at, leader := s.testbed.now(), s.nodes[0]
 	if err := leader.Stop(); err != nil {
--- a/internal/testbed/overrides.go
+++ b/internal/testbed/overrides.go
@@ -129,7 +129,7 @@
 )
 
 // overrides issues overrides through different admin endpoints under a condition of all links. It revokes two and lets
-// one end while one node is isolated and one is stopped. Both of them must afterwards get an override that was issued
+// one end while one node is isolated and one is stopped. Both nodes must afterwards receive an override that was issued
 // meanwhile, and no node may apply an override after its end.
 func (s *scenarioRun) overrides(ctx context.Context, c LinkCondition) error {
 	const lasts = 6 * time.Second
@@ -200,7 +200,7 @@
 	id string,
 	issued, lasts time.Duration,
 ) error {
-	const pollTolerance = 200 * time.Millisecond // for the request itself and the delay of a busy machine
+	const pollTolerance = 200 * time.Millisecond // for the duration of the request and the delay of a busy machine
 	ended := map[*Node]bool{}
 	for s.testbed.now()-issued < lasts+time.Second {
 		for _, n := range nodes {
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -16,8 +16,8 @@
 )
 
 // spawner starts all child processes from one thread that lives as long as the spawner. The children have a parent
-// death signal, which the kernel sends when the thread that started them exits: no child outlives the testbed, even if
-// the testbed is killed.
+// death signal, which the kernel sends when the thread that started them exits. So no child outlives the test bed, even
+// if the test bed is killed.
 type spawner struct {
 	jobs chan func()
 	done chan struct{}
@@ -47,7 +47,7 @@
 	case s.jobs <- func() { started <- c.Start() }:
 		return <-started
 	case <-s.done:
-		return errors.New("the testbed is closed")
+		return errors.New("the test bed is closed")
 	}
 }
 
@@ -56,15 +56,15 @@
 	name, dir string
 	spawner   *spawner
 	command   func() *exec.Cmd
-	// called at each exit; crash describes an exit that the testbed did not cause, else it is empty; clean is true after
+	// called at each exit; crash describes an exit that the test bed did not cause, else it is empty; clean is true after
 	// exit status 0 without SIGKILL
 	onExit func(crash string, clean bool)
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd     // nil: not running
-	exitExpected bool          // the testbed has sent SIGTERM or SIGKILL
-	killed       bool          // the testbed has sent SIGKILL
-	stopped      bool          // by SIGSTOP
+	exitExpected bool          // the test bed has sent SIGTERM or SIGKILL
+	killed       bool          // the test bed has sent SIGKILL
+	stopped      bool          // stopped by SIGSTOP
 	startedAt    time.Time     // start of the present run
 	exited       chan struct{} // closed after the exit of the present run
 	pastCPU      time.Duration // CPU time of earlier runs
@@ -111,7 +111,7 @@
 	close(exited)
 }
 
-// errOr returns the text of err, or without if err is nil.
+// errOr returns the text of err, or the text without if err is nil.
 func errOr(err error, without string) string {
 	if err == nil {
 		return without
--- a/internal/testbed/restart_scenarios.go
+++ b/internal/testbed/restart_scenarios.go
@@ -50,8 +50,8 @@
 	return err
 }
 
-// split cuts all links between groups of the nodes for 20 s, and counts the partition sides that the nodes report at
-// the end. If rolling is true, it restarts three nodes meanwhile.
+// split divides the nodes into groups of the given sizes, cuts all links between the groups for 20 s, and counts the
+// partition sides that the nodes report at the end. If rolling is true, it restarts three nodes meanwhile.
 func (s *scenarioRun) split(ctx context.Context, rolling bool, sizes ...int) error {
 	var groups [][]*Node
 	rest := s.nodes
@@ -163,7 +163,7 @@
 	go func() {
 		junk, sent := make([]byte, 200), 0
 		for ; time.Now().Before(until) && ctx.Err() == nil; sent++ {
-			_, _ = to.Write(junk) // packets that fail to send do not matter
+			_, _ = to.Write(junk) // a packet that cannot be sent does not matter
 		}
 		ended <- sent
 	}()
--- a/internal/testbed/rules.go
+++ b/internal/testbed/rules.go
@@ -40,7 +40,7 @@
 	ID     string        `json:"id,omitempty"`
 	Node   string        `json:"node,omitempty"`
 	Detail string        `json:"detail"`
-	Void   bool          `json:"void,omitempty"` // the machine was too slow then: it proves nothing
+	Void   bool          `json:"void,omitempty"` // the machine was too slow at that time, so the finding proves nothing
 }
 
 // String formats the finding as one line.
@@ -52,11 +52,11 @@
 type Account struct {
 	Taken    int `json:"taken"`    // written completely to a node's connection
 	Answered int `json:"answered"` // got a complete answer
-	Left     int `json:"left"`     // the client disconnected first, or its time ran out
+	Left     int `json:"left"`     // the client disconnected, or its time ran out, before the answer
 	CutOff   int `json:"cut_off"`  // got no answer, explained by a fault of the client, the node or their link
 	Lost     int `json:"lost"`     // got no answer, with no fault to explain it
 	Unread   int `json:"unread"`   // the connection ended before the node had read them: not accepted
-	Open     int `json:"open"`     // not ended yet
+	Open     int `json:"open"`     // have not ended yet
 }
 
 // summary returns the rules that were violated, with their counts, as one line.
--- a/internal/testbed/scenario_run.go
+++ b/internal/testbed/scenario_run.go
@@ -143,8 +143,8 @@
 	return s.testbed.now() - from, nil
 }
 
-// watchLeaders asks all admin endpoints repeatedly which process proves their majority. Different processes in one
-// round count as two majorities only if the round right after it returns the same ones.
+// watchLeaders repeatedly asks the admin endpoint of each node which leader process its majority has.
+// Different processes in one round count as two majorities only if the round right after it returns the same ones.
 func (s *scenarioRun) watchLeaders(ctx context.Context) {
 	var before []string
 	for sleep(ctx, 50*time.Millisecond) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// leaders asks all nodes concurrently which process proves their majority, and returns the distinct processes, sorted.
+// leaders asks all nodes concurrently which leader process their majority has, and returns the distinct ones, sorted.
 func (s *scenarioRun) leaders(ctx context.Context) []string {
 	under := make([]string, len(s.nodes))
 	var all sync.WaitGroup
@@ -187,7 +187,7 @@
 
 // memberChange is a change of a member's state that a node has logged.
 type memberChange struct {
-	at          time.Duration // on the testbed's clock
+	at          time.Duration // on the test bed's clock
 	name, state string
 }
 
@@ -218,7 +218,7 @@
 }
 
 // waitForState waits until each of the nodes has logged a state of a member at or after a time, and records for each
-// how long after that time.
+// node how long after that time.
 func (s *scenarioRun) waitForState(
 	ctx context.Context,
 	by []*Node,
@@ -245,8 +245,8 @@
 	return nil
 }
 
-// countWronglyRemoved counts how often nodes have declared members dead since a time, only those of the given names if
-// there are any.
+// countWronglyRemoved counts how often nodes have declared members dead since the time after. If names are given, it
+// counts only these members.
 func (s *scenarioRun) countWronglyRemoved(after time.Duration, names ...string) error {
 	for _, n := range s.nodes {
 		all, err := s.changes(n)
@@ -292,7 +292,7 @@
 	return errors.Join(err, s.countWronglyRemoved(at, names(rest)...))
 }
 
-// stopLast stops the last node for a while. For up to 1 s no member may be declared dead, for longer only that node.
+// stopLast stops the last node for d. If d is at most 1 s, no member may be declared dead, else only that node.
 func (s *scenarioRun) stopLast(ctx context.Context, d time.Duration) error {
 	n, at := s.nodes[len(s.nodes)-1], s.testbed.now()
 	if err := n.Stop(); err != nil {
@@ -303,7 +303,7 @@
 		return err
 	}
 	err := s.recordAgreement(ctx, completeAgainMetric)
-	if d > time.Second { // the node is rightly declared dead, but no other member may be
+	if d > time.Second { // the stopped node is expected to be declared dead, other members are not
 		return errors.Join(err, s.countWronglyRemoved(at, names(s.nodes[:len(s.nodes)-1])...))
 	}
 	sleep(ctx, 3*time.Second) // long enough for a suspicion to time out
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -42,16 +42,16 @@
 	fault      ServerFault
 	health     string        // as listed by discovery
 	down       bool          // the process has ended: connections are refused
-	silent     bool          // as a vanished machine: connections never come up, and open ones are silent
+	silent     bool          // as if off the network: new connections time out, and open ones stall
 	startedAt  time.Duration // start of its slow start; 0: long ago
 	queued     int           // requests that wait for a slot
 	conns      int           // open connections
 	waiting    int           // requests that wait for a core
 	busy       int           // requests that hold a core
-	overSince  time.Duration // since when more wait for a core than Choke.Waiting allows; 0: not now
+	overSince  time.Duration // since when more requests wait for a core than Choke.Waiting allows; 0: not now
 	idleSince  time.Duration // since when no request waits for a core or holds one; 0: not now
 	choked     bool          // slowed down, see Choke
-	recentWork []sentWork    // of the last SlowStart.OverloadWindow, while in slow start
+	recentWork []sentWork    // work within the last SlowStart.OverloadWindow, while in slow start
 	served     int           // answers made
 }
 
@@ -84,7 +84,7 @@
 		ErrorLog:    tb.discardLog,
 		ConnState:   s.trackConn,
 	}
-	tb.startGoroutine(func() { _ = s.http.Serve(g) }) // its error says only that the gate was closed
+	tb.startGoroutine(func() { _ = s.http.Serve(g) }) // returns an error when the gate closes
 	return s, nil
 }
 
@@ -226,7 +226,7 @@
 	return s.callNextTier(ctx, e)
 }
 
-// reject answers with the mark that the attempt was rejected without running it.
+// reject answers with the header that marks an attempt as rejected without running.
 func (s *Server) reject(ctx context.Context, w http.ResponseWriter, id string) {
 	s.testbed.checker.recordNotRun(id)
 	w.Header().Set("X-Rejected", "1")
@@ -244,7 +244,7 @@
 	return sender{node, n}
 }
 
-// acquireSlot waits for a slot. It returns false if the queue is full or ctx ends first: the request is rejected.
+// acquireSlot waits for a slot. It returns false if the queue is full or ctx ends first; the request is then rejected.
 func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -363,7 +363,7 @@
 	return nil
 }
 
-// setSilent makes the server silent like a vanished machine, or ends that.
+// setSilent makes the server silent, as if its machine were off the network, or makes it reachable again.
 func (s *Server) setSilent(on bool) {
 	s.mu.Lock()
 	s.silent = on
--- a/internal/testbed/server_work.go
+++ b/internal/testbed/server_work.go
@@ -44,8 +44,8 @@
 	return float64(sent) <= c.OverloadFactor*capacity
 }
 
-// updateChoke updates whether the server is choked, from the number of requests that wait for a core. It is called
-// whenever that number or the number of busy cores changes. s.mu must be held.
+// updateChoke updates whether the server is choked (slowed down, see Choke) from the number of requests that wait for a
+// core. It must be called whenever that number or the number of busy cores changes. s.mu must be held.
 func (s *Server) updateChoke(now time.Duration) {
 	c := s.testbed.world.Choke
 	if c.Factor == 0 {
--- a/internal/testbed/shim/faults.go
+++ b/internal/testbed/shim/faults.go
@@ -4,13 +4,13 @@
 
 import "syscall"
 
-// socketKind tells how the traced program obtained a descriptor. It decides which faults its calls may have.
+// socketKind is how the traced program obtained a descriptor. It determines which calls on the descriptor may fail.
 type socketKind int
 
 const (
 	noSocket  socketKind = iota
 	created              // returned by socket(2), such as a connection to a server
-	accepted             // from a client, which must get an answer: read and write on it never fail
+	accepted             // returned by accept: from a client, which must get an answer, so read and write never fail
 	listening            // returned by socket(2), with listen(2) called on it
 )
 
--- a/internal/testbed/shim/spec.go
+++ b/internal/testbed/shim/spec.go
@@ -8,8 +8,8 @@
 // Spec describes the faults of a program. Times count from its start.
 type Spec struct {
 	Seed   uint64        `json:"seed"`
-	From   time.Duration `json:"from"`   // start of the time in which calls fail
-	Until  time.Duration `json:"until"`  // end of that time
+	From   time.Duration `json:"from"`   // start of the period in which calls fail
+	Until  time.Duration `json:"until"`  // end of that period
 	Chance float64       `json:"chance"` // probability that a call which can fail does
 
 	ClockAt   time.Duration `json:"clock_at"`   // when the wall clock jumps
--- a/internal/testbed/soak/extensions.go
+++ b/internal/testbed/soak/extensions.go
@@ -7,8 +7,8 @@
 	"keelusher/internal/testbed"
 )
 
-// Parameters of what a plan adds to the clusters. The additions are drawn from a random source of their own, so that
-// they do not change which clusters a seed gives.
+// Parameters of the additions that Plan.extend makes to the clusters. The additions are drawn from a separate random
+// source, so that they do not change which clusters a seed gives.
 const (
 	persistentClients = 3 // for each node that is sent SIGTERM
 	maxSignalGap      = 50 * time.Millisecond
@@ -84,7 +84,7 @@
 	}
 }
 
-// drawClusterTime draws a time at which the faults of one of the clusters may begin.
+// drawClusterTime draws a time at which faults of a cluster may begin.
 func drawClusterTime(r *rand.Rand) time.Duration {
 	at := []time.Duration{firstCluster, secondCluster}[r.IntN(2)]
 	return at + time.Duration(r.Int64N(int64(clusterDuration)))
--- a/internal/testbed/soak/fleet.go
+++ b/internal/testbed/soak/fleet.go
@@ -11,7 +11,7 @@
 
 // Time limits for membership and overrides.
 const (
-	membersSettle    = 20 * time.Second // at the end of a run, until all running nodes see each other alive
+	membersSettle    = 20 * time.Second // limit at the end of a run for all running nodes to see each other alive
 	membersPoll      = 200 * time.Millisecond
 	issueTimeout     = 2 * time.Second // for one override; under some faults there is no majority to accept it
 	overrideEndSlack = 300 * time.Millisecond
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -33,7 +33,7 @@
 	World     testbed.World
 	Load      testbed.Load
 	Faults    []testbed.Fault // Keep identifies faults by their indexes here
-	Overrides []Override      // empty unless the nodes have membership
+	Overrides []Override      // empty if the nodes have no membership
 }
 
 // NewPlan draws the plan of a seed.
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -137,7 +137,7 @@
 
 const maxRequests = 5 // attempts to read one path
 
-// getJSON decodes the response of a node's admin endpoint. It retries, as a shim may break some connections.
+// getJSON decodes the response of a node's admin endpoint. It retries, because a shim may make some connections fail.
 func getJSON(ctx context.Context, n *testbed.Node, path string, into any) (err error) {
 	for range maxRequests {
 		if err = getJSONOnce(ctx, n, path, into); err == nil {
@@ -198,7 +198,7 @@
 		tb.Checker().Report(
 			testbed.CountersDiffer,
 			n.Name(),
-			fmt.Sprintf("servers received %d attempts from it, it counted %d", arrived, counters.Written),
+			fmt.Sprintf("servers received %d attempts from the node, which counted %d", arrived, counters.Written),
 		)
 	}
 }
--- a/internal/testbed/tcp_link.go
+++ b/internal/testbed/tcp_link.go
@@ -10,8 +10,8 @@
 
 const (
 	maxQueuedPieces = 64       // pieces queued per direction of a connection; limits the data in flight like a TCP window
-	pieceSize       = 32 << 10 // most bytes of one read
-	piecesPerSecond = 50       // with a limited rate
+	pieceSize       = 32 << 10 // maximum number of bytes per read
+	piecesPerSecond = 50       // if the rate is limited
 	linkDialTimeout = 5 * time.Second
 )
 
@@ -62,8 +62,8 @@
 	}
 }
 
-// setServerMode records how the server treats new connections, so that the proxy treats them alike unless a direction
-// is cut.
+// setServerMode records how the server treats new connections, so that the proxy treats them in the same way unless a
+// direction is cut.
 func (l *tcpLink) setServerMode(server gateMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +78,7 @@
 	l.updateGate()
 }
 
-// updateGate sets the mode of the gate: silent while a direction is cut, else that of the server; l.mu is held.
+// updateGate sets the mode of the gate: silent while a direction is cut, else that of the server. l.mu must be held.
 func (l *tcpLink) updateGate() {
 	mode := l.serverMode
 	toServer, _ := l.toServer.get()
@@ -204,7 +204,8 @@
 	}
 }
 
-// pieceSize returns the most bytes to read at once: limit, or less so that a limited rate gives piecesPerSecond pieces.
+// pieceSize returns the maximum number of bytes to read at once: limit, or less if the rate is limited, so that
+// the rate gives piecesPerSecond pieces.
 func (d *direction) pieceSize(limit int) int {
 	if d.undisturbed.Load() {
 		return limit
--- a/internal/testbed/tcp_state.go
+++ b/internal/testbed/tcp_state.go
@@ -16,7 +16,7 @@
 // peerReadAll reports whether the peer of a connection, which has sent its FIN, had read all bytes that were sent to
 // it. The kernel sends a reset if a socket is closed with unread bytes, or if bytes arrive for a closed socket; so the
 // peer had read all of them if no reset follows the FIN. The result is valid only if the connection has no proxy
-// of the testbed in between.
+// of the test bed in between.
 func peerReadAll(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-const maxNodes = 240 // of one test bed
+const maxNodes = 240 // in one test bed
 
 // Testbed is a running emulation of a World.
 type Testbed struct {
@@ -40,9 +40,9 @@
 	goroutines     sync.WaitGroup
 	closeOnce      sync.Once
 	lateness       lateness
-	attempts       atomic.Int64 // that arrived at servers
-	attemptsByNode sync.Map     // those attempts by node: *atomic.Int64
-	crossZone      atomic.Int64 // those attempts that came from another zone
+	attempts       atomic.Int64 // number of attempts that arrived at servers
+	attemptsByNode sync.Map     // number of those attempts, an *atomic.Int64, by node name
+	crossZone      atomic.Int64 // number of those attempts that came from another zone
 
 	mu         sync.Mutex
 	directions map[string]*direction
@@ -54,7 +54,7 @@
 const (
 	firstBlock = 10
 	blocks     = 240
-	maxBlocks  = 5 // that a test bed tries before it gives up
+	maxBlocks  = 5 // blocks that a test bed tries before it returns an error
 )
 
 var errAddressTaken = errors.New("the address is in use by another program")
@@ -146,8 +146,8 @@
 func (tb *Testbed) linkIP() string      { return fmt.Sprintf("127.%d.0.3", tb.block) }
 func (tb *Testbed) discoveryIP() string { return fmt.Sprintf("127.%d.0.4", tb.block) }
 
-// startAll starts all nodes, the front ones first, and waits until they are ready and the front sends connections to
-// all of its own.
+// startAll starts all nodes, the front ones first, and waits until all are ready and the front sends connections to
+// each front node.
 func (tb *Testbed) startAll(ctx context.Context) error {
 	for _, n := range tb.orderedNodes {
 		tb.intervals.begin(n.name, tb.now())
@@ -227,8 +227,8 @@
 	return float64(busiest*n) / float64(sum)
 }
 
-// startGoroutine runs f in a goroutine that Close waits for. f must return once done is closed or what it uses is
-// closed.
+// startGoroutine runs f in a goroutine that Close waits for. f must return once tb.done, or the listener or connection
+// that f uses, is closed.
 func (tb *Testbed) startGoroutine(f func()) {
 	tb.goroutines.Add(1)
 	go func() {
@@ -316,7 +316,7 @@
 		closeQuietly(tb.blockLock)
 	}
 	if tb.ownsDir {
-		_ = os.RemoveAll(tb.dir) // on an error the rest stays in the temporary folder
+		_ = os.RemoveAll(tb.dir) // on an error the remaining files stay in the temporary folder
 	}
 }
 
--- a/internal/testbed/udp_link.go
+++ b/internal/testbed/udp_link.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxSources        = 64               // senders for which a UDP link keeps a socket
+	maxSources        = 64               // maximum number of senders for which a UDP link keeps a socket
 	sourceIdleTimeout = 30 * time.Second // a sender's socket is closed after this time without a reply
 	maxDatagramSize   = 64 << 10
 )
@@ -25,7 +25,7 @@
 
 	mu        sync.Mutex
 	sources   map[string]*net.UDPConn // sockets connected to the target, by the sender's address
-	reordered map[*direction]func()   // sends the datagram that is held back until after the next one
+	reordered map[*direction]func()   // functions that send the datagram held back until after the next one
 }
 
 func newUDPLink(listen, target string, toTarget, toSender *direction) (*udpLink, error) {
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -19,15 +19,15 @@
 	Tiers   []Tier   `toml:"tier"` // in the order of calls; the first is behind the nodes that clients call
 	Classes []Class  `toml:"class"`
 	Tenants []Tenant `toml:"tenant"`
-	// factor on the priority weight of requests beyond their tenant's quota
+	// factor for the priority weight of requests that exceed their tenant's quota
 	OverQuotaWeight float64       `toml:"over_worth"`
 	Limits          Limits        `toml:"limits"`
 	SlowStart       SlowStart     `toml:"cold"`
 	Choke           Choke         `toml:"choke"`
 	Discovery       DiscoverySpec `toml:"discovery"`
-	// after which the front drops an unresponsive node; default 2 s
+	// time after which the front drops an unresponsive node; default 2 s
 	FrontDetectionDelay time.Duration `toml:"front_notice"`
-	// FROM->TO patterns of links that get a proxy, beside those that faults need
+	// FROM->TO patterns of links that get a proxy, in addition to those that faults need
 	Links []string `toml:"links"`
 
 	Fleet Tables `toml:"fleet"` // fleet configuration of all nodes, without the addresses; empty: none
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Tier is one tier of servers. Nodes is set for the first tier only: requests to a later tier go through nodes of which
-// each server of the tier before has one.
+// Tier is one tier of servers. Nodes is set for the first tier only: requests to a later tier go through the nodes of
+// the servers of the previous tier, each of which has its own.
 type Tier struct {
 	Name    string  `toml:"name"`
 	Nodes   int     `toml:"nodes"`
@@ -96,7 +96,8 @@
 	Window time.Duration `toml:"window"`
 }
 
-// Tenant is a customer. Share is its weight in the traffic, Quota the requests a second that it may send to the fleet.
+// Tenant is a customer. Share is its weight in the traffic, Quota the number of requests per second that it may send to
+// the fleet.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
@@ -111,11 +112,12 @@
 	ConnectTimeout time.Duration `toml:"connect_timeout"` // default 250 ms
 	ConnIdle       time.Duration `toml:"conn_idle"`       // idle timeout of servers' connections; default 10 s
 	MaxAttempts    int           `toml:"max_attempts"`    // of one request; default 5
-	MaxRetryAfter  time.Duration `toml:"max_retry_after"` // that clients follow; default 2 s
+	MaxRetryAfter  time.Duration `toml:"max_retry_after"` // longest Retry-After that clients obey; default 2 s
 }
 
-// SlowStart says how servers start: with the share From of their capacity, which grows to all of it over Duration. A
-// server that all nodes together send more than OverloadFactor times the work it can do in OverloadWindow crashes.
+// SlowStart describes how servers start: with the share From of their capacity, which grows to the full capacity over
+// Duration. A server crashes if all nodes together send it, within OverloadWindow, more than OverloadFactor times the
+// work that it can do in that time.
 type SlowStart struct {
 	From           float64       `toml:"from"`     // default 0.38
 	Duration       time.Duration `toml:"warm"`     // default 8.5 s
@@ -135,14 +137,14 @@
 // DiscoverySpec describes the timing of discovery.
 type DiscoverySpec struct {
 	NotificationDelay time.Duration `toml:"late"`    // from a change to the notification; default 1 s
-	CallDuration      time.Duration `toml:"call"`    // that each call takes; calls are handled one at a time; default 1 ms
+	CallDuration      time.Duration `toml:"call"`    // of each call; calls are handled one at a time; default 1 ms
 	WatchOnRequest    bool          `toml:"asked"`   // nodes get the endpoint list only if they ask for a watch
 	MaxLag            time.Duration `toml:"max_lag"` // a call that has waited for longer fails; default 1 s
 }
 
 const (
 	slack              = 50 * time.Millisecond // added to every time limit of the rules, as sockets and timers may be late
-	drainDeadline      = 3 * time.Second       // after a notification; then a draining or removed server gets nothing new
+	drainDeadline      = 3 * time.Second       // from the notification until no new attempts may be sent to the server
 	defaultDedupWindow = 5 * time.Second       // default of Class.Window
 )
 
