--- a/internal/membership/member_list_test.go
+++ b/internal/membership/member_list_test.go
@@ -27,7 +27,8 @@
 			}
 			names, previous, newer := tt.receiver.readFrom(m)
 			if !newer || !slices.Equal(names, leader.names) || !slices.Equal(previous, leader.previous) {
-				t.Errorf("read list %v, previous %v, newer %v; the leader has another list", names, previous, newer)
+				t.Errorf("read list %v, previous %v, newer %v, want the newer lists of the leader",
+					names, previous, newer)
 			}
 		})
 	}
--- a/internal/membership/mesh_test.go
+++ b/internal/membership/mesh_test.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// A member that is killed is suspected and then dead for all others. After a restart it is the same member again, and
-// its leave is announced to all.
+// A member that is killed becomes suspect and then dead in the views of all others. After a restart it is the same
+// member again, and its leave is announced to all.
 func TestKillRestartAndLeaveOfAMember(t *testing.T) {
 	f := newTestFleet(t, 5)
 	others := f.meshes[:4]
@@ -85,11 +85,11 @@
 	f.meshes[2] = first
 	eventually(t, "all agree with the older process", func() bool { return f.agree(f.meshes, 3, Complete) })
 	if n := f.meshes[0].Counters().Dropped["replayed"]; n > 0 {
-		t.Errorf("n0 dropped %d packets as replayed, want 0 although the older process has returned", n)
+		t.Errorf("after the older process returned, n0 dropped %d packets as replayed, want 0", n)
 	}
 }
 
-// Guards against taking a healthy member for dead after this process has stepped out and returned: timers of the
+// Guards against a process that has stepped out and returned, and then declares a healthy member dead: timers of the
 // failure detector that was shut down still ran and reported the member dead.
 func TestReportsOfAShutDetectorAreNotRead(t *testing.T) {
 	f := newTestFleet(t, 3)
@@ -106,7 +106,7 @@
 		_, _ = shut.Write([]byte("Suspect " + node.Name + " has failed, no acks received")) // never fails
 	}
 	// The view is updated within a tick.
-	eventually(t, "n2 has stepped out and has no member n0", func() bool { return stateOf(m, "n0") == -1 })
+	eventually(t, "n2 has stepped out and its view does not have n0", func() bool { return stateOf(m, "n0") == -1 })
 	shut.NotifyJoin(&node)
 	time.Sleep(3 * tickInterval)
 	if state := stateOf(m, "n0"); state != -1 {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Guards against a crash of a node that sends to a member while it has stepped out of the fleet and has no failure
-// detector.
+// Guards against a crash of a node that sends to a member while the node itself has stepped out of the fleet and has no
+// failure detector.
 func TestSendOutsideTheFleetIsDiscarded(_ *testing.T) {
 	m := newBareMesh("a")
 	m.send("a", m.newMessage(kindUserMessage))
@@ -158,7 +158,8 @@
 	})
 }
 
-// A process whose only seed has ended still finds another member that has restarted without any seed but itself.
+// Guards against a fleet that stays split: a process whose only seed has ended must still find a member that has
+// restarted with itself as its only seed.
 func TestSplitFleetHealsThoughItsSeedsAreOnOneSide(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.addresses = append(f.addresses, freeAddresses(t, 1)[0])
--- a/internal/membership/probing_test.go
+++ b/internal/membership/probing_test.go
@@ -95,11 +95,11 @@
 	}
 }
 
-// A process that gets no answer from anybody assumes that it is cut off itself. It confirms nobody dead until 20 s have
-// passed.
+// A process that gets no answer from any member assumes that it is disconnected itself. It confirms no member dead
+// until 20 s have passed.
 func TestDisconnectedProcessConfirmsNobodyDead(t *testing.T) {
 	for _, tt := range []struct {
-		silence time.Duration // since the last answer from anybody
+		silence time.Duration // since the last answer from any member
 		want    State
 	}{
 		{0, Dead},
@@ -114,13 +114,14 @@
 		inquiry.since -= suspectTimeout
 		inquiry.probes = suspectProbes
 		if m.advanceInquiries(); suspect.state != tt.want {
-			t.Errorf("after %v without an answer from anybody the suspect is %s, want %s", tt.silence, suspect.state, tt.want)
+			t.Errorf("after %v without an answer from any member the suspect is %s, want %s",
+				tt.silence, suspect.state, tt.want)
 		}
 	}
 }
 
-// Guards against a reconnected process that confirms all others dead: the first answer ended the disconnection, and the
-// other inquiries, open and unanswered all that time, then counted as silence of the others.
+// Guards against a reconnected process that confirms all other members dead: the first answer ended the disconnection,
+// and the inquiries about the other members, which had stayed open during it, then counted as silence of these members.
 func TestReconnectedProcessConfirmsNobodyDead(t *testing.T) {
 	m := newBareMesh("a", "b", "c")
 	reported, unreported := m.processes.byID["a"], m.processes.byID["b"]
@@ -148,8 +149,8 @@
 	}
 }
 
-// A process that has answered before and now answers nobody is confirmed dead without a report of the failure detector.
-// A process that has recently answered another one is not.
+// A process that has answered before and now answers no member is confirmed dead without a report of the failure
+// detector. A process that has recently answered another member is not.
 func TestSilentProcessesAreConfirmedDeadWithoutAReport(t *testing.T) {
 	m := newBareMesh("a", "b", "c")
 	now := m.now()
--- a/internal/membership/quorum_model_test.go
+++ b/internal/membership/quorum_model_test.go
@@ -164,8 +164,8 @@
 	model.inFlight = append(model.inFlight, delivery{arrival, to, m})
 }
 
-// advance runs the model for a time, and checks at each step that all processes that claim the majority have it from
-// the same leader.
+// advance runs the model for a time, and checks at each step that all processes that claim a majority follow the same
+// leader.
 func (model *quorumModel) advance(d time.Duration) {
 	model.t.Helper()
 	for end := model.now + d; model.now < end; model.now += modelStep {
@@ -227,7 +227,8 @@
 		}
 	}
 	if len(claims) > 1 {
-		model.t.Fatalf("at %v: majorities of two or more leading processes: %v", model.now, claims)
+		model.t.Fatalf("at %v: two or more leaders have a majority, want one at most; members by leader: %v",
+			model.now, claims)
 	}
 }
 
--- a/internal/membership/quorum_test.go
+++ b/internal/membership/quorum_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Guards against a partition in which more than one side, or the wrong side, has a majority, and against one that does
-// not heal. A tie goes to the side with the lowest name; of three sides none has a majority.
+// Guards against a partition in which more than one side, or the wrong side, has a majority, and against a fleet that
+// does not heal. A tie goes to the side with the lowest name; of three sides none has a majority.
 func TestSplitsHaveOneMajorityAndHeal(t *testing.T) {
 	for name, tt := range map[string]struct {
 		groups   []int
@@ -76,7 +76,7 @@
 }
 
 // Guards against a second fleet: two of three seeds leave and restart without their state, in a partition from the
-// fleet that goes on without them. They must not found another one.
+// fleet that goes on without them. The two must not found a second fleet.
 func TestRestartedSeedsFoundNoSecondFleet(t *testing.T) {
 	model := newFoundedModel(t, 5)
 	model.leave("n01")
@@ -97,7 +97,7 @@
 	model.leave("n00")
 	model.until("the leader has ended", time.Second, func() bool { return model.quorums["n00"] == nil })
 	if d := model.until("the others are complete without it", time.Second, model.agreed(7)); d > leaseDuration/4 {
-		t.Errorf("after the leader left, the others took %v to be complete", d)
+		t.Errorf("after the leader left, the others took %v to be complete, want a quarter of a lease at most", d)
 	}
 	model.advance(4 * leaseDuration)
 	model.until("the others are still complete", modelStep, model.agreed(7))
--- a/internal/membership/tally_test.go
+++ b/internal/membership/tally_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a wrong count of votes: too few taken for a majority, a tie that goes to the wrong half, or a majority
-// that lasts longer than the votes that it needs.
+// Guards against a wrong count of votes: too few votes that count as a majority, a tie that goes to the wrong half, or
+// a majority that lasts longer than the votes that it needs.
 func TestTally(t *testing.T) {
 	for name, tt := range map[string]struct {
 		size      int
--- a/internal/membership/virtual_network_test.go
+++ b/internal/membership/virtual_network_test.go
@@ -42,7 +42,7 @@
 	n.loss = loss
 }
 
-// virtualEndpoint connects one process to the network. It counts sent bytes as if packets were in frames.
+// virtualEndpoint connects one process to the network. The count of sent bytes includes a frame header for each packet.
 type virtualEndpoint struct {
 	network     *virtualNetwork
 	ip          net.IP
--- a/internal/membership/virtual_test.go
+++ b/internal/membership/virtual_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Guards against failure detection in large fleets that is slow or wrong: all members must confirm a killed one dead
-// within 15 s, and must confirm no live one dead under 10% packet loss. It also logs the packets and bytes that
+// Guards against failure detection in large fleets that is slow or wrong: all members must confirm a killed member dead
+// within 15 s, and must confirm no live member dead under 10% packet loss. It also logs the packets and bytes that
 // membership costs each member. MESH_SIZES=64,256,500 runs larger fleets than CI does and prints a table row for each.
 func TestFleetInVirtualTime(t *testing.T) {
 	sizes := "32"
@@ -53,7 +53,8 @@
 		"| wrongly dead in 30 s of 10%% loss: %d | then %.2f packets/s |",
 		size, agreed.Seconds(), packets, bytes, first.Seconds(), all.Seconds(), wrong, lossy)
 	if wrong != 0 || all > 15*time.Second {
-		t.Errorf("%d members: %d wrongly dead, want 0; killed one dead for all after %v, want 15 s", size, wrong, all)
+		t.Errorf("%d members: %d wrongly dead, want 0; the killed one dead in all views after %v, want 15 s at most",
+			size, wrong, all)
 	}
 }
 
--- a/internal/membership/voter_test.go
+++ b/internal/membership/voter_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a leader that keeps a vote although it does not receive any: its heartbeats echo no vote of the voter
-// for a lease. The voter must stop voting for it, so that another member can lead.
+// Guards against a leader that keeps a vote although it receives no votes: for a lease, its heartbeats have echoed no
+// vote of the voter. The voter must stop voting for it, so that another member can lead.
 func TestLeaderWithReceiveFailureGetsNoVote(t *testing.T) {
 	q := newQuorum("b", 2, []string{"a", "b", "c"}, 0)
 	q.updateLiveness(0, map[string]bool{"a": true, "b": true, "c": true}, nil)
@@ -32,7 +32,8 @@
 		}
 	}
 	if count > int(echoTimeout/heartbeatInterval) || q.currentLeader(now) != "b" {
-		t.Errorf("without echoes a leader got %d more votes; the leader is %q, want \"b\"", count, q.currentLeader(now))
+		t.Errorf("%d votes for leader a without echoes, want those of echoTimeout at most; leader %q, want \"b\"",
+			count, q.currentLeader(now))
 	}
 }
 
@@ -42,7 +43,7 @@
 	v := newVoter(0)
 	v.vote(1, leaseDuration)
 	if v.mayVoteFor(2, 2*leaseDuration-1) || !v.mayVoteFor(1, leaseDuration) || !v.mayVoteFor(2, 2*leaseDuration) {
-		t.Error("a vote does not bind for exactly one lease, or not to one process only")
+		t.Error("a vote does not bind to exactly one process for exactly one lease")
 	}
 	v.vote(1, leaseDuration)
 	if v.release(2) || v.mayVoteFor(2, leaseDuration) {
--- a/internal/overrides/register_test.go
+++ b/internal/overrides/register_test.go
@@ -49,7 +49,8 @@
 	}
 	replaced, _, err := r.Put(time.Second, "x", evacuate("y"), time.Hour, &first.Version)
 	if err != nil || replaced.Remaining != time.Hour || replaced.Version.Compare(first.Version) <= 0 {
-		t.Errorf("replacement with the current version: got entry %+v, error %v", replaced, err)
+		t.Errorf("replacement with the current version: got entry %+v, error %v, want a newer one with 1h left",
+			replaced, err)
 	}
 	if _, _, err := r.Put(time.Second, "x", evacuate("z"), time.Hour, &first.Version); !errors.Is(err, ErrIDInUse) {
 		t.Errorf("replacement with an older version: got error %v, want ErrIDInUse", err)
@@ -80,7 +81,8 @@
 	entry := mustPut(t, r, 0, "x", evacuate("z"))
 	version, _, err := r.Revoke(time.Second, "x")
 	if err != nil || version.Compare(entry.Version) <= 0 || len(r.InForce(time.Second)) != 0 {
-		t.Errorf("revocation: got version %v, error %v, in force %v, want none", version, err, r.InForce(time.Second))
+		t.Errorf("revocation: got version %v, error %v, in force %v, want a newer version, none in force",
+			version, err, r.InForce(time.Second))
 	}
 }
 
@@ -139,7 +141,7 @@
 	}
 }
 
-// Only a majority of members that had a state, or all members, suffice to lead.
+// A process may lead only with promises from a majority of members that had a state, or from all members.
 func TestPromisesComplete(t *testing.T) {
 	members := []string{"a", "b", "c"}
 	for name, test := range map[string]struct {
@@ -169,8 +171,8 @@
 	}
 }
 
-// A received entry expires early by the margin for clock skew, so no later than at its issuer, and never later than the
-// longest duration.
+// A received entry must expire early by the margin for clock skew, so that it ends no later than at its issuer. It must
+// never last longer than MaxDuration.
 func TestReceivedEntryExpiresEarly(t *testing.T) {
 	const requestedAt = 10 * time.Second
 	entry := newReceivedEntry(requestedAt, Entry{ID: "x", Remaining: 101 * time.Second})
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -126,7 +126,8 @@
 		arrived[s.Seed][s.Variant] = s.Arrived
 		a := s.Account
 		if a.Taken == 0 || a.Taken != a.Answered+a.Left+a.CutOff+a.Lost || len(s.Steps) != 2 || s.Binary == "" {
-			t.Errorf("seed %d %s: account %+v, steps %v, binary %q", s.Seed, s.Variant, a, s.Steps, s.Binary)
+			t.Errorf("seed %d %s: account %+v, steps %v, binary %q, want a balanced account, 2 steps, a binary",
+				s.Seed, s.Variant, a, s.Steps, s.Binary)
 		}
 	}
 	a, b := arrived[3], arrived[4]
@@ -185,7 +186,8 @@
 		t.Fatal(err)
 	}
 	if !s.Interrupted || s.Arrived == 0 || s.Seconds > 30 || len(s.Broken) > 0 {
-		t.Errorf("interrupted %v after %.1f s with %d arrivals, broken %v", s.Interrupted, s.Seconds, s.Arrived, s.Broken)
+		t.Errorf("Interrupted is %v after %.1f s with %d arrivals, broken %v; want true within 30 s, arrivals, none broken",
+			s.Interrupted, s.Seconds, s.Arrived, s.Broken)
 	}
 }
 
@@ -209,7 +211,7 @@
 func TestCompare(t *testing.T) {
 	d := compare([]float64{1, 2, 3, 4, 5}, []float64{2, 3, 4, 5, 6})
 	if d.Mean != 1 || d.Low != 1 || d.High != 1 || math.Abs(d.SignTestP-0.0625) > 1e-9 {
-		t.Errorf("all differences are 1: got %+v", d)
+		t.Errorf("all differences are 1: got %+v, want mean, low and high 1 and p 0.0625", d)
 	}
 	if d := compare([]float64{1, 2}, []float64{1, 2}); d.Mean != 0 || d.SignTestP != 1 {
 		t.Errorf("no differences: got %+v, want mean 0 and p 1", d)
@@ -233,9 +235,9 @@
 
 func TestMedianWorst(t *testing.T) {
 	if m, w := medianAndWorst([]float64{4, 1, 3, 2}, true); m != 2.5 || w != 1 {
-		t.Errorf("median %v, worst %v", m, w)
+		t.Errorf("median %v, worst %v, want 2.5 and 1", m, w)
 	}
 	if m, w := medianAndWorst([]float64{4, 1, 3}, false); m != 3 || w != 4 {
-		t.Errorf("median %v, worst %v", m, w)
+		t.Errorf("median %v, worst %v, want 3 and 4", m, w)
 	}
 }
--- a/internal/testbed/gate_test.go
+++ b/internal/testbed/gate_test.go
@@ -15,8 +15,9 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// A gate that refuses connections or is silent must look like a dead process or a vanished machine. Guards against a
-// gate that does not, that loses its address, or that hands out one of the connections that filled its accept queue.
+// A gate that refuses connections must look like a dead process, and one that is silent like a vanished machine. Guards
+// against a gate that loses its address, or that, once open again, accepts one of the connections that filled its
+// accept queue.
 func TestGateRefusesAndComesBackAtItsAddress(t *testing.T) {
 	g, err := newGate("127.0.0.1:0")
 	if err != nil {
--- a/internal/testbed/intervals_test.go
+++ b/internal/testbed/intervals_test.go
@@ -17,7 +17,7 @@
 	s.recordMoment("a->b", 6*time.Second)
 	for at, want := range map[time.Duration]bool{5 * time.Second: false, 6 * time.Second: true, 7 * time.Second: false} {
 		if s.overlap("a->b", at, at) != want {
-			t.Errorf("at %v: overlap is %t", at, !want)
+			t.Errorf("at %v: overlap is %t, want the opposite", at, !want)
 		}
 	}
 }
--- a/internal/testbed/load_test.go
+++ b/internal/testbed/load_test.go
@@ -39,13 +39,13 @@
 		}
 	}
 	if len(got.all) != len(arrivals) || stalled < 20 || inTime < stalled/2 {
-		t.Errorf("got results of %d of %d arrivals, %d in the stall, %d of these sent in time; want all, 20 and half",
+		t.Errorf("got results of %d of %d arrivals, %d in the stall, %d of these sent in time; want all, at least 20, half",
 			len(got.all), len(arrivals), stalled, inTime)
 	}
 	const late = 300 * time.Millisecond // by which the test bed itself sends the request late
 	s := tb.runClient(context.Background(), &load, tb.now()-late, Arrival{ID: "late", Patience: 1, Tenant: -1})
 	if s.Latency < late || s.Late < late {
-		t.Errorf("a request sent %v late has latency %v and lateness %v, want at least that", late, s.Latency, s.Late)
+		t.Errorf("a request sent %v late has latency %v and lateness %v, want no less", late, s.Latency, s.Late)
 	}
 }
 
--- a/internal/testbed/mesh_test.go
+++ b/internal/testbed/mesh_test.go
@@ -151,7 +151,7 @@
 }
 
 // Guards against a leader that receives nothing for a while and then, as its links return one by one, declares those
-// members dead whose messages reach it a little later than the first one's.
+// members dead whose messages reach it a little later than those of the first member.
 func TestLeaderWhoseLinksReturnSlowlyRemovesNoMember(t *testing.T) {
 	t.Parallel()
 	checkNoMemberIsRemoved(t, "deaf leader, links back one by one")
@@ -173,7 +173,7 @@
 	t.Fatalf("there is no scenario %q", scenario)
 }
 
-// Guards against a test bed that uses a block of addresses of which another program has one.
+// Guards against a test bed that uses a block of addresses although another program listens on one of them.
 func TestTestbedTakesAnotherBlock(t *testing.T) {
 	first := Start(t, healthyStub())
 	n := first.Node("n1")
--- a/internal/testbed/node_test.go
+++ b/internal/testbed/node_test.go
@@ -58,8 +58,8 @@
 	checkNoFindings(t, tb)
 }
 
-// A node process that exits without the testbed's doing must cause a crash finding that names the node, its exit status
-// and the end of its log.
+// A node process that exits although the testbed did not end it must cause a crash finding with the node's name, the
+// exit status and the end of the log.
 func TestCrashIsAFindingWithTheLastLogLines(t *testing.T) {
 	tb := Start(t, healthyStub())
 	check(t, tb.Node("n1").process.cmd.Process.Signal(syscall.SIGQUIT)) // process.signal would expect the exit
@@ -70,8 +70,8 @@
 	}
 }
 
-// The start of a node whose address another process holds must fail with an error that names the node, not as a finding
-// against the node.
+// The start of a node whose address is in use by another process must return an error that names the node, and must not
+// cause a finding against the node.
 func TestPortTakenByAnotherProcess(t *testing.T) {
 	tb := Start(t, healthyStub())
 	n := tb.Node("n1")
@@ -99,8 +99,8 @@
 	}
 }
 
-// Kills a testbed in a process of its own with SIGKILL. Its two child processes must end with it, although it has no
-// chance to end them.
+// Kills a testbed in a process of its own with SIGKILL. Its two child processes must end too, although a process that
+// gets SIGKILL cannot end them itself.
 func TestNoChildOutlivesTheTestbed(t *testing.T) {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "TESTBED_TEST_AS=testbed")
--- a/internal/testbed/notification_times_test.go
+++ b/internal/testbed/notification_times_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against nodes that keep sending to a draining server after a drain that they could not read in time. They must
-// stop once they count as notified: a stopped node when the drain was written to it, a node whose watch fell silent 6 s
-// after that.
+// Guards against nodes that keep sending to a draining server after a drain that they could not read in time. A node
+// must stop sending once it counts as notified: a stopped node when the drain has been written to its watch, a node
+// with a silent watch 6 s after the silence began.
 func TestNodesThatMissedADrainStopSending(t *testing.T) {
 	const drain = 1500 * time.Millisecond // since the load began
 	for name, c := range map[string]struct {
--- a/internal/testbed/server_test.go
+++ b/internal/testbed/server_test.go
@@ -23,7 +23,7 @@
 			accepted = s.withinCapacity(at, time.Duration(loadFactor*capacity*float64(50*time.Millisecond))) && accepted
 		}
 		if accepted != (loadFactor < 1) {
-			t.Errorf("%.1f of what the server can take: accepted %v", loadFactor, accepted)
+			t.Errorf("%.1f of what the server can take: accepted %v, want the opposite", loadFactor, accepted)
 		}
 	}
 }
--- a/internal/testbed/shim/shim_test.go
+++ b/internal/testbed/shim/shim_test.go
@@ -123,7 +123,7 @@
 		-time.Hour: "wall -1h0m0s monotonic 0s\n",
 	} {
 		if out, err := run(t, "clock", Spec{ClockAt: 200 * time.Millisecond, ClockStep: step}); err != nil || out != want {
-			t.Errorf("clock step %v: error %v, output %q", step, err, out)
+			t.Errorf("clock step %v: error %v, output %q, want only the wall clock moved", step, err, out)
 		}
 	}
 }
--- a/internal/testbed/soak/plan_test.go
+++ b/internal/testbed/soak/plan_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// Guards against plans that lack an addition. Each seed must have one series of signals, a third of the seeds a
-// connection flood, a third short deadlines, and half membership with overrides, all within a quarter of the expected
-// count. No series may stop a process for longer than the platform does.
+// Guards against plans that lack signals, floods, short deadlines or membership. Each seed must have one series of
+// signals, a third of the seeds a connection flood, a third short deadlines, and half membership with overrides, all
+// within a quarter of the expected count. No series may stop a process for longer than the platform does.
 func TestPlansHaveSignalsFloodsAndMembership(t *testing.T) {
 	const seeds, maxStop = 600, 150 * time.Millisecond
 	floods, memberships, short := 0, 0, 0
--- a/internal/testbed/stub_node_test.go
+++ b/internal/testbed/stub_node_test.go
@@ -176,7 +176,7 @@
 }
 
 // plantedFault runs a load against a stub node and checks the findings. It reports whether the test bed was so late
-// that all findings are void; if any counts, the run is judged.
+// that all findings are void. In any other run, wrong findings fail the test.
 func plantedFault(t *testing.T, behavior string, want Rule) (late bool) {
 	w := small(1, 2)
 	w.Binary, w.Env, w.Zones = os.Args[0], []string{"TESTBED_TEST_AS=" + behavior}, []string{"a"}
@@ -193,7 +193,7 @@
 	load, arrivals := draw(t, &tb.world, Load{Rate: 40,
 		EarlyDisconnectShare: map[string]float64{"linger": 1}[behavior]}, length)
 	if behavior == "drained" {
-		for _, s := range tb.servers { // as the stub node uses whichever it was told first
+		for _, s := range tb.servers { // all, as it depends on the list which one the stub uses
 			tb.Drain(s, 0)
 		}
 	}
@@ -212,8 +212,8 @@
 	return false
 }
 
-// plantedClassCount returns the number of classes in the load of a planted fault. Some have no bookings: a second
-// attempt of a booking, which is not idempotent, would violate another rule too.
+// plantedClassCount returns the number of classes in the load of a planted fault. Some faults are tested without
+// bookings: a second attempt of a booking, which is not idempotent, would violate another rule too.
 func plantedClassCount(behavior string) int {
 	if behavior == "repeat" || behavior == "give back" {
 		return 1
@@ -221,7 +221,7 @@
 	return 2
 }
 
-// An improper client whose connection a node neither answers nor closes is reported.
+// The checker must report an improper client if the node neither answers it nor closes its connection.
 func TestCheckerFindsKeptImproperClients(t *testing.T) {
 	tb := Start(t, healthyStub()) // the stub waits for complete requests without a time limit
 	tb.runImproperClients(context.Background(), tb.Node("n1"), 4)
--- a/internal/testbed/tracer_load_test.go
+++ b/internal/testbed/tracer_load_test.go
@@ -30,7 +30,8 @@
 			tb.checker.addFinding(Lost, "y", "n2", "planted")
 			found, counts := tb.Findings()
 			if found[0].Void != tt.void || found[1].Void {
-				t.Errorf("got void %t at the traced node, %t at the other; counts %v", found[0].Void, found[1].Void, counts)
+				t.Errorf("got void %t at the traced node, %t at the other (want false); counts %v",
+					found[0].Void, found[1].Void, counts)
 			}
 		})
 	}
--- a/policy/choose_test.go
+++ b/policy/choose_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// In overload, attempts time out at healthy endpoints too, and exclusions would make the overload of the others
-// worse. So the more requests are shed, the fewer endpoints may be excluded as unhealthy.
+// In overload, attempts time out at healthy endpoints too, and exclusions would make the overload of the remaining
+// endpoints worse. So the more requests are shed, the fewer endpoints may be excluded as unhealthy.
 func TestFewerEndpointsAreExcludedWhileShedding(t *testing.T) {
 	for _, c := range []struct {
 		shed float64
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// When half of the endpoints are removed, an unchanged limit would send the attempts of all to the other half.
-// The limit grows back with responses, and not with the list.
+// When half of the endpoints are removed, an unchanged limit would send the attempts of all endpoints to the remaining
+// half. The limit must grow again with responses, not with the list.
 func TestLimitShrinksWithTheList(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(20)})
@@ -58,7 +58,7 @@
 	respond(300, 490*msec)
 	limit := &b.subsets[0].limit
 	if initial := initialLimitPerEndpoint * 2.0; limit.size >= initial || limit.size < minLimitShare*initial {
-		t.Errorf("limit %v after late responses, want a fifth of the initial %v of 4 endpoints at least, and less than that",
+		t.Errorf("limit %v after late responses, want less than the initial %v of 4 endpoints, but a fifth of it at least",
 			limit.size, initial)
 	}
 	before := limit.baselineEndpoints
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -48,7 +48,7 @@
 				now = at + call
 			}
 			if backoffs[0]+watchTimeout+call > notified {
-				t.Fatalf("poll interval %v, seed %d: backoff of %v after a watch without events",
+				t.Fatalf("poll interval %v, seed %d: backoff of %v after a watch without events is too long",
 					interval, seed, backoffs[0])
 			}
 			for _, backoff := range backoffs {
--- a/policy/locality_test.go
+++ b/policy/locality_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Faults that leave most of a zone in use, or that another zone shares, must not evacuate it: its load would move
-// to zones that may not be able to take it.
+// Faults that leave most of a zone in use, or that another zone has too, must not evacuate the zone: its load would
+// move to zones that may not be able to take it.
 func TestFaultsThatDoNotEvacuateAZone(t *testing.T) {
 	local := func(ep Endpoint) bool { return ep.Zone == "x" }
 	for name, outcome := range map[string]attemptOutcome{
@@ -116,8 +116,8 @@
 	}
 }
 
-// An operator's evacuation must hold, also when the list is updated, until the operator ends it. If all zones are
-// evacuated, it has no effect, since no request could be sent at all.
+// An operator's evacuation must hold, also when the list is updated, until the operator ends it. If operators have
+// evacuated all zones, the evacuations must have no effect, since no request could be sent otherwise.
 func TestOperatorEvacuation(t *testing.T) {
 	s := newZoneSimulation(t, "x", "y")
 	s.handle(ZoneEvacuation{"x", true})
--- a/policy/ordering_test.go
+++ b/policy/ordering_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The next request of a key must be sent only when the one before has ended and the key has settled: the settle time
-// has passed since an attempt ended that may still run at its endpoint. The queue of a hot key must reject requests
-// that would wait for too long, and must not delay other keys.
+// The next request of a key must be sent only when the request before it has ended and the key has settled, that is,
+// when the settle time has passed since the end of an attempt that may still run at its endpoint. The queue of a hot
+// key must reject requests that would wait for too long, and must not delay other keys.
 func TestRequestsOfOneKeyAreSerialized(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Classes[2].SerializedByKey, s.KeySettleTime = true, 50*msec })
 	b.Handle(0, EndpointUpdate{Snapshot: true, Endpoints: testEndpoints(6)})
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -217,7 +217,7 @@
 
 // Endpoints that can hold many requests must get them: large ones, and endpoints that wait for the tiers behind them
 // most of the time. A limit that is too low leaves them idle. Responses that take long at any load are no sign of
-// overload either: replicas that shed requests because of them would never stop.
+// overload either: replicas that shed requests because of them would never stop shedding.
 func TestLargeAndWaitingEndpointsAreUsed(t *testing.T) {
 	for _, s := range []overloadSimulation{
 		{replicas: 8, endpoints: 8, cores: 8, work: 150 * msec, wait: 1300 * msec, load: 0.5, burst: 1.5, retries: 2,
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A tenant over its quota must not take capacity from tenants within theirs: its requests wait in the queue behind
-// theirs, even if they arrived first.
+// A tenant over its quota must not take capacity from tenants within their quotas: its requests must wait in the queue
+// behind the requests of those tenants, even if its own arrived first.
 func TestRequestsWithinQuotaGoFirst(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) {
 		s.Tenants, s.OverQuotaWeight = []Tenant{{Name: "big", Quota: 2}, {Name: "small", Quota: 2}}, 0.05
@@ -65,8 +65,8 @@
 	}
 }
 
-// Without configured tenants, requests must not lose priority. With some, an unknown tenant must not get unlimited
-// requests within quota.
+// Without configured tenants, no request may count as over quota. If tenants are configured, the requests of an unknown
+// tenant must count as over quota.
 func TestTenantsWithoutQuota(t *testing.T) {
 	if newQuotas(nil, 2).exceeded("any", time.Second, time.Second) {
 		t.Error("a request is over quota though no tenant is configured")
--- a/policy/recorded_test.go
+++ b/policy/recorded_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// record adds an action to the hash. The format is that of the version for which the hash was recorded; its answers
-// had no reasons, so these are checked apart.
+// record adds an action to the hash. The format is that of the version for which the hash was recorded; its answers had
+// no reasons, so the reasons are checked here and left out of the hash.
 func (run *recordedRun) record(now time.Duration, a Action) {
 	run.actions++
 	switch a := a.(type) {
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -66,6 +66,6 @@
 	}
 	b.Handle(time.Minute, AttemptEnded{ID: "long", Endpoint: s.ID, Result: Success, Answered: true})
 	if now := b.classes.byName["get"].meanLatency; now > mean {
-		t.Errorf("the mean latency rose from %v to %v ns", mean, now)
+		t.Errorf("the mean latency rose from %v to %v ns, want no rise", mean, now)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -8,7 +8,8 @@
 )
 
 // If late answers have no weight, an attempt must time out at the end of the latency objective, and the rest of the
-// client's time must not be used for a retry. Tiers below the first one only know the time that they are given.
+// client's time must not be used for a retry. A replica of a lower tier knows only the time that it is given, not how
+// much of the objective has passed, so its attempt gets all of that time.
 func TestNoWaitForALateAnswerWithoutWeight(t *testing.T) {
 	for _, c := range []struct {
 		tier       int
--- a/policy/slowstart_overload_test.go
+++ b/policy/slowstart_overload_test.go
@@ -26,7 +26,7 @@
 		share := set.SlowStartInitialCapacity + (1-set.SlowStartInitialCapacity)*warmedUp
 		limit := set.SlowStartOverloadFactor * capacity * share * overloadSpan.Seconds()
 		if float64(count) > limit {
-			return fmt.Sprintf("rule 4: %d attempts in %v from %v, limit %.0f", count, overloadSpan, from, limit)
+			return fmt.Sprintf("overload: %d attempts in %v from %v, limit %.0f", count, overloadSpan, from, limit)
 		}
 	}
 	return ""
@@ -39,8 +39,8 @@
 	for i := range 85 {
 		burst = append(burst, time.Second+time.Duration(i)*msec)
 	}
-	if got := overloadFault(set, time.Second, 50, burst); !strings.HasPrefix(got, "rule 4") {
-		t.Errorf("85 attempts, over the limit of 84: got %q, want a fault of rule 4", got)
+	if got := overloadFault(set, time.Second, 50, burst); !strings.HasPrefix(got, "overload:") {
+		t.Errorf("85 attempts, over the limit of 84: got %q, want an overload", got)
 	}
 	if got := overloadFault(set, time.Second, 50, burst[:84]); got != "" {
 		t.Errorf("84 attempts, the limit: got %q, want no fault", got)
--- a/policy/spillover_test.go
+++ b/policy/spillover_test.go
@@ -7,7 +7,8 @@
 )
 
 // Traffic between zones is costly, so a replica uses its own zone while that is as fast as the others. If it did not
-// spill over when the zone is slower, its requests would be late; if it did not come back, the cost would stay.
+// spill over when its zone is slower, its requests would be late; if it did not return to its zone afterwards, the cost
+// would stay.
 func TestLocalZoneIsPreferredUnlessSlower(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Zone = "y" })
 	list := testEndpoints(12)
