--- a/cmd/balancer-sim/main_test.go
+++ b/cmd/balancer-sim/main_test.go
@@ -28,10 +28,10 @@
 		var out bytes.Buffer
 		err := run(strings.NewReader("sync\t1\neob\n"+bad), &out)
 		if err == nil {
-			t.Errorf("%q: no error", bad)
+			t.Errorf("input %q: got no error, want one", bad)
 		}
 		if out.String() != "yield\n" {
-			t.Errorf("%q: replies are %q, want the empty one to the first batch", bad, out.String())
+			t.Errorf("input %q: replies are %q, want only the empty reply to the first batch", bad, out.String())
 		}
 	}
 }
--- a/cmd/balancer-testbed/main_test.go
+++ b/cmd/balancer-testbed/main_test.go
@@ -92,7 +92,7 @@
 	_ = c.Wait() // the exit code is checked below
 	<-interrupted
 	if code := c.ProcessState.ExitCode(); code != 1 {
-		t.Errorf("exit %d, want 1", code)
+		t.Errorf("the interrupted program ended with exit code %d, want 1", code)
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "balancer-testbed-*")); len(left) != 0 {
 		t.Errorf("the temporary directory was not removed: %v", left)
@@ -107,7 +107,7 @@
 	out, err := c.CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "lost 0; broken map[]") ||
 		!strings.Contains(string(out), "processor time of the testbed") {
-		t.Errorf("capacity ended with %v, printed %s", err, out)
+		t.Errorf("capacity ended with %v, printed %s, want no error, nothing lost and the processor time", err, out)
 	}
 }
 
@@ -123,7 +123,7 @@
 	}
 	if outputs[0] != outputs[1] || outputs[0] == outputs[2] || strings.Count(outputs[0], "\n") < 5000 ||
 		!strings.Contains(outputs[0], " cut n2->front-[12]\n") {
-		t.Errorf("the output for the seeds 1, 1 and 2 has %d, %d and %d bytes",
+		t.Errorf("seeds 1, 1, 2: got %d, %d, %d bytes; want the same twice, with 5000 lines and a cut, then another",
 			len(outputs[0]), len(outputs[1]), len(outputs[2]))
 	}
 }
--- a/cmd/balancer/idle_clients_test.go
+++ b/cmd/balancer/idle_clients_test.go
@@ -39,7 +39,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// awaitNextFailure waits for a call that is aborted from now on.
+// awaitNextFailure discards the failures recorded so far, and waits for the next call to be aborted.
 func (d *interruptedDiscovery) awaitNextFailure() {
 	for len(d.failed) > 0 {
 		<-d.failed
@@ -75,7 +75,7 @@
 }
 
 // While discovery is down, idle clients may use up the node's file descriptors. The node must stay within its limit,
-// must still have a descriptor to open the watch when discovery is back, and must not leave new clients waiting.
+// must still have a descriptor to open the watch when discovery is back, and must serve or disconnect new clients.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const limit = 128
 	const idleClients = 3 * limit
@@ -92,9 +92,10 @@
 		maxOpen = max(maxOpen, p.openDescriptors(t))
 	}
 	if maxOpen > limit || maxOpen < limit/3 {
-		t.Errorf("up to %d descriptors were open with %d idle clients, the limit is %d", maxOpen, idleClients, limit)
+		t.Errorf("up to %d descriptors were open with %d idle clients, want between a third of the limit of %d and the limit",
+			maxOpen, idleClients, limit)
 	}
-	discovery.awaitNextFailure() // the node still polls while clients hold all their descriptors
+	discovery.awaitNextFailure() // the node still polls while clients hold all descriptors that are meant for clients
 	discovery.up.Store(true)
 	select {
 	case <-discovery.watched:
--- a/cmd/balancer/log_test.go
+++ b/cmd/balancer/log_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// If nobody reads the log, so that its pipe fills up, the node must still answer requests, and later report how many
-// log lines were lost.
+// While no process reads the log and its pipe is full, the node must still answer requests. Later it must report how
+// many log lines were lost.
 func TestUnreadLogDoesNotBlockRequests(t *testing.T) {
 	p, address, log := startWithLogPipe(t)
 	for range 4 { // the node limits the log lines per second
@@ -81,7 +81,8 @@
 	t.Errorf("the log ended without a report of lost lines: %v", lines.Err())
 }
 
-// A closed reader of the log must neither end the process, for example by SIGPIPE, nor stop requests.
+// When the reading end of the log's pipe is closed, the node must neither end, for example by SIGPIPE, nor stop
+// answering requests.
 func TestClosedLogDoesNotEndNode(t *testing.T) {
 	p, address, log := startWithLogPipe(t)
 	log.Close()
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -20,7 +20,7 @@
 	lines := checkErrorLines(t, p.runToFailure(t), 2)
 	for i, want := range []string{":3: mesh.listen: ", ":4: mesh.probe: "} {
 		if !strings.HasPrefix(lines[i], "balancer: "+path+want) {
-			t.Errorf("wrote %q, want %q", lines[i], path+want)
+			t.Errorf("got the error line %q, want the prefix \"balancer: \" and then %q", lines[i], path+want)
 		}
 	}
 }
@@ -53,6 +53,6 @@
 	p := newProcess(t, nodeConfig{adminAddress: listener.Addr().String()}.json())
 	lines := checkErrorLines(t, p.runToFailure(t), 1)
 	if !strings.HasPrefix(lines[0], "balancer: control: ") {
-		t.Errorf("wrote %q, want an error about control", lines[0])
+		t.Errorf("got the error line %q, want the prefix \"balancer: control: \"", lines[0])
 	}
 }
--- a/cmd/balancer/process_test.go
+++ b/cmd/balancer/process_test.go
@@ -111,7 +111,7 @@
 func (p *process) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := p.Process.Signal(s); err != nil {
-		t.Fatalf("%v: %v", s, err)
+		t.Fatalf("sending the signal %v failed: %v", s, err)
 	}
 }
 
@@ -123,7 +123,7 @@
 	}
 	var exit *exec.ExitError
 	if err := p.Wait(); !errors.As(err, &exit) {
-		t.Fatalf("a killed process ended with %v", err)
+		t.Fatalf("a killed process ended with %v, want an exit error", err)
 	}
 }
 
@@ -153,7 +153,7 @@
 			return m[len(m)-1]
 		}
 	}
-	t.Fatalf("the log ends without %q: %v", pattern, l.lines.Err())
+	t.Fatalf("the log ended without a line that matches %q: %v", pattern, l.lines.Err())
 	return ""
 }
 
@@ -279,17 +279,17 @@
 	}
 }
 
-// checkErrorLines checks that the output of a process has so many lines, each with the program's prefix, and returns
-// them.
+// checkErrorLines checks that the output of a process consists of count lines, each with the program's prefix, and
+// returns the lines.
 func checkErrorLines(t *testing.T, output string, count int) []string {
 	t.Helper()
 	lines := strings.Split(strings.TrimSuffix(output, "\n"), "\n")
 	if len(lines) != count || strings.Count(output, "\n") != count {
-		t.Fatalf("wrote %q, want %d lines", output, count)
+		t.Fatalf("the process wrote %q, want %d lines", output, count)
 	}
 	for _, line := range lines {
 		if !strings.HasPrefix(line, "balancer: ") {
-			t.Errorf("wrote %q, want the prefix \"balancer: \"", line)
+			t.Errorf("got the error line %q, want the prefix \"balancer: \"", line)
 		}
 	}
 	return lines
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// After SIGHUP the node has to watch the discovery service that the file names now. A file that has become invalid must
-// not end the program or change its configuration.
+// After SIGHUP the node has to watch the discovery service named in the changed configuration file. A file that has
+// become invalid must not end the program or change its configuration.
 func TestServesThroughSIGHUPUntilSIGTERM(t *testing.T) {
 	discovery, watched := startDiscovery(t)
 	p := newProcess(t, nodeConfig{discovery: discovery}.json())
 	log := p.startLogging(t)
 	address := log.awaitAddress(t)
-	awaitCondition(t, "it is ready", func() bool { return mustGetStatus(t, "http://"+address+"/ready") == http.StatusOK })
+	awaitCondition(t, "/ready is OK", func() bool { return mustGetStatus(t, "http://"+address+"/ready") == http.StatusOK })
 	<-watched
 	p.writeConfig(t, "{")
 	p.signal(t, syscall.SIGHUP)
--- a/cmd/balancer/suspension_test.go
+++ b/cmd/balancer/suspension_test.go
@@ -16,8 +16,8 @@
 	return err == nil && strings.Contains(string(stat), ") T ")
 }
 
-// When a suspended process resumes, it finds the requests of clients that have disconnected meanwhile in its buffers.
-// It must not forward them, also if more bytes follow them, but has to serve a client that is still connected.
+// After a suspension, a node's socket buffers may hold requests of clients that have disconnected meanwhile. The node
+// must not forward these requests, even if more bytes follow them, but has to serve a client that is still connected.
 func TestClientsOfASuspendedProcess(t *testing.T) {
 	discovery, watched := startDiscovery(t)
 	served := make(chan string, 100)
@@ -43,7 +43,7 @@
 	checkServed(t, connected)
 
 	p.signal(t, syscall.SIGTERM)
-	_ = p.Wait() // by its end the process has forwarded all requests that it is going to forward
+	_ = p.Wait() // no request is forwarded after the process has ended
 	close(served)
 	for id := range served {
 		if id != "stays" {
--- a/cmd/balancer/upgrade_test.go
+++ b/cmd/balancer/upgrade_test.go
@@ -19,7 +19,7 @@
 	p := newProcess(t, nodeConfig{listen: n.listen, adminAddress: adminAddress, discovery: n.discovery}.json())
 	p.Env = append(p.Env, "TMPDIR="+n.tmp)
 	p.start(t)
-	awaitCondition(t, "node can serve", func() bool { return answersOK("http://" + adminAddress + "/control/ready") })
+	awaitCondition(t, "process can serve", func() bool { return answersOK("http://" + adminAddress + "/control/ready") })
 	return p
 }
 
@@ -56,8 +56,9 @@
 	}
 }
 
-// Upgrades interrupted by a kill: the node has to stay ready when the successor is killed, when the predecessor is shut
-// down or killed, and has to start again although a killed process has left its hand-over socket behind.
+// During an upgrade the node has to stay ready when the successor is killed and when the predecessor is shut down or
+// killed. When its last process has been killed, a new one has to start despite the hand-over socket that was left
+// behind.
 func TestUpgradesAndKills(t *testing.T) {
 	discovery, _ := startDiscovery(t)
 	node := upgradableNode{listen: freeAddress(t), tmp: t.TempDir(), discovery: discovery}
--- a/internal/handover/server_test.go
+++ b/internal/handover/server_test.go
@@ -23,8 +23,8 @@
 	return p.Listener.Close() == nil
 }
 
-// Binding of the hand-over socket has to be retried after a failure, here that of a missing folder. Otherwise the next
-// upgrade, perhaps months later, would have no hand-over.
+// The node has to retry a failed bind of its hand-over socket; here the bind fails because the directory is missing.
+// Otherwise the next upgrade, perhaps months later, would have no hand-over.
 func TestHandoverAfterFailedBind(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/inbound/body_test.go
+++ b/internal/inbound/body_test.go
@@ -35,14 +35,16 @@
 			b := newTestBody(tc.text)
 			buffered, complete, err := b.Buffer(tc.size, tc.length)
 			if string(buffered) != tc.want || complete != tc.complete || err != nil {
-				t.Errorf("buffered %q, complete %v, error %v", buffered, complete, err)
+				t.Errorf("Buffer returned %q, complete %v, error %v, want the values of this case and no error",
+					buffered, complete, err)
 			}
 			if !complete && b.Consumed() {
 				t.Error("the buffered bytes count as consumed")
 			}
 			rest, err := io.ReadAll(b)
 			if string(buffered)+string(rest) != tc.text || err != nil || b.Failure() != nil || !b.Stop() {
-				t.Errorf("the remainder is %q, error %v, failure %v", rest, err, b.Failure())
+				t.Errorf("the remainder is %q, error %v, failure %v, want the bytes that were not buffered and no error",
+					rest, err, b.Failure())
 			}
 		})
 	}
@@ -65,8 +67,8 @@
 	}
 }
 
-// A slow client must be cut off, and a fast one must not. The time for the next bytes grows with the bytes received,
-// shrinks with the time spent in reads, and is at most maxBodyReadGap.
+// A slow client must miss its read deadline, and a fast one must not. The time for the next bytes grows with the bytes
+// received, shrinks with the time spent in reads, and is at most maxBodyReadGap.
 func TestNextDeadline(t *testing.T) {
 	now := time.Now()
 	for name, tc := range map[string]struct {
--- a/internal/inbound/head_test.go
+++ b/internal/inbound/head_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// Requests whose end is ambiguous must be rejected, with the right status; they allow request smuggling.
+// Requests whose end is ambiguous allow request smuggling. They must be rejected with the right status.
 func TestCheckFraming(t *testing.T) {
 	const requestLine = "POST /api HTTP/1.1\r\n"
 	chunked := func(head string) (*http.Request, *Head) {
@@ -74,7 +74,7 @@
 			err := CheckFraming(r, head)
 			var rejection *Rejection
 			if errors.As(err, &rejection) != (tc.status != 0) || rejection != nil && rejection.Status != tc.status {
-				t.Errorf("got %v, want status %d", err, tc.status)
+				t.Errorf("CheckFraming returned %v, want a rejection with status %d, or none for 0", err, tc.status)
 			}
 		})
 	}
--- a/internal/inbound/headers_test.go
+++ b/internal/inbound/headers_test.go
@@ -31,7 +31,8 @@
 	meta, budget, err := ParseHeaders(r, methods)
 	want := policy.Request{ID: "1", Class: "safe", Tenant: "tenant", IsRetry: true, Key: hashKey("key"), HasKey: true}
 	if err != nil || budget != 30*time.Millisecond || meta != want {
-		t.Errorf("got %+v, %v, %v, want %+v", meta, budget, err, want)
+		t.Errorf("ParseHeaders returned request %+v, budget %v, error %v, want request %+v, budget 30ms, no error",
+			meta, budget, err, want)
 	}
 	for name, makeInvalid := range map[string]func(*http.Request){
 		"X-Call-Id":    func(r *http.Request) { r.Header.Del("X-Call-Id") },
--- a/internal/lifecycle/phase_test.go
+++ b/internal/lifecycle/phase_test.go
@@ -8,7 +8,7 @@
 	for name, tc := range map[string]struct {
 		events   []Event
 		want     Phase
-		rejected bool // the last event
+		rejected bool // whether the last event is rejected
 	}{
 		"list received": {
 			events: []Event{ListReceived},
@@ -50,7 +50,7 @@
 			ok = m.Transition(event)
 		}
 		if m.Current() != tc.want || ok == tc.rejected {
-			t.Errorf("%s: the machine ended in phase %v, last event allowed: %v", name, m.Current(), ok)
+			t.Errorf("%s: got phase %v, last event allowed: %v, want the values of this case", name, m.Current(), ok)
 		}
 	}
 }
--- a/internal/lifecycle/suspension_test.go
+++ b/internal/lifecycle/suspension_test.go
@@ -7,8 +7,8 @@
 	"keelusher/policy/guard"
 )
 
-// A request read after a suspension must count as queued for as long as the suspension lasted, whether it is read
-// before or after the first heartbeat, and only within backlogReadTime.
+// A request read after a suspension must count as queued for as long as the suspension lasted, if it is read before the
+// first heartbeat after the suspension or less than backlogReadTime after that heartbeat. Later requests must not.
 func TestSuspensionDetectorTimeQueued(t *testing.T) {
 	s := NewSuspensionDetector()
 	at := time.Second
@@ -31,7 +31,7 @@
 			s.heartbeat(at)
 		}
 		if got := s.timeQueuedAt(at); got != x.want {
-			t.Errorf("%v after the start: queued for %v, want %v", at, got, x.want)
+			t.Errorf("a request read %v after the start: queued for %v, want %v", at, got, x.want)
 		}
 	}
 	var nilDetector *SuspensionDetector
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// The admin endpoint must answer operators at any load: here clients hold all the connections that the node allows,
-// and twice as many silent peers as the admin endpoint's own limit are connected to it.
+// The admin endpoint must answer operators at any load. Here clients hold all connections that the node allows them,
+// and twice as many connections as the admin endpoint's own limit are opened to it without a complete call.
 func TestAdminEndpointWhenConnectionLimitsAreReached(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
@@ -114,13 +114,13 @@
 		return n.inbound.admitted == limit && n.inbound.awaitingHead.Len() == 0
 	})
 	for i := range 2 * admin.MaxConnections {
-		_, _ = io.WriteString(dialAdmin(t, n), "GET /control"[:i%2*12]) // it may have been evicted already
+		_, _ = io.WriteString(dialAdmin(t, n), "GET /control"[:i%2*12]) // fails if the connection has been evicted
 	}
 	begin := time.Now()
 	if status, _ := n.callAdmin(t, "GET", "/control/ready"); status != http.StatusOK {
 		t.Errorf("GET /control/ready got status %d, want 200", status)
 	}
-	if took := time.Since(begin); took > admin.CallTimeout/2 { // it must not wait for the timeout of a silent peer
+	if took := time.Since(begin); took > admin.CallTimeout/2 { // must not depend on the timeout of other calls
 		t.Errorf("GET /control/ready was answered after %v, want at most half of admin.CallTimeout", took)
 	}
 	close(release)
@@ -258,7 +258,7 @@
 		held <- true
 	}()
 	eventually(t, "the server has six requests", func() bool { return good.requests() == 6 })
-	// The server may have an attempt a moment before the node counts it.
+	// The server may receive an attempt a moment before the node counts the attempt.
 	eventually(t, "six attempts are counted", func() bool { return read().AttemptsWritten == 6 })
 	want := metrics.CountersPage{
 		Succeeded:        metrics.CountByName{"unsafe": 2, "keyed": 1, "safe": 0},
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -18,7 +18,7 @@
 // longBody is the size in bytes of a body that is streamed.
 const longBody = 40 * maxBufferedBody
 
-// randomBody returns a body of n bytes without a pattern, in which a misplaced part shows.
+// randomBody returns a body of n bytes without a pattern, so that a comparison detects a misplaced part.
 func randomBody(n int) string {
 	b := make([]byte, n)
 	for i, x := 0, uint32(1); i < n; i++ {
@@ -28,7 +28,8 @@
 	return string(b)
 }
 
-// Guards against bodies that are changed on the way: all sizes and framings are forwarded unchanged in both directions.
+// Guards against bodies that are changed on the way: bodies of all sizes and framings are forwarded unchanged in both
+// directions.
 func TestBodiesAreForwardedUnchanged(t *testing.T) {
 	framings := map[string]func(c net.Conn, body string) bool{
 		"length": func(c net.Conn, body string) bool { return respond(c, "200 OK", body) },
@@ -62,8 +63,8 @@
 				}
 				status, _, got := do(t, r)
 				if status != http.StatusOK || got != body || b.body[i] != body {
-					t.Errorf("%s, %d bytes, chunked %v: status %d, the client got %d bytes, the server %d", name, size, chunked,
-						status, len(got), len(b.body[i]))
+					t.Errorf("%s, %d bytes, chunked %v: status %d, the client got %d bytes, the server %d, want 200 and no change",
+						name, size, chunked, status, len(got), len(b.body[i]))
 				}
 			}
 		}
@@ -97,7 +98,7 @@
 }
 
 // Guards against a node that buffers long responses: the first bytes reach the client before the server has sent the
-// others, and a client that does not read slows the server down.
+// remainder, and the server cannot write the whole response while the client does not read.
 func TestResponsesAreStreamed(t *testing.T) {
 	const total = maxStreamedBody - 1
 	release := make(chan struct{})
@@ -138,7 +139,7 @@
 		t.Error("the server could write the whole response before the client read it")
 	}
 	if rest, err := io.Copy(io.Discard, resp.Body); rest != total-5 || err != nil {
-		t.Errorf("remainder of the response: %d bytes, %v", rest, err)
+		t.Errorf("remainder of the response: %d bytes, error %v, want all bytes and no error", rest, err)
 	}
 }
 
@@ -191,14 +192,14 @@
 			}
 			setReadTimeout(t, c, 20*time.Second)
 			if got := readStatus(t, c); got != http.StatusOK {
-				t.Errorf("answered %d", got)
+				t.Errorf("the slow client got status %d, want 200", got)
 			}
 		})
 	}
 }
 
-// Guards against a client whose long body stops arriving and that occupies a connection or a server: within 3 s it gets
-// an error or a close, and no server gets a complete request.
+// Guards against clients that occupy a connection or a server after they have stopped sending a long body. Such a
+// client gets an error or a close within 3 s, and no server gets a complete request.
 func TestStalledBodyIsRejected(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, serveOK)
@@ -214,12 +215,12 @@
 			write(t, c, "half")
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err == nil && (resp.StatusCode < 400 || resp.StatusCode > 499) {
-				t.Errorf("answered %d", resp.StatusCode)
+				t.Errorf("the client got status %d, want 4xx or a close", resp.StatusCode)
 			} else if errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Error("the connection was neither answered nor closed")
 			}
 			if took := time.Since(begin); took > 2900*time.Millisecond {
-				t.Errorf("answered or closed after %v, want 2.9s at most", took)
+				t.Errorf("the client got a response or a close after %v, want 2.9s at most", took)
 			}
 			if got := b.requests(); got != 0 {
 				t.Errorf("the server got %d complete requests, want none", got)
@@ -242,9 +243,9 @@
 	cfg.Discovery = silentDiscovery(t)
 	n := start(t, cfg)
 	body := randomBody(longBody)
-	for i := range 8 { // the policy selects the refusing server for some
+	for i := range 8 { // the policy selects the refusing server for some of these requests
 		if got, _, _ := do(t, newRequest(t, n.url, "unsafe", fmt.Sprint(i), body)); got != http.StatusOK {
-			t.Errorf("answered %d", got)
+			t.Errorf("a request whose body was not consumed got status %d, want 200", got)
 		}
 	}
 	cutting, err := net.Listen("tcp", "127.0.0.1:0")
@@ -274,18 +275,18 @@
 	c := sendHead(t, n, fmt.Sprintf("Content-Length: %d", longBody))
 	go func() { // returns when the node has closed the connection
 		_, _ = io.WriteString(c, body[:longBody-1])
-		<-firstCut // the last byte waits: socket buffers may take a whole body before the server closes
+		<-firstCut // keeps the body incomplete: socket buffers may take all its bytes before the server closes
 		_, _ = io.WriteString(c, body[longBody-1:])
 	}()
 	if got := readStatus(t, c); got != http.StatusServiceUnavailable {
-		t.Errorf("answered %d, want 503", got)
+		t.Errorf("the request whose body was partly consumed got status %d, want 503", got)
 	}
 	if got := cuts.Load(); got != 1 {
 		t.Errorf("the request was sent %d times, want once", got)
 	}
 }
 
-// Guards against memory that is reserved beyond the budget or never released: bodies for which there is none are
+// Guards against memory that is reserved beyond the budget or never released. A body for which no memory is left is
 // streamed unchanged.
 func TestMemoryBudgetsHold(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool { return respond(c, "200 OK", randomBody(1000)) })
@@ -338,13 +339,13 @@
 	n := startWith(t, b)
 	b.ln.Close()
 	c := sendHead(t, n, fmt.Sprintf("Content-Length: %d", maxBufferedBody+256000))
-	write(t, c, string(make([]byte, maxBufferedBody))) // so much is read before the request is passed to the loop
+	write(t, c, string(make([]byte, maxBufferedBody))) // the node reads this many before the request is passed to the loop
 	begin := time.Now()
 	if got := readStatus(t, c); got != http.StatusServiceUnavailable {
-		t.Errorf("answered %d, want 503", got)
+		t.Errorf("the client got status %d, want 503", got)
 	}
 	if took := time.Since(begin); took > time.Second {
-		t.Errorf("answered after %v, want 1s at most", took)
+		t.Errorf("the client got the response after %v, want 1s at most", took)
 	}
 	for left := 256000; left > 0; left -= 6400 {
 		if _, err := c.Write(make([]byte, 6400)); err != nil {
--- a/internal/node/client_conn_state_test.go
+++ b/internal/node/client_conn_state_test.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// Guards against an eviction that blocks all others: once the connection leaves its list, another one can be evicted.
+// Guards against an eviction that blocks all later ones: once the evicted connection has left its list, another
+// connection can be evicted.
 func TestEvictionEndsWhenConnectionLeavesList(t *testing.T) {
 	for event := headRead; event < clientConnEvents; event++ {
 		c := newListedConn(t, clientConnIdle)
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// disconnected reports whether the kernel of the node's machine knows that the client has disconnected.
+// disconnected reports whether the client's disconnect has arrived at the node's socket.
 func (c *gatedConn) disconnected() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -26,8 +26,8 @@
 	return err != nil || pollErr == nil && pollFds[0].Revents != 0
 }
 
-// disconnectKinds are the ways in which a client may disconnect while its request waits, each with that request. A read
-// of the next byte does not show a disconnect behind unread bytes.
+// disconnectKinds are the ways in which a client may disconnect while its request waits, each with the request. If
+// unread bytes precede the disconnect, a read of the next byte does not detect it.
 var disconnectKinds = map[string]struct {
 	request    string
 	disconnect func(*testing.T, *gatedClient)
@@ -107,7 +107,7 @@
 	return calls == 0
 }
 
-// Guards against a queued request that is forwarded after its client has disconnected, when capacity becomes free.
+// Guards against forwarding a queued request, once capacity becomes free, although its client has disconnected.
 func TestDisconnectWhileQueued(t *testing.T) {
 	for name, kind := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
@@ -128,7 +128,7 @@
 			}
 			eventually(t, "no request is left", n.idle)
 			if got := b.requestsWithID("left") + b.requestsWithID("next"); got != 0 {
-				t.Errorf("forwarded %d times after its client had disconnected, want never", got)
+				t.Errorf("the server got %d requests of the disconnected client, want none", got)
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 	}
 	eventually(t, "no request is left", n.idle)
 	if got := b.requestsWithID("left") + b.requestsWithID("next"); got != 0 {
-		t.Errorf("forwarded %d times after its client had disconnected, want never", got)
+		t.Errorf("the server got %d requests of the disconnected client, want none", got)
 	}
 }
 
@@ -182,7 +182,7 @@
 			release()
 			eventually(t, "no request is left", n.idle)
 			if got := other.requests(); got != 0 {
-				t.Errorf("retried %d times after its client had disconnected, want never", got)
+				t.Errorf("the request was retried %d times after its client had disconnected, want never", got)
 			}
 		})
 	}
@@ -232,7 +232,7 @@
 			c.send(t, kind.request)
 			kind.disconnect(t, c)
 			eventually(t, "the client has disconnected", c.node.disconnected)
-			eventually(t, "it is handled or closed", func() bool { return n.inbound.isHandledOrClosed(c.node) })
+			eventually(t, "request complete or connection closed", func() bool { return n.inbound.isHandledOrClosed(c.node) })
 			close(unblock)
 			n.checkOnlyConnectedServed(t, ln, b)
 		})
--- a/internal/node/client_handler_test.go
+++ b/internal/node/client_handler_test.go
@@ -16,7 +16,7 @@
 	"keelusher/internal/lifecycle"
 )
 
-// A request reaches the server with its URL, body and end-to-end headers, and with what is left of its budget.
+// A request reaches the server with its URL, body and end-to-end headers, and with its remaining budget.
 func TestRequestIsForwarded(t *testing.T) {
 	b := newBackend(t, serveOK)
 	n := startWith(t, b)
@@ -29,7 +29,8 @@
 	got := b.seen[0]
 	if got.RequestURI != "/api/x%2Fy?q=1&r=%20" || b.body[0] != "payload" || got.Header.Get("X-Call-Id") != "id-1" ||
 		got.Header.Get("Idempotency-Key") != "k-id-1" || got.Header.Get("X-Hop") != "" {
-		t.Errorf("the server got %s %q %v", got.RequestURI, b.body[0], got.Header)
+		t.Errorf("the server got target %s, body %q, headers %v, want the client's without X-Hop",
+			got.RequestURI, b.body[0], got.Header)
 	}
 	if left, err := inbound.ParseBudget(got.Header.Get("X-Budget")); err != nil || left > 30*time.Second {
 		t.Errorf("the server got X-Budget %v, %v, want 30s at most", left, err)
@@ -73,12 +74,12 @@
 		})
 	}
 	if n := b.requests(); n != 0 {
-		t.Errorf("%d malformed requests reached a server", n)
+		t.Errorf("%d malformed requests reached a server, want none", n)
 	}
 }
 
-// Guards against request smuggling: however ambiguous the end of a body is, a request inside it is not served. The
-// outer request is rejected and its connection closed before the inner one is read.
+// Guards against request smuggling: a request inside a body whose end is ambiguous is not served. The outer request is
+// rejected and its connection closed before the inner request is read.
 func TestNoRequestSmuggledInABody(t *testing.T) {
 	b := newBackend(t, serveOK)
 	n := startWith(t, b)
@@ -114,12 +115,12 @@
 		})
 	}
 	if got := b.requests(); got != 0 {
-		t.Errorf("%d smuggled or ambiguous requests reached the server", got)
+		t.Errorf("%d smuggled or ambiguous requests reached the server, want none", got)
 	}
 }
 
-// Guards against idle connections that use up the limit: a client that sends no complete request is answered or closed
-// within 3 s of the connect, and so is a connection that is idle after a request.
+// Guards against idle connections that use up the limit: a client that sends no complete request gets an error or a
+// close within 3 s of the connect, and a connection that is idle after a request is closed within 3 s.
 func TestClientsWithoutARequestAreClosed(t *testing.T) {
 	b := newBackend(t, serveOK)
 	n := startWith(t, b)
@@ -179,18 +180,20 @@
 	begin := time.Now()
 	status, header, _ := do(t, newRequest(t, startWith(t, full).url, "unsafe", "1", "x"))
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "0.002" {
-		t.Errorf("rejected with %d, Retry-After %q, want 503, \"0.002\"", status, header.Get("Retry-After"))
+		t.Errorf("the rejected request got status %d, Retry-After %q, want 503, \"0.002\"",
+			status, header.Get("Retry-After"))
 	}
 	status, header, _ = do(t, newRequest(t, startWith(t, broken).url, "unsafe", "1", "x"))
 	if status != http.StatusBadGateway || header.Get("Retry-After") != "" {
-		t.Errorf("failed with %d, Retry-After %q, want 502 without", status, header.Get("Retry-After"))
+		t.Errorf("the failed request got status %d, Retry-After %q, want 502 without Retry-After",
+			status, header.Get("Retry-After"))
 	}
 	if took := time.Since(begin); took > 15*time.Second { // of the 30 s that each request had
 		t.Errorf("both were answered after %v, want 15s at most", took)
 	}
 }
 
-// Guards against a request that is never answered: the policy knows one request by an ID, so a second one with the ID
+// Guards against a request that is never answered: the policy holds one request per ID, so a second request with the ID
 // of an open request is rejected.
 func TestIDInUseIsRejected(t *testing.T) {
 	release := make(chan struct{})
@@ -268,8 +271,8 @@
 	}
 }
 
-// Guards against requests that are lost in a shutdown: the node still accepts requests until its callers have noticed,
-// finishes those in flight, and stops without an error.
+// Guards against requests that are lost in a shutdown: the node accepts requests until its clients have noticed the
+// shutdown, finishes the requests in flight, and stops without an error.
 func TestShutdownLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(n int, c net.Conn, _ *http.Request) bool {
--- a/internal/node/client_listener_test.go
+++ b/internal/node/client_listener_test.go
@@ -67,8 +67,8 @@
 	recordRequestRead(r.WithContext(context.WithValue(context.Background(), clientConnKey{}, c)))
 }
 
-// Guards against a listener that admits connections beyond its limit, or that frees two places when one connection is
-// closed twice.
+// Guards against a listener that admits connections beyond its limit, or that counts a connection that is closed twice
+// as two closed connections.
 func TestConnectionLimit(t *testing.T) {
 	listener, accepted, dial := startAccepting(t)
 	dial()
@@ -88,8 +88,8 @@
 	(<-accepted).Close()
 }
 
-// Guards against clients that are locked out by connections without a request: at the limit a new connection evicts one
-// that sends nothing or half a head, but none with a request.
+// Guards against connections without a request that keep clients from being admitted: at the limit a new connection
+// evicts one that has sent nothing or half a head, but no connection with a request.
 func TestIdleConnectionIsEvicted(t *testing.T) {
 	listener, accepted, dial := startAccepting(t)
 	dial()
--- a/internal/node/clock_offset_test.go
+++ b/internal/node/clock_offset_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The offset is the one closest to zero that is consistent with the Date of the first response, and stays the same when
-// a later response has another one.
+// The offset between the process's clock and discovery's is the one closest to zero that is consistent with the Date of
+// the first response. It stays the same when a later response has another Date.
 func TestClockOffsetIsTheSmallestThatExplainsADate(t *testing.T) {
 	date := time.Date(2026, 12, 3, 12, 0, 0, 0, time.UTC)
 	dated := http.Header{"Date": {date.Format(http.TimeFormat)}}
@@ -42,8 +42,8 @@
 }
 
 // Guards against sending the full share of the load to a server that has just started: a process whose wall clock is
-// ahead of discovery's would take the start time in its first list for long past. Conversely, if the clock is behind, a
-// server that started long ago must not count as warming up.
+// ahead of discovery's would treat the server's start time in its first list as long past. Conversely, if the clock is
+// behind, a server that started long ago must not count as warming up.
 func TestSlowStartWithClockOffset(t *testing.T) {
 	for name, tt := range map[string]struct {
 		ahead   time.Duration // of this process's clock, compared with discovery's
@@ -72,13 +72,14 @@
 			node := start(t, cfg)
 			for i := range requests {
 				if status, _, body := do(t, newRequest(t, node.url, "keyed", fmt.Sprint(i), "x")); status != http.StatusOK {
-					t.Fatalf("request %d: %d %s", i, status, body)
+					t.Fatalf("request %d got status %d, body %s, want 200", i, status, body)
 				}
 			}
 			observed := backends[2].requests()
 			others := (requests - observed) / (servers - 1)
 			if warming := observed <= others/2; warming != tt.warming {
-				t.Errorf("the third server got %d requests, each other server %d on average", observed, others)
+				t.Errorf("the third server got %d requests, the others %d on average; want at most half only if warming up",
+					observed, others)
 			}
 		})
 	}
--- a/internal/node/connection_race_test.go
+++ b/internal/node/connection_race_test.go
@@ -22,8 +22,8 @@
 	return startOn(t, ln, cfg), ln
 }
 
-// Guards against requests that are lost when a shutdown closes idle connections. Wherever the request is when its
-// connection is closed as idle, in the kernel, read but not yet examined, or half of each, it is served.
+// Guards against requests that are lost when a shutdown closes idle connections. A request is served although its
+// connection is closed as idle while its bytes are in the kernel, read but not yet examined, or partly in each state.
 func TestRequestWhileIdleConnectionIsClosed(t *testing.T) {
 	request := requestText("unsafe", "2", "")
 	for name, sendRequest := range map[string]func(*testing.T, *gatedClient) *gate{
@@ -91,8 +91,8 @@
 }
 
 // Guards against a request that is lost or executed twice when its connection is evicted: the connection that has been
-// idle for longest is to be evicted after a request on it has been read, and before the request is examined. The
-// request is served once, and the connection is evicted after its response.
+// idle for longest is chosen for eviction after a request on it has been read, and before the request is examined. The
+// request is served once, and the connection is evicted after the response.
 func TestRequestWhileConnectionIsEvicted(t *testing.T) {
 	b := newBackend(t, serveOK)
 	n, ln := startGatedNode(t, b)
@@ -163,9 +163,9 @@
 	}
 }
 
-// Guards against a stray response that is taken for that of the next attempt: bytes arrive on an idle connection while
-// an attempt acquires it, after the read of the socket and before the reader examines them. They neither become the
-// attempt's response nor make it fail.
+// Guards against a stray response that is taken for the response to the next attempt. Bytes from an idle connection
+// have been read from the socket but not yet examined by the reader while an attempt acquires the connection. These
+// bytes neither become the attempt's response nor make the attempt fail.
 func TestUnexpectedBytesWhileConnectionIsAcquired(t *testing.T) {
 	unexpected := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 	for name, sendUnexpected := range map[string]func(net.Conn){
@@ -194,7 +194,8 @@
 			eventually(t, "the reader waits before it examines the bytes", goroutineBlockedIn("(*serverConn).readResponses"))
 			p.mu.Unlock()
 			if r := <-ended; r.result != policy.Success || string(r.response.body) != "done" {
-				t.Errorf("the second attempt ended with %v, error %v, body %q", r.result, r.err, r.response.body)
+				t.Errorf("the second attempt ended with %v, error %v, body %q, want success, no error, \"done\"",
+					r.result, r.err, r.response.body)
 			}
 			if got := b.accepted(); got != 2 {
 				t.Errorf("the server accepted %d connections, want 2", got)
@@ -224,13 +225,14 @@
 	eventually(t, "the reader waits in Read", goroutineBlockedIn("(*serverConn).Read"))
 	c.readMu.Unlock()
 	if r := <-ended; r.result != policy.Success || string(r.response.body) != "done" {
-		t.Errorf("the second attempt ended with %v, error %v, body %q", r.result, r.err, r.response.body)
+		t.Errorf("the second attempt ended with %v, error %v, body %q, want success, no error, \"done\"",
+			r.result, r.err, r.response.body)
 	}
 }
 
-// Guards against truncated responses: a response after which the node closes the connection arrives completely, also at
-// a slow client that has sent more bytes meanwhile. A close with unread bytes would reset the connection and lose the
-// part of the response that the client has not received yet.
+// Guards against truncated responses: a response after which the node closes the connection reaches the client
+// completely, even if the client is slow and has sent more bytes meanwhile. A close with unread bytes would reset the
+// connection and lose the part of the response that the client has not received yet.
 func TestResponseIsCompleteDespiteUnreadBytes(t *testing.T) {
 	const long = 16 << 10
 	b, release := stalledBackend(t, func(c net.Conn, _ *http.Request) bool {
@@ -247,7 +249,7 @@
 	n.stop()
 	eventually(t, "the node closes connections after their responses", n.closing)
 	release()
-	eventually(t, "the node has shut it down", func() bool { return c.node.isClosed() || c.node.isWriteClosed() })
+	eventually(t, "node has closed its sending end", func() bool { return c.node.isClosed() || c.node.isWriteClosed() })
 	setReadTimeout(t, c, 20*time.Second)
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -292,8 +294,8 @@
 }
 
 // Guards against a client that gets the response to another request: a server responds twice, the second time some
-// milliseconds late. If the next request had been written to that connection by then, nothing would tell the two
-// responses apart.
+// milliseconds late. If the next request had been written to that connection by then, the two responses could not be
+// told apart.
 func TestLateSecondResponse(t *testing.T) {
 	answer := func(c net.Conn, r *http.Request) bool { return respond(c, "200 OK", r.Header.Get("X-Call-Id")) }
 	late := make(chan struct{})
@@ -326,10 +328,10 @@
 	}
 }
 
-// Guards against a client that gets another's response: the second response of a server to a request comes after
-// minIdlePeriod, in which a connection is not reused, and arrives when the next request has been written. The first
-// such response cannot be told from a true one. After it, no connection of that server carries a second request, and a
-// request that is not idempotent takes no connection that has been idle for so short a time.
+// Guards against a client that gets the response to another request: a server responds to a request a second time after
+// minIdlePeriod, in which a connection is not reused, and this response arrives when the next request has been written.
+// The first such response cannot be told from a true one. After it, no connection of that server carries a second
+// request, and a request that is not idempotent takes no connection that has been idle for so short a time.
 func TestLateSecondResponsesAreDetected(t *testing.T) {
 	const late = 3 * minIdlePeriod // delay of the second response
 	for class, allowed := range map[string]int{"safe": 1, "unsafe": 0} {
@@ -363,18 +365,18 @@
 				if i%2 == 0 {
 					time.Sleep(late / 2) // the second response arrives after the next request has been written
 				} else {
-					time.Sleep(3 * late) // its true response arrives while the connection may not be reused
+					time.Sleep(3 * late) // the true response to this request arrives before the next request
 				}
 			}
 			if foreign > allowed {
-				t.Errorf("%d of 8 requests got another's response, want %d at most", foreign, allowed)
+				t.Errorf("%d of 8 requests got the response to another request, want %d at most", foreign, allowed)
 			}
 		})
 	}
 }
 
-// Guards against a server's notice that it closes an idle connection being taken for a second response, after which
-// none of its connections would be reused.
+// A server may send a 408 to announce that it closes an idle connection. Guards against taking this notice for a second
+// response, after which no connection to the server would be reused.
 func TestAnnouncedIdleTimeoutIsNoSecondResponse(t *testing.T) {
 	for text, notice := range map[string]bool{
 		"HTTP/1.1 408 Request Timeout\r\n": true,
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -72,13 +72,13 @@
 func wantRequest(t *testing.T, a *fakeDiscovery, want string) {
 	t.Helper()
 	if got := <-a.requests; got != want {
-		t.Fatalf("discovery was asked for %q, want %q", got, want)
+		t.Fatalf("discovery got the request %q, want %q", got, want)
 	}
 }
 
 const snapshotLine = `{"seq":50,"whole":true,"hosts":[{"host":"s-9","dial":"127.0.0.1:9","health":"in_service"}]}`
 
-// A watch delivers each list, and the watch after its end continues from the version of the last one.
+// A watch delivers each list. When the watch ends, the next one continues from the version of the last list.
 func TestWatchFollowsAndReconnects(t *testing.T) {
 	a, addr := newFakeDiscovery(t)
 	_, events := startDiscovery(t, addr, "pushed", time.Minute)
@@ -190,7 +190,7 @@
 	}
 }
 
-// Where lists are polled, the node polls only when the policy requests it, and notifies the policy of failed polls.
+// In poll mode the node polls only when the policy requests a poll, and notifies the policy of failed polls.
 func TestPollMode(t *testing.T) {
 	a, addr := newFakeDiscovery(t)
 	d, events := startDiscovery(t, addr, "on_request", time.Minute)
@@ -225,12 +225,13 @@
 	cfg.Discovery = addr
 	n := start(t, cfg) // returns once the node is ready, which requires the list
 	if status, _, _ := do(t, newRequest(t, n.url, "unsafe", "1", "x")); status != http.StatusOK {
-		t.Errorf("status %d, want 200", status)
+		t.Errorf("the request got status %d, want 200", status)
 	}
 }
 
-// A change counts as notified once discovery has had it, and could be reached, for 6 s, whatever poll interval the
-// settings allow. By then, polls that are rejected, reset, or canceled because no line arrives must have been repeated.
+// A change must reach the node at most 6 s after discovery has it, if discovery can be reached, whatever poll interval
+// the settings allow. Polls that are rejected, reset, or canceled because no line arrives must have been repeated by
+// then.
 func TestNotifiedWithinSixSecondsOfFailedPolls(t *testing.T) {
 	reject := func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "busy", http.StatusServiceUnavailable) }
 	reset := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/internal/node/endpoint_events_test.go
+++ b/internal/node/endpoint_events_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A draining server gets no new requests, a server whose address changes gets them at the new address, and a server
-// that is missing from a snapshot is removed.
+// A draining server gets no new requests, a server whose address changes gets new requests only at its new address, and
+// a server that is missing from a snapshot is removed.
 func TestEndpointListChangesApply(t *testing.T) {
 	a, addr := newFakeDiscovery(t)
 	first, second := newBackend(t, serveOK), newBackend(t, serveOK)
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against leaks by clients that send much at once and disconnect: no connection, reserved memory or request of
-// theirs stays in the node, and none of their requests reaches a server, valid or not.
+// Guards against leaks by clients that send many bytes at once and disconnect: no connection, reserved memory or
+// request of such a client stays in the node, and none of its requests, valid or not, reaches a server.
 func TestFloodsLeakNothing(t *testing.T) {
 	longField := "X-Fill: " + strings.Repeat("x", 1000) + "\r\n"
 	for name, flood := range map[string]string{
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -24,8 +24,8 @@
 	return ln.Addr().String()
 }
 
-// startProcess starts a node in the same way as the program: it takes over the listener or opens one. It waits
-// until the node can serve.
+// startProcess starts a node in the same way as the program: the node takes over the listener or opens one.
+// startProcess waits until the node can serve.
 func startProcess(t *testing.T, cfg Config) *runningNode {
 	t.Helper()
 	cfg.Control = freeAddr(t)
@@ -71,8 +71,8 @@
 	return cfg
 }
 
-// sendUntil sends requests, each on a new connection, and polls /ready at every tenth until done is closed. The test
-// fails at the first request that does not succeed, and whenever /ready does not return 200.
+// sendUntil sends requests, each on a new connection, until done is closed, and polls /ready after every tenth request.
+// The test fails at the first request that does not succeed, and whenever /ready does not return 200.
 func (r *runningNode) sendUntil(t *testing.T, client int, done <-chan struct{}) {
 	t.Helper()
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -106,7 +106,8 @@
 }
 
 // While a new process takes over and the old one shuts down, no client's connection may be refused, reset or left
-// unread, and /ready must return 200 throughout. While both run, each has the connection limit of half the descriptors.
+// unread, and /ready must return 200 throughout. While both processes run, each has the connection limit that belongs
+// to half the descriptors.
 func TestUpgradeUnderLoad(t *testing.T) {
 	cfg := upgradeConfig(t, newBackend(t, serveOK))
 	oldProcess := startProcess(t, cfg)
--- a/internal/node/memory_reservation_test.go
+++ b/internal/node/memory_reservation_test.go
@@ -14,7 +14,7 @@
 )
 
 // Guards against memory of a response that stays reserved when its client disconnects while the response is passed to
-// the handler. The handler may see either first, so a hundred requests are sent to cover both cases.
+// the handler. Either event may reach the handler first, so a hundred requests are sent to cover both orders.
 func TestDisconnectWhileResponseArrives(t *testing.T) {
 	arrivals, disconnects := make(chan *clientRequest), make(chan *clientRequest)
 	h := &clientHandler{
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -25,14 +25,15 @@
 	return p
 }
 
-// testAttempt returns an attempt at an address, whose deadline is after wait.
+// testAttempt returns an attempt at an address. Its deadline is wait after the call.
 func testAttempt(p *pool, addr string, wait time.Duration) *attempt {
 	c := &clientRequest{method: http.MethodPost, url: &url.URL{Path: "/api"}, host: "service.internal",
 		header: http.Header{"X-Call-Id": {"1"}, "Idempotency-Key": {"k"}}, body: []byte("payload"), contentLength: 7}
 	return &attempt{request: c, endpoint: &endpoint{id: "s", addr: addr}, deadline: p.clock.now() + wait}
 }
 
-// Each kind of response, or failure to get one, has its result, and the server gets the request once.
+// Each kind of response, and each kind of failure to get a response, leads to the attempt result in the table. The
+// server gets the request once.
 func TestAttemptResults(t *testing.T) {
 	partly := func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
--- a/internal/node/queued_request_test.go
+++ b/internal/node/queued_request_test.go
@@ -51,7 +51,7 @@
 			}
 			given, err := inbound.ParseBudget(server.seen[0].Header.Get("X-Budget"))
 			if left := tt.budget - queued; err != nil || given > left {
-				t.Errorf("the server got the budget %v, %v, the client had %v left at most", given, err, left)
+				t.Errorf("the server got the budget %v, error %v, want at most the client's remaining %v", given, err, left)
 			}
 		})
 	}
--- a/internal/node/request_benchmark_test.go
+++ b/internal/node/request_benchmark_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// benchmarkSockets is the limit on sockets. It allows as many server connections as sequential requests use within
-// minIdlePeriod, for which a connection must be idle between two requests.
+// benchmarkSockets is the limit on sockets. A server connection must be idle for minIdlePeriod between two requests, so
+// sequential requests use many connections; the limit allows as many as they use within that period.
 const benchmarkSockets = 4096
 
 // benchmarkListener opens a listener on loopback and closes it at the end of the benchmark.
--- a/internal/node/retry_window_test.go
+++ b/internal/node/retry_window_test.go
@@ -34,7 +34,7 @@
 	n := start(t, cfg, func(n *Node) {
 		n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 			if dials.Add(1) == 2 {
-				time.Sleep(window + 100*time.Millisecond) // at least so long after the first attempt
+				time.Sleep(window + 100*time.Millisecond) // delays the retry by at least this time
 			}
 			return nil
 		}
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -136,7 +136,7 @@
 	<-connClosed
 }
 
-// A request whose large body a server leaves unread when it rejects the request does not count as run.
+// If a server rejects a request without reading its large body, the request does not count as executed.
 func TestEarlyRejection(t *testing.T) {
 	b := newBackend(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		return respond(c, "503 Service Unavailable", "", "X-Rejected: 1", "Connection: close")
@@ -178,7 +178,7 @@
 	startedAt := ck.start.Add(-5 * time.Second)
 	s := listedEndpoint{ID: "s", Health: "in_service", StartedAtMillis: float64(startedAt.UnixMicro()) / 1000}.endpoint()
 	if age := ck.now() - s.StartedAt; age < 4999*time.Millisecond || age > time.Minute {
-		t.Errorf("a server that started 5 s ago has the age %v", age)
+		t.Errorf("a server that started 5 s ago has the age %v, want 5 s to 1 min", age)
 	}
 	if s := (listedEndpoint{Health: "terminating"}).endpoint(); s.StartedAt != 0 || s.State != policy.Draining {
 		t.Errorf("endpoint %+v, want no start time and draining", s)
--- a/internal/node/server_conn_state_test.go
+++ b/internal/node/server_conn_state_test.go
@@ -30,7 +30,8 @@
 	return c
 }
 
-// Every event in every state leads to the state in the table of serverConnState, and the records of the pool agree.
+// Every event in every state leads to the state in the table of serverConnState, and the pool's records of the
+// connection agree with that state.
 func TestServerConnTransitions(t *testing.T) {
 	const unchanged = serverConnStates
 	table := map[serverConnState][serverConnEvents]serverConnState{
@@ -69,7 +70,7 @@
 		idle = 1
 	}
 	if c.pool.idle.Len() != idle || len(c.endpoint.idle) != idle || (c.idleElement != nil) != (idle == 1) {
-		t.Errorf("state %d: %d idle connections in the pool, %d of the endpoint",
+		t.Errorf("state %d: %d idle connections in the pool, %d of the endpoint, want one each only in the idle state",
 			c.state, c.pool.idle.Len(), len(c.endpoint.idle))
 	}
 	if closed := c.state == serverConnClosed; c.pool.open[c] == closed {
@@ -78,7 +79,7 @@
 	select {
 	case <-c.done:
 		if c.state != serverConnClosed {
-			t.Errorf("state %d: done is closed", c.state)
+			t.Errorf("state %d: done is closed, want it open", c.state)
 		}
 	default:
 		if c.state == serverConnClosed {
--- a/internal/node/settings_digest_test.go
+++ b/internal/node/settings_digest_test.go
@@ -7,8 +7,8 @@
 	"keelusher/policy"
 )
 
-// A fleet may have members of different builds, which compare digests of their settings. The digests must remain those
-// of the builds from before the fields of policy.Settings were renamed.
+// A fleet may have members of different builds, which compare digests of their settings. The digests must equal those
+// that builds from before the renaming of the fields of policy.Settings compute.
 func TestSettingsDigestIsThatOfOlderBuilds(t *testing.T) {
 	settings := policy.Settings{
 		Classes: []policy.Class{
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -23,11 +23,11 @@
 	waits := ln.dial(t) // connections are still accepted for a moment
 	waits.send(t, requestText("unsafe", "waits", ""))
 	if status := waits.readStatus(); status != http.StatusServiceUnavailable {
-		t.Errorf("the queued request got %d, want 503", status)
+		t.Errorf("the queued request got status %d, want 503", status)
 	}
 	for _, c := range sent {
 		if status := c.readStatus(); status != http.StatusBadGateway {
-			t.Errorf("a request that was sent to the server got %d, want 502", status)
+			t.Errorf("a request that was sent to the server got status %d, want 502", status)
 		}
 	}
 	// On an idle machine the responses come after 3.6 s. The deadlines of the requests are after 20 s.
--- a/internal/node/sites_test.go
+++ b/internal/node/sites_test.go
@@ -14,7 +14,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// siteFile holds the part of a site file that a node's settings are made from. Other programs read the rest.
+// siteFile holds the keys of a site file from which a node's settings are made. Other programs read the other keys.
 type siteFile struct {
 	Name  string
 	Allow struct {
--- a/internal/node/slow_body_test.go
+++ b/internal/node/slow_body_test.go
@@ -74,7 +74,8 @@
 			setReadTimeout(t, c, 10*time.Second)
 			_, err = c.Read(make([]byte, 1))
 			if took := time.Since(stopped); errors.Is(err, os.ErrDeadlineExceeded) || took > 3*time.Second {
-				t.Errorf("the client got an error or a close after %v, %v, want 3s at most", took, err)
+				t.Errorf("the client's read ended after %v with error %v, want a response or a close after 3s at most",
+					took, err)
 			}
 		})
 	}
--- a/internal/node/staleness_test.go
+++ b/internal/node/staleness_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against keeping a watch without progress: silence, a trickle of bytes without the end of a line, and a list
-// that stops before its end. Each is replaced by a new watch from the version of the last delivered list.
+// that stops before its end. Each such watch is replaced by one from the version of the last delivered list.
 func TestBrokenWatchesAreReplaced(t *testing.T) {
 	for name, text := range map[string]string{
 		"silent": "", "trickle": " ", "incomplete": "{\n", "incomplete later": "{\"seq\":44,\n"} {
@@ -64,7 +64,7 @@
 	}
 }
 
-// suspend has the effect on a monitor of a suspension of the process for the duration.
+// suspend puts the monitor in the state that it has after the process was suspended for the duration.
 func (m *stalenessMonitor) suspend(duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +83,7 @@
 }
 
 // After a suspension of the process, the list is stale and sends are held until all buffered updates have been read.
-// Only then is a watch canceled that had nothing to read.
+// After another suspension, a watch on which no line was buffered is canceled, and the list is no longer stale.
 func TestStalenessMonitorAfterSuspension(t *testing.T) {
 	canceled := make(chan error, 1)
 	m := newStalenessMonitor(time.Minute, false)
@@ -101,7 +101,7 @@
 		return m.suspended
 	})
 	if m.lineReceived(); !m.holdSends() {
-		t.Error("sends are not held while more may be buffered")
+		t.Error("sends are not held while more updates may be buffered")
 	}
 	waitFor(t, "all buffered updates are read", func() bool { return !m.holdSends() })
 	if m.stale() {
--- a/internal/node/zone_evacuation_test.go
+++ b/internal/node/zone_evacuation_test.go
@@ -10,8 +10,8 @@
 	"keelusher/internal/admin"
 )
 
-// Operators can list the zones and evacuate one, which gets no requests until they restore it. The last zone that is
-// served is evacuated only if they force it, and requests are still served then.
+// Operators can list the zones, and evacuate a zone, which gets no requests until it is restored. The last zone that is
+// in service is evacuated only by a call with force, and requests are still served then.
 func TestZonesAtAdminEndpoint(t *testing.T) {
 	local, remote := newBackend(t, serveOK), newBackend(t, serveOK)
 	a, b := inService("s-0", local.addr()), inService("s-1", remote.addr())
