--- a/cmd/balancer/log_test.go
+++ b/cmd/balancer/log_test.go
@@ -53,7 +53,7 @@
 		}
 		response, err := client.Do(request)
 		if err != nil {
-			t.Fatalf("request %d: %v", i, err)
+			t.Fatalf("request %d got no response: %v", i, err)
 		}
 		response.Body.Close()
 	}
--- a/cmd/balancer/process_test.go
+++ b/cmd/balancer/process_test.go
@@ -174,7 +174,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("did not happen within 20 s: %s", what)
+			t.Fatalf("condition not met within 20 s: %s", what)
 		}
 	}
 }
--- a/internal/inbound/body_test.go
+++ b/internal/inbound/body_test.go
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	if b.Stop() || !b.Consumed() {
-		t.Error("a partly read body is reported as complete, or as not consumed")
+		t.Error("a partly read body is reported as complete or as not consumed, want incomplete and consumed")
 	}
 	if n, err := b.Read(make([]byte, 2)); n != 0 || !errors.Is(err, ErrBodyUnwanted) {
 		t.Errorf("read after Stop: %d bytes, error %v, want 0 bytes and ErrBodyUnwanted", n, err)
--- a/internal/inbound/head_test.go
+++ b/internal/inbound/head_test.go
@@ -20,7 +20,8 @@
 				rest = rest[len(piece):]
 				h.Add([]byte(piece))
 				if read := len(head) + len("body") - len(rest); h.Partial() != (read < len(head)) || !h.Started() {
-					t.Errorf("%q after %d bytes: partial %v, started %v", head, read, h.Partial(), h.Started())
+					t.Errorf("%q after %d bytes: partial %v, started %v, want started, and partial only before its end",
+						head, read, h.Partial(), h.Started())
 				}
 			}
 			if string(h.text) != head {
@@ -40,7 +41,8 @@
 		h.Add([]byte(strings.Repeat("x", MaxHead)))
 	}
 	if len(h.text) > 4*MaxHead || h.Partial() {
-		t.Errorf("endless head: %d bytes recorded, partial %v", len(h.text), h.Partial())
+		t.Errorf("endless head: %d bytes recorded, partial %v, want at most 4*MaxHead, not partial",
+			len(h.text), h.Partial())
 	}
 }
 
--- a/internal/inbound/headers_test.go
+++ b/internal/inbound/headers_test.go
@@ -65,6 +65,6 @@
 		t.Errorf("forwarded %v, want only X-Kept", got)
 	}
 	if len(incoming) != 5 {
-		t.Errorf("the incoming headers were changed to %v", incoming)
+		t.Errorf("the incoming headers were changed to %v, want all 5 kept", incoming)
 	}
 }
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -26,7 +26,7 @@
 func mustWrite(t *testing.T, s *Sink, line string) {
 	t.Helper()
 	if n, err := s.Write([]byte(line)); n != len(line) || err != nil {
-		t.Errorf("the sink accepted %d of %d bytes, error %v", n, len(line), err)
+		t.Errorf("the sink accepted %d of %d bytes, error %v, want all and no error", n, len(line), err)
 	}
 }
 
--- a/internal/node/client_handler_test.go
+++ b/internal/node/client_handler_test.go
@@ -235,7 +235,7 @@
 	eventually(t, "the server has received the request", func() bool { return b.requests() == 1 })
 	leave()
 	if err := <-left; err == nil {
-		t.Fatal("the canceled request was answered")
+		t.Fatal("the canceled request got a response, want an error")
 	}
 	close(release)
 	// The ID can be used again when the loop has removed the request and its attempt.
--- a/internal/node/connection_race_test.go
+++ b/internal/node/connection_race_test.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// Guards against a stray response that the reader has not read yet: the reuse check finds bytes in the kernel too.
+// Guards against a stray response that the reader has not read yet: the reuse check detects bytes in the kernel too.
 func TestUnreadUnexpectedBytesWhileConnectionIsAcquired(t *testing.T) {
 	b := newBackend(t, serveOK)
 	p := testPool(t)
@@ -323,7 +323,7 @@
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil || string(body) != id {
-			t.Errorf("request %s got the response to %q, %v", id, body, err)
+			t.Errorf("request %s got the response to %q, error %v, want its own response", id, body, err)
 		}
 	}
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -101,7 +101,7 @@
 	t.Helper()
 	r.stop()
 	if err := <-r.done; err != nil {
-		t.Errorf("the process ended with error %v", err)
+		t.Errorf("the process ended with %v, want no error", err)
 	}
 }
 
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -206,7 +206,7 @@
 		began := time.Now()
 		c := mustAcquire(t, p, att)
 		if took := time.Since(began); took < minIdlePeriod/2 {
-			t.Errorf("a connection was reused after only %v", took)
+			t.Errorf("a connection was reused after %v, want minIdlePeriod/2 at least", took)
 		}
 		p.release(c)
 	}
@@ -256,7 +256,8 @@
 	body, _ := io.ReadAll(r.Body)
 	if r.RequestURI != "/a%2Fb%20c?x=%20&y" || r.Host != "service.internal" || string(body) != "payload" ||
 		r.Header.Get("X-Call-Id") != "1" || r.Header.Get("Idempotency-Key") != "k" {
-		t.Errorf("forwarded target %s, host %s, body %q, headers %v", r.RequestURI, r.Host, body, r.Header)
+		t.Errorf("forwarded target %s, host %s, body %q, headers %v, want those of the client",
+			r.RequestURI, r.Host, body, r.Header)
 	}
 	if left, err := inbound.ParseBudget(r.Header.Get("X-Budget")); err != nil || left <= 0 || left > 400*time.Millisecond {
 		t.Errorf("X-Budget %v, error %v; want above 0 and at most 400 ms", left, err)
--- a/internal/node/request_benchmark_test.go
+++ b/internal/node/request_benchmark_test.go
@@ -118,7 +118,7 @@
 		b.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != http.StatusOK {
-		b.Fatalf("request %d got status %d, %v", c.sent, response.StatusCode, err)
+		b.Fatalf("request %d got status %d, error %v, want 200 and a whole body", c.sent, response.StatusCode, err)
 	}
 }
 
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -71,7 +71,7 @@
 	case resp.StatusCode == http.StatusOK && string(body) != "done":
 		t.Errorf("request %s got the body %q, want done", id, body)
 	case resp.StatusCode == http.StatusServiceUnavailable && ran > 0:
-		t.Errorf("request %s was rejected, but may have run %d times", id, ran)
+		t.Errorf("request %s was rejected, but may have run %d times, want 0", id, ran)
 	case class == "unsafe" && ran > 1:
 		t.Errorf("non-idempotent request %s may have run %d times, want at most once", id, ran)
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -35,7 +35,7 @@
 		t.Errorf("the last response came after %v, want at most 10 s", took)
 	}
 	if err := <-n.done; err != nil {
-		t.Errorf("the node ended with error %v", err)
+		t.Errorf("the node ended with %v, want no error", err)
 	}
 }
 
