--- a/internal/inbound/head_test.go
+++ b/internal/inbound/head_test.go
@@ -20,7 +20,8 @@
 				rest = rest[len(piece):]
 				h.Add([]byte(piece))
 				if read := len(head) + len("body") - len(rest); h.Partial() != (read < len(head)) || !h.Started() {
-					t.Errorf("%q after %d bytes: partial %v, started %v", head, read, h.Partial(), h.Started())
+					t.Errorf("%q after %d bytes: partial %v, started %v, want started, and partial only before its end",
+						head, read, h.Partial(), h.Started())
 				}
 			}
 			if string(h.text) != head {
@@ -40,11 +41,12 @@
 		h.Add([]byte(strings.Repeat("x", MaxHead)))
 	}
 	if len(h.text) > 4*MaxHead || h.Partial() {
-		t.Errorf("endless head: %d bytes recorded, partial %v", len(h.text), h.Partial())
+		t.Errorf("endless head: %d bytes recorded, partial %v, want at most 4*MaxHead, not partial",
+			len(h.text), h.Partial())
 	}
 }
 
-// Requests whose end is ambiguous must be rejected, with the right status; they allow request smuggling.
+// Requests whose end is ambiguous allow request smuggling. They must be rejected with the right status.
 func TestCheckFraming(t *testing.T) {
 	const requestLine = "POST /api HTTP/1.1\r\n"
 	chunked := func(head string) (*http.Request, *Head) {
@@ -74,7 +76,7 @@
 			err := CheckFraming(r, head)
 			var rejection *Rejection
 			if errors.As(err, &rejection) != (tc.status != 0) || rejection != nil && rejection.Status != tc.status {
-				t.Errorf("got %v, want status %d", err, tc.status)
+				t.Errorf("CheckFraming returned %v, want a rejection with status %d, or none for 0", err, tc.status)
 			}
 		})
 	}
--- a/internal/inbound/headers_test.go
+++ b/internal/inbound/headers_test.go
@@ -31,7 +31,8 @@
 	meta, budget, err := ParseHeaders(r, methods)
 	want := policy.Request{ID: "1", Class: "safe", Tenant: "tenant", IsRetry: true, Key: hashKey("key"), HasKey: true}
 	if err != nil || budget != 30*time.Millisecond || meta != want {
-		t.Errorf("got %+v, %v, %v, want %+v", meta, budget, err, want)
+		t.Errorf("ParseHeaders returned request %+v, budget %v, error %v, want request %+v, budget 30ms, no error",
+			meta, budget, err, want)
 	}
 	for name, makeInvalid := range map[string]func(*http.Request){
 		"X-Call-Id":    func(r *http.Request) { r.Header.Del("X-Call-Id") },
@@ -64,6 +65,6 @@
 		t.Errorf("forwarded %v, want only X-Kept", got)
 	}
 	if len(incoming) != 5 {
-		t.Errorf("the incoming headers were changed to %v", incoming)
+		t.Errorf("the incoming headers were changed to %v, want all 5 kept", incoming)
 	}
 }
--- a/internal/node/pool_test.go
+++ b/internal/node/pool_test.go
@@ -25,14 +25,15 @@
 	return p
 }
 
-// testAttempt returns an attempt at an address, whose deadline is after wait.
+// testAttempt returns an attempt at an address. Its deadline is wait after the call.
 func testAttempt(p *pool, addr string, wait time.Duration) *attempt {
 	c := &clientRequest{method: http.MethodPost, url: &url.URL{Path: "/api"}, host: "service.internal",
 		header: http.Header{"X-Call-Id": {"1"}, "Idempotency-Key": {"k"}}, body: []byte("payload"), contentLength: 7}
 	return &attempt{request: c, endpoint: &endpoint{id: "s", addr: addr}, deadline: p.clock.now() + wait}
 }
 
-// Each kind of response, or failure to get one, has its result, and the server gets the request once.
+// Each kind of response, and each kind of failure to get a response, leads to the attempt result in the table. The
+// server gets the request once.
 func TestAttemptResults(t *testing.T) {
 	partly := func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
@@ -205,7 +206,7 @@
 		began := time.Now()
 		c := mustAcquire(t, p, att)
 		if took := time.Since(began); took < minIdlePeriod/2 {
-			t.Errorf("a connection was reused after only %v", took)
+			t.Errorf("a connection was reused after %v, want minIdlePeriod/2 at least", took)
 		}
 		p.release(c)
 	}
@@ -255,7 +256,8 @@
 	body, _ := io.ReadAll(r.Body)
 	if r.RequestURI != "/a%2Fb%20c?x=%20&y" || r.Host != "service.internal" || string(body) != "payload" ||
 		r.Header.Get("X-Call-Id") != "1" || r.Header.Get("Idempotency-Key") != "k" {
-		t.Errorf("forwarded target %s, host %s, body %q, headers %v", r.RequestURI, r.Host, body, r.Header)
+		t.Errorf("forwarded target %s, host %s, body %q, headers %v, want those of the client",
+			r.RequestURI, r.Host, body, r.Header)
 	}
 	if left, err := inbound.ParseBudget(r.Header.Get("X-Budget")); err != nil || left <= 0 || left > 400*time.Millisecond {
 		t.Errorf("X-Budget %v, error %v; want above 0 and at most 400 ms", left, err)
--- a/internal/node/request_benchmark_test.go
+++ b/internal/node/request_benchmark_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// benchmarkSockets is the limit on sockets. It allows as many server connections as sequential requests use within
-// minIdlePeriod, for which a connection must be idle between two requests.
+// benchmarkSockets is the limit on sockets. A server connection must be idle for minIdlePeriod between two requests, so
+// sequential requests use many connections; the limit allows as many as they use within that period.
 const benchmarkSockets = 4096
 
 // benchmarkListener opens a listener on loopback and closes it at the end of the benchmark.
@@ -118,7 +118,7 @@
 		b.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != http.StatusOK {
-		b.Fatalf("request %d got status %d, %v", c.sent, response.StatusCode, err)
+		b.Fatalf("request %d got status %d, error %v, want 200 and a whole body", c.sent, response.StatusCode, err)
 	}
 }
 
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -23,11 +23,11 @@
 	waits := ln.dial(t) // connections are still accepted for a moment
 	waits.send(t, requestText("unsafe", "waits", ""))
 	if status := waits.readStatus(); status != http.StatusServiceUnavailable {
-		t.Errorf("the queued request got %d, want 503", status)
+		t.Errorf("the queued request got status %d, want 503", status)
 	}
 	for _, c := range sent {
 		if status := c.readStatus(); status != http.StatusBadGateway {
-			t.Errorf("a request that was sent to the server got %d, want 502", status)
+			t.Errorf("a request that was sent to the server got status %d, want 502", status)
 		}
 	}
 	// On an idle machine the responses come after 3.6 s. The deadlines of the requests are after 20 s.
@@ -35,7 +35,7 @@
 		t.Errorf("the last response came after %v, want at most 10 s", took)
 	}
 	if err := <-n.done; err != nil {
-		t.Errorf("the node ended with error %v", err)
+		t.Errorf("the node ended with %v, want no error", err)
 	}
 }
 
